--- a/crates/courier/src/owner.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -11,40 +11,40 @@
 //!   ended     what stays of ended messages  brokers   attempts at MQTT brokers      notes  state by key
 //! ```
 
+mod acceptance;
+mod attempts;
 mod brokers;
-mod ended;
-mod held;
+mod ended_messages;
+mod held_message;
 mod lease;
 mod members;
 mod memory;
-mod notes;
 mod notices;
-mod out;
 mod records;
 pub mod setup;
-mod stopping;
-mod taking;
+mod shutdown;
+mod stored_state;
 
 use crate::clock::unix;
+use crate::events::{Front, List, News};
 use crate::front::intake::Standing;
-use crate::news::{Front, List, News};
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
 use crate::place::hosts::hosts;
+use acceptance::Taking;
+use attempts::{Out, aged};
 use members::Members;
 use memory::Memory;
 use notices::Notices;
-use out::{Out, aged};
 use records::{COMPACT_PAUSE, DISK_RETRY, Records};
 use setup::Setup;
+use shutdown::{STOP_LOOK, Stopping};
 use stairshed_config::change::changes;
 use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Journal, Verdict};
 use std::collections::HashMap;
 use std::rc::Rc;
-use stopping::{STOP_LOOK, Stopping};
-use taking::Taking;
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::{Instant, sleep_until};
 
@@ -68,7 +68,7 @@
     memory: Memory,
     /// Whose clients are told how their messages end.
     front: Option<Rc<dyn Front>>,
-    ended: ended::Ended,
+    ended: ended_messages::Ended,
     brokers: brokers::Brokers,
     /// Numbers of the journal's notes, by key.
     notes: HashMap<String, u64>,
@@ -103,7 +103,7 @@
             stopping: Stopping::default(),
             memory,
             front: None,
-            ended: ended::Ended::default(),
+            ended: ended_messages::Ended::default(),
             brokers: brokers::Brokers::default(),
             notes: HashMap::new(),
         };
--- a/crates/courier/src/owner/taking.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -1,11 +1,11 @@
 //! Taking on: what clients offer, until the module has judged it and they have heard. Owns the offers, the ids of
 //! all that is held, and the next message's number; `turn` calls it with the module's refusals.
 
-use super::held::{Held, Waiting};
+use super::held_message::{Held, Waiting};
 use super::memory::Holding;
 use super::{Courier, Verdict};
+use crate::events::{Offer, Reply, ReplyTo};
 use crate::follow;
-use crate::news::{Offer, Reply, ReplyTo};
 use stairshed_decide::interface::*;
 use stairshed_journal::{Letter, Refusal};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/courier/src/owner/out.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -1,11 +1,11 @@
 //! What is out: the messages that are held, their calls, and how each call ended.
 
 use super::Courier;
-use super::held::{Held, Waiting};
-use super::stopping::STOP_SENDING;
+use super::held_message::{Held, Waiting};
+use super::shutdown::STOP_SENDING;
 use crate::clock::unix;
+use crate::events::{AfterAttempt, CallEnd};
 use crate::follow;
-use crate::news::{AfterAttempt, CallEnd};
 use crate::out::calls::{Call, Calls, To};
 use crate::out::exchange::Logged;
 use stairshed_decide::interface::*;
--- a/crates/courier/src/owner/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -2,9 +2,9 @@
 //! that one whose fate is open is resumed after a restart, and is never a second one.
 
 use super::Courier;
-use super::held::{Held, Waiting};
+use super::held_message::{Held, Waiting};
 use crate::clock::unix;
-use crate::news::{AfterAttempt, CallEnd};
+use crate::events::{AfterAttempt, CallEnd};
 use crate::out::broker::Broker;
 use crate::out::calls::{Call, DRAIN_TIME};
 use serde::{Deserialize, Serialize};
--- a/crates/courier/src/owner/ended.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -2,11 +2,11 @@
 //! end is told, whatever crashes in between. The journal holds it; here stands what is looked up.
 
 use super::Courier;
-use super::held::Waiting;
+use super::held_message::Waiting;
 use super::memory::Loose;
 use crate::clock::unix;
+use crate::events::{Offer, Reply, ReplyTo};
 use crate::follow;
-use crate::news::{Offer, Reply, ReplyTo};
 use stairshed_journal::{Kept, Letter, Verdict};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -293,5 +293,5 @@
 }
 
 #[cfg(test)]
-#[path = "ended_test.rs"]
+#[path = "ended_messages_test.rs"]
 mod tests;
--- a/crates/courier/src/owner/held.rs
+++ b/crates/courier/src/dispatcher/held_message.rs
@@ -1,7 +1,7 @@
 //! What the parts of the owner hand each other: a message that is held, what waits for its record, and the zone of
 //! which nothing is known. Below all of them, and owns nothing itself.
 
-use crate::news::ReplyTo;
+use crate::events::ReplyTo;
 use crate::out::calls::Call;
 use stairshed_decide::interface::EndpointId;
 use stairshed_journal::Letter;
--- a/crates/courier/src/owner/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -2,8 +2,8 @@
 //! look-ups change among them, and the destinations that are gone.
 
 use super::Courier;
-use super::held::Held;
-use crate::news::{Changes, Configured, Health, Host, List, differences};
+use super::held_message::Held;
+use crate::events::{Changes, Configured, Health, Host, List, differences};
 use crate::place::watch::Watch;
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
--- a/crates/courier/src/owner/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -2,9 +2,9 @@
 //! back when a burst is over. What there is room for is decided by the ledger (`stairshed-memory`).
 
 use super::Courier;
-use super::held::Held;
-use crate::news::{Offer, Reply};
-use crate::room::Room;
+use super::held_message::Held;
+use crate::events::{Offer, Reply};
+use crate::memory_budget::Room;
 use crate::system;
 use stairshed_decide::weigh;
 use stairshed_journal::{Attempt, Kept, Letter, ROW};
--- a/crates/courier/src/owner/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -2,10 +2,10 @@
 //! Owns that queue and the standing of the disk; takes over what an earlier life has left.
 
 use super::Courier;
-use super::held::{Held, NOWHERE, Waiting};
+use super::held_message::{Held, NOWHERE, Waiting};
 use crate::clock::unix;
+use crate::events::News;
 use crate::follow;
-use crate::news::News;
 use crate::out::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Synced, Verdict};
--- a/crates/courier/src/owner/notes.rs
+++ b/crates/courier/src/dispatcher/stored_state.rs
@@ -1,8 +1,8 @@
 //! State of other parts of the courier that outlasts the process: kept in the journal under a key each.
 
 use super::Courier;
-use super::held::Waiting;
-use crate::news::Store;
+use super::held_message::Waiting;
+use crate::events::Store;
 use stairshed_journal::{Note, Refusal};
 
 impl Courier {
--- a/crates/courier/src/news.rs
+++ b/crates/courier/src/events.rs
@@ -1,8 +1,8 @@
 //! What crosses between the courier's parts: the news that its owner of the decision module hears, and
 //! what they carry. It stands below all of them, so that no part imports the owner.
 
+use crate::memory_budget::NoRoom;
 use crate::out::exchange::Exchange;
-use crate::room::NoRoom;
 use serde::Deserialize;
 use stairshed_config::Installation;
 use stairshed_decide::interface::{EndpointId, Outcome, Report};
--- a/crates/courier/src/front/admin.rs
+++ b/crates/courier/src/front/admin.rs
@@ -2,10 +2,10 @@
 //! their own, off unless configured, loopback only.
 
 use crate::front::intake::Standing;
+use crate::memory_budget::Room;
 use crate::out::connection_status::ConnectionStatus;
 use crate::place::control::View;
 use crate::place::watch_status::WatchStatus;
-use crate::room::Room;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/crates/courier/src/front/farewell.rs
+++ b/crates/courier/src/front/farewell.rs
@@ -2,8 +2,8 @@
 //! closed so that no reset overtakes the answer. One task has them all. Who is seen off, who gives way and for how
 //! long is decided by [`Partings`]; this owns the sockets meanwhile.
 
-use crate::news::COME_AGAIN;
-use crate::room::{NoRoom, Room};
+use crate::events::COME_AGAIN;
+use crate::memory_budget::{NoRoom, Room};
 use crate::socket::is_transient;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use stairshed_memory::partings::{DRAINED, How, LINGER, LISTEN, MOST};
--- a/crates/courier/src/front/intake.rs
+++ b/crates/courier/src/front/intake.rs
@@ -1,11 +1,11 @@
 //! The clients' side: takes messages in over HTTP, and tells whether the courier is ready.
 
 use crate::clock::unix;
+use crate::events::{COME_AGAIN, News, Offer, Reply, ReplyTo, reason};
 use crate::front::effective::Effective;
 use crate::front::farewell::{Farewells, Speaks, Why};
 use crate::front::named::{Named, Unfit};
-use crate::news::{COME_AGAIN, News, Offer, Reply, ReplyTo, reason};
-use crate::room::{NoRoom, Room};
+use crate::memory_budget::{NoRoom, Room};
 use crate::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/crates/courier/src/front/mqtt.rs
+++ b/crates/courier/src/front/mqtt.rs
@@ -2,12 +2,12 @@
 //! sessions. What a PUBLISH means is asked of the routes in effect, what becomes of it of the courier.
 
 use crate::clock::unix;
+use crate::events::{COME_AGAIN, Front, News, Offer, Reply, ReplyTo, Store, reason};
 use crate::front::effective::Effective;
 use crate::front::farewell::{Farewells, Speaks, Why};
 use crate::front::users::Users;
-use crate::news::{COME_AGAIN, Front, News, Offer, Reply, ReplyTo, Store, reason};
+use crate::memory_budget::{NoRoom, Room};
 use crate::out::outcomes;
-use crate::room::{NoRoom, Room};
 use crate::socket::is_transient;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,24 +1,24 @@
-//! The real courier: the decision module on real sockets. Each room has one job; `owner` owns the module, and the
-//! others tell it what happened, by `news`, which lies below them all.
+//! The real courier: the decision module on real sockets. Each room has one job; `dispatcher` owns the module, and the
+//! others tell it what happened, by `events`, which lies below them all.
 //!
 //! ```text
 //!   start   what it is told at its start: by the platform, by an operator's file
 //!   front   clients: HTTP, MQTT, and the operator's pages
 //!   place   where things are: discovery, names, the control service
 //!   out     calls to endpoints and brokers, notices of outcomes
-//!   owner   the decision module, its turn, and what is held
+//!   dispatcher the decision module, its turn, and what is held
 //! ```
 
 pub mod client;
 mod clock;
+mod dispatcher;
+mod events;
 mod fault;
 pub mod follow;
 mod front;
-mod news;
+mod memory_budget;
 mod out;
-mod owner;
 mod place;
-mod room;
 mod socket;
 mod start;
 mod system;
--- a/crates/courier/src/out/attempt_outcome.rs
+++ b/crates/courier/src/out/attempt_outcome.rs
@@ -3,7 +3,7 @@
 //! An answer that is not believed proves nothing, and the message may have run. What it forbids holds all the same: a
 //! message that is over is not sent again, whatever becomes of the rest of the answer that says so.
 
-use crate::news::{AfterAttempt, CallEnd};
+use crate::events::{AfterAttempt, CallEnd};
 use crate::out::link::{Answer, Heard, Lost};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
--- a/crates/courier/src/out/broker.rs
+++ b/crates/courier/src/out/broker.rs
@@ -1,7 +1,7 @@
 //! The connection to one MQTT broker: a socket around the state machine of `stairshed-mqtt`. It decides nothing.
 
 use crate::clock::unix;
-use crate::news::{AfterAttempt, CallEnd, News};
+use crate::events::{AfterAttempt, CallEnd, News};
 use crate::out::calls::Call;
 use crate::socket::is_transient;
 use bytes::Bytes;
--- a/crates/courier/src/out/calls.rs
+++ b/crates/courier/src/out/calls.rs
@@ -1,7 +1,8 @@
 //! Calls to endpoints and probes, and the connections kept for them. One call a connection at a time; what
 //! may have run is told apart from what never did.
 
-use crate::news::{CallEnd, News};
+use crate::events::{CallEnd, News};
+use crate::memory_budget::Room;
 use crate::out::answer_identity::AnswerIdentity;
 use crate::out::attempt_outcome::{ended, restrained, unanswered};
 use crate::out::connection_pool::{ConnectionPool, PooledConnection};
@@ -9,7 +10,6 @@
 use crate::out::exchange::Exchange;
 use crate::out::link::{Answer, Heard, Lost};
 use crate::out::listening::{Listening, watched};
-use crate::room::Room;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
--- a/crates/courier/src/out/outcomes.rs
+++ b/crates/courier/src/out/outcomes.rs
@@ -1,7 +1,7 @@
 //! Notices of what was taken on and is not delivered: to the platform, or where an operator wants them, by
 //! post, in a file, or both. Sent until they are acknowledged, however long that takes.
 
-use crate::news::News;
+use crate::events::News;
 use crate::out::link::Link;
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/courier/src/place/control.rs
+++ b/crates/courier/src/place/control.rs
@@ -1,16 +1,16 @@
 //! The control service's versions and the operator's file, put into effect one after the other: checked off
 //! the serving thread, stored, told to the courier, and only then acknowledged.
 
+use crate::events::{Changes, Configured, News};
 use crate::fault::Fault;
 use crate::front::effective::Effective;
 use crate::front::intake::Intake;
 use crate::front::listener::listen;
-use crate::news::{Changes, Configured, News};
+use crate::memory_budget::{self, Room};
 use crate::out::link::Link;
 use crate::place::dns::Lookups;
 use crate::place::file;
 use crate::place::hosts::hosts;
-use crate::room::{self, Room};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
@@ -513,7 +513,7 @@
         installation: Arc<Installation>,
         changes: Changes,
     ) -> Result<Prepared, Vec<String>> {
-        let caps = room::caps(&installation)?;
+        let caps = memory_budget::caps(&installation)?;
         let listener = match installation.http == self.before.http {
             true => None,
             false => {
--- a/crates/courier/src/place/dns.rs
+++ b/crates/courier/src/place/dns.rs
@@ -1,7 +1,7 @@
 //! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where the
 //! answer is cut short.
 
-use crate::news::{Health, Host, List, News, differences};
+use crate::events::{Health, Host, List, News, differences};
 use crate::place::names::Names;
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
--- a/crates/courier/src/place/hosts.rs
+++ b/crates/courier/src/place/hosts.rs
@@ -1,6 +1,6 @@
 //! Endpoints of a configuration, as a list tells them.
 
-use crate::news::{Health, Host};
+use crate::events::{Health, Host};
 use stairshed_config::change::Changed;
 use stairshed_config::installation::{At, OWN, SHARED};
 
--- a/crates/courier/src/place/watch.rs
+++ b/crates/courier/src/place/watch.rs
@@ -3,7 +3,7 @@
 
 use super::outage::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
-use crate::news::{List, News};
+use crate::events::{List, News};
 use crate::out::link::{ConnectError, Link, Lost, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/courier/src/start/config.rs
+++ b/crates/courier/src/start/config.rs
@@ -1,11 +1,11 @@
 //! What the platform tells a courier: environment and `LB_CONFIG`, at its start and when it is told to read
 //! the file again.
 
+use crate::dispatcher::setup::Setup;
+use crate::events::List;
 use crate::fault::Fault;
-use crate::news::List;
-use crate::owner::setup::Setup;
+use crate::memory_budget::Room;
 use crate::place::list_age::ListAgeFile;
-use crate::room::Room;
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
--- a/crates/courier/src/start/platform.rs
+++ b/crates/courier/src/start/platform.rs
@@ -3,14 +3,14 @@
 use super::config::{self, Config};
 use super::settings::Settings;
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
+use crate::dispatcher::Courier;
+use crate::events::News;
 use crate::fault::Fault;
 use crate::front::intake::{Front, Intake, Standing};
 use crate::front::listener::listen;
-use crate::news::News;
+use crate::memory_budget::Room;
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
-use crate::owner::Courier;
-use crate::room::Room;
 use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::LIST_TERM;
 use stairshed_journal::Journal;
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/start/serve.rs
@@ -1,6 +1,9 @@
 //! An operator's courier: started from a file, with versions of a control service over it.
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
+use crate::dispatcher::Courier;
+use crate::dispatcher::setup::Setup;
+use crate::events::News;
 use crate::fault::Fault;
 use crate::front::admin::{self, Pages};
 use crate::front::effective::Effective;
@@ -9,16 +12,13 @@
 use crate::front::listener::listen;
 use crate::front::mqtt::{self, Hub};
 use crate::front::users::Users;
-use crate::news::News;
+use crate::memory_budget::{self, Room};
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
-use crate::owner::Courier;
-use crate::owner::setup::Setup;
 use crate::place::control::{Configurator, Status, Store};
 use crate::place::dns;
 use crate::place::file;
 use crate::place::hosts::kinds;
-use crate::room::{self, Room};
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
@@ -172,7 +172,7 @@
     let for_clients = limits.connections.saturating_sub(for_calls + SPARE_SOCKETS).max(4);
     let beside = file.parent().unwrap_or(Path::new(".")).to_owned();
     let effective = Effective::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
-    let caps = room::caps(&installation).map_err(Fault::Lines)?;
+    let caps = memory_budget::caps(&installation).map_err(Fault::Lines)?;
     let room = Room::new(&caps, installation.file.memory.client_share);
     let mut setup = setup(&installation, &effective, &room, &beside);
     let calls = Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, for_calls, room.clone());
