--- a/crates/courier/src/clock.rs
+++ b/crates/courier/src/clock.rs
@@ -3,6 +3,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Unix time.
-pub fn unix() -> Duration {
+pub fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -25,8 +25,8 @@
 mod shutdown;
 mod stored_state;
 
-use crate::clock::unix;
-use crate::events::{Front, List, News};
+use crate::clock::unix_time;
+use crate::events::{CourierEvent, EndpointList, Frontend};
 use crate::front::intake::Standing;
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
@@ -48,12 +48,12 @@
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::{Instant, sleep_until};
 
-pub struct Courier {
+pub struct Dispatcher {
     setup: Setup,
     brain: Brain,
     journal: Journal,
     standing: Rc<Standing>,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
     origin: Instant,
     /// What the module has not heard of yet.
     events: Vec<Event>,
@@ -67,14 +67,14 @@
     stopping: Stopping,
     memory: Memory,
     /// Whose clients are told how their messages end.
-    front: Option<Rc<dyn Front>>,
+    front: Option<Rc<dyn Frontend>>,
     ended: ended_messages::Ended,
     brokers: brokers::Brokers,
     /// Numbers of the journal's notes, by key.
     notes: HashMap<String, u64>,
 }
 
-impl Courier {
+impl Dispatcher {
     pub fn new(
         setup: Setup,
         brain: Brain,
@@ -82,11 +82,11 @@
         calls: Calls,
         outcomes: Outcomes,
         standing: Rc<Standing>,
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
     ) -> Self {
         let taking = Taking::after(journal.last());
-        let memory = Memory::new(setup.room.clone());
-        let mut courier = Courier {
+        let memory = Memory::new(setup.memory_budget.clone());
+        let mut courier = Dispatcher {
             setup,
             brain,
             journal,
@@ -109,8 +109,8 @@
         };
         courier.resume_notes();
         courier.resume_brokers();
-        let known = courier.setup.known.clone().unwrap_or_default();
-        courier.list(List { whole: true, ..known });
+        let known = courier.setup.initial_list.clone().unwrap_or_default();
+        courier.list(EndpointList { whole: true, ..known });
         if let Some(installation) = courier.setup.installation.clone() {
             courier.memory.configured(installation.weigh());
             courier.members.listed = true;
@@ -128,12 +128,12 @@
     }
 
     /// Tells the clients of this front how their messages end.
-    pub fn tells(&mut self, front: Rc<dyn Front>) {
+    pub fn set_frontend(&mut self, front: Rc<dyn Frontend>) {
         self.front = Some(front);
     }
 
     /// What is on record under keys with this prefix.
-    pub fn on_record(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
+    pub fn stored_state(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
         self.notes_under(prefix)
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Runs until the courier has stopped.
-    pub async fn run(mut self, mut inbox: Receiver<News>) {
+    pub async fn run(mut self, mut inbox: Receiver<CourierEvent>) {
         let tick = self.setup.settings.tick;
         let mut last: Option<Instant> = None;
         self.resume_ended();
@@ -161,7 +161,7 @@
             let compact = compact.then(|| Instant::now() + COMPACT_PAUSE);
             let stop = self.stopping.since.map(|_| Instant::now() + STOP_LOOK);
             let removed = self.members.removed.values().copied().filter(|at| *at > Instant::now()).min();
-            let forget = self.ended.next().map(|at| Instant::now() + at.saturating_sub(unix()));
+            let forget = self.ended.next().map(|at| Instant::now() + at.saturating_sub(unix_time()));
             let open = self.next_open();
             let memory = self.memory.due();
             let at = [due, retry, stop, compact, removed, forget, open, memory].into_iter().flatten().min();
@@ -207,48 +207,52 @@
         }
     }
 
-    fn hear(&mut self, news: News) {
+    fn hear(&mut self, news: CourierEvent) {
         match news {
-            News::Offered(offer) => self.offered(offer),
-            News::Called { message, attempt, endpoint, end } => self.called(message, attempt, endpoint, end),
-            News::Probed { endpoint, sent, end } => {
+            CourierEvent::Submitted(offer) => self.offered(offer),
+            CourierEvent::CallEnded { message, attempt, endpoint, end } => {
+                self.called(message, attempt, endpoint, end)
+            }
+            CourierEvent::ProbeEnded { endpoint, sent, end } => {
                 let took = end.at.saturating_duration_since(sent);
                 let outcome = aged(end.outcome, end.at);
                 self.events.push(Event::Probed { endpoint, outcome, took, report: end.report });
             }
-            News::ToldToWait { endpoint, until } => self.told_to_wait(endpoint, until),
-            News::Listed(list) => {
+            CourierEvent::BackoffRequested { endpoint, until } => self.told_to_wait(endpoint, until),
+            CourierEvent::EndpointsListed(list) => {
                 self.members.listed = true;
                 match self.setup.installation.is_some() {
                     true => self.discovered(list),
                     false => self.list(list),
                 }
             }
-            News::DiscoveryHeard { discovery, at } => self.discovery_heard(discovery, at),
-            News::WatchLost { discovery } => self.watch_lost(discovery),
-            News::DiscoveryUnreachable { discovery, since } => self.discovery_unreachable(discovery, since),
-            News::Told(messages) => {
+            CourierEvent::DiscoveryLineRead { discovery, at } => self.discovery_heard(discovery, at),
+            CourierEvent::WatchEnded { discovery } => self.watch_lost(discovery),
+            CourierEvent::DiscoveryUnreachable { discovery, since } => {
+                self.discovery_unreachable(discovery, since)
+            }
+            CourierEvent::NoticesAcknowledged(messages) => {
                 self.notices.posts -= 1;
                 for message in messages {
                     let verdict = self.journal.get(message).and_then(|m| m.verdict);
                     self.finish(message, verdict);
                 }
             }
-            News::Moved(discovery) => self.moved(discovery),
-            News::Configured(configured) => self.configured(*configured),
-            News::Resolved(list) => self.list(list),
-            News::Watch => self.watch(),
-            News::Known { id, reply } => {
+            CourierEvent::DiscoveryAddressChanged(discovery) => self.moved(discovery),
+            CourierEvent::ConfigurationChanged(configured) => self.configured(*configured),
+            CourierEvent::NamesResolved(list) => self.list(list),
+            CourierEvent::StartWatch => self.watch(),
+            CourierEvent::QueryAccepted { id, reply } => {
                 // Who asked may be gone.
                 let _ = reply.send(self.knows(&id));
             }
-            News::Synced(done) => self.synced(done),
-            News::Store(store) => self.store(store),
-            News::OwnerTold { message } => self.owner_told(message),
-            News::Released { endpoint, id, message } => self.released(endpoint, id, message),
-            News::Resuming { endpoint, begins } => self.resuming(endpoint, begins),
-            News::Freed { endpoint, id } => self.unreserve(endpoint, id),
-            News::Stop => self.stop(),
+            CourierEvent::JournalSynced(done) => self.synced(done),
+            CourierEvent::StoreState(store) => self.store(store),
+            CourierEvent::OutcomeNotified { message } => self.owner_told(message),
+            CourierEvent::PubrecReceived { endpoint, id, message } => self.released(endpoint, id, message),
+            CourierEvent::SessionResuming { endpoint, pending } => self.resuming(endpoint, pending),
+            CourierEvent::PacketIdFreed { endpoint, id } => self.unreserve(endpoint, id),
+            CourierEvent::Stop => self.stop(),
         }
     }
 
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -3,8 +3,8 @@
 
 use super::held_message::{Held, Waiting};
 use super::memory::Holding;
-use super::{Courier, Verdict};
-use crate::events::{Offer, Reply, ReplyTo};
+use super::{Dispatcher, Verdict};
+use crate::events::{Reply, ReplyTo, Submission};
 use crate::follow;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Letter, Refusal};
@@ -13,7 +13,7 @@
 /// An offer that waits for the module's word.
 pub(super) struct Offered {
     pub(super) class: usize,
-    offer: Offer,
+    offer: Submission,
     /// The memory that it has if it is taken on.
     holding: Holding,
 }
@@ -35,16 +35,16 @@
     }
 }
 
-impl Courier {
-    pub(super) fn offered(&mut self, mut offer: Offer) {
-        let answer = |offer: Offer, reply| {
+impl Dispatcher {
+    pub(super) fn offered(&mut self, mut offer: Submission) {
+        let answer = |offer: Submission, reply| {
             // A client that is gone hears nothing, and nothing was taken.
             let _ = offer.reply.send(reply);
         };
         // Handed in twice under one id: it is taken already, or about to be judged.
         if let Some(message) = self.taking.ids.get(&offer.letter.id) {
             let judged = !self.taking.offers.contains_key(message);
-            return answer(offer, if judged { Reply::Taken } else { Reply::Unavailable });
+            return answer(offer, if judged { Reply::Accepted } else { Reply::Unavailable });
         }
         if let Some(reply) = self.repeat(&offer.letter) {
             return answer(offer, reply);
@@ -83,21 +83,21 @@
     /// Why a message cannot be taken on before the module is asked.
     pub(super) fn no_place(&mut self, letter: &Letter) -> Option<Reply> {
         if self.records.disk_failed.is_some() {
-            return Some(Reply::NoRecord(Refusal::DiskFails));
+            return Some(Reply::JournalRefused(Refusal::DiskFails));
         }
         if self.members.removed.contains_key(&letter.destination) {
             return Some(Reply::Unavailable);
         }
         if !self.members.destinations.contains(&letter.destination) {
-            return Some(if self.members.listed { Reply::NoDestination } else { Reply::Unavailable });
+            return Some(if self.members.listed { Reply::UnknownDestination } else { Reply::Unavailable });
         }
         if self.out.held.len() + self.taking.offers.len() >= self.setup.settings.max_held {
             return Some(Reply::Refused { wait: None });
         }
         if self.is_crowded(letter) {
-            return Some(Reply::Crowded);
+            return Some(Reply::TooManyRemembered);
         }
-        self.journal.fits(letter).err().map(Reply::NoRecord)
+        self.journal.fits(letter).err().map(Reply::JournalRefused)
     }
 
     /// A client that has given up before it was told counts its message as not taken, and may hand it in
@@ -135,10 +135,10 @@
             if let Err(why) = self.journal.fits(&offer.letter) {
                 self.taking.ids.remove(&offer.letter.id);
                 self.events.push(Event::Withdrawn { message: MessageId(message) });
-                self.turn_away(offer, Reply::NoRecord(why));
+                self.turn_away(offer, Reply::JournalRefused(why));
                 continue;
             }
-            let Offer { letter, reply, .. } = offer;
+            let Submission { letter, reply, .. } = offer;
             follow::step(
                 &letter.id,
                 format_args!(
@@ -159,7 +159,7 @@
         for (message, reply) in taken {
             if !recorded {
                 // Whether its client hears this or not, it is not taken on.
-                let _ = reply.send(Reply::NoRecord(Refusal::DiskFails));
+                let _ = reply.send(Reply::JournalRefused(Refusal::DiskFails));
                 self.withdraw(message);
             } else {
                 self.when_kept(seq, Waiting::Reply { message, reply });
@@ -169,7 +169,7 @@
 
     /// Tells a client that its message is taken on. One that has left counts it as not taken.
     pub(super) fn taken(&mut self, message: u64, reply: ReplyTo) {
-        if reply.send(Reply::Taken).is_err() {
+        if reply.send(Reply::Accepted).is_err() {
             if let Some(m) = self.out.held.get(&message) {
                 follow::step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
             }
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -1,10 +1,10 @@
 //! What is out: the messages that are held, their calls, and how each call ended.
 
-use super::Courier;
+use super::Dispatcher;
 use super::held_message::{Held, Waiting};
 use super::shutdown::STOP_SENDING;
-use crate::clock::unix;
-use crate::events::{AfterAttempt, CallEnd};
+use crate::clock::unix_time;
+use crate::events::{AfterAttempt, CallResult};
 use crate::follow;
 use crate::out::calls::{Call, Calls, To};
 use crate::out::exchange::Logged;
@@ -26,14 +26,14 @@
     }
 }
 
-impl Courier {
+impl Dispatcher {
     /// As from a check: it concerns the endpoint, not a message.
     pub(super) fn told_to_wait(&mut self, endpoint: EndpointId, until: Instant) {
         let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
         self.events.push(Event::Probed { endpoint, outcome, took: Duration::ZERO, report: None });
     }
 
-    pub(super) fn called(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallEnd) {
+    pub(super) fn called(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallResult) {
         // What proves that it never ran; all else may have.
         let never = matches!(
             end.outcome,
@@ -43,13 +43,13 @@
             self.journal.never_ran(message, attempt);
         }
         match end.after {
-            AfterAttempt::Open => {}
+            AfterAttempt::RetryAllowed => {}
             AfterAttempt::Settled => {
                 // Told to be over without a delivery: it never ran, and may be handed in again.
                 let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
                 self.finish(message, verdict);
             }
-            AfterAttempt::EndOwed => self.judge(message, Verdict::Dead),
+            AfterAttempt::FailWithoutRetry => self.judge(message, Verdict::Dead),
         }
         if self.resumed(message, &end) {
             return;
@@ -67,7 +67,7 @@
                 format_args!(
                     "attempt={attempt} ended outcome={:?} ran={ran} over={} proof={:?} {}",
                     end.outcome,
-                    end.after != AfterAttempt::Open,
+                    end.after != AfterAttempt::RetryAllowed,
                     end.proof,
                     Logged(end.exchange)
                 ),
@@ -82,7 +82,7 @@
             endpoint,
             outcome: aged(end.outcome, end.at),
             took: end.at.saturating_duration_since(sent),
-            over: end.after != AfterAttempt::Open,
+            over: end.after != AfterAttempt::RetryAllowed,
             report: end.report,
         }));
         // The module drops a message with its last outcome, and so does the courier.
@@ -103,7 +103,7 @@
                 continue;
             };
             let zone = self.setup.zones.get(e.zone).cloned().unwrap_or_default();
-            let attempt = Attempt { host: e.host.clone(), zone, sent: unix(), may_have_run: true };
+            let attempt = Attempt { host: e.host.clone(), zone, sent: unix_time(), may_have_run: true };
             let broker = e.topic.is_some();
             m.out = Some((now, None));
             if late {
--- a/crates/courier/src/dispatcher/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -1,10 +1,10 @@
 //! Attempts at MQTT brokers, as the owner of the decision module keeps them: each is on record with its packet id, so
 //! that one whose fate is open is resumed after a restart, and is never a second one.
 
-use super::Courier;
+use super::Dispatcher;
 use super::held_message::{Held, Waiting};
-use crate::clock::unix;
-use crate::events::{AfterAttempt, CallEnd};
+use crate::clock::unix_time;
+use crate::events::{AfterAttempt, CallResult};
 use crate::out::broker::Broker;
 use crate::out::calls::{Call, DRAIN_TIME};
 use serde::{Deserialize, Serialize};
@@ -57,10 +57,10 @@
     format!("{PREFIX}{id}/{host}")
 }
 
-impl Courier {
+impl Dispatcher {
     /// Reads which attempts of an earlier life may be resumed.
     pub(super) fn resume_brokers(&mut self) {
-        let now = unix();
+        let now = unix_time();
         // Their sessions count as lost: see `Client::opened`.
         let lost: HashSet<String> = self.notes_under(RESUMING).into_iter().map(|(host, _)| host).collect();
         for host in &lost {
@@ -124,7 +124,7 @@
             endpoint,
             (address, topic),
             (settings, client, connect),
-            &self.setup.folder,
+            &self.setup.config_folder,
             self.news.clone(),
         );
         self.brokers.of.insert(endpoint, broker.clone());
@@ -181,10 +181,10 @@
     }
 
     /// A broker's session is about to be resumed, or what became of it is known.
-    pub(super) fn resuming(&mut self, endpoint: EndpointId, begins: bool) {
+    pub(super) fn resuming(&mut self, endpoint: EndpointId, pending: bool) {
         let Some(host) = self.members.endpoints.get(&endpoint).map(|e| e.host.clone()) else { return };
         let key = format!("{RESUMING}{host}");
-        if !begins {
+        if !pending {
             return self.erase(&key);
         }
         self.note(&key, bytes::Bytes::new());
@@ -255,7 +255,7 @@
     }
 
     /// An attempt of an earlier life has come to its end. Unless the message has, too, the module has it from here.
-    pub(super) fn resumed(&mut self, message: u64, end: &CallEnd) -> bool {
+    pub(super) fn resumed(&mut self, message: u64, end: &CallResult) -> bool {
         if self.brokers.open.remove(&message).is_none() {
             return false;
         }
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -1,11 +1,11 @@
 //! What stays of messages that have ended: so that a repeat is known as one, and a client that reads how its messages
 //! end is told, whatever crashes in between. The journal holds it; here stands what is looked up.
 
-use super::Courier;
+use super::Dispatcher;
 use super::held_message::Waiting;
 use super::memory::Loose;
-use crate::clock::unix;
-use crate::events::{Offer, Reply, ReplyTo};
+use crate::clock::unix_time;
+use crate::events::{Reply, ReplyTo, Submission};
 use crate::follow;
 use stairshed_journal::{Kept, Letter, Verdict};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -106,7 +106,7 @@
     letter.routed.as_ref().is_some_and(|r| r.owner.is_some() || !r.remember.is_zero())
 }
 
-impl Courier {
+impl Dispatcher {
     /// Takes in what an earlier life has left: clients that were not told are told now.
     pub(super) fn resume_ended(&mut self) {
         let all: Vec<(u64, Kept)> = self.journal.kept().map(|(n, k)| (n, Kept::clone(k))).collect();
@@ -126,7 +126,7 @@
 
     /// Whether one more can be remembered.
     pub(super) fn is_crowded(&self, letter: &Letter) -> bool {
-        stays(letter) && self.ended.kept.len() >= self.setup.remembered
+        stays(letter) && self.ended.kept.len() >= self.setup.max_remembered
     }
 
     /// The answer to a message whose id is remembered: it is taken on already, and its client is told again how it
@@ -134,29 +134,29 @@
     pub(super) fn repeat(&mut self, letter: &Letter) -> Option<Reply> {
         if letter.routed.is_none() && self.ended.recalled.has(&letter.id) {
             follow::step(&letter.id, format_args!("handed in again after its end: not sent again"));
-            return Some(Reply::Taken);
+            return Some(Reply::Accepted);
         }
         let message = *self.ended.by_id.get(&letter.id)?;
         let owner = letter.routed.as_ref().and_then(|r| r.owner.clone());
-        if let Some(owner) = owner.filter(|o| self.hears(o))
+        if let Some(owner) = owner.filter(|o| self.accepts_outcomes(o))
             && let Some(kept) = self.journal.kept_of(message).map(|k| Kept::clone(k))
             && kept.owner.is_none()
         {
             self.journal.keep(message, Kept { owner: Some(owner.clone()), ..kept.clone() });
             self.tell_owner(&owner, message, &kept.id, kept.verdict);
         }
-        Some(Reply::Taken)
+        Some(Reply::Accepted)
     }
 
-    pub(super) fn hears(&self, owner: &str) -> bool {
-        self.front.as_ref().is_some_and(|f| f.hears(owner))
+    pub(super) fn accepts_outcomes(&self, owner: &str) -> bool {
+        self.front.as_ref().is_some_and(|f| f.accepts_outcomes(owner))
     }
 
     fn tell_owner(&mut self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
         if let Some(front) = &self.front
             && self.ended.telling.insert(message)
         {
-            front.outcome(owner, message, id, verdict);
+            front.send_outcome(owner, message, id, verdict);
         }
     }
 
@@ -165,7 +165,7 @@
         let Some(live) = self.journal.get(message) else { return };
         let letter = live.letter.clone();
         let owner = letter.routed.as_ref().and_then(|r| r.owner.as_ref());
-        if let Some(owner) = owner.filter(|o| self.hears(o)) {
+        if let Some(owner) = owner.filter(|o| self.accepts_outcomes(o)) {
             self.tell_owner(owner, message, &letter.id, Some(verdict));
         }
     }
@@ -185,11 +185,11 @@
             return self.journal.end(message);
         };
         let telling = self.ended.telling.contains(&message);
-        let owner = routed.owner.clone().filter(|o| !told && (telling || self.hears(o)));
+        let owner = routed.owner.clone().filter(|o| !told && (telling || self.accepts_outcomes(o)));
         // One that bounced may be handed in again under the same id.
         let bounced = matches!(verdict, Some(Verdict::Bounced { .. }));
         let until = letter.taken + routed.remember;
-        let until = if bounced || until <= unix() { Duration::ZERO } else { until };
+        let until = if bounced || until <= unix_time() { Duration::ZERO } else { until };
         let kept = Kept { id: letter.id.clone(), owner: owner.clone(), verdict, until };
         if owner.is_none() && until.is_zero() {
             self.memory.ended(message);
@@ -223,7 +223,7 @@
 
     /// Forgets those whose time has come; one whose client is still to be told stays for that.
     pub(super) fn forget_due(&mut self) {
-        let now = unix();
+        let now = unix_time();
         let mut some = false;
         while let Some((at, message)) = self.ended.due.first().copied().filter(|(at, _)| *at <= now) {
             self.ended.due.remove(&(at, message));
@@ -244,9 +244,13 @@
 
     /// Answers an offer that is not taken on. Where its front has no refusal it is taken on and bounced at once, on
     /// record; if that cannot be done either, it is refused all the same.
-    pub(super) fn turn_away(&mut self, offer: Offer, reply: Reply) {
-        let Offer { letter, reply: to, bounce, .. } = offer;
-        let owner = letter.routed.as_ref().and_then(|r| r.owner.clone()).filter(|o| bounce && self.hears(o));
+    pub(super) fn turn_away(&mut self, offer: Submission, reply: Reply) {
+        let Submission { letter, reply: to, bounce, .. } = offer;
+        let owner = letter
+            .routed
+            .as_ref()
+            .and_then(|r| r.owner.clone())
+            .filter(|o| bounce && self.accepts_outcomes(o));
         let Some(owner) = owner else {
             // A client that is gone hears nothing, and nothing was taken.
             let _ = to.send(reply);
@@ -254,7 +258,7 @@
         };
         let wait = match reply {
             Reply::Refused { wait } => wait,
-            Reply::NoRoom(no) => Some(no.wait),
+            Reply::OutOfMemory(no) => Some(no.wait),
             _ => None,
         };
         let verdict = Some(Verdict::Bounced { wait });
@@ -262,7 +266,7 @@
         let room = self.journal.fits_note((id.len() + owner.len()) as u64);
         if self.records.disk_failed.is_some()
             || room.is_err()
-            || self.ended.kept.len() >= self.setup.remembered
+            || self.ended.kept.len() >= self.setup.max_remembered
         {
             let _ = to.send(reply);
             return;
@@ -283,7 +287,7 @@
     /// A message that was taken on and bounced at once is on record: its client hears the one, then the other.
     pub(super) fn bounced(&mut self, reply: ReplyTo, message: u64) {
         // One that has left reads of it when it comes back.
-        let _ = reply.send(Reply::Taken);
+        let _ = reply.send(Reply::Accepted);
         if let Some(kept) = self.journal.kept_of(message).map(|k| Kept::clone(k))
             && let Some(owner) = &kept.owner
         {
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -1,7 +1,7 @@
 //! The lease on the list of endpoints, between the watch that renews it and the decision module that keeps it: what a
 //! start knows of the list's age, what renews the lease, and what the connections and the log learn of it.
 
-use super::Courier;
+use super::Dispatcher;
 use crate::place::list_age::ListAge;
 use stairshed_decide::interface::Event;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     now.checked_sub(BEFORE_START).unwrap_or(now)
 }
 
-impl Courier {
+impl Dispatcher {
     /// The list that the start was given is as old as discovery's last word to an earlier life. Where that is not
     /// known, messages are held until discovery has answered.
     pub(super) fn resume_lease(&mut self) {
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -1,9 +1,11 @@
 //! Membership: the endpoints that the module knows, their zones and numbers, what configuration, discovery and
 //! look-ups change among them, and the destinations that are gone.
 
-use super::Courier;
+use super::Dispatcher;
 use super::held_message::Held;
-use crate::events::{Changes, Configured, Health, Host, List, differences};
+use crate::events::{
+    ConfigurationUpdate, EndpointList, Health, ListedEndpoint, MembershipChanges, diff_endpoints,
+};
 use crate::place::watch::Watch;
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
@@ -53,12 +55,12 @@
     list_age_reported: Option<Instant>,
     /// What a configuration changes among the endpoints and the module has not heard of yet, and how many of
     /// them it hears of in a turn; who is told once it has.
-    pub(super) changes: VecDeque<Host>,
+    pub(super) changes: VecDeque<ListedEndpoint>,
     pub(super) slice: usize,
     pub(super) in_effect: Option<oneshot::Sender<()>>,
     /// For an operator's courier: what discovery lists, and what of it the module was told.
-    discovered: BTreeMap<String, Host>,
-    told: BTreeMap<String, Host>,
+    discovered: BTreeMap<String, ListedEndpoint>,
+    told: BTreeMap<String, ListedEndpoint>,
     /// Destinations that a configuration has removed, and when what is held for them ends.
     pub(super) removed: BTreeMap<u64, Instant>,
 }
@@ -81,11 +83,11 @@
     }
 }
 
-impl Courier {
+impl Dispatcher {
     /// Puts a configuration into effect: whole, between two turns.
-    pub(super) fn configured(&mut self, configured: Configured) {
-        let Configured { version, installation, caps, changes, done } = configured;
-        let Changes { hosts, limits, gone, there } = changes;
+    pub(super) fn configured(&mut self, configured: ConfigurationUpdate) {
+        let ConfigurationUpdate { version, installation, caps, changes, done } = configured;
+        let MembershipChanges { hosts, limits, removed_destinations, present_destinations } = changes;
         let held = self.out.held.values().map(|m| m.class);
         let in_use: BTreeSet<usize> = held.chain(self.taking.offers.values().map(|o| o.class)).collect();
         let classes = installation.classes.iter().map(|c| c.name.clone());
@@ -98,19 +100,19 @@
         self.reconfigure();
         let wait = Instant::now() + installation.file.limits.pool_wait.0;
         self.setup.pool_wait = installation.file.limits.pool_wait.0;
-        self.setup.remembered = installation.file.limits.remembered;
-        for destination in there {
+        self.setup.max_remembered = installation.file.limits.remembered;
+        for destination in present_destinations {
             self.members.removed.remove(&destination);
             self.members.destinations.insert(destination);
         }
-        for destination in gone {
+        for destination in removed_destinations {
             self.members.removed.entry(destination).or_insert(wait);
         }
         if let Some(effective) = &self.setup.effective {
             effective.set(version, installation.clone());
         }
         self.memory.configured(installation.weigh());
-        self.memory.room.configure(&caps, installation.file.memory.client_share);
+        self.memory.room.set_caps(&caps, installation.file.memory.client_share);
         self.setup.installation = Some(installation);
         self.change_members(hosts, limits);
         self.tell_discovered();
@@ -120,7 +122,7 @@
 
     /// Takes in what discovery lists beside the endpoints of the configuration: a whole list says nothing of
     /// those.
-    pub(super) fn discovered(&mut self, list: List) {
+    pub(super) fn discovered(&mut self, list: EndpointList) {
         if list.whole {
             self.members.discovered.clear();
         }
@@ -139,11 +141,12 @@
         let takes: BTreeSet<u64> =
             installation.pools.iter().filter(|p| p.discovery).map(|p| p.destination).collect();
         let of = self.members.discovered.iter().filter(|(_, host)| takes.contains(&host.block));
-        let now: BTreeMap<String, Host> = of.map(|(name, host)| (name.clone(), host.clone())).collect();
-        let hosts = differences(&self.members.told, &now);
+        let now: BTreeMap<String, ListedEndpoint> =
+            of.map(|(name, host)| (name.clone(), host.clone())).collect();
+        let hosts = diff_endpoints(&self.members.told, &now);
         self.members.told = now;
         if !hosts.is_empty() {
-            self.list(List { seq: 0, whole: false, hosts });
+            self.list(EndpointList { seq: 0, whole: false, hosts });
         }
     }
 
@@ -152,7 +155,7 @@
         if !self.members.changes.is_empty() {
             let hosts =
                 self.members.changes.drain(..self.members.slice.min(self.members.changes.len())).collect();
-            self.list(List { seq: 0, whole: false, hosts });
+            self.list(EndpointList { seq: 0, whole: false, hosts });
         }
         if self.members.changes.is_empty()
             && let Some(done) = self.members.in_effect.take()
@@ -163,7 +166,7 @@
     }
 
     /// Takes in what a configuration changes among the endpoints.
-    pub(super) fn change_members(&mut self, hosts: Vec<Host>, limits: Vec<(String, f64)>) {
+    pub(super) fn change_members(&mut self, hosts: Vec<ListedEndpoint>, limits: Vec<(String, f64)>) {
         for (host, limit) in limits {
             // One that is new takes it from the list.
             if let Some(endpoint) = self.members.numbers.get(&host) {
@@ -244,7 +247,7 @@
         id
     }
 
-    pub(super) fn list(&mut self, list: List) {
+    pub(super) fn list(&mut self, list: EndpointList) {
         let mut entries = Vec::new();
         // Only those that the list names can change by one that is not whole.
         let named = list.hosts.iter().filter_map(|h| self.members.numbers.get(&h.host).copied());
@@ -258,7 +261,7 @@
         }
         for host in list.hosts {
             let (endpoint, zone) = (self.number(&host.host), self.zone(&host.site));
-            let kinds = &self.setup.kinds;
+            let kinds = &self.setup.endpoint_kinds;
             let kind = kinds.iter().position(|k| *k == host.class).unwrap_or(kinds.len());
             let Some(e) = self.members.endpoints.get_mut(&endpoint) else { continue };
             (e.zone, e.destination, e.topic) = (zone, host.block, host.topic.clone());
@@ -301,7 +304,7 @@
     pub(super) fn watch(&mut self) {
         if self.members.watch.is_none() {
             // A version means something only to the discovery that gave it.
-            let known = self.setup.known.as_ref().filter(|_| !self.members.list_unknown);
+            let known = self.setup.initial_list.as_ref().filter(|_| !self.members.list_unknown);
             self.watch_from(known.map_or(0, |l| l.seq), known.is_none());
         }
     }
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -1,10 +1,10 @@
 //! Memory: what each accepted message holds and may still need, what is measured now and then, and how memory goes
 //! back when a burst is over. What there is room for is decided by the ledger (`stairshed-memory`).
 
-use super::Courier;
+use super::Dispatcher;
 use super::held_message::Held;
-use crate::events::{Offer, Reply};
-use crate::memory_budget::Room;
+use crate::events::{Reply, Submission};
+use crate::memory_budget::MemoryBudget;
 use crate::system;
 use stairshed_decide::weigh;
 use stairshed_journal::{Attempt, Kept, Letter, ROW};
@@ -79,7 +79,7 @@
 }
 
 pub(super) struct Memory {
-    pub(super) room: Room,
+    pub(super) room: MemoryBudget,
     holdings: BTreeMap<u64, Holding>,
     remembered: BTreeMap<u64, Charge>,
     module: Charge,
@@ -93,7 +93,7 @@
 }
 
 impl Memory {
-    pub(super) fn new(room: Room) -> Memory {
+    pub(super) fn new(room: MemoryBudget) -> Memory {
         let none = |purpose| room.ledger.force(purpose, 0);
         Memory {
             module: none(Purpose::Module),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// When [`Courier::look_at_memory`] is due without other news.
+    /// When [`Dispatcher::look_at_memory`] is due without other news.
     pub(super) fn due(&self) -> Option<Instant> {
         // One that is not ample is looked at until it is: its level must not stand for good after the last message.
         let level = self.room.ledger.worst() > Level::Ample;
@@ -259,16 +259,16 @@
     std::collections::HashSet<K> where K: Key;
 }
 
-impl Courier {
+impl Dispatcher {
     /// Why there is no memory for an offer; else what it holds from now on.
-    pub(super) fn room_for(&mut self, offer: &mut Offer) -> Result<Holding, Reply> {
+    pub(super) fn room_for(&mut self, offer: &mut Submission) -> Result<Holding, Reply> {
         // The offer keeps a charge of nothing: what it had is the message's.
         let none = self.memory.room.ledger.force(Purpose::BodiesRead, 0);
-        let body = std::mem::replace(&mut offer.room, none);
+        let body = std::mem::replace(&mut offer.body_charge, none);
         let owner = offer.letter.routed.as_ref().and_then(|r| r.owner.as_ref());
-        let hears = owner.is_some_and(|owner| self.hears(owner));
+        let hears = owner.is_some_and(|owner| self.accepts_outcomes(owner));
         let held = self.memory.hold(&offer.letter, body, (offer.guest.as_ref(), hears));
-        held.map_err(|refused| Reply::NoRoom(self.memory.room.no(refused)))
+        held.map_err(|refused| Reply::OutOfMemory(self.memory.room.refusal(refused)))
     }
 
     /// Measures what is estimated, tells of levels that changed, and gives back what a burst has left.
@@ -295,7 +295,7 @@
         self.memory.module.set(module);
         self.memory.journal.set(journal);
         if let Some(front) = &self.front {
-            front.weigh();
+            front.measure_memory();
         }
         let room = &self.memory.room;
         if room.ledger.total().is_some()
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -1,7 +1,7 @@
 //! Verdicts and the notices of them: on record first, then posted in batches until acknowledged.
 
-use super::Courier;
-use crate::clock::unix;
+use super::Dispatcher;
+use crate::clock::unix_time;
 use crate::follow;
 use crate::out::outcomes::{Notice, Outcomes};
 use stairshed_journal::Verdict;
@@ -25,7 +25,7 @@
     }
 }
 
-impl Courier {
+impl Dispatcher {
     /// The module has ended a message undelivered: on record first, then told.
     pub(super) fn judge(&mut self, message: u64, verdict: Verdict) {
         let Some(m) = self.out.held.get(&message) else { return };
@@ -33,7 +33,7 @@
             return;
         }
         let id = m.letter.id.clone();
-        let left = m.letter.until.saturating_sub(unix());
+        let left = m.letter.until.saturating_sub(unix_time());
         follow::step(
             &id,
             format_args!(
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -1,10 +1,10 @@
 //! What waits on records: nothing goes out, and nobody is told, before the journal has kept what must be kept.
 //! Owns that queue and the standing of the disk; takes over what an earlier life has left.
 
-use super::Courier;
+use super::Dispatcher;
 use super::held_message::{Held, NOWHERE, Waiting};
-use crate::clock::unix;
-use crate::events::News;
+use crate::clock::unix_time;
+use crate::events::CourierEvent;
 use crate::follow;
 use crate::out::outcomes::Notice;
 use stairshed_decide::interface::*;
@@ -37,7 +37,7 @@
     let open = || live.iter().filter(|(_, m)| m.verdict.is_none());
     let may_have_run = open().filter(|(_, m)| m.attempts.iter().any(|a| a.may_have_run)).count();
     let untried = open().filter(|(_, m)| m.attempts.is_empty()).count();
-    let past = open().filter(|(_, m)| m.letter.until <= unix()).count();
+    let past = open().filter(|(_, m)| m.letter.until <= unix_time()).count();
     eprintln!(
         "resumed {} messages: {ended} ended, their notices not acknowledged; {untried} never called; \
          {may_have_run} may have run; {past} out of time",
@@ -45,7 +45,7 @@
     );
 }
 
-impl Courier {
+impl Dispatcher {
     /// Hands back what the journal holds, with what is known of its attempts.
     pub(super) fn resume(&mut self) {
         let live: Vec<(u64, Live)> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
@@ -92,7 +92,7 @@
     pub(super) fn taken_before(&mut self, message: u64, live: &Live, class: usize) -> Taken {
         // A clock that has jumped back since must not give what is held more time than it had: neither than was
         // left when last a time was recorded, nor than its class has.
-        let now = unix().max(self.journal.latest());
+        let now = unix_time().max(self.journal.latest());
         let letter = &live.letter;
         let ran = live.attempts.iter().find(|a| a.may_have_run).map(|a| Ran {
             endpoint: self.number(&a.host),
@@ -135,7 +135,7 @@
             tokio::task::spawn_local(async move {
                 if let Ok(done) = tokio::task::spawn_blocking(|| job.run()).await {
                     // Nobody is left to hear it once the courier has stopped.
-                    let _ = news.send(News::Synced(done)).await;
+                    let _ = news.send(CourierEvent::JournalSynced(done)).await;
                 }
             });
         }
@@ -180,7 +180,7 @@
             Waiting::Bounced { message, reply } => self.bounced(reply, message),
             Waiting::Stored { token } => {
                 if let Some(front) = &self.front {
-                    front.stored(token, Ok(()));
+                    front.on_stored(token, Ok(()));
                 }
             }
             Waiting::Recorded { endpoint, id } => self.recorded(endpoint, id),
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -1,8 +1,8 @@
 //! What the owner of the decision module is told at its start: by the platform, or by an operator's file.
 
-use crate::events::List;
+use crate::events::EndpointList;
 use crate::front::effective::Effective;
-use crate::memory_budget::Room;
+use crate::memory_budget::MemoryBudget;
 use crate::place::list_age::ListAgeFile;
 use crate::place::watch_status::WatchStatus;
 use stairshed_config::Installation;
@@ -19,10 +19,10 @@
     pub settings: Settings,
     pub classes: ClassTable,
     pub zones: Vec<String>,
-    pub kinds: Vec<String>,
+    pub endpoint_kinds: Vec<String>,
     pub seed: u64,
     /// The list as it was when the configuration was written.
-    pub known: Option<List>,
+    pub initial_list: Option<EndpointList>,
     pub discovery: Option<SocketAddr>,
     pub watch_status: Rc<WatchStatus>,
     /// Where the moment of discovery's last word is kept; None where lists have no term.
@@ -34,8 +34,8 @@
     /// How long messages of a pool that is gone wait for it to come back.
     pub pool_wait: Duration,
     /// Messages that have ended of which something may stay.
-    pub remembered: usize,
-    pub room: Room,
+    pub max_remembered: usize,
+    pub memory_budget: MemoryBudget,
     /// Where files stand that an installation names.
-    pub folder: PathBuf,
+    pub config_folder: PathBuf,
 }
--- a/crates/courier/src/dispatcher/shutdown.rs
+++ b/crates/courier/src/dispatcher/shutdown.rs
@@ -1,6 +1,6 @@
 //! The end after SIGTERM: how long attempts are begun, and when all is done that can be done.
 
-use super::Courier;
+use super::Dispatcher;
 use std::fmt;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -46,7 +46,7 @@
     }
 }
 
-impl Courier {
+impl Dispatcher {
     /// SIGTERM has come.
     pub(super) fn stop(&mut self) {
         self.standing.stop();
--- a/crates/courier/src/dispatcher/stored_state.rs
+++ b/crates/courier/src/dispatcher/stored_state.rs
@@ -1,11 +1,11 @@
 //! State of other parts of the courier that outlasts the process: kept in the journal under a key each.
 
-use super::Courier;
+use super::Dispatcher;
 use super::held_message::Waiting;
-use crate::events::Store;
+use crate::events::StateUpdate;
 use stairshed_journal::{Note, Refusal};
 
-impl Courier {
+impl Dispatcher {
     /// Keys of the notes with this prefix, without it, and their values.
     pub(super) fn notes_under(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
         let of = self
@@ -33,8 +33,8 @@
     }
 
     /// Puts a front's state on record, or takes it off; the front hears of it once it is kept.
-    pub(super) fn store(&mut self, store: Store) {
-        let Store { token, key, value } = store;
+    pub(super) fn store(&mut self, store: StateUpdate) {
+        let StateUpdate { token, key, value } = store;
         let fits = match &value {
             _ if self.records.disk_failed.is_some() => Err(Refusal::DiskFails),
             Some(value) => self.journal.fits_note((key.len() + value.len()) as u64),
@@ -42,7 +42,7 @@
         };
         let Some(front) = self.front.clone() else { return };
         if let Err(why) = fits {
-            return front.stored(token, Err(why));
+            return front.on_stored(token, Err(why));
         }
         match value {
             Some(value) => self.note(&key, value),
@@ -50,7 +50,7 @@
         }
         match self.settle() {
             true => self.when_kept(self.journal.last_seq(), Waiting::Stored { token }),
-            false => front.stored(token, Err(Refusal::DiskFails)),
+            false => front.on_stored(token, Err(Refusal::DiskFails)),
         }
     }
 }
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -1,7 +1,7 @@
 //! What crosses between the courier's parts: the news that its owner of the decision module hears, and
 //! what they carry. It stands below all of them, so that no part imports the owner.
 
-use crate::memory_budget::NoRoom;
+use crate::memory_budget::MemoryRefusal;
 use crate::out::exchange::Exchange;
 use serde::Deserialize;
 use stairshed_config::Installation;
@@ -18,32 +18,32 @@
 use tokio::time::Instant;
 
 /// What reaches the courier from its other parts.
-pub enum News {
-    Offered(Offer),
-    Called {
+pub enum CourierEvent {
+    Submitted(Submission),
+    CallEnded {
         message: u64,
         attempt: u32,
         endpoint: EndpointId,
-        end: CallEnd,
+        end: CallResult,
     },
-    Probed {
+    ProbeEnded {
         endpoint: EndpointId,
         sent: Instant,
-        end: CallEnd,
+        end: CallResult,
     },
     /// An endpoint has told to wait, in an answer that has not ended or proves nothing else.
-    ToldToWait {
+    BackoffRequested {
         endpoint: EndpointId,
         until: Instant,
     },
-    Listed(List),
+    EndpointsListed(EndpointList),
     /// Discovery at this address has written a whole line: the courier has all that it had told by then.
-    DiscoveryHeard {
+    DiscoveryLineRead {
         discovery: SocketAddr,
         at: Instant,
     },
     /// The open watch at this address has ended.
-    WatchLost {
+    WatchEnded {
         discovery: SocketAddr,
     },
     /// Discovery at this address could not be reached by a call that began then: it could not have told of a change.
@@ -52,41 +52,41 @@
         since: Instant,
     },
     /// The platform has acknowledged the notices for these.
-    Told(Vec<u64>),
+    NoticesAcknowledged(Vec<u64>),
     /// The configuration was read again: where discovery is now.
-    Moved(SocketAddr),
+    DiscoveryAddressChanged(SocketAddr),
     /// A configuration is to take effect now.
-    Configured(Box<Configured>),
+    ConfigurationChanged(Box<ConfigurationUpdate>),
     /// What names of endpoints stand for now: entries that changed.
-    Resolved(List),
+    NamesResolved(EndpointList),
     /// Discovery is to be watched from now on.
-    Watch,
+    StartWatch,
     /// Whether a message of this id is taken on already.
-    Known {
+    QueryAccepted {
         id: String,
         reply: oneshot::Sender<bool>,
     },
     /// What became of the journal's sync.
-    Synced(Synced),
+    JournalSynced(Synced),
     /// A front's state is to be put on record.
-    Store(Store),
+    StoreState(StateUpdate),
     /// A client has been told how its message ended, or never will be.
-    OwnerTold {
+    OutcomeNotified {
         message: u64,
     },
     /// A broker has the message under this packet id and waits for its release: on record first.
-    Released {
+    PubrecReceived {
         endpoint: EndpointId,
         id: u16,
         message: u64,
     },
     /// A session with open fates is about to be resumed: on record first; or what became of it is known.
-    Resuming {
+    SessionResuming {
         endpoint: EndpointId,
-        begins: bool,
+        pending: bool,
     },
     /// The packet id is free.
-    Freed {
+    PacketIdFreed {
         endpoint: EndpointId,
         id: u16,
     },
@@ -94,7 +94,7 @@
 }
 
 /// State that a front puts on record under a key; None to take it off.
-pub struct Store {
+pub struct StateUpdate {
     pub token: u64,
     pub key: String,
     pub value: Option<bytes::Bytes>,
@@ -102,27 +102,27 @@
 
 /// A front whose clients are told how their messages ended, as the owner of the decision module sees it. Nothing here
 /// waits or calls back.
-pub trait Front {
+pub trait Frontend {
     /// What became of an offer.
-    fn replied(&self, token: u64, reply: Reply);
-    /// What became of a [`Store`].
-    fn stored(&self, token: u64, kept: Result<(), Refusal>);
+    fn on_reply(&self, token: u64, reply: Reply);
+    /// What became of a [`StateUpdate`].
+    fn on_stored(&self, token: u64, kept: Result<(), Refusal>);
     /// Whether this client reads how its messages end, and has room for one more.
-    fn hears(&self, owner: &str) -> bool;
+    fn accepts_outcomes(&self, owner: &str) -> bool;
     /// Measures what it holds, for the ledger.
-    fn weigh(&self);
-    /// Tells a client how its message ended: None if it was delivered. [`News::OwnerTold`] follows.
-    fn outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>);
+    fn measure_memory(&self);
+    /// Tells a client how its message ended: None if it was delivered. [`CourierEvent::OutcomeNotified`] follows.
+    fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>);
 }
 
 /// Where an answer goes.
 pub enum ReplyTo {
-    One(oneshot::Sender<Reply>),
-    /// A front that waits for many. `left` is set once nobody waits for this one any more.
-    Front {
-        front: Rc<dyn Front>,
+    Single(oneshot::Sender<Reply>),
+    /// A front that waits for many. `abandoned` is set once nobody waits for this one any more.
+    Frontend {
+        frontend: Rc<dyn Frontend>,
         token: u64,
-        left: Rc<Cell<bool>>,
+        abandoned: Rc<Cell<bool>>,
     },
 }
 
@@ -130,8 +130,8 @@
     /// Nobody waits for it any more.
     pub fn is_closed(&self) -> bool {
         match self {
-            ReplyTo::One(to) => to.is_closed(),
-            ReplyTo::Front { left, .. } => left.get(),
+            ReplyTo::Single(to) => to.is_closed(),
+            ReplyTo::Frontend { abandoned, .. } => abandoned.get(),
         }
     }
 
@@ -139,10 +139,10 @@
     /// Nobody has heard it.
     pub fn send(self, reply: Reply) -> Result<(), Reply> {
         match self {
-            ReplyTo::One(to) => to.send(reply),
-            ReplyTo::Front { left, .. } if left.get() => Err(reply),
-            ReplyTo::Front { front, token, .. } => {
-                front.replied(token, reply);
+            ReplyTo::Single(to) => to.send(reply),
+            ReplyTo::Frontend { abandoned, .. } if abandoned.get() => Err(reply),
+            ReplyTo::Frontend { frontend, token, .. } => {
+                frontend.on_reply(token, reply);
                 Ok(())
             }
         }
@@ -150,7 +150,7 @@
 }
 
 /// A message that is offered, and where its answer goes.
-pub struct Offer {
+pub struct Submission {
     pub letter: Rc<Letter>,
     pub time_left: Duration,
     pub at: Instant,
@@ -158,28 +158,28 @@
     /// If it is refused it is taken on and bounced at once, on record: its front has no refusal.
     pub bounce: bool,
     /// The memory that its body has, as long as it is judged, and whose it is.
-    pub room: Charge,
+    pub body_charge: Charge,
     pub guest: Option<Guest>,
 }
 
 /// What a configuration changes.
-pub struct Changes {
+pub struct MembershipChanges {
     /// Endpoints that are new, other than before, or gone; and their limits, where stated.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListedEndpoint>,
     pub limits: Vec<(String, f64)>,
     /// Destinations that are there no more, and those that are.
-    pub gone: Vec<u64>,
-    pub there: Vec<u64>,
+    pub removed_destinations: Vec<u64>,
+    pub present_destinations: Vec<u64>,
 }
 
 /// A configuration with what it changes, both made ready elsewhere.
-pub struct Configured {
+pub struct ConfigurationUpdate {
     /// 0 for the operator's file.
     pub version: u64,
     pub installation: Arc<Installation>,
     /// What memory there is from then on.
     pub caps: Caps,
-    pub changes: Changes,
+    pub changes: MembershipChanges,
     /// Told once it is in effect.
     pub done: oneshot::Sender<()>,
 }
@@ -187,27 +187,27 @@
 /// What a client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    Taken,
+    Accepted,
     Refused {
         wait: Option<Duration>,
     },
     /// The courier cannot take anything just now.
     Unavailable,
     /// It cannot be put on record.
-    NoRecord(Refusal),
+    JournalRefused(Refusal),
     /// There is no memory for it.
-    NoRoom(NoRoom),
+    OutOfMemory(MemoryRefusal),
     /// As many that have ended are remembered as may be.
-    Crowded,
-    NoDestination,
+    TooManyRemembered,
+    UnknownDestination,
     Failed,
 }
 
 /// When to come again, where the module has not said it.
-pub const COME_AGAIN: Duration = Duration::from_millis(500);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Why something cannot be put on record, as clients are told.
-pub fn reason(why: Refusal) -> &'static str {
+pub fn refusal_reason(why: Refusal) -> &'static str {
     match why {
         Refusal::Full => "the journal is full of messages that have not ended",
         Refusal::DiskFull => "the disk is full",
@@ -217,7 +217,7 @@
 
 /// How a call ended.
 #[derive(Debug)]
-pub struct CallEnd {
+pub struct CallResult {
     pub outcome: Outcome,
     pub after: AfterAttempt,
     pub report: Option<Report>,
@@ -232,26 +232,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAttempt {
     /// Its end: another attempt may be made.
-    Open,
+    RetryAllowed,
     /// Nothing: it is delivered, or its endpoint's answer proves that it is over.
     Settled,
     /// Word of its end, and no attempt: its endpoint has said that it is over, in an answer that proves nothing.
-    EndOwed,
+    FailWithoutRetry,
 }
 
 /// A list, or its changes, as discovery writes it.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     #[serde(default)]
     pub seq: u64,
     #[serde(default)]
     pub whole: bool,
     #[serde(default)]
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListedEndpoint>,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Host {
+pub struct ListedEndpoint {
     pub host: String,
     #[serde(default)]
     pub dial: String,
@@ -276,9 +276,12 @@
 }
 
 /// What differs from `before` to `now`, both by name: what is gone first.
-pub fn differences(before: &BTreeMap<String, Host>, now: &BTreeMap<String, Host>) -> Vec<Host> {
+pub fn diff_endpoints(
+    before: &BTreeMap<String, ListedEndpoint>,
+    now: &BTreeMap<String, ListedEndpoint>,
+) -> Vec<ListedEndpoint> {
     let gone = before.iter().filter(|(name, _)| !now.contains_key(*name));
-    let gone = gone.map(|(_, host)| Host { health: Health::Gone, ..host.clone() });
+    let gone = gone.map(|(_, host)| ListedEndpoint { health: Health::Gone, ..host.clone() });
     let new = now.iter().filter(|(name, host)| before.get(*name) != Some(host));
     gone.chain(new.map(|(_, host)| host.clone())).collect()
 }
--- a/crates/courier/src/follow.rs
+++ b/crates/courier/src/follow.rs
@@ -99,7 +99,7 @@
 
 #[cold]
 fn write(id: impl Display, what: Arguments) {
-    let now = crate::clock::unix();
+    let now = crate::clock::unix_time();
     let Some(dropped) = WRITTEN.with(|w| allowed(now.as_secs(), w)) else { return };
     let mut out = std::io::stderr().lock();
     // A log that cannot be written to is no reason to stop.
--- a/crates/courier/src/front/admin.rs
+++ b/crates/courier/src/front/admin.rs
@@ -2,7 +2,7 @@
 //! their own, off unless configured, loopback only.
 
 use crate::front::intake::Standing;
-use crate::memory_budget::Room;
+use crate::memory_budget::MemoryBudget;
 use crate::out::connection_status::ConnectionStatus;
 use crate::place::control::View;
 use crate::place::watch_status::WatchStatus;
@@ -34,7 +34,7 @@
 pub struct Pages {
     pub view: View,
     pub standing: Rc<Standing>,
-    pub room: Room,
+    pub room: MemoryBudget,
     pub watch: Rc<WatchStatus>,
     pub connections: Rc<ConnectionStatus>,
 }
--- a/crates/courier/src/front/effective.rs
+++ b/crates/courier/src/front/effective.rs
@@ -1,6 +1,6 @@
 //! The configuration in effect, as the fronts see it: which route a request takes, and what is made of it.
 
-use crate::clock::unix;
+use crate::clock::unix_time;
 use crate::front::named::{ID_MOST, Named, Unfit};
 use bytes::Bytes;
 use hyper::http::request::Parts;
@@ -168,7 +168,7 @@
         }
         // Longer than its class has it the message would not be worth anything.
         let time_left = named.time_left.unwrap_or(terms.deadline).min(terms.deadline);
-        let taken = unix();
+        let taken = unix_time();
         let routed = Routed {
             version,
             route: chosen.route.name.clone(),
@@ -258,7 +258,7 @@
         })?;
         let expiry = publish.expiry.map(|s| Duration::from_secs(u64::from(s)));
         let time_left = [expiry, time_out].into_iter().flatten().fold(terms.deadline, Duration::min);
-        let taken = unix();
+        let taken = unix_time();
         // What has an id of the courier's own is never told from another.
         let remember = if identity.is_some() { class.remember_mqtt } else { Duration::ZERO };
         let routed = Routed {
--- a/crates/courier/src/front/farewell.rs
+++ b/crates/courier/src/front/farewell.rs
@@ -2,8 +2,8 @@
 //! closed so that no reset overtakes the answer. One task has them all. Who is seen off, who gives way and for how
 //! long is decided by [`Partings`]; this owns the sockets meanwhile.
 
-use crate::events::COME_AGAIN;
-use crate::memory_budget::{NoRoom, Room};
+use crate::events::DEFAULT_RETRY_AFTER;
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use stairshed_memory::partings::{DRAINED, How, LINGER, LISTEN, MOST};
@@ -45,8 +45,8 @@
     wait: Duration,
 }
 
-impl From<NoRoom> for Why {
-    fn from(NoRoom { refused, wait }: NoRoom) -> Self {
+impl From<MemoryRefusal> for Why {
+    fn from(MemoryRefusal { refused, wait }: MemoryRefusal) -> Self {
         Why { reason: refused.reason(), words: refused.to_string(), wait }
     }
 }
@@ -55,7 +55,7 @@
     /// As many are connected as may be, and this one was of the least use.
     pub fn connections() -> Self {
         let words = "as many clients are connected as may be".to_owned();
-        Why { reason: Reason::Connections, words, wait: COME_AGAIN }
+        Why { reason: Reason::Connections, words, wait: DEFAULT_RETRY_AFTER }
     }
 }
 
@@ -73,7 +73,7 @@
 
 /// Where connections are handed to that there is no room for.
 pub struct Farewells {
-    room: Room,
+    room: MemoryBudget,
     queue: Sender<Leaving>,
     /// By id, how to tell one that its place is another's.
     gone: RefCell<BTreeMap<u64, Rc<Notify>>>,
@@ -84,7 +84,7 @@
 
 impl Farewells {
     /// Starts the one task that sees them off.
-    pub fn start(room: &Room) -> Rc<Farewells> {
+    pub fn start(room: &MemoryBudget) -> Rc<Farewells> {
         // As many again may stand in the queue whose place is another's by now.
         let (queue, leaving) = channel(2 * MOST);
         let reserve = room.ledger.force_reserve(Purpose::Clients, PLACE_BYTES * MOST as u64 + SCRATCH as u64);
--- a/crates/courier/src/front/intake.rs
+++ b/crates/courier/src/front/intake.rs
@@ -1,11 +1,11 @@
 //! The clients' side: takes messages in over HTTP, and tells whether the courier is ready.
 
-use crate::clock::unix;
-use crate::events::{COME_AGAIN, News, Offer, Reply, ReplyTo, reason};
+use crate::clock::unix_time;
+use crate::events::{CourierEvent, DEFAULT_RETRY_AFTER, Reply, ReplyTo, Submission, refusal_reason};
 use crate::front::effective::Effective;
 use crate::front::farewell::{Farewells, Speaks, Why};
 use crate::front::named::{Named, Unfit};
-use crate::memory_budget::{NoRoom, Room};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -274,10 +274,10 @@
 pub struct Intake {
     pub front: Front,
     pub standing: Rc<Standing>,
-    pub news: Sender<News>,
+    pub news: Sender<CourierEvent>,
     /// Clients' connections at most.
     pub sockets: usize,
-    pub room: Room,
+    pub room: MemoryBudget,
     /// Where clients are told apart, each with its share of the memory: who tells those that there is no room for.
     pub farewells: Option<Rc<Farewells>>,
 }
@@ -309,7 +309,7 @@
                         }
                         Err(refused) => {
                             if let Some(farewells) = apart {
-                                let why = Why::from(this.room.no(refused));
+                                let why = Why::from(this.room.refusal(refused));
                                 farewells.turn_away(stream, Speaks::Http, why, false);
                             }
                         }
@@ -409,16 +409,16 @@
         }
         // Many large bodies at once must not take the memory: together they have a fixed room.
         let kept = if length > BODY_MOST as u64 { 0 } else { length as usize };
-        let room = match self.room.ledger.take(Purpose::BodiesRead, kept as u64, guest.as_ref()) {
-            Ok(room) => room,
+        let body_charge = match self.room.ledger.take(Purpose::BodiesRead, kept as u64, guest.as_ref()) {
+            Ok(charge) => charge,
             Err(_) if self.knows(&parts.headers).await => {
                 // Of a repeat nothing is kept: it is answered, whatever memory there is.
                 return match timeout(BODY_TIME, read(body, 0)).await {
-                    Ok(Err(Unread::Large) | Ok(_)) => respond(Reply::Taken),
+                    Ok(Err(Unread::Large) | Ok(_)) => respond(Reply::Accepted),
                     _ => closing(StatusCode::BAD_REQUEST, "the body broke off\n"),
                 };
             }
-            Err(refused) => return respond(Reply::NoRoom(self.room.no(refused))),
+            Err(refused) => return respond(Reply::OutOfMemory(self.room.refusal(refused))),
         };
         // Read even if the head is at fault, so that the connection can go on.
         let body = match timeout(BODY_TIME, read(body, kept)).await {
@@ -442,9 +442,10 @@
         };
         let (reply, answered) = oneshot::channel();
         let id = letter.routed.is_some().then(|| letter.id.clone());
-        let reply = ReplyTo::One(reply);
-        let offer = Offer { letter: Rc::new(letter), time_left, at, reply, bounce: false, room, guest };
-        let reply = match timeout(PATIENCE, self.news.send(News::Offered(offer))).await {
+        let reply = ReplyTo::Single(reply);
+        let offer =
+            Submission { letter: Rc::new(letter), time_left, at, reply, bounce: false, body_charge, guest };
+        let reply = match timeout(PATIENCE, self.news.send(CourierEvent::Submitted(offer))).await {
             Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
             _ => Reply::Unavailable,
         };
@@ -479,7 +480,7 @@
     async fn knows(&self, headers: &HeaderMap) -> bool {
         let Some(id) = Named::read(headers).ok().and_then(|named| named.id) else { return false };
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(News::Known { id: id.to_owned(), reply });
+        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply });
         matches!(timeout(PATIENCE, asked).await, Ok(Ok(()))) && known.await.unwrap_or(false)
     }
 }
@@ -505,7 +506,7 @@
     let text = headers.get("Envelope").ok_or("no Envelope\n")?;
     let text = text.to_str().map_err(|_| "Envelope is no text\n")?;
     let destination = envelope(text.trim()).ok_or("Envelope names no destination\n")?;
-    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), named.key, unix());
+    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), named.key, unix_time());
     let until = taken + time_left;
     Ok((Letter { id, class, destination, key, taken, until, body, routed: None }, time_left))
 }
@@ -566,22 +567,22 @@
 fn respond(reply: Reply) -> Response<Full<Bytes>> {
     let again = |status, why: Cow<'static, str>, wait: Option<Duration>| {
         let mut answer = text(status, why);
-        let wait = format!("{:.3}", wait.unwrap_or(COME_AGAIN).as_secs_f64());
+        let wait = format!("{:.3}", wait.unwrap_or(DEFAULT_RETRY_AFTER).as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&wait) {
             answer.headers_mut().insert(RETRY_AFTER, value);
         }
         answer
     };
     match reply {
-        Reply::Taken => plain(StatusCode::ACCEPTED, ""),
+        Reply::Accepted => plain(StatusCode::ACCEPTED, ""),
         Reply::Refused { wait } => again(StatusCode::TOO_MANY_REQUESTS, "refused\n".into(), wait),
         Reply::Unavailable => again(StatusCode::SERVICE_UNAVAILABLE, "not now\n".into(), None),
         // The client is owed the reason, since waiting is all that it can do about it.
-        Reply::NoRecord(why) => {
-            let why = format!("not taken on: {}\n", reason(why));
+        Reply::JournalRefused(why) => {
+            let why = format!("not taken on: {}\n", refusal_reason(why));
             again(StatusCode::SERVICE_UNAVAILABLE, why.into(), None)
         }
-        Reply::NoRoom(NoRoom { refused, wait }) => {
+        Reply::OutOfMemory(MemoryRefusal { refused, wait }) => {
             let mut answer = again(
                 StatusCode::SERVICE_UNAVAILABLE,
                 format!("not taken on: {refused}\n").into(),
@@ -592,12 +593,12 @@
             }
             answer
         }
-        Reply::Crowded => again(
+        Reply::TooManyRemembered => again(
             StatusCode::SERVICE_UNAVAILABLE,
             "not taken on: as many messages that have ended are remembered as may be\n".into(),
             None,
         ),
-        Reply::NoDestination => plain(StatusCode::NOT_FOUND, "no such destination\n"),
+        Reply::UnknownDestination => plain(StatusCode::NOT_FOUND, "no such destination\n"),
         Reply::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
     }
 }
--- a/crates/courier/src/front/mqtt.rs
+++ b/crates/courier/src/front/mqtt.rs
@@ -1,12 +1,14 @@
 //! MQTT clients' side: sockets around the state machine of `stairshed-mqtt`, which holds all connections and
 //! sessions. What a PUBLISH means is asked of the routes in effect, what becomes of it of the courier.
 
-use crate::clock::unix;
-use crate::events::{COME_AGAIN, Front, News, Offer, Reply, ReplyTo, Store, reason};
+use crate::clock::unix_time;
+use crate::events::{
+    CourierEvent, DEFAULT_RETRY_AFTER, Frontend, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+};
 use crate::front::effective::Effective;
 use crate::front::farewell::{Farewells, Speaks, Why};
 use crate::front::users::Users;
-use crate::memory_budget::{NoRoom, Room};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::out::outcomes;
 use crate::socket::is_transient;
 use bytes::BytesMut;
@@ -56,7 +58,7 @@
     lines: RefCell<HashMap<u64, Rc<Line>>>,
     /// By token, offers that are being judged: whether their client has left.
     judged: RefCell<HashMap<u64, Rc<Cell<bool>>>>,
-    room: Room,
+    room: MemoryBudget,
     /// What sessions take, as last measured.
     sessions: RefCell<Charge>,
     buffer: RefCell<Vec<u8>>,
@@ -64,36 +66,36 @@
     effective: Effective,
     users: Option<Arc<Users>>,
     checks: Arc<Semaphore>,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
     connections: usize,
     /// Tells those that there is no room for.
     farewells: Rc<Farewells>,
 }
 
-impl Front for Hub {
-    fn replied(&self, token: u64, reply: Reply) {
+impl Frontend for Hub {
+    fn on_reply(&self, token: u64, reply: Reply) {
         self.judged_no_more(token);
         let refused = |code, why: &str, wait| Answer::Refused { code, why: why.to_owned(), wait };
-        let later = Some(COME_AGAIN);
+        let later = Some(DEFAULT_RETRY_AFTER);
         let answer = match reply {
-            Reply::Taken => Answer::Taken,
+            Reply::Accepted => Answer::Taken,
             Reply::Refused { wait } => {
                 refused(code::QUOTA_EXCEEDED, "refused: come again later", wait.or(later))
             }
             Reply::Unavailable => refused(code::QUOTA_EXCEEDED, "not now", later),
-            Reply::NoRoom(NoRoom { refused: no, wait }) => {
+            Reply::OutOfMemory(MemoryRefusal { refused: no, wait }) => {
                 refused(code::QUOTA_EXCEEDED, &no.to_string(), Some(wait))
             }
-            Reply::Crowded => refused(
+            Reply::TooManyRemembered => refused(
                 code::QUOTA_EXCEEDED,
                 "as many messages that have ended are remembered as may be",
                 later,
             ),
-            Reply::NoRecord(why @ Refusal::DiskFails) => {
-                refused(code::IMPLEMENTATION_SPECIFIC, reason(why), later)
+            Reply::JournalRefused(why @ Refusal::DiskFails) => {
+                refused(code::IMPLEMENTATION_SPECIFIC, refusal_reason(why), later)
             }
-            Reply::NoRecord(why) => refused(code::QUOTA_EXCEEDED, reason(why), later),
-            Reply::NoDestination => {
+            Reply::JournalRefused(why) => refused(code::QUOTA_EXCEEDED, refusal_reason(why), later),
+            Reply::UnknownDestination => {
                 refused(code::TOPIC_NAME_INVALID, "the topic's pool has no endpoints", None)
             }
             Reply::Failed => refused(code::UNSPECIFIED_ERROR, "failed", None),
@@ -101,21 +103,21 @@
         self.with(|machine, now| machine.replied(token, answer, now));
     }
 
-    fn stored(&self, token: u64, kept: Result<(), Refusal>) {
-        let kept = kept.map_err(|why| reason(why).to_owned());
+    fn on_stored(&self, token: u64, kept: Result<(), Refusal>) {
+        let kept = kept.map_err(|why| refusal_reason(why).to_owned());
         self.with(|machine, now| machine.stored(token, kept, now));
     }
 
-    fn hears(&self, owner: &str) -> bool {
+    fn accepts_outcomes(&self, owner: &str) -> bool {
         self.machine.borrow().hears(owner)
     }
 
-    fn weigh(&self) {
+    fn measure_memory(&self) {
         let bytes = self.machine.borrow().weigh();
         self.sessions.borrow_mut().set(bytes);
     }
 
-    fn outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
+    fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
         let line = outcomes::line(id, verdict);
         self.with(|machine, _| machine.outcome(owner, Outcome { message, line }));
     }
@@ -125,12 +127,12 @@
     /// `records` are the sessions of an earlier life.
     pub fn new(
         limits: Limits,
-        (connections, room, farewells): (usize, Room, Rc<Farewells>),
+        (connections, room, farewells): (usize, MemoryBudget, Rc<Farewells>),
         (effective, users): (Effective, Option<Users>),
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
         records: Vec<(String, bytes::Bytes)>,
     ) -> Rc<Hub> {
-        let mut machine = Server::new(limits, unix(), rand::random());
+        let mut machine = Server::new(limits, unix_time(), rand::random());
         for (owner, record) in records {
             let text = std::str::from_utf8(&record).unwrap_or_default();
             if !machine.restore(&owner, text, Duration::ZERO) {
@@ -229,11 +231,11 @@
             }
             Effect::Store { token, owner, record } => {
                 let key = format!("{PREFIX}{owner}");
-                let store = Store { token, key, value: record.map(bytes::Bytes::from) };
-                let _ = self.news.send(News::Store(store)).await;
+                let store = StateUpdate { token, key, value: record.map(bytes::Bytes::from) };
+                let _ = self.news.send(CourierEvent::StoreState(store)).await;
             }
             Effect::Told { message } | Effect::Untold { message } => {
-                let _ = self.news.send(News::OwnerTold { message }).await;
+                let _ = self.news.send(CourierEvent::OutcomeNotified { message }).await;
             }
             Effect::Log(text) => eprintln!("mqtt: {text}"),
         }
@@ -280,24 +282,31 @@
         let guest = Some(self.room.ledger.guest(self.effective.get().1.telling.session(&owner)));
         // Many large payloads at once must not take the memory: together they have a fixed room.
         let size = publish.payload.len() as u64;
-        let room = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
-            Ok(room) => room,
+        let body_charge = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
+            Ok(charge) => charge,
             // What repeats a message that is taken on is acknowledged, whatever memory there is.
-            Err(_) if self.knows(&letter.id).await => return self.replied(token, Reply::Taken),
-            Err(refused) => return self.replied(token, Reply::NoRoom(self.room.no(refused))),
+            Err(_) if self.knows(&letter.id).await => return self.on_reply(token, Reply::Accepted),
+            Err(refused) => return self.on_reply(token, Reply::OutOfMemory(self.room.refusal(refused))),
         };
-        let left = Rc::new(Cell::new(false));
-        self.judged.borrow_mut().insert(token, left.clone());
-        let reply = ReplyTo::Front { front: self.clone(), token, left };
-        let offer =
-            Offer { letter: Rc::new(letter), time_left, at: Instant::now(), reply, bounce, room, guest };
-        let _ = self.news.send(News::Offered(offer)).await;
+        let abandoned = Rc::new(Cell::new(false));
+        self.judged.borrow_mut().insert(token, abandoned.clone());
+        let reply = ReplyTo::Frontend { frontend: self.clone(), token, abandoned };
+        let offer = Submission {
+            letter: Rc::new(letter),
+            time_left,
+            at: Instant::now(),
+            reply,
+            bounce,
+            body_charge,
+            guest,
+        };
+        let _ = self.news.send(CourierEvent::Submitted(offer)).await;
     }
 
     /// Whether a message of this id is taken on.
     async fn knows(&self, id: &str) -> bool {
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(News::Known { id: id.to_owned(), reply }).await;
+        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply }).await;
         asked.is_ok() && known.await.unwrap_or(false)
     }
 
@@ -323,7 +332,7 @@
                             tokio::task::spawn_local(self.clone().serve(next, socket, room));
                         }
                         Err(refused) => {
-                            let why = Why::from(self.room.no(refused));
+                            let why = Why::from(self.room.refusal(refused));
                             self.farewells.turn_away(socket, Speaks::Mqtt, why, false);
                         }
                     }
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -16,7 +16,7 @@
 
 /// Shared by all parts of one courier.
 #[derive(Clone)]
-pub struct Room {
+pub struct MemoryBudget {
     pub ledger: Ledger,
     /// Connections that are turned away.
     pub partings: Rc<RefCell<Partings>>,
@@ -25,7 +25,7 @@
 
 /// There is no room for something new, and when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoRoom {
+pub struct MemoryRefusal {
     pub refused: Refused,
     pub wait: Duration,
 }
@@ -72,13 +72,13 @@
     }
 }
 
-impl Room {
-    pub fn new(caps: &Caps, share: f64) -> Room {
-        Room { ledger: Ledger::new(caps, share), partings: Rc::default(), origin: Instant::now() }
+impl MemoryBudget {
+    pub fn new(caps: &Caps, share: f64) -> MemoryBudget {
+        MemoryBudget { ledger: Ledger::new(caps, share), partings: Rc::default(), origin: Instant::now() }
     }
 
     /// Other caps from now on.
-    pub fn configure(&self, caps: &Caps, share: f64) {
+    pub fn set_caps(&self, caps: &Caps, share: f64) {
         self.ledger.set_caps(caps, share);
     }
 
@@ -88,8 +88,8 @@
     }
 
     /// What somebody who was refused is told.
-    pub fn no(&self, refused: Refused) -> NoRoom {
-        NoRoom { refused, wait: self.ledger.wait(&refused, self.now()) }
+    pub fn refusal(&self, refused: Refused) -> MemoryRefusal {
+        MemoryRefusal { refused, wait: self.ledger.wait(&refused, self.now()) }
     }
 
     pub fn page(&self) -> Value {
--- a/crates/courier/src/out/attempt_outcome.rs
+++ b/crates/courier/src/out/attempt_outcome.rs
@@ -3,7 +3,7 @@
 //! An answer that is not believed proves nothing, and the message may have run. What it forbids holds all the same: a
 //! message that is over is not sent again, whatever becomes of the rest of the answer that says so.
 
-use crate::events::{AfterAttempt, CallEnd};
+use crate::events::{AfterAttempt, CallResult};
 use crate::out::link::{Answer, Heard, Lost};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
@@ -12,28 +12,35 @@
 
 /// Forbids what the answer forbids, whether or not it is proof of anything: a message of which an endpoint has said that
 /// it is over is not sent again.
-pub fn restrained(end: CallEnd, heard: Heard) -> CallEnd {
+pub fn restrained(end: CallResult, heard: Heard) -> CallResult {
     match end.after {
-        AfterAttempt::Open if heard.is_over() => {
+        AfterAttempt::RetryAllowed if heard.is_over() => {
             let proof = "an answer of 410 that could not be read to its end";
-            CallEnd { after: AfterAttempt::EndOwed, proof, ..end }
+            CallResult { after: AfterAttempt::FailWithoutRetry, proof, ..end }
         }
         _ => end,
     }
 }
 
 /// The end of a call that has no answer to tell of.
-pub fn unanswered(outcome: Outcome, proof: &'static str) -> CallEnd {
-    CallEnd { outcome, after: AfterAttempt::Open, report: None, at: Instant::now(), proof, exchange: None }
+pub fn unanswered(outcome: Outcome, proof: &'static str) -> CallResult {
+    CallResult {
+        outcome,
+        after: AfterAttempt::RetryAllowed,
+        report: None,
+        at: Instant::now(),
+        proof,
+        exchange: None,
+    }
 }
 
 /// What PROTOCOL says of an answer: what it proves, and what it forbids.
-pub fn ended(answer: Result<Answer, Lost>, heard: Heard) -> CallEnd {
+pub fn ended(answer: Result<Answer, Lost>, heard: Heard) -> CallResult {
     restrained(proven(answer, heard.blocked_until), heard)
 }
 
 /// What an answer proves. Only what PROTOCOL calls 'never' counts as not run.
-fn proven(answer: Result<Answer, Lost>, blocked_until: Option<Instant>) -> CallEnd {
+fn proven(answer: Result<Answer, Lost>, blocked_until: Option<Instant>) -> CallResult {
     let answer = match answer {
         Ok(answer) => answer,
         Err(lost) => {
@@ -49,11 +56,11 @@
     };
     // A spoilt answer proves nothing but a first line with 200: the request has run, or may have.
     if !answer.whole && answer.status != StatusCode::OK {
-        return CallEnd { at: answer.at, ..unanswered(Outcome::Reset, "spoilt answer") };
+        return CallResult { at: answer.at, ..unanswered(Outcome::Reset, "spoilt answer") };
     }
     if answer.repeats() {
         let proof = "the answer repeats an earlier one on its connection";
-        return CallEnd { at: answer.at, ..unanswered(Outcome::Reset, proof) };
+        return CallResult { at: answer.at, ..unanswered(Outcome::Reset, proof) };
     }
     let head = |name| answer.headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
     let outcome = match answer.status {
@@ -74,14 +81,14 @@
     };
     let after = match answer.status {
         StatusCode::OK | StatusCode::GONE => AfterAttempt::Settled,
-        _ => AfterAttempt::Open,
+        _ => AfterAttempt::RetryAllowed,
     };
     let proof = match outcome {
         Outcome::Crowded => "503 and close",
         _ => answer.status.canonical_reason().unwrap_or("an answer"),
     };
     let report = report(&answer.headers);
-    CallEnd { outcome, after, report, at: answer.at, proof, exchange: None }
+    CallResult { outcome, after, report, at: answer.at, proof, exchange: None }
 }
 
 /// Whether the connection ends with this answer.
--- a/crates/courier/src/out/attempt_outcome_test.rs
+++ b/crates/courier/src/out/attempt_outcome_test.rs
@@ -48,9 +48,9 @@
     let gone = Heard { status: Some(410), ..Heard::default() };
     let called_off = unanswered(Outcome::Cancelled, "called off");
     for end in [proven(Err(Lost::Broken), None), proven(Err(Lost::Silent), None), called_off] {
-        assert_eq!(end.after, AfterAttempt::Open);
-        assert_eq!(restrained(end, gone).after, AfterAttempt::EndOwed);
+        assert_eq!(end.after, AfterAttempt::RetryAllowed);
+        assert_eq!(restrained(end, gone).after, AfterAttempt::FailWithoutRetry);
     }
     let other = Heard { status: Some(503), ..Heard::default() };
-    assert_eq!(ended(Err(Lost::Broken), other).after, AfterAttempt::Open);
+    assert_eq!(ended(Err(Lost::Broken), other).after, AfterAttempt::RetryAllowed);
 }
--- a/crates/courier/src/out/broker.rs
+++ b/crates/courier/src/out/broker.rs
@@ -1,7 +1,7 @@
 //! The connection to one MQTT broker: a socket around the state machine of `stairshed-mqtt`. It decides nothing.
 
-use crate::clock::unix;
-use crate::events::{AfterAttempt, CallEnd, News};
+use crate::clock::unix_time;
+use crate::events::{AfterAttempt, CallResult, CourierEvent};
 use crate::out::calls::Call;
 use crate::socket::is_transient;
 use bytes::Bytes;
@@ -56,7 +56,7 @@
         (address, topic): (SocketAddr, String),
         (settings, client, connect_time): (file::Broker, String, Duration),
         folder: &Path,
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
     ) -> Rc<Broker> {
         let password = settings.password_file.as_ref().and_then(|f| match password(folder, f) {
             Ok(password) => Some(password),
@@ -145,7 +145,7 @@
         (sent, released): (Duration, bool),
     ) {
         self.attempts.borrow_mut().insert(number, attempt);
-        let patience = letter.until.saturating_sub(unix());
+        let patience = letter.until.saturating_sub(unix_time());
         let message = self.message(number, &letter, patience, effect, Some(sent));
         self.with(|machine, now| machine.resume(id, message, released, now));
     }
@@ -158,7 +158,7 @@
         effect: Effect,
         sent: Option<Duration>,
     ) -> Message {
-        let (unix, now) = (unix(), self.origin.elapsed());
+        let (unix, now) = (unix_time(), self.origin.elapsed());
         let left = letter.until.saturating_sub(unix);
         // At QoS 1 a broker takes what goes again for another message: what must not run twice goes at QoS 2.
         let qos = if effect == Effect::Once || self.settings.qos == 2 {
@@ -219,7 +219,7 @@
         self.wake.notify_one();
     }
 
-    async fn run(self: Rc<Self>, news: Sender<News>) {
+    async fn run(self: Rc<Self>, news: Sender<CourierEvent>) {
         let mut socket: Option<TcpStream> = None;
         let mut opening: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
         let mut bytes = vec![0; READ];
@@ -299,16 +299,16 @@
         }
     }
 
-    async fn tell(&self, effect: client::Effect, news: &Sender<News>) {
+    async fn tell(&self, effect: client::Effect, news: &Sender<CourierEvent>) {
         let endpoint = self.endpoint;
         let told = match effect {
-            client::Effect::Record { id, message } => News::Released { endpoint, id, message },
-            client::Effect::Resuming => News::Resuming { endpoint, begins: true },
-            client::Effect::Resumed => News::Resuming { endpoint, begins: false },
-            client::Effect::Free { id, .. } => News::Freed { endpoint, id },
+            client::Effect::Record { id, message } => CourierEvent::PubrecReceived { endpoint, id, message },
+            client::Effect::Resuming => CourierEvent::SessionResuming { endpoint, pending: true },
+            client::Effect::Resumed => CourierEvent::SessionResuming { endpoint, pending: false },
+            client::Effect::Free { id, .. } => CourierEvent::PacketIdFreed { endpoint, id },
             client::Effect::Ended { message, end, .. } => {
                 let Some(attempt) = self.attempts.borrow_mut().remove(&message) else { return };
-                News::Called { message, attempt, endpoint, end: ended(end) }
+                CourierEvent::CallEnded { message, attempt, endpoint, end: ended(end) }
             }
             client::Effect::Log(text) => {
                 eprintln!("mqtt: {}: {text}", self.address);
@@ -354,7 +354,7 @@
 }
 
 /// What an attempt's end means to the decision module: the table of docs/mqtt.md.
-fn ended(end: End) -> CallEnd {
+fn ended(end: End) -> CallResult {
     let outcome = match end {
         End::Delivered => Outcome::Delivered,
         End::Error => Outcome::Error,
@@ -364,9 +364,9 @@
         End::Lost => Outcome::Reset,
         End::TimedOut => Outcome::TimedOut,
     };
-    CallEnd {
+    CallResult {
         outcome,
-        after: if end == End::Delivered { AfterAttempt::Settled } else { AfterAttempt::Open },
+        after: if end == End::Delivered { AfterAttempt::Settled } else { AfterAttempt::RetryAllowed },
         report: None,
         at: Instant::now(),
         proof: "the broker's word",
--- a/crates/courier/src/out/calls.rs
+++ b/crates/courier/src/out/calls.rs
@@ -1,8 +1,8 @@
 //! Calls to endpoints and probes, and the connections kept for them. One call a connection at a time; what
 //! may have run is told apart from what never did.
 
-use crate::events::{CallEnd, News};
-use crate::memory_budget::Room;
+use crate::events::{CallResult, CourierEvent};
+use crate::memory_budget::MemoryBudget;
 use crate::out::answer_identity::AnswerIdentity;
 use crate::out::attempt_outcome::{ended, restrained, unanswered};
 use crate::out::connection_pool::{ConnectionPool, PooledConnection};
@@ -74,7 +74,7 @@
 
 impl Calls {
     /// `keepalive` is when endpoints close an idle connection; none is kept for as long here.
-    pub fn new(connect: Duration, keepalive: Duration, sockets: usize, room: Room) -> Self {
+    pub fn new(connect: Duration, keepalive: Duration, sockets: usize, room: MemoryBudget) -> Self {
         let pool = ConnectionPool::start(connect, keepalive, sockets, room);
         let (parted, waits) = (Rc::default(), Rc::default());
         let (list_valid_until, unleased) = (Rc::default(), Rc::default());
@@ -236,7 +236,7 @@
         call: Call,
         address: SocketAddr,
         cancel: oneshot::Receiver<()>,
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
     ) {
         let Call { message, attempt, endpoint, pool, letter, until, once, .. } = call;
         let timeout = until.saturating_duration_since(Instant::now());
@@ -261,7 +261,7 @@
                 (answer, exchange) =
                     self.ask((endpoint, Some(pool)), (address, once), request, until, &listening) =>
                 {
-                    CallEnd { exchange, ..ended(answer, listening.heard()) }
+                    CallResult { exchange, ..ended(answer, listening.heard()) }
                 }
                 _ = cancel => {
                     restrained(unanswered(Outcome::Cancelled, "called off"), listening.heard())
@@ -270,7 +270,7 @@
             Err(_) => unanswered(Outcome::Moot, "no request can be made of it"),
         };
         let outcome = end.outcome;
-        listening.end(News::Called { message, attempt, endpoint, end }, outcome).await;
+        listening.end(CourierEvent::CallEnded { message, attempt, endpoint, end }, outcome).await;
     }
 
     /// Sends a check and reports its end.
@@ -279,7 +279,7 @@
         endpoint: EndpointId,
         address: SocketAddr,
         timeout: Duration,
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
@@ -290,9 +290,9 @@
             }
             Err(_) => (Err(Lost::Unsent), None),
         };
-        let end = CallEnd { exchange, ..ended(answer, listening.heard()) };
+        let end = CallResult { exchange, ..ended(answer, listening.heard()) };
         let outcome = end.outcome;
-        listening.end(News::Probed { endpoint, sent, end }, outcome).await;
+        listening.end(CourierEvent::ProbeEnded { endpoint, sent, end }, outcome).await;
     }
 }
 
--- a/crates/courier/src/out/calls_test.rs
+++ b/crates/courier/src/out/calls_test.rs
@@ -6,7 +6,7 @@
 async fn one_socket() -> (tokio::net::TcpListener, SocketAddr, Calls) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let to = listener.local_addr().expect("its address");
-    let room = Room::new(&stairshed_memory::Caps::none(), 1.0);
+    let room = MemoryBudget::new(&stairshed_memory::Caps::none(), 1.0);
     (listener, to, Calls::new(Duration::from_secs(5), Duration::from_secs(10), 1, room))
 }
 
--- a/crates/courier/src/out/connection_pool.rs
+++ b/crates/courier/src/out/connection_pool.rs
@@ -1,6 +1,6 @@
 //! The connections to endpoints that stand idle between two exchanges, and the sockets and the memory for new ones.
 
-use crate::memory_budget::Room;
+use crate::memory_budget::MemoryBudget;
 use crate::out::answer_identity::{AnswerHistories, Expectation};
 use crate::out::break_rate::BreakRates;
 use crate::out::connection_status::{CloseReason, ConnectionStatus};
@@ -47,7 +47,7 @@
     break_rates: RefCell<BreakRates>,
     histories: RefCell<AnswerHistories>,
     status: Rc<ConnectionStatus>,
-    room: Room,
+    room: MemoryBudget,
 }
 
 /// A connection for one exchange.
@@ -60,7 +60,12 @@
 impl ConnectionPool {
     /// A pool that closes what has stood idle for too long, as long as anybody holds it. `keepalive` is when endpoints
     /// close an idle connection.
-    pub fn start(connect_timeout: Duration, keepalive: Duration, sockets: usize, room: Room) -> Rc<Self> {
+    pub fn start(
+        connect_timeout: Duration,
+        keepalive: Duration,
+        sockets: usize,
+        room: MemoryBudget,
+    ) -> Rc<Self> {
         let pool = Rc::new(ConnectionPool {
             connect_timeout: Cell::new(connect_timeout),
             keep_time: Cell::new(keepalive.mul_f64(KEEP_SHARE)),
--- a/crates/courier/src/out/listening.rs
+++ b/crates/courier/src/out/listening.rs
@@ -1,6 +1,6 @@
 //! What is heard of an answer while its exchange goes on, and what of it is passed on at once.
 
-use crate::events::News;
+use crate::events::CourierEvent;
 use crate::out::link::{Heard, Listener};
 use stairshed_decide::interface::{EndpointId, Outcome};
 use std::cell::{Cell, RefCell};
@@ -14,7 +14,7 @@
 /// rest of that has come, which may take longer than a wait may be ignored.
 pub struct Listening {
     endpoint: EndpointId,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
     listener: RefCell<Option<Listener>>,
     /// The dispatcher has been told of the wait.
     wait_told: Cell<bool>,
@@ -22,7 +22,7 @@
 
 impl Listening {
     /// For an exchange with this endpoint; `news` reaches the dispatcher.
-    pub fn new(endpoint: EndpointId, news: Sender<News>) -> Self {
+    pub fn new(endpoint: EndpointId, news: Sender<CourierEvent>) -> Self {
         Listening { endpoint, news, listener: RefCell::default(), wait_told: Cell::default() }
     }
 
@@ -37,9 +37,9 @@
     }
 
     /// The wait that nobody has been told of yet.
-    fn untold_wait(&self) -> Option<News> {
+    fn untold_wait(&self) -> Option<CourierEvent> {
         let until = self.heard().blocked_until.filter(|_| !self.wait_told.get())?;
-        Some(News::ToldToWait { endpoint: self.endpoint, until })
+        Some(CourierEvent::BackoffRequested { endpoint: self.endpoint, until })
     }
 
     /// Passes a wait on if that can be done at once.
@@ -50,7 +50,7 @@
     }
 
     /// Tells how the exchange has ended, and a wait before it that this does not tell.
-    pub async fn end(self, news: News, outcome: Outcome) {
+    pub async fn end(self, news: CourierEvent, outcome: Outcome) {
         let tells = matches!(outcome, Outcome::Full { wait: Some(_) });
         if let Some(wait) = self.untold_wait().filter(|_| !tells) {
             // Nobody is left to hear it once the courier has stopped.
--- a/crates/courier/src/out/outcomes.rs
+++ b/crates/courier/src/out/outcomes.rs
@@ -1,7 +1,7 @@
 //! Notices of what was taken on and is not delivered: to the platform, or where an operator wants them, by
 //! post, in a file, or both. Sent until they are acknowledged, however long that takes.
 
-use crate::events::News;
+use crate::events::CourierEvent;
 use crate::out::link::Link;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -141,7 +141,7 @@
     }
 
     /// Delivers a batch until it is acknowledged, then reports it.
-    pub async fn post(self, batch: Vec<Notice>, news: Sender<News>) {
+    pub async fn post(self, batch: Vec<Notice>, news: Sender<CourierEvent>) {
         if let Some(file) = &self.file {
             append(file, batch.iter().map(Notice::line).collect()).await;
         }
@@ -149,7 +149,7 @@
             Some(post) => post.all(batch, self.unread.as_ref()).await,
             None => batch.iter().map(|n| n.message).collect(),
         };
-        let _ = news.send(News::Told(told)).await;
+        let _ = news.send(CourierEvent::NoticesAcknowledged(told)).await;
     }
 }
 
--- a/crates/courier/src/place/control.rs
+++ b/crates/courier/src/place/control.rs
@@ -1,12 +1,12 @@
 //! The control service's versions and the operator's file, put into effect one after the other: checked off
 //! the serving thread, stored, told to the courier, and only then acknowledged.
 
-use crate::events::{Changes, Configured, News};
+use crate::events::{ConfigurationUpdate, CourierEvent, MembershipChanges};
 use crate::fault::Fault;
 use crate::front::effective::Effective;
 use crate::front::intake::Intake;
 use crate::front::listener::listen;
-use crate::memory_budget::{self, Room};
+use crate::memory_budget::{self, MemoryBudget};
 use crate::out::link::Link;
 use crate::place::dns::Lookups;
 use crate::place::file;
@@ -177,7 +177,7 @@
     versions: Versions,
     installation: Arc<Installation>,
     effective: Effective,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
     intake: Rc<Intake>,
     accepting: Option<AbortHandle>,
     listening: Option<SocketAddr>,
@@ -195,7 +195,7 @@
     pub fn new(
         (file, document, store): (PathBuf, Document, Store),
         (versions, installation): (Versions, Arc<Installation>),
-        (effective, news, intake): (Effective, Sender<News>, Rc<Intake>),
+        (effective, news, intake): (Effective, Sender<CourierEvent>, Rc<Intake>),
         status: Rc<Status>,
         lookups: Lookups,
     ) -> Self {
@@ -466,7 +466,7 @@
     document: (Document, Option<Version>),
     before: Arc<Installation>,
     store: Store,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
 }
 
 impl Work {
@@ -492,9 +492,13 @@
             };
             let installation = installation.map_err(lines)?;
             let changes = changes(Some(&before), &installation);
-            let (gone, there) = destinations(Some(&before), &installation);
+            let (removed_destinations, present_destinations) = destinations(Some(&before), &installation);
             let (hosts, limits) = hosts(&changes);
-            Ok((document, Arc::new(installation), Changes { hosts, limits, gone, there }))
+            Ok((
+                document,
+                Arc::new(installation),
+                MembershipChanges { hosts, limits, removed_destinations, present_destinations },
+            ))
         });
         let checked = checked.await.unwrap_or_else(|e| Err(vec![format!("its check broke off: {e}")]));
         let (document, installation, changes) = match checked {
@@ -511,7 +515,7 @@
         task: &Task,
         number: u64,
         installation: Arc<Installation>,
-        changes: Changes,
+        changes: MembershipChanges,
     ) -> Result<Prepared, Vec<String>> {
         let caps = memory_budget::caps(&installation)?;
         let listener = match installation.http == self.before.http {
@@ -531,9 +535,12 @@
         }
         let (done, in_effect) = oneshot::channel();
         let configured =
-            Configured { version: number, installation: installation.clone(), caps, changes, done };
+            ConfigurationUpdate { version: number, installation: installation.clone(), caps, changes, done };
         let stopping = || vec!["the courier is stopping".to_owned()];
-        self.news.send(News::Configured(Box::new(configured))).await.map_err(|_| stopping())?;
+        self.news
+            .send(CourierEvent::ConfigurationChanged(Box::new(configured)))
+            .await
+            .map_err(|_| stopping())?;
         in_effect.await.map_err(|_| stopping())?;
         Ok(Prepared { installation, listener })
     }
@@ -545,7 +552,7 @@
     node: String,
     held: Rc<RefCell<Option<u64>>>,
     most: u64,
-    room: Room,
+    room: MemoryBudget,
     silence: Duration,
 }
 
--- a/crates/courier/src/place/dns.rs
+++ b/crates/courier/src/place/dns.rs
@@ -1,7 +1,7 @@
 //! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where the
 //! answer is cut short.
 
-use crate::events::{Health, Host, List, News, differences};
+use crate::events::{CourierEvent, EndpointList, Health, ListedEndpoint, diff_endpoints};
 use crate::place::names::Names;
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
@@ -88,7 +88,7 @@
 }
 
 /// Begins to look up the names of an installation and of those that follow it.
-pub fn start(installation: &Installation, news: Sender<News>) -> (Lookups, Resolver) {
+pub fn start(installation: &Installation, news: Sender<CourierEvent>) -> (Lookups, Resolver) {
     let (tell, told) = watch::channel(Vec::new());
     let dns = &installation.file.dns;
     let task = Task {
@@ -109,9 +109,9 @@
     names: Names,
     wanted: Vec<Wanted>,
     /// What the courier was told, by the endpoint's name.
-    listed: BTreeMap<String, Host>,
+    listed: BTreeMap<String, ListedEndpoint>,
     origin: Instant,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
 }
 
 type Answer = Result<(Vec<IpAddr>, Duration), String>;
@@ -193,7 +193,7 @@
         for w in &self.wanted {
             for ip in self.names.addresses(&w.name) {
                 let address = SocketAddr::new(ip, w.port);
-                let host = Host {
+                let host = ListedEndpoint {
                     host: format!("{}@{ip}", w.host),
                     dial: address.to_string(),
                     site: w.zone.clone(),
@@ -207,10 +207,13 @@
                 now.insert(host.host.clone(), host);
             }
         }
-        let hosts = differences(&self.listed, &now);
+        let hosts = diff_endpoints(&self.listed, &now);
         self.listed = now;
         if !hosts.is_empty() {
-            let _ = self.news.send(News::Resolved(List { seq: 0, whole: false, hosts })).await;
+            let _ = self
+                .news
+                .send(CourierEvent::NamesResolved(EndpointList { seq: 0, whole: false, hosts }))
+                .await;
         }
     }
 }
--- a/crates/courier/src/place/hosts.rs
+++ b/crates/courier/src/place/hosts.rs
@@ -1,6 +1,6 @@
 //! Endpoints of a configuration, as a list tells them.
 
-use crate::events::{Health, Host};
+use crate::events::{Health, ListedEndpoint};
 use stairshed_config::change::Changed;
 use stairshed_config::installation::{At, OWN, SHARED};
 
@@ -13,11 +13,11 @@
 }
 
 /// What a configuration changes, as a list tells it, and the limits that it states. Names come from look-ups.
-pub fn hosts(changes: &[Changed]) -> (Vec<Host>, Vec<(String, f64)>) {
+pub fn hosts(changes: &[Changed]) -> (Vec<ListedEndpoint>, Vec<(String, f64)>) {
     let (kinds, mut hosts, mut limits) = (kinds(), Vec::new(), Vec::new());
     for change in changes {
         let At::Address(address) = change.member.at else { continue };
-        hosts.push(Host {
+        hosts.push(ListedEndpoint {
             host: change.member.host.clone(),
             dial: address.to_string(),
             site: change.member.zone.clone(),
--- a/crates/courier/src/place/watch.rs
+++ b/crates/courier/src/place/watch.rs
@@ -3,7 +3,7 @@
 
 use super::outage::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
-use crate::events::{List, News};
+use crate::events::{CourierEvent, EndpointList};
 use crate::out::link::{ConnectError, Link, Lost, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -106,7 +106,7 @@
 
 impl Watch {
     /// Watches for good. Ends only when nobody listens any more.
-    pub async fn run(mut self, news: Sender<News>) {
+    pub async fn run(mut self, news: Sender<CourierEvent>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut backoff = INITIAL_BACKOFF_S;
         let mut outage = OutageDetector::default();
@@ -120,12 +120,12 @@
             let mut pause = ask_after(backoff, self.spread, &mut rng);
             if lines_read > 0 {
                 outage.answered();
-                if news.send(News::WatchLost { discovery: self.address }).await.is_err() {
+                if news.send(CourierEvent::WatchEnded { discovery: self.address }).await.is_err() {
                     return;
                 }
             } else if outage.call_failed(end.failure(), since) {
                 pause = pause.min(MAX_OUTAGE_PAUSE.mul_f64(rng.random_range(0.25..1.0)));
-                let unreachable = News::DiscoveryUnreachable { discovery: self.address, since };
+                let unreachable = CourierEvent::DiscoveryUnreachable { discovery: self.address, since };
                 if news.send(unreachable).await.is_err() {
                     return;
                 }
@@ -148,7 +148,7 @@
     /// One watch, from its connection to its end, which is its only result.
     async fn watch_once(
         &mut self,
-        news: &Sender<News>,
+        news: &Sender<CourierEvent>,
         lines_read: &mut u64,
     ) -> Result<Infallible, WatchEnd> {
         let begun = Instant::now();
@@ -178,9 +178,9 @@
                     );
                 }
                 if let Some(list) = list {
-                    news.send(News::Listed(list)).await.map_err(|_| WatchEnd::Closing)?;
+                    news.send(CourierEvent::EndpointsListed(list)).await.map_err(|_| WatchEnd::Closing)?;
                 }
-                let heard = News::DiscoveryHeard { discovery: self.address, at: Instant::now() };
+                let heard = CourierEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
                 news.send(heard).await.map_err(|_| WatchEnd::Closing)?;
             }
             line_begun = lines.is_open().then(|| line_begun.unwrap_or_else(Instant::now));
@@ -209,10 +209,10 @@
 
     /// What a line changes; None if nothing. The first line is passed on also if it is empty: it says that all is as
     /// it was, which is an answer too.
-    fn read_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<List>, WatchEnd> {
+    fn read_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<EndpointList>, WatchEnd> {
         let list = match line.iter().all(u8::is_ascii_whitespace) {
-            true => List { seq: self.seq, ..List::default() },
-            false => serde_json::from_slice::<List>(line).inspect_err(|_| {
+            true => EndpointList { seq: self.seq, ..EndpointList::default() },
+            false => serde_json::from_slice::<EndpointList>(line).inspect_err(|_| {
                 // What it would have told is asked for again, as a whole list.
                 self.fresh = true;
             })?,
--- a/crates/courier/src/start/config.rs
+++ b/crates/courier/src/start/config.rs
@@ -2,9 +2,9 @@
 //! the file again.
 
 use crate::dispatcher::setup::Setup;
-use crate::events::List;
+use crate::events::EndpointList;
 use crate::fault::Fault;
-use crate::memory_budget::Room;
+use crate::memory_budget::MemoryBudget;
 use crate::place::list_age::ListAgeFile;
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
@@ -36,7 +36,7 @@
     seed: String,
     discovery: Option<String>,
     limits: Limits,
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: Conf,
 }
 
@@ -50,7 +50,7 @@
     pub state: PathBuf,
     pub seed: u64,
     pub limits: Limits,
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     pub settings: Settings,
     pub classes: Vec<String>,
     pub zones: Vec<String>,
@@ -59,24 +59,24 @@
 
 impl Config {
     /// What the owner of the decision module needs of it.
-    pub fn setup(self, room: Room) -> Setup {
+    pub fn setup(self, memory_budget: MemoryBudget) -> Setup {
         let classes = self.classes.into_iter().zip(self.settings.classes.iter().cloned());
         Setup {
             classes: ClassTable::new(classes),
             settings: self.settings,
             zones: self.zones,
-            kinds: self.kinds,
+            endpoint_kinds: self.kinds,
             seed: self.seed,
-            known: self.known,
+            initial_list: self.known,
             discovery: Some(self.discovery),
             watch_status: Rc::default(),
             list_age: Some(ListAgeFile::new(&self.state)),
             installation: None,
             effective: None,
-            room,
+            memory_budget,
             pool_wait: Duration::ZERO,
-            remembered: 0,
-            folder: PathBuf::new(),
+            max_remembered: 0,
+            config_folder: PathBuf::new(),
         }
     }
 }
--- a/crates/courier/src/start/platform.rs
+++ b/crates/courier/src/start/platform.rs
@@ -3,12 +3,12 @@
 use super::config::{self, Config};
 use super::settings::Settings;
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::dispatcher::Courier;
-use crate::events::News;
+use crate::dispatcher::Dispatcher;
+use crate::events::CourierEvent;
 use crate::fault::Fault;
 use crate::front::intake::{Front, Intake, Standing};
 use crate::front::listener::listen;
-use crate::memory_budget::Room;
+use crate::memory_budget::MemoryBudget;
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
 use stairshed_decide::brain::Brain;
@@ -23,12 +23,12 @@
 use tokio::sync::mpsc;
 
 /// Reads the configuration again at each SIGHUP. A file that cannot be read changes nothing.
-async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<News>) {
+async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<CourierEvent>) {
     while hangup.recv().await.is_some() {
         match config::discovery_again(&file) {
             Ok(Some(discovery)) => {
                 eprintln!("configuration read again: discovery at {discovery}");
-                let _ = news.send(News::Moved(discovery)).await;
+                let _ = news.send(CourierEvent::DiscoveryAddressChanged(discovery)).await;
             }
             Ok(None) => eprintln!("configuration read again: it names no discovery"),
             Err(fault) => eprintln!("configuration not read again, the old one stays: {fault}"),
@@ -39,7 +39,7 @@
 /// The platform's `memory_mb` is the total. Connections have no cap there: its `sockets` bound them, and to close one
 /// that is kept costs. With a total that no courier could live by only bodies that are read are bounded, by an eighth
 /// of it. All clients come by one address, so none has a share.
-fn room(config: &Config) -> Room {
+fn room(config: &Config) -> MemoryBudget {
     let total = (config.limits.memory_mb * 1e6) as u64;
     let mut caps = Caps::new(Some(total), &ByPurpose::default()).unwrap_or_else(|_| {
         let mut caps = Caps::none();
@@ -48,7 +48,7 @@
     });
     caps.of[Purpose::Clients] = u64::MAX;
     caps.of[Purpose::Endpoints] = u64::MAX;
-    Room::new(&caps, 1.0)
+    MemoryBudget::new(&caps, 1.0)
 }
 
 /// Serves until it is told to stop.
@@ -78,7 +78,7 @@
     let (news, inbox) = mpsc::channel(INBOX);
     if pushed {
         // Nobody asks for lists that are pushed: the watch is open from the start.
-        let _ = news.send(News::Watch).await;
+        let _ = news.send(CourierEvent::StartWatch).await;
     }
     let standing = Rc::new(Standing::default());
     let listener = listen(config.listen).map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
@@ -95,13 +95,13 @@
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
     let outcomes = Outcomes::platform(config.discovery);
     let setup = config.setup(room);
-    let courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
+    let courier = Dispatcher::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
     standing.ready.set(true);
     let accepting = tokio::task::spawn_local(intake.run(listener));
     tokio::task::spawn_local(async move {
         if terminate.recv().await.is_some() {
             eprintln!("stopping");
-            let _ = news.send(News::Stop).await;
+            let _ = news.send(CourierEvent::Stop).await;
             tokio::time::sleep(Duration::from_millis(700)).await;
             accepting.abort();
         }
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/start/serve.rs
@@ -1,9 +1,9 @@
 //! An operator's courier: started from a file, with versions of a control service over it.
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::dispatcher::Courier;
+use crate::dispatcher::Dispatcher;
 use crate::dispatcher::setup::Setup;
-use crate::events::News;
+use crate::events::CourierEvent;
 use crate::fault::Fault;
 use crate::front::admin::{self, Pages};
 use crate::front::effective::Effective;
@@ -12,7 +12,7 @@
 use crate::front::listener::listen;
 use crate::front::mqtt::{self, Hub};
 use crate::front::users::Users;
-use crate::memory_budget::{self, Room};
+use crate::memory_budget::{self, MemoryBudget};
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
 use crate::place::control::{Configurator, Status, Store};
@@ -52,8 +52,8 @@
     installation: &Installation,
     folder: &Path,
     effective: &Effective,
-    news: &mpsc::Sender<News>,
-    (courier, room, farewells): (&Courier, &Room, &Rc<Farewells>),
+    news: &mpsc::Sender<CourierEvent>,
+    (courier, room, farewells): (&Dispatcher, &MemoryBudget, &Rc<Farewells>),
 ) -> Result<Rc<Hub>, Fault> {
     let m = &installation.file.mqtt;
     // Checked when the file was read.
@@ -72,7 +72,7 @@
     };
     let users = m.users.as_ref().map(|f| Users::read(&folder.join(f))).transpose();
     let users = users.map_err(|e| bad("mqtt.users", e))?;
-    let records = courier.on_record(mqtt::PREFIX);
+    let records = courier.stored_state(mqtt::PREFIX);
     let bounds = (m.connections, room.clone(), farewells.clone());
     Ok(Hub::new(limits, bounds, (effective.clone(), users), news.clone(), records))
 }
@@ -82,7 +82,12 @@
 }
 
 /// What the owner of the decision module is told at the start.
-fn setup(installation: &Arc<Installation>, effective: &Effective, room: &Room, folder: &Path) -> Setup {
+fn setup(
+    installation: &Arc<Installation>,
+    effective: &Effective,
+    room: &MemoryBudget,
+    folder: &Path,
+) -> Setup {
     let names = installation.classes.iter().map(|c| c.name.clone());
     let classes = match installation.classes.is_empty() {
         // The module has to have a class, also while no version has come.
@@ -93,18 +98,18 @@
         settings: Settings { classes: classes.classes(), ..installation.settings.clone() },
         classes,
         zones: Vec::new(),
-        kinds: kinds(),
+        endpoint_kinds: kinds(),
         seed: rand::random(),
-        known: None,
+        initial_list: None,
         discovery: installation.discovery,
         watch_status: Rc::default(),
         list_age: None,
         installation: Some(installation.clone()),
         effective: Some(effective.clone()),
-        room: room.clone(),
+        memory_budget: room.clone(),
         pool_wait: installation.file.limits.pool_wait.0,
-        remembered: installation.file.limits.remembered,
-        folder: folder.to_owned(),
+        max_remembered: installation.file.limits.remembered,
+        config_folder: folder.to_owned(),
     }
 }
 
@@ -173,7 +178,7 @@
     let beside = file.parent().unwrap_or(Path::new(".")).to_owned();
     let effective = Effective::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
     let caps = memory_budget::caps(&installation).map_err(Fault::Lines)?;
-    let room = Room::new(&caps, installation.file.memory.client_share);
+    let room = MemoryBudget::new(&caps, installation.file.memory.client_share);
     let mut setup = setup(&installation, &effective, &room, &beside);
     let calls = Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, for_calls, room.clone());
     setup.settings.keepalive = calls.keep_time();
@@ -204,13 +209,13 @@
     let kept = journal.len();
     let discovery = installation.discovery.is_some();
     let watch_status = setup.watch_status.clone();
-    let mut courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
+    let mut courier = Dispatcher::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
     let hub = match installation.mqtt {
         Some(_) => Some(hub(&installation, &beside, &effective, &news, (&courier, &room, &farewells))?),
         None => None,
     };
     if let Some(hub) = &hub {
-        courier.tells(hub.clone());
+        courier.set_frontend(hub.clone());
         tokio::task::spawn_local(hub.clone().run());
     }
     let running = tokio::task::spawn_local(courier.run(inbox));
@@ -250,7 +255,7 @@
         accepting = Some(tokio::task::spawn_local(hub.accept(listener)).abort_handle());
     }
     if discovery {
-        let _ = news.send(News::Watch).await;
+        let _ = news.send(CourierEvent::StartWatch).await;
     }
     standing.ready.set(true);
     let configuring = tokio::task::spawn_local(configurator.run(hangup));
@@ -270,7 +275,7 @@
             // Wills are handed in before nothing more is taken.
             tokio::time::sleep(WILL_TIME).await;
         }
-        let _ = news.send(News::Stop).await;
+        let _ = news.send(CourierEvent::Stop).await;
         tokio::time::sleep(Duration::from_millis(700)).await;
         stopper.close_listener();
     });
