--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -31,14 +31,14 @@
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
 use crate::place::hosts::hosts;
-use acceptance::Taking;
-use attempts::{Out, aged};
+use acceptance::Acceptance;
+use attempts::{Attempts, less_elapsed};
 use members::Members;
 use memory::Memory;
 use notices::Notices;
-use records::{COMPACT_PAUSE, DISK_RETRY, Records};
+use records::{COMPACTION_INTERVAL, DISK_RETRY_INTERVAL, Records};
 use setup::Setup;
-use shutdown::{STOP_LOOK, Stopping};
+use shutdown::{SHUTDOWN_CHECK_INTERVAL, Shutdown};
 use stairshed_config::change::changes;
 use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::*;
@@ -53,25 +53,25 @@
     brain: Brain,
     journal: Journal,
     standing: Rc<Standing>,
-    news: Sender<CourierEvent>,
-    origin: Instant,
+    event_tx: Sender<CourierEvent>,
+    clock_origin: Instant,
     /// What the module has not heard of yet.
     events: Vec<Event>,
     /// The module's one wake-up; a later request for one takes its place.
     wake: Option<(Instant, u64)>,
-    taking: Taking,
-    out: Out,
+    acceptance: Acceptance,
+    attempts: Attempts,
     members: Members,
     records: Records,
     notices: Notices,
-    stopping: Stopping,
+    shutdown: Shutdown,
     memory: Memory,
     /// Whose clients are told how their messages end.
-    front: Option<Rc<dyn Frontend>>,
-    ended: ended_messages::Ended,
+    frontend: Option<Rc<dyn Frontend>>,
+    ended_messages: ended_messages::EndedMessages,
     brokers: brokers::Brokers,
     /// Numbers of the journal's notes, by key.
-    notes: HashMap<String, u64>,
+    state_numbers: HashMap<String, u64>,
 }
 
 impl Dispatcher {
@@ -82,59 +82,59 @@
         calls: Calls,
         outcomes: Outcomes,
         standing: Rc<Standing>,
-        news: Sender<CourierEvent>,
+        event_tx: Sender<CourierEvent>,
     ) -> Self {
-        let taking = Taking::after(journal.last());
+        let acceptance = Acceptance::after(journal.last());
         let memory = Memory::new(setup.memory_budget.clone());
-        let mut courier = Dispatcher {
+        let mut dispatcher = Dispatcher {
             setup,
             brain,
             journal,
             standing,
-            news,
-            origin: lease::clock_origin(),
+            event_tx,
+            clock_origin: lease::clock_origin(),
             events: Vec::new(),
             wake: None,
-            taking,
-            out: Out::new(calls),
+            acceptance,
+            attempts: Attempts::new(calls),
             members: Members::default(),
             records: Records::default(),
             notices: Notices::new(outcomes),
-            stopping: Stopping::default(),
+            shutdown: Shutdown::default(),
             memory,
-            front: None,
-            ended: ended_messages::Ended::default(),
+            frontend: None,
+            ended_messages: ended_messages::EndedMessages::default(),
             brokers: brokers::Brokers::default(),
-            notes: HashMap::new(),
+            state_numbers: HashMap::new(),
         };
-        courier.resume_notes();
-        courier.resume_brokers();
-        let known = courier.setup.initial_list.clone().unwrap_or_default();
-        courier.list(EndpointList { whole: true, ..known });
-        if let Some(installation) = courier.setup.installation.clone() {
-            courier.memory.configured(installation.weigh());
-            courier.members.listed = true;
-            courier.members.destinations.extend(installation.pools.iter().map(|p| p.destination));
+        dispatcher.load_state_numbers();
+        dispatcher.load_open_attempts();
+        let known = dispatcher.setup.initial_list.clone().unwrap_or_default();
+        dispatcher.apply_endpoint_list(EndpointList { whole: true, ..known });
+        if let Some(installation) = dispatcher.setup.installation.clone() {
+            dispatcher.memory.set_configuration_bytes(installation.weigh());
+            dispatcher.members.discovery_answered = true;
+            dispatcher.members.destinations.extend(installation.pools.iter().map(|p| p.destination));
             let (hosts, limits) = hosts(&changes(None, &installation));
-            courier.change_members(hosts, limits);
-            courier.members.slice = usize::MAX;
-            courier.change();
+            dispatcher.queue_membership_changes(hosts, limits);
+            dispatcher.members.batch_size = usize::MAX;
+            dispatcher.apply_pending_changes();
         }
-        courier.resume_lease();
-        courier.resume();
-        courier.lose_open();
-        courier.resume_open();
-        courier
+        dispatcher.resume_lease();
+        dispatcher.resume_messages();
+        dispatcher.drop_lost_sessions();
+        dispatcher.resume_open_attempts();
+        dispatcher
     }
 
     /// Tells the clients of this front how their messages end.
-    pub fn set_frontend(&mut self, front: Rc<dyn Frontend>) {
-        self.front = Some(front);
+    pub fn set_frontend(&mut self, frontend: Rc<dyn Frontend>) {
+        self.frontend = Some(frontend);
     }
 
     /// What is on record under keys with this prefix.
     pub fn stored_state(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
-        self.notes_under(prefix)
+        self.states_with_prefix(prefix)
     }
 
     fn reconfigure(&mut self) {
@@ -147,26 +147,42 @@
     /// Runs until the courier has stopped.
     pub async fn run(mut self, mut inbox: Receiver<CourierEvent>) {
         let tick = self.setup.settings.tick;
-        let mut last: Option<Instant> = None;
+        let mut last_batch: Option<Instant> = None;
         self.resume_ended();
-        self.post();
+        self.post_notices();
         loop {
-            let due = self.wake.map(|(at, _)| at);
-            let idle =
-                self.events.is_empty() && self.members.changes.is_empty() && self.members.in_effect.is_none();
-            let due = if idle { due } else { Some(Instant::now()) };
-            let due = due.map(|at| last.map_or(at, |t| at.max(t + tick)));
-            let retry = self.records.disk_failed.or(self.records.sync_failed).map(|t| t + DISK_RETRY);
-            let compact = self.journal.wants_compaction() && self.records.disk_failed.is_none();
-            let compact = compact.then(|| Instant::now() + COMPACT_PAUSE);
-            let stop = self.stopping.since.map(|_| Instant::now() + STOP_LOOK);
-            let removed = self.members.removed.values().copied().filter(|at| *at > Instant::now()).min();
-            let forget = self.ended.next().map(|at| Instant::now() + at.saturating_sub(unix_time()));
-            let open = self.next_open();
-            let memory = self.memory.due();
-            let at = [due, retry, stop, compact, removed, forget, open, memory].into_iter().flatten().min();
-            let nap = async {
-                match at {
+            let module_due = self.wake.map(|(at, _)| at);
+            let idle = self.events.is_empty()
+                && self.members.pending_changes.is_empty()
+                && self.members.applied.is_none();
+            let module_due = if idle { module_due } else { Some(Instant::now()) };
+            let module_due = module_due.map(|at| last_batch.map_or(at, |t| at.max(t + tick)));
+            let disk_retry =
+                self.records.disk_failed.or(self.records.sync_failed).map(|t| t + DISK_RETRY_INTERVAL);
+            let compaction = self.journal.wants_compaction() && self.records.disk_failed.is_none();
+            let compaction = compaction.then(|| Instant::now() + COMPACTION_INTERVAL);
+            let shutdown_check = self.shutdown.since.map(|_| Instant::now() + SHUTDOWN_CHECK_INTERVAL);
+            let destination_removal =
+                self.members.removed_destinations.values().copied().filter(|at| *at > Instant::now()).min();
+            let id_expiry =
+                self.ended_messages.next_expiry().map(|at| Instant::now() + at.saturating_sub(unix_time()));
+            let attempt_expiry = self.next_open_expiry();
+            let memory_check = self.memory.due();
+            let wake_at = [
+                module_due,
+                disk_retry,
+                shutdown_check,
+                compaction,
+                destination_removal,
+                id_expiry,
+                attempt_expiry,
+                memory_check,
+            ]
+            .into_iter()
+            .flatten()
+            .min();
+            let timer = async {
+                match wake_at {
                     Some(at) => sleep_until(at).await,
                     None => std::future::pending().await,
                 }
@@ -174,98 +190,100 @@
             let mut traffic = false;
             tokio::select! {
                 biased;
-                news = inbox.recv() => {
-                    let Some(news) = news else { return };
+                event = inbox.recv() => {
+                    let Some(event) = event else { return };
                     traffic = true;
-                    self.hear(news);
-                    while let Ok(news) = inbox.try_recv() {
-                        self.hear(news);
+                    self.handle_event(event);
+                    while let Ok(event) = inbox.try_recv() {
+                        self.handle_event(event);
                     }
-                    self.settle();
-                    self.post();
+                    self.flush_journal();
+                    self.post_notices();
                 }
-                () = nap => {
+                () = timer => {
                     let now = Instant::now();
-                    if retry.is_some_and(|at| at <= now) {
-                        self.settle();
+                    if disk_retry.is_some_and(|at| at <= now) {
+                        self.flush_journal();
                     }
-                    if due.is_some_and(|at| at <= now) {
-                        (last, traffic) = (Some(now), true);
-                        self.turn(now);
-                        self.post();
+                    if module_due.is_some_and(|at| at <= now) {
+                        (last_batch, traffic) = (Some(now), true);
+                        self.run_batch(now);
+                        self.post_notices();
                     }
                 }
             }
-            self.end_removed();
-            self.end_open();
-            self.forget_due();
+            self.end_messages_of_removed_pools();
+            self.end_expired_open_attempts();
+            self.forget_expired();
             self.compact();
-            self.look_at_memory(traffic);
-            if self.stopped() {
+            self.check_memory(traffic);
+            if self.is_shutdown_complete() {
                 return;
             }
         }
     }
 
-    fn hear(&mut self, news: CourierEvent) {
-        match news {
-            CourierEvent::Submitted(offer) => self.offered(offer),
+    fn handle_event(&mut self, event: CourierEvent) {
+        match event {
+            CourierEvent::Submitted(submission) => self.submit(submission),
             CourierEvent::CallEnded { message, attempt, endpoint, end } => {
-                self.called(message, attempt, endpoint, end)
+                self.call_ended(message, attempt, endpoint, end)
             }
             CourierEvent::ProbeEnded { endpoint, sent, end } => {
                 let took = end.at.saturating_duration_since(sent);
-                let outcome = aged(end.outcome, end.at);
+                let outcome = less_elapsed(end.outcome, end.at);
                 self.events.push(Event::Probed { endpoint, outcome, took, report: end.report });
             }
-            CourierEvent::BackoffRequested { endpoint, until } => self.told_to_wait(endpoint, until),
+            CourierEvent::BackoffRequested { endpoint, until } => self.back_off_endpoint(endpoint, until),
             CourierEvent::EndpointsListed(list) => {
-                self.members.listed = true;
+                self.members.discovery_answered = true;
                 match self.setup.installation.is_some() {
-                    true => self.discovered(list),
-                    false => self.list(list),
+                    true => self.apply_discovered_list(list),
+                    false => self.apply_endpoint_list(list),
                 }
             }
-            CourierEvent::DiscoveryLineRead { discovery, at } => self.discovery_heard(discovery, at),
-            CourierEvent::WatchEnded { discovery } => self.watch_lost(discovery),
+            CourierEvent::DiscoveryLineRead { discovery, at } => self.discovery_line_read(discovery, at),
+            CourierEvent::WatchEnded { discovery } => self.watch_ended(discovery),
             CourierEvent::DiscoveryUnreachable { discovery, since } => {
                 self.discovery_unreachable(discovery, since)
             }
             CourierEvent::NoticesAcknowledged(messages) => {
-                self.notices.posts -= 1;
+                self.notices.posts_in_flight -= 1;
                 for message in messages {
                     let verdict = self.journal.get(message).and_then(|m| m.verdict);
-                    self.finish(message, verdict);
+                    self.finish_message(message, verdict);
                 }
             }
-            CourierEvent::DiscoveryAddressChanged(discovery) => self.moved(discovery),
-            CourierEvent::ConfigurationChanged(configured) => self.configured(*configured),
-            CourierEvent::NamesResolved(list) => self.list(list),
-            CourierEvent::StartWatch => self.watch(),
+            CourierEvent::DiscoveryAddressChanged(discovery) => self.change_discovery_address(discovery),
+            CourierEvent::ConfigurationChanged(update) => self.apply_configuration(*update),
+            CourierEvent::NamesResolved(list) => self.apply_endpoint_list(list),
+            CourierEvent::StartWatch => self.start_watch(),
             CourierEvent::QueryAccepted { id, reply } => {
                 // Who asked may be gone.
-                let _ = reply.send(self.knows(&id));
+                let _ = reply.send(self.is_accepted(&id));
             }
-            CourierEvent::JournalSynced(done) => self.synced(done),
-            CourierEvent::StoreState(store) => self.store(store),
-            CourierEvent::OutcomeNotified { message } => self.owner_told(message),
-            CourierEvent::PubrecReceived { endpoint, id, message } => self.released(endpoint, id, message),
-            CourierEvent::SessionResuming { endpoint, pending } => self.resuming(endpoint, pending),
-            CourierEvent::PacketIdFreed { endpoint, id } => self.unreserve(endpoint, id),
-            CourierEvent::Stop => self.stop(),
+            CourierEvent::JournalSynced(done) => self.sync_finished(done),
+            CourierEvent::StoreState(update) => self.store_state(update),
+            CourierEvent::OutcomeNotified { message } => self.owner_notified(message),
+            CourierEvent::PubrecReceived { endpoint, id, message } => {
+                self.pubrec_received(endpoint, id, message)
+            }
+            CourierEvent::SessionResuming { endpoint, pending } => self.session_resuming(endpoint, pending),
+            CourierEvent::PacketIdFreed { endpoint, id } => self.free_packet_id(endpoint, id),
+            CourierEvent::Stop => self.begin_shutdown(),
         }
     }
 
     /// One batch: what happened goes in, and what the module asks for is carried out.
-    fn turn(&mut self, now: Instant) {
+    fn run_batch(&mut self, now: Instant) {
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
             self.events.push(Event::Woken { token });
         }
-        self.drop_deserted();
-        self.change();
+        self.drop_abandoned_submissions();
+        self.apply_pending_changes();
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
-        self.brain.handle(now.duration_since(self.origin), &events, &mut actions);
+        self.brain.handle(now.duration_since(self.clock_origin), &events, &mut actions);
         self.apply_lease(now);
         let (mut sends, mut refused, mut cancels) = (Vec::new(), HashMap::new(), Vec::new());
         for action in actions {
@@ -280,33 +298,33 @@
                 Action::Cancel { message, .. } => cancels.push((message.0, self.publishing_to(message.0))),
                 Action::Probe { endpoint } => self.probe(endpoint),
                 Action::Close { endpoint } => {
-                    self.out.calls.close(endpoint);
-                    self.hang_up(endpoint);
+                    self.attempts.calls.close(endpoint);
+                    self.close_broker(endpoint);
                 }
-                Action::Subscribe { active: true } | Action::Fetch => self.watch(),
+                Action::Subscribe { active: true } | Action::Fetch => self.start_watch(),
                 Action::Subscribe { active: false } | Action::Tell { .. } => {}
                 Action::Wake { token, after } => self.wake = Some((now + after, token)),
                 Action::Forget { endpoint } => {
-                    self.out.calls.forget(endpoint);
+                    self.attempts.calls.forget(endpoint);
                     self.forget_broker(endpoint);
                     if let Some(e) = self.members.endpoints.remove(&endpoint) {
-                        self.members.numbers.remove(&e.host);
+                        self.members.ids_by_host.remove(&e.host);
                     }
                 }
                 Action::Note { text } => eprintln!("note: {text}"),
             }
         }
-        self.take_on(&mut refused);
+        self.accept_submissions(&mut refused);
         for (message, verdict) in refused {
-            self.judge(message, verdict);
+            self.record_verdict(message, verdict);
         }
-        self.send(sends, now);
+        self.start_calls(sends, now);
         for (message, endpoint) in cancels {
-            let out = self.out.held.get_mut(&message).and_then(|m| m.out.as_mut());
-            match out.and_then(|(_, cancel)| cancel.take()) {
+            let in_flight = self.attempts.held.get_mut(&message).and_then(|m| m.in_flight.as_mut());
+            match in_flight.and_then(|(_, cancel)| cancel.take()) {
                 Some(cancel) => drop(cancel.send(())),
                 // A PUBLISH that has begun cannot be called off, and does not end as if it were.
-                None => endpoint.into_iter().for_each(|e| self.call_off_publish(e, message)),
+                None => endpoint.into_iter().for_each(|e| self.cancel_publish(e, message)),
             }
         }
     }
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -1,8 +1,8 @@
 //! Taking on: what clients offer, until the module has judged it and they have heard. Owns the offers, the ids of
 //! all that is held, and the next message's number; `turn` calls it with the module's refusals.
 
-use super::held_message::{Held, Waiting};
-use super::memory::Holding;
+use super::held_message::{DeferredAction, HeldMessage};
+use super::memory::MessageMemory;
 use super::{Dispatcher, Verdict};
 use crate::events::{Reply, ReplyTo, Submission};
 use crate::follow;
@@ -11,90 +11,97 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// An offer that waits for the module's word.
-pub(super) struct Offered {
+pub(super) struct PendingSubmission {
     pub(super) class: usize,
-    offer: Submission,
+    submission: Submission,
     /// The memory that it has if it is taken on.
-    holding: Holding,
+    memory: MessageMemory,
 }
 
 #[derive(Default)]
-pub(super) struct Taking {
+pub(super) struct Acceptance {
     /// Those that wait for the module's word.
-    pub(super) offers: BTreeMap<u64, Offered>,
+    pub(super) pending: BTreeMap<u64, PendingSubmission>,
     /// Messages by the id that their clients gave them, until they have ended.
     pub(super) ids: HashMap<String, u64>,
     /// Of the next message.
     pub(super) next: u64,
 }
 
-impl Taking {
+impl Acceptance {
     /// Numbers go on behind the last that an earlier life has used.
     pub(super) fn after(last: u64) -> Self {
-        Taking { next: last + 1, ..Taking::default() }
+        Acceptance { next: last + 1, ..Acceptance::default() }
     }
 }
 
 impl Dispatcher {
-    pub(super) fn offered(&mut self, mut offer: Submission) {
-        let answer = |offer: Submission, reply| {
+    pub(super) fn submit(&mut self, mut submission: Submission) {
+        let respond = |submission: Submission, reply| {
             // A client that is gone hears nothing, and nothing was taken.
-            let _ = offer.reply.send(reply);
+            let _ = submission.reply.send(reply);
         };
         // Handed in twice under one id: it is taken already, or about to be judged.
-        if let Some(message) = self.taking.ids.get(&offer.letter.id) {
-            let judged = !self.taking.offers.contains_key(message);
-            return answer(offer, if judged { Reply::Accepted } else { Reply::Unavailable });
+        if let Some(message) = self.acceptance.ids.get(&submission.letter.id) {
+            let is_accepted = !self.acceptance.pending.contains_key(message);
+            return respond(submission, if is_accepted { Reply::Accepted } else { Reply::Unavailable });
         }
-        if let Some(reply) = self.repeat(&offer.letter) {
-            return answer(offer, reply);
+        if let Some(reply) = self.reply_to_duplicate(&submission.letter) {
+            return respond(submission, reply);
         }
-        if let Some(reply) = self.no_place(&offer.letter) {
-            return self.turn_away(offer, reply);
+        if let Some(reply) = self.early_refusal(&submission.letter) {
+            return self.reject(submission, reply);
         }
-        let Some(class) = self.class(&offer.letter) else { return self.turn_away(offer, Reply::Failed) };
-        let holding = match self.room_for(&mut offer) {
-            Ok(holding) => holding,
-            Err(reply) => return self.turn_away(offer, reply),
+        let Some(class) = self.classify(&submission.letter) else {
+            return self.reject(submission, Reply::Failed);
         };
-        self.reclassify();
-        let message = self.taking.next;
-        self.taking.next += 1;
-        self.taking.ids.insert(offer.letter.id.clone(), message);
+        let memory = match self.reserve_memory(&mut submission) {
+            Ok(memory) => memory,
+            Err(reply) => return self.reject(submission, reply),
+        };
+        self.update_classes();
+        let message = self.acceptance.next;
+        self.acceptance.next += 1;
+        self.acceptance.ids.insert(submission.letter.id.clone(), message);
         self.events.push(Event::Taken(Taken {
             message: MessageId(message),
             class,
             tenant: 0,
-            destination: DestinationId(offer.letter.destination),
-            key: offer.letter.routed.as_ref().and_then(|r| r.order.clone()),
-            time_left: offer.time_left.saturating_sub(offer.at.elapsed()),
+            destination: DestinationId(submission.letter.destination),
+            key: submission.letter.routed.as_ref().and_then(|r| r.order.clone()),
+            time_left: submission.time_left.saturating_sub(submission.at.elapsed()),
             work: None,
             past: Past::default(),
         }));
-        self.taking.offers.insert(message, Offered { class, offer, holding });
+        self.acceptance.pending.insert(message, PendingSubmission { class, submission, memory });
     }
 
     /// Whether a message of this id is taken on.
-    pub(super) fn knows(&self, id: &str) -> bool {
-        let held = self.taking.ids.get(id).is_some_and(|message| !self.taking.offers.contains_key(message));
-        held || self.ended.knows(id)
+    pub(super) fn is_accepted(&self, id: &str) -> bool {
+        let held =
+            self.acceptance.ids.get(id).is_some_and(|message| !self.acceptance.pending.contains_key(message));
+        held || self.ended_messages.contains(id)
     }
 
     /// Why a message cannot be taken on before the module is asked.
-    pub(super) fn no_place(&mut self, letter: &Letter) -> Option<Reply> {
+    pub(super) fn early_refusal(&mut self, letter: &Letter) -> Option<Reply> {
         if self.records.disk_failed.is_some() {
             return Some(Reply::JournalRefused(Refusal::DiskFails));
         }
-        if self.members.removed.contains_key(&letter.destination) {
+        if self.members.removed_destinations.contains_key(&letter.destination) {
             return Some(Reply::Unavailable);
         }
         if !self.members.destinations.contains(&letter.destination) {
-            return Some(if self.members.listed { Reply::UnknownDestination } else { Reply::Unavailable });
+            return Some(if self.members.discovery_answered {
+                Reply::UnknownDestination
+            } else {
+                Reply::Unavailable
+            });
         }
-        if self.out.held.len() + self.taking.offers.len() >= self.setup.settings.max_held {
+        if self.attempts.held.len() + self.acceptance.pending.len() >= self.setup.settings.max_held {
             return Some(Reply::Refused { wait: None });
         }
-        if self.is_crowded(letter) {
+        if self.remembers_too_many(letter) {
             return Some(Reply::TooManyRemembered);
         }
         self.journal.fits(letter).err().map(Reply::JournalRefused)
@@ -102,12 +109,17 @@
 
     /// A client that has given up before it was told counts its message as not taken, and may hand it in
     /// again elsewhere: it must not be sent from here.
-    pub(super) fn drop_deserted(&mut self) {
-        let deserted: Vec<u64> =
-            self.taking.offers.iter().filter(|(_, o)| o.offer.reply.is_closed()).map(|(n, _)| *n).collect();
-        for message in deserted {
-            if let Some(Offered { offer, .. }) = self.taking.offers.remove(&message) {
-                self.taking.ids.remove(&offer.letter.id);
+    pub(super) fn drop_abandoned_submissions(&mut self) {
+        let abandoned: Vec<u64> = self
+            .acceptance
+            .pending
+            .iter()
+            .filter(|(_, o)| o.submission.reply.is_closed())
+            .map(|(n, _)| *n)
+            .collect();
+        for message in abandoned {
+            if let Some(PendingSubmission { submission, .. }) = self.acceptance.pending.remove(&message) {
+                self.acceptance.ids.remove(&submission.letter.id);
             }
             let of = |e: &Event| matches!(e, Event::Taken(t) if t.message.0 == message);
             self.events.retain(|e| !of(e));
@@ -115,30 +127,32 @@
     }
 
     /// Records the new messages that the module keeps, then tells the clients.
-    pub(super) fn take_on(&mut self, refused: &mut HashMap<u64, Verdict>) {
-        let mut taken = Vec::new();
-        for (message, Offered { class, offer, holding }) in std::mem::take(&mut self.taking.offers) {
+    pub(super) fn accept_submissions(&mut self, refused: &mut HashMap<u64, Verdict>) {
+        let mut accepted = Vec::new();
+        for (message, PendingSubmission { class, submission, memory }) in
+            std::mem::take(&mut self.acceptance.pending)
+        {
             if let Some(verdict) = refused.remove(&message) {
-                self.taking.ids.remove(&offer.letter.id);
+                self.acceptance.ids.remove(&submission.letter.id);
                 follow::step(
-                    &offer.letter.id,
-                    format_args!("refused at once class={} verdict={verdict:?}", offer.letter.class),
+                    &submission.letter.id,
+                    format_args!("refused at once class={} verdict={verdict:?}", submission.letter.class),
                 );
-                let told = match verdict {
+                let reply = match verdict {
                     Verdict::Bounced { wait } => Reply::Refused { wait },
                     Verdict::Dead => Reply::Failed,
                 };
-                self.turn_away(offer, told);
+                self.reject(submission, reply);
                 continue;
             }
             // Others of this batch may have taken the room since it was offered.
-            if let Err(why) = self.journal.fits(&offer.letter) {
-                self.taking.ids.remove(&offer.letter.id);
+            if let Err(why) = self.journal.fits(&submission.letter) {
+                self.acceptance.ids.remove(&submission.letter.id);
                 self.events.push(Event::Withdrawn { message: MessageId(message) });
-                self.turn_away(offer, Reply::JournalRefused(why));
+                self.reject(submission, Reply::JournalRefused(why));
                 continue;
             }
-            let Submission { letter, reply, .. } = offer;
+            let Submission { letter, reply, .. } = submission;
             follow::step(
                 &letter.id,
                 format_args!(
@@ -147,30 +161,30 @@
                 ),
             );
             self.journal.accept(message, letter.clone());
-            self.memory.accepted(message, holding);
-            self.out.held.insert(message, Held { letter, class, attempts: 0, out: None });
-            taken.push((message, reply));
+            self.memory.accepted(message, memory);
+            self.attempts.held.insert(message, HeldMessage { letter, class, attempts: 0, in_flight: None });
+            accepted.push((message, reply));
         }
-        if taken.is_empty() {
+        if accepted.is_empty() {
             return;
         }
         let seq = self.journal.last_seq();
-        let recorded = self.settle();
-        for (message, reply) in taken {
+        let recorded = self.flush_journal();
+        for (message, reply) in accepted {
             if !recorded {
                 // Whether its client hears this or not, it is not taken on.
                 let _ = reply.send(Reply::JournalRefused(Refusal::DiskFails));
                 self.withdraw(message);
             } else {
-                self.when_kept(seq, Waiting::Reply { message, reply });
+                self.run_when_durable(seq, DeferredAction::ConfirmAcceptance { message, reply });
             }
         }
     }
 
     /// Tells a client that its message is taken on. One that has left counts it as not taken.
-    pub(super) fn taken(&mut self, message: u64, reply: ReplyTo) {
+    pub(super) fn confirm_acceptance(&mut self, message: u64, reply: ReplyTo) {
         if reply.send(Reply::Accepted).is_err() {
-            if let Some(m) = self.out.held.get(&message) {
+            if let Some(m) = self.attempts.held.get(&message) {
                 follow::step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
             }
             self.withdraw(message);
@@ -179,21 +193,21 @@
 
     /// Nobody is owed anything for the message.
     pub(super) fn withdraw(&mut self, message: u64) {
-        self.end(message);
-        self.out.held.remove(&message);
+        self.end_message(message);
+        self.attempts.held.remove(&message);
         self.events.push(Event::Withdrawn { message: MessageId(message) });
     }
 
     /// The class of a message, by its name and, where a route took it, by what a repeat did then.
-    pub(super) fn class(&mut self, letter: &Letter) -> Option<usize> {
+    pub(super) fn classify(&mut self, letter: &Letter) -> Option<usize> {
         let deadline = letter.until.saturating_sub(letter.taken);
         let Some(routed) = &letter.routed else {
             let classes = &mut self.setup.classes;
             let class = classes.named(&letter.class)?;
             let keyed = classes.get(class).is_some_and(|c| matches!(c.effect, Effect::Keyed { .. }));
             // Without a key no endpoint can tell a repeat from another message.
-            let runs_again = keyed && letter.key.is_none();
-            return Some(if runs_again {
+            let may_run_again = keyed && letter.key.is_none();
+            return Some(if may_run_again {
                 classes.recorded(&letter.class, Effect::Once, deadline)
             } else {
                 class
@@ -204,7 +218,7 @@
 
     /// Tells the module of classes that came since it was told last: what was taken by an earlier version may
     /// be of one that the present one has not.
-    pub(super) fn reclassify(&mut self) {
+    pub(super) fn update_classes(&mut self) {
         if self.setup.classes.len() != self.setup.settings.classes.len() {
             self.setup.settings.classes = self.setup.classes.classes();
             self.reconfigure();
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -1,8 +1,8 @@
 //! What is out: the messages that are held, their calls, and how each call ended.
 
 use super::Dispatcher;
-use super::held_message::{Held, Waiting};
-use super::shutdown::STOP_SENDING;
+use super::held_message::{DeferredAction, HeldMessage};
+use super::shutdown::ATTEMPT_CUTOFF;
 use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult};
 use crate::follow;
@@ -15,25 +15,25 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-pub(super) struct Out {
-    pub(super) held: BTreeMap<u64, Held>,
+pub(super) struct Attempts {
+    pub(super) held: BTreeMap<u64, HeldMessage>,
     pub(super) calls: Calls,
 }
 
-impl Out {
+impl Attempts {
     pub(super) fn new(calls: Calls) -> Self {
-        Out { held: BTreeMap::new(), calls }
+        Attempts { held: BTreeMap::new(), calls }
     }
 }
 
 impl Dispatcher {
     /// As from a check: it concerns the endpoint, not a message.
-    pub(super) fn told_to_wait(&mut self, endpoint: EndpointId, until: Instant) {
+    pub(super) fn back_off_endpoint(&mut self, endpoint: EndpointId, until: Instant) {
         let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
         self.events.push(Event::Probed { endpoint, outcome, took: Duration::ZERO, report: None });
     }
 
-    pub(super) fn called(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallResult) {
+    pub(super) fn call_ended(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallResult) {
         // What proves that it never ran; all else may have.
         let never = matches!(
             end.outcome,
@@ -47,14 +47,14 @@
             AfterAttempt::Settled => {
                 // Told to be over without a delivery: it never ran, and may be handed in again.
                 let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
-                self.finish(message, verdict);
+                self.finish_message(message, verdict);
             }
-            AfterAttempt::FailWithoutRetry => self.judge(message, Verdict::Dead),
+            AfterAttempt::FailWithoutRetry => self.record_verdict(message, Verdict::Dead),
         }
-        if self.resumed(message, &end) {
+        if self.open_attempt_ended(message, &end) {
             return;
         }
-        if let Some(m) = self.out.held.get(&message) {
+        if let Some(m) = self.attempts.held.get(&message) {
             let ran = if never {
                 "never"
             } else if end.outcome == Outcome::Delivered {
@@ -74,58 +74,58 @@
             );
         }
         // It may have gone while the call was out, and its connection was kept after that.
-        self.part(endpoint);
-        let Some(m) = self.out.held.get_mut(&message) else { return };
-        let Some((sent, _)) = m.out.take() else { return };
+        self.close_unless_ready(endpoint);
+        let Some(m) = self.attempts.held.get_mut(&message) else { return };
+        let Some((sent, _)) = m.in_flight.take() else { return };
         self.events.push(Event::Ended(Ended {
             message: MessageId(message),
             endpoint,
-            outcome: aged(end.outcome, end.at),
+            outcome: less_elapsed(end.outcome, end.at),
             took: end.at.saturating_duration_since(sent),
             over: end.after != AfterAttempt::RetryAllowed,
             report: end.report,
         }));
         // The module drops a message with its last outcome, and so does the courier.
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
-            self.out.held.remove(&message);
+            self.attempts.held.remove(&message);
         }
     }
 
-    pub(super) fn send(&mut self, sends: Vec<(u64, EndpointId, Duration)>, now: Instant) {
-        let late = self.stopping.since.is_some_and(|t| now >= t + STOP_SENDING);
+    pub(super) fn start_calls(&mut self, sends: Vec<(u64, EndpointId, Duration)>, now: Instant) {
+        let late = self.shutdown.since.is_some_and(|t| now >= t + ATTEMPT_CUTOFF);
         let mut ready = Vec::new();
         for (message, endpoint, timeout) in sends {
             let e = self.members.endpoints.get(&endpoint);
             let to = e.and_then(|e| Some((e, e.address?)));
-            let Some((m, (e, address))) = self.out.held.get_mut(&message).zip(to) else {
+            let Some((m, (e, address))) = self.attempts.held.get_mut(&message).zip(to) else {
                 // Its client left in this very batch: the module hears that nothing was sent.
-                self.events.push(never_sent(message, endpoint, Outcome::Moot));
+                self.events.push(not_sent(message, endpoint, Outcome::Moot));
                 continue;
             };
             let zone = self.setup.zones.get(e.zone).cloned().unwrap_or_default();
             let attempt = Attempt { host: e.host.clone(), zone, sent: unix_time(), may_have_run: true };
             let broker = e.topic.is_some();
-            m.out = Some((now, None));
+            m.in_flight = Some((now, None));
             if late {
                 // This process ends before an answer could come: it is left to the next, as never sent.
                 continue;
             }
             let to = match broker {
                 false => Some(To::Http(address)),
-                true => self.reserve(endpoint, message).map(To::Broker),
+                true => self.reserve_packet_id(endpoint, message).map(To::Broker),
             };
-            let Some(m) = self.out.held.get_mut(&message) else { continue };
+            let Some(m) = self.attempts.held.get_mut(&message) else { continue };
             let Some(to) = to else {
                 // As many are on their way to the broker as may be.
-                m.out = None;
-                self.events.push(never_sent(message, endpoint, Outcome::Full { wait: None }));
+                m.in_flight = None;
+                self.events.push(not_sent(message, endpoint, Outcome::Full { wait: None }));
                 continue;
             };
             let Ok(number) = self.journal.attempt(message, attempt) else {
                 // Names so long that no room was kept for them, and there is no other.
-                m.out = None;
-                self.take_back(&to, endpoint);
-                self.events.push(never_sent(message, endpoint, Outcome::Moot));
+                m.in_flight = None;
+                self.release_packet_id(&to, endpoint);
+                self.events.push(not_sent(message, endpoint, Outcome::Moot));
                 continue;
             };
             m.attempts += 1;
@@ -148,38 +148,38 @@
         }
         let seq = self.journal.last_seq();
         // The attempts are on record before their first byte goes out; the verdicts before their notice.
-        if !self.settle() {
+        if !self.flush_journal() {
             for call in ready {
                 self.journal.never_ran(call.message, call.attempt);
-                self.take_back(&call.to, call.endpoint);
-                if let Some(m) = self.out.held.get_mut(&call.message) {
-                    m.out = None;
+                self.release_packet_id(&call.to, call.endpoint);
+                if let Some(m) = self.attempts.held.get_mut(&call.message) {
+                    m.in_flight = None;
                 }
-                self.events.push(never_sent(call.message, call.endpoint, Outcome::Moot));
+                self.events.push(not_sent(call.message, call.endpoint, Outcome::Moot));
             }
             return;
         }
         for call in ready {
             let (cancel, cancelled) = oneshot::channel();
-            if let Some(m) = self.out.held.get_mut(&call.message) {
-                m.out = Some((now, matches!(call.to, To::Http(_)).then_some(cancel)));
+            if let Some(m) = self.attempts.held.get_mut(&call.message) {
+                m.in_flight = Some((now, matches!(call.to, To::Http(_)).then_some(cancel)));
             }
-            self.when_kept(seq, Waiting::Call { call, cancelled });
+            self.run_when_durable(seq, DeferredAction::StartCall { call, cancelled });
         }
     }
 
     /// Nothing was sent there after all.
-    pub(super) fn take_back(&mut self, to: &To, endpoint: EndpointId) {
+    pub(super) fn release_packet_id(&mut self, to: &To, endpoint: EndpointId) {
         if let To::Broker(id) = to {
-            self.unreserve(endpoint, *id);
+            self.free_packet_id(endpoint, *id);
         }
     }
 
-    pub(super) fn call(&self, call: Call, cancelled: oneshot::Receiver<()>) {
+    pub(super) fn start_call(&self, call: Call, cancelled: oneshot::Receiver<()>) {
         match call.to {
             To::Broker(id) => self.publish(call, id),
             To::Http(address) => {
-                let call = self.out.calls.clone().call(call, address, cancelled, self.news.clone());
+                let call = self.attempts.calls.clone().call(call, address, cancelled, self.event_tx.clone());
                 tokio::task::spawn_local(call);
             }
         }
@@ -188,25 +188,25 @@
     pub(super) fn probe(&mut self, endpoint: EndpointId) {
         if let Some(address) = self.members.endpoints.get(&endpoint).and_then(|e| e.address) {
             let timeout = self.setup.settings.connect_timeout * 2;
-            tokio::task::spawn_local(self.out.calls.clone().probe(
+            tokio::task::spawn_local(self.attempts.calls.clone().probe(
                 endpoint,
                 address,
                 timeout,
-                self.news.clone(),
+                self.event_tx.clone(),
             ));
         }
     }
 }
 
 /// A wait runs from when its answer arrived: the age of the batch is not added to it.
-pub(super) fn aged(outcome: Outcome, at: Instant) -> Outcome {
+pub(super) fn less_elapsed(outcome: Outcome, at: Instant) -> Outcome {
     match outcome {
         Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: Some(wait.saturating_sub(at.elapsed())) },
         other => other,
     }
 }
 
-fn never_sent(message: u64, endpoint: EndpointId, outcome: Outcome) -> Event {
+fn not_sent(message: u64, endpoint: EndpointId, outcome: Outcome) -> Event {
     Event::Ended(Ended {
         message: MessageId(message),
         endpoint,
--- a/crates/courier/src/dispatcher/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -2,7 +2,7 @@
 //! that one whose fate is open is resumed after a restart, and is never a second one.
 
 use super::Dispatcher;
-use super::held_message::{Held, Waiting};
+use super::held_message::{DeferredAction, HeldMessage};
 use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult};
 use crate::out::broker::Broker;
@@ -16,22 +16,22 @@
 use tokio::time::Instant;
 
 /// Notes of packet ids that are in use: `broker/ID/HOST`.
-const PREFIX: &str = "broker/";
+const PACKET_ID_PREFIX: &str = "broker/";
 /// Notes of brokers whose session is being resumed: `resuming/HOST`.
-const RESUMING: &str = "resuming/";
+const RESUMING_PREFIX: &str = "resuming/";
 /// A message whose fate is open over a restart ends this long before its time is up.
-const END_MARGIN: Duration = Duration::from_millis(50);
+const EXPIRY_MARGIN: Duration = Duration::from_millis(50);
 
 /// What is on record of a packet id.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct InUse {
+struct PacketIdRecord {
     message: u64,
     /// PUBREC has come.
     released: bool,
 }
 
 /// An attempt of an earlier life whose fate is open.
-struct Open {
+struct OpenAttempt {
     host: String,
     id: u16,
     released: bool,
@@ -43,68 +43,69 @@
 
 #[derive(Default)]
 pub struct Brokers {
-    of: HashMap<EndpointId, Rc<Broker>>,
+    by_endpoint: HashMap<EndpointId, Rc<Broker>>,
     /// Those of which the configuration may say something else by now: looked at before the next message, where
     /// nothing is on its way.
     stale: HashSet<EndpointId>,
     /// Messages whose attempt is of an earlier life. The module does not know them.
-    open: BTreeMap<u64, Open>,
+    open_attempts: BTreeMap<u64, OpenAttempt>,
     /// Packet ids of messages that have ended, by host: a broker's session may still know them.
-    blocked: Vec<(String, u16)>,
+    blocked_ids: Vec<(String, u16)>,
 }
 
-fn key(host: &str, id: u16) -> String {
-    format!("{PREFIX}{id}/{host}")
+fn packet_id_key(host: &str, id: u16) -> String {
+    format!("{PACKET_ID_PREFIX}{id}/{host}")
 }
 
 impl Dispatcher {
     /// Reads which attempts of an earlier life may be resumed.
-    pub(super) fn resume_brokers(&mut self) {
+    pub(super) fn load_open_attempts(&mut self) {
         let now = unix_time();
         // Their sessions count as lost: see `Client::opened`.
-        let lost: HashSet<String> = self.notes_under(RESUMING).into_iter().map(|(host, _)| host).collect();
+        let lost: HashSet<String> =
+            self.states_with_prefix(RESUMING_PREFIX).into_iter().map(|(host, _)| host).collect();
         for host in &lost {
-            self.erase(&format!("{RESUMING}{host}"));
+            self.delete_state(&format!("{RESUMING_PREFIX}{host}"));
         }
-        for (key, value) in self.notes_under(PREFIX) {
+        for (key, value) in self.states_with_prefix(PACKET_ID_PREFIX) {
             let of = key.split_once('/').and_then(|(id, host)| Some((id.parse().ok()?, host.to_owned())));
-            let read = of.zip(serde_json::from_slice::<InUse>(&value).ok());
+            let read = of.zip(serde_json::from_slice::<PacketIdRecord>(&value).ok());
             let Some(((id, host), of)) = read else {
                 eprintln!("mqtt: a record of a packet id cannot be read, and is dropped: {key}");
-                self.erase(&format!("{PREFIX}{key}"));
+                self.delete_state(&format!("{PACKET_ID_PREFIX}{key}"));
                 continue;
             };
             if lost.contains(&host) {
-                self.erase(&self::key(&host, id));
+                self.delete_state(&self::packet_id_key(&host, id));
                 continue;
             }
             match self.journal.get(of.message) {
                 Some(live) if live.verdict.is_none() => {
-                    let left = live.letter.until.saturating_sub(now).saturating_sub(END_MARGIN);
+                    let left = live.letter.until.saturating_sub(now).saturating_sub(EXPIRY_MARGIN);
                     let until = Instant::now() + left;
-                    let open = Open { host, id, released: of.released, resumed: false, until };
-                    self.brokers.open.insert(of.message, open);
+                    let open = OpenAttempt { host, id, released: of.released, resumed: false, until };
+                    self.brokers.open_attempts.insert(of.message, open);
                 }
                 // Its message has ended: nothing more is sent for it, and its id is not used while the session lasts.
-                _ => self.brokers.blocked.push((host, id)),
+                _ => self.brokers.blocked_ids.push((host, id)),
             }
         }
     }
 
     /// Whether a message waits for the fate of an attempt of an earlier life. It is held, and not the module's.
-    pub(super) fn waits_for_fate(&mut self, message: u64, live: &Live, class: usize) -> bool {
-        if !self.brokers.open.contains_key(&message) {
+    pub(super) fn hold_open_attempt(&mut self, message: u64, live: &Live, class: usize) -> bool {
+        if !self.brokers.open_attempts.contains_key(&message) {
             return false;
         }
         let (letter, attempts) = (live.letter.clone(), live.attempts.len() as u32);
-        let out = Some((Instant::now(), None));
-        self.out.held.insert(message, Held { letter, class, attempts, out });
+        let in_flight = Some((Instant::now(), None));
+        self.attempts.held.insert(message, HeldMessage { letter, class, attempts, in_flight });
         true
     }
 
     /// The broker behind an endpoint, as it is configured now.
-    fn broker(&mut self, endpoint: EndpointId) -> Option<Rc<Broker>> {
-        let known = self.brokers.of.get(&endpoint);
+    fn broker_for(&mut self, endpoint: EndpointId) -> Option<Rc<Broker>> {
+        let known = self.brokers.by_endpoint.get(&endpoint);
         if let Some(broker) = known.filter(|b| !self.brokers.stale.contains(&endpoint) || b.is_busy()) {
             return Some(broker.clone());
         }
@@ -125,122 +126,127 @@
             (address, topic),
             (settings, client, connect),
             &self.setup.config_folder,
-            self.news.clone(),
+            self.event_tx.clone(),
         );
-        self.brokers.of.insert(endpoint, broker.clone());
+        self.brokers.by_endpoint.insert(endpoint, broker.clone());
         Some(broker)
     }
 
     /// Takes a packet id for a message, on record. None if as many are on their way as may be.
-    pub(super) fn reserve(&mut self, endpoint: EndpointId, message: u64) -> Option<u16> {
-        let broker = self.broker(endpoint)?;
+    pub(super) fn reserve_packet_id(&mut self, endpoint: EndpointId, message: u64) -> Option<u16> {
+        let broker = self.broker_for(endpoint)?;
         let id = broker.reserve()?;
         let host = self.members.endpoints.get(&endpoint)?.host.clone();
-        self.put_in_use(&host, id, InUse { message, released: false });
+        self.record_packet_id(&host, id, PacketIdRecord { message, released: false });
         Some(id)
     }
 
-    fn put_in_use(&mut self, host: &str, id: u16, of: InUse) {
+    fn record_packet_id(&mut self, host: &str, id: u16, of: PacketIdRecord) {
         // Whatever the journal holds: these are few, and without them what it holds could not be delivered.
         let value = serde_json::to_vec(&of).unwrap_or_default();
-        self.note(&key(host, id), value.into());
+        self.put_state(&packet_id_key(host, id), value.into());
     }
 
     /// The broker that a message is on its way to, if it is.
     pub(super) fn publishing_to(&self, message: u64) -> Option<EndpointId> {
-        let of = self.brokers.of.iter().find(|(_, broker)| broker.has(message));
+        let of = self.brokers.by_endpoint.iter().find(|(_, broker)| broker.has(message));
         of.map(|(endpoint, _)| *endpoint)
     }
 
     /// What a repeat of a held message does; of one that is not known, the strictest.
     fn effect_of(&self, message: u64) -> Effect {
-        let class = self.out.held.get(&message).and_then(|m| self.setup.classes.get(m.class));
+        let class = self.attempts.held.get(&message).and_then(|m| self.setup.classes.get(m.class));
         class.map_or(Effect::Once, |c| c.effect)
     }
 
     /// Sends a message whose attempt is on record.
     pub(super) fn publish(&self, call: Call, id: u16) {
-        if let Some(broker) = self.brokers.of.get(&call.endpoint) {
+        if let Some(broker) = self.brokers.by_endpoint.get(&call.endpoint) {
             let effect = self.effect_of(call.message);
             broker.publish(id, call, effect);
         }
     }
 
     /// What was not handed over after all.
-    pub(super) fn unreserve(&mut self, endpoint: EndpointId, id: u16) {
+    pub(super) fn free_packet_id(&mut self, endpoint: EndpointId, id: u16) {
         if let Some(host) = self.members.endpoints.get(&endpoint).map(|e| e.host.clone()) {
-            self.erase(&key(&host, id));
+            self.delete_state(&packet_id_key(&host, id));
         }
     }
 
-    pub(super) fn released(&mut self, endpoint: EndpointId, id: u16, message: u64) {
+    pub(super) fn pubrec_received(&mut self, endpoint: EndpointId, id: u16, message: u64) {
         let Some(host) = self.members.endpoints.get(&endpoint).map(|e| e.host.clone()) else { return };
-        self.put_in_use(&host, id, InUse { message, released: true });
-        self.settle();
-        self.when_kept(self.journal.last_seq(), Waiting::Recorded { endpoint, id });
+        self.record_packet_id(&host, id, PacketIdRecord { message, released: true });
+        self.flush_journal();
+        self.run_when_durable(self.journal.last_seq(), DeferredAction::ConfirmPubrec { endpoint, id });
     }
 
     /// A broker's session is about to be resumed, or what became of it is known.
-    pub(super) fn resuming(&mut self, endpoint: EndpointId, pending: bool) {
+    pub(super) fn session_resuming(&mut self, endpoint: EndpointId, pending: bool) {
         let Some(host) = self.members.endpoints.get(&endpoint).map(|e| e.host.clone()) else { return };
-        let key = format!("{RESUMING}{host}");
+        let key = format!("{RESUMING_PREFIX}{host}");
         if !pending {
-            return self.erase(&key);
+            return self.delete_state(&key);
         }
-        self.note(&key, bytes::Bytes::new());
-        self.settle();
-        self.when_kept(self.journal.last_seq(), Waiting::Resuming { endpoint });
+        self.put_state(&key, bytes::Bytes::new());
+        self.flush_journal();
+        self.run_when_durable(self.journal.last_seq(), DeferredAction::ResumeSession { endpoint });
     }
 
-    pub(super) fn may_resume(&self, endpoint: EndpointId) {
-        if let Some(broker) = self.brokers.of.get(&endpoint) {
+    pub(super) fn resume_session(&self, endpoint: EndpointId) {
+        if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
             broker.resuming();
         }
     }
 
-    pub(super) fn recorded(&self, endpoint: EndpointId, id: u16) {
-        if let Some(broker) = self.brokers.of.get(&endpoint) {
+    pub(super) fn pubrec_recorded(&self, endpoint: EndpointId, id: u16) {
+        if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
             broker.recorded(id);
         }
     }
 
-    pub(super) fn call_off_publish(&self, endpoint: EndpointId, message: u64) {
-        if let Some(broker) = self.brokers.of.get(&endpoint) {
+    pub(super) fn cancel_publish(&self, endpoint: EndpointId, message: u64) {
+        if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
             broker.cancel(message);
         }
     }
 
     /// News of an endpoint that is a broker: what waits for it is resumed, a drain is kept.
-    pub(super) fn broker_stands(&mut self, endpoint: EndpointId, ready: bool) {
+    pub(super) fn broker_state_changed(&mut self, endpoint: EndpointId, ready: bool) {
         let Some(e) = self.members.endpoints.get(&endpoint).filter(|e| e.topic.is_some()) else { return };
         self.brokers.stale.insert(endpoint);
         let host = e.host.clone();
         if ready {
-            if let Some(broker) = self.brokers.of.get(&endpoint) {
+            if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
                 broker.join();
             }
-            self.resume_at(endpoint, &host);
-        } else if let Some(broker) = self.brokers.of.get(&endpoint) {
+            self.resume_attempts_at(endpoint, &host);
+        } else if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
             broker.part(DRAIN_TIME);
         }
     }
 
     /// Resumes what can be at the endpoints that were listed before it was read.
-    pub(super) fn resume_open(&mut self) {
+    pub(super) fn resume_open_attempts(&mut self) {
         let ready = self.members.endpoints.iter().filter(|(_, e)| e.ready && e.topic.is_some());
         let ready: Vec<EndpointId> = ready.map(|(id, _)| *id).collect();
-        ready.into_iter().for_each(|endpoint| self.broker_stands(endpoint, true));
+        ready.into_iter().for_each(|endpoint| self.broker_state_changed(endpoint, true));
     }
 
-    fn resume_at(&mut self, endpoint: EndpointId, host: &str) {
-        let due: Vec<u64> =
-            self.brokers.open.iter().filter(|(_, o)| o.host == host && !o.resumed).map(|(m, _)| *m).collect();
+    fn resume_attempts_at(&mut self, endpoint: EndpointId, host: &str) {
+        let due: Vec<u64> = self
+            .brokers
+            .open_attempts
+            .iter()
+            .filter(|(_, o)| o.host == host && !o.resumed)
+            .map(|(m, _)| *m)
+            .collect();
         let blocked: Vec<u16> =
-            self.brokers.blocked.extract_if(.., |(h, _)| h == host).map(|(_, id)| id).collect();
+            self.brokers.blocked_ids.extract_if(.., |(h, _)| h == host).map(|(_, id)| id).collect();
         if due.is_empty() && blocked.is_empty() {
             return;
         }
-        let Some(broker) = self.broker(endpoint) else { return };
+        let Some(broker) = self.broker_for(endpoint) else { return };
         blocked.into_iter().for_each(|id| broker.block(id));
         for message in due {
             let Some(live) = self.journal.get(message) else { continue };
@@ -248,101 +254,107 @@
             let sent = live.attempts.last().map_or(Duration::ZERO, |a| a.sent);
             let letter = live.letter.clone();
             let effect = self.effect_of(message);
-            let Some(open) = self.brokers.open.get_mut(&message) else { continue };
+            let Some(open) = self.brokers.open_attempts.get_mut(&message) else { continue };
             open.resumed = true;
             broker.resume(open.id, (message, attempt, letter), effect, (sent, open.released));
         }
     }
 
     /// An attempt of an earlier life has come to its end. Unless the message has, too, the module has it from here.
-    pub(super) fn resumed(&mut self, message: u64, end: &CallResult) -> bool {
-        if self.brokers.open.remove(&message).is_none() {
+    pub(super) fn open_attempt_ended(&mut self, message: u64, end: &CallResult) -> bool {
+        if self.brokers.open_attempts.remove(&message).is_none() {
             return false;
         }
         if end.after == AfterAttempt::Settled || self.journal.get(message).is_none_or(|m| m.verdict.is_some())
         {
-            self.out.held.remove(&message);
+            self.attempts.held.remove(&message);
             return true;
         }
-        self.hand_over(message);
+        self.hand_over_to_module(message);
         true
     }
 
     /// Gives a message to the module with what it went through.
-    fn hand_over(&mut self, message: u64) {
+    fn hand_over_to_module(&mut self, message: u64) {
         let Some(live) = self.journal.get(message).cloned() else { return };
-        let Some(held) = self.out.held.get_mut(&message) else { return };
-        held.out = None;
+        let Some(held) = self.attempts.held.get_mut(&message) else { return };
+        held.in_flight = None;
         let class = held.class;
-        let taken = self.taken_before(message, &live, class);
+        let taken = self.resumed_message(message, &live, class);
         self.events.push(Event::Taken(taken));
     }
 
     /// When the next message whose fate is open over a restart ends.
-    pub(super) fn next_open(&self) -> Option<Instant> {
-        self.brokers.open.values().map(|o| o.until).min()
+    pub(super) fn next_open_expiry(&self) -> Option<Instant> {
+        self.brokers.open_attempts.values().map(|o| o.until).min()
     }
 
     /// Ends those whose time is up: whether it took effect is not known.
-    pub(super) fn end_open(&mut self) {
+    pub(super) fn end_expired_open_attempts(&mut self) {
         let now = Instant::now();
         let due: Vec<u64> =
-            self.brokers.open.iter().filter(|(_, o)| o.until <= now).map(|(m, _)| *m).collect();
+            self.brokers.open_attempts.iter().filter(|(_, o)| o.until <= now).map(|(m, _)| *m).collect();
         for message in due {
-            let Some(open) = self.brokers.open.remove(&message) else { continue };
-            let harmless = self.effect_of(message) == Effect::Repeatable;
-            if let Some(held) = self.out.held.get_mut(&message) {
-                held.out = None;
+            let Some(open) = self.brokers.open_attempts.remove(&message) else { continue };
+            let repeatable = self.effect_of(message) == Effect::Repeatable;
+            if let Some(held) = self.attempts.held.get_mut(&message) {
+                held.in_flight = None;
             }
             if !open.resumed {
-                self.brokers.blocked.push((open.host, open.id));
+                self.brokers.blocked_ids.push((open.host, open.id));
             }
-            self.judge(message, if harmless { Verdict::Bounced { wait: None } } else { Verdict::Dead });
-            self.settle();
-            self.post();
+            self.record_verdict(
+                message,
+                if repeatable { Verdict::Bounced { wait: None } } else { Verdict::Dead },
+            );
+            self.flush_journal();
+            self.post_notices();
         }
     }
 
     /// Another configuration is in effect.
-    pub(super) fn brokers_configured(&mut self) {
-        self.brokers.stale.extend(self.brokers.of.keys());
-        self.lose_open();
+    pub(super) fn mark_brokers_stale(&mut self) {
+        self.brokers.stale.extend(self.brokers.by_endpoint.keys());
+        self.drop_lost_sessions();
     }
 
     /// What waits for an endpoint that the configuration has no more has lost its session: the module decides.
-    pub(super) fn lose_open(&mut self) {
+    pub(super) fn drop_lost_sessions(&mut self) {
         let Some(installation) = self.setup.installation.clone() else { return };
-        if self.brokers.open.is_empty() && self.brokers.blocked.is_empty() {
+        if self.brokers.open_attempts.is_empty() && self.brokers.blocked_ids.is_empty() {
             return;
         }
         // Of a name that is looked up each address is an endpoint, `NAME@ADDRESS`.
         let brokers = installation.pools.iter().flat_map(|p| &p.members).filter(|m| m.topic.is_some());
-        let there: HashSet<&str> = brokers.map(|m| m.host.as_str()).collect();
+        let configured: HashSet<&str> = brokers.map(|m| m.host.as_str()).collect();
         let known = |host: &str| {
-            there.contains(host) || host.rsplit_once('@').is_some_and(|(name, _)| there.contains(name))
+            configured.contains(host)
+                || host.rsplit_once('@').is_some_and(|(name, _)| configured.contains(name))
         };
-        let open = self.brokers.open.iter().filter(|(_, o)| !o.resumed && !known(&o.host));
+        let open = self.brokers.open_attempts.iter().filter(|(_, o)| !o.resumed && !known(&o.host));
         let gone: Vec<u64> = open.map(|(m, _)| *m).collect();
         for message in gone {
-            if let Some(open) = self.brokers.open.remove(&message) {
-                self.erase(&key(&open.host, open.id));
-                self.hand_over(message);
+            if let Some(open) = self.brokers.open_attempts.remove(&message) {
+                self.delete_state(&packet_id_key(&open.host, open.id));
+                self.hand_over_to_module(message);
             }
         }
-        for (host, id) in self.brokers.blocked.extract_if(.., |(host, _)| !known(host)).collect::<Vec<_>>() {
-            self.erase(&key(&host, id));
+        for (host, id) in
+            self.brokers.blocked_ids.extract_if(.., |(host, _)| !known(host)).collect::<Vec<_>>()
+        {
+            self.delete_state(&packet_id_key(&host, id));
         }
     }
 
-    pub(super) fn hang_up(&self, endpoint: EndpointId) {
-        if let Some(broker) = self.brokers.of.get(&endpoint) {
+    pub(super) fn close_broker(&self, endpoint: EndpointId) {
+        if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
             broker.hang_up();
         }
     }
 
     pub(super) fn forget_broker(&mut self, endpoint: EndpointId) {
         self.brokers.stale.remove(&endpoint);
-        if let Some(broker) = self.brokers.of.remove(&endpoint) {
+        if let Some(broker) = self.brokers.by_endpoint.remove(&endpoint) {
             broker.stop();
         }
     }
--- a/crates/courier/src/dispatcher/ended_messages_test.rs
+++ b/crates/courier/src/dispatcher/ended_messages_test.rs
@@ -2,16 +2,19 @@
 
 #[test]
 fn an_id_is_known_for_its_time_and_no_more_are_than_may_be() {
-    let (mut recalled, now) = (Recalled::default(), Instant::now());
-    recalled.insert("a", now);
-    recalled.insert("a", now);
-    recalled.insert("b", now + RECALL);
-    assert!(recalled.has("a") && recalled.has("b"));
-    recalled.insert("c", now + RECALL + Duration::from_millis(1));
-    assert!(!recalled.has("a") && recalled.has("b"));
-    for n in 0..=RECALLED_MOST {
-        recalled.insert(&n.to_string(), now + RECALL);
+    let (mut recent_ids, now) = (RecentIds::default(), Instant::now());
+    recent_ids.insert("a", now);
+    recent_ids.insert("a", now);
+    recent_ids.insert("b", now + RECENT_ID_TTL);
+    assert!(recent_ids.contains("a") && recent_ids.contains("b"));
+    recent_ids.insert("c", now + RECENT_ID_TTL + Duration::from_millis(1));
+    assert!(!recent_ids.contains("a") && recent_ids.contains("b"));
+    for n in 0..=MAX_RECENT_IDS {
+        recent_ids.insert(&n.to_string(), now + RECENT_ID_TTL);
     }
-    assert_eq!((recalled.ids.len(), recalled.ended.len()), (RECALLED_MOST, RECALLED_MOST));
-    assert!(recalled.has(&RECALLED_MOST.to_string()) && !recalled.has("0"), "the latest are kept");
+    assert_eq!((recent_ids.ids.len(), recent_ids.ended.len()), (MAX_RECENT_IDS, MAX_RECENT_IDS));
+    assert!(
+        recent_ids.contains(&MAX_RECENT_IDS.to_string()) && !recent_ids.contains("0"),
+        "the latest are kept"
+    );
 }
--- a/crates/courier/src/dispatcher/held_message.rs
+++ b/crates/courier/src/dispatcher/held_message.rs
@@ -10,42 +10,42 @@
 use tokio::time::Instant;
 
 /// The zone of an attempt of which only damage of the journal speaks. No endpoint's: it is no text of a file.
-pub(super) const NOWHERE: &str = "\0";
+pub(super) const UNKNOWN_ZONE: &str = "\0";
 
-pub(super) struct Held {
+pub(super) struct HeldMessage {
     pub(super) letter: Rc<Letter>,
     pub(super) class: usize,
     pub(super) attempts: u32,
     /// The call that is out: when it left, and how to call it off.
-    pub(super) out: Option<(Instant, Option<oneshot::Sender<()>>)>,
+    pub(super) in_flight: Option<(Instant, Option<oneshot::Sender<()>>)>,
 }
 
 /// What must not be done before a record is kept.
-pub(super) enum Waiting {
-    Reply {
+pub(super) enum DeferredAction {
+    ConfirmAcceptance {
         message: u64,
         reply: ReplyTo,
     },
-    Call {
+    StartCall {
         call: Call,
         cancelled: oneshot::Receiver<()>,
     },
     /// A message that was taken on and bounced at once.
-    Bounced {
+    ConfirmBounce {
         message: u64,
         reply: ReplyTo,
     },
     /// A front's state.
-    Stored {
+    ConfirmState {
         token: u64,
     },
     /// A broker's receipt.
-    Recorded {
+    ConfirmPubrec {
         endpoint: EndpointId,
         id: u16,
     },
     /// That a broker's session is being resumed.
-    Resuming {
+    ResumeSession {
         endpoint: EndpointId,
     },
 }
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -11,18 +11,18 @@
 /// Taken as the age of a list that comes with the configuration of a first start.
 const ASSUMED_FIRST_AGE: Duration = Duration::from_secs(1);
 /// What a new discovery has counts as told this long after SIGHUP (protocol page).
-const MOVED_TERM: Duration = Duration::from_secs(4);
+const ADDRESS_CHANGE_TERM: Duration = Duration::from_secs(4);
 /// Of a pushed list while no watch is open; within the grace that the rule on drains gives.
 const UNWATCHED_TERM: Duration = Duration::from_millis(500);
 
 /// Longer than a list is ever acted on.
-const BEFORE_START: Duration = Duration::from_secs(60);
+const CLOCK_HEAD_START: Duration = Duration::from_secs(60);
 
 /// Where the clock of the decision module begins: before the start, so that it can tell how old a list is that an
 /// earlier life has left.
 pub(super) fn clock_origin() -> Instant {
     let now = Instant::now();
-    now.checked_sub(BEFORE_START).unwrap_or(now)
+    now.checked_sub(CLOCK_HEAD_START).unwrap_or(now)
 }
 
 impl Dispatcher {
@@ -39,7 +39,7 @@
                 eprintln!(
                     "discovery: the age of the list is not known; nothing is sent until discovery answers"
                 );
-                self.members.list_unknown = true;
+                self.members.list_age_unknown = true;
                 return;
             }
         };
@@ -49,7 +49,7 @@
     }
 
     /// Discovery has written a whole line: what is listed here is all that it had to tell by then.
-    pub(super) fn discovery_heard(&mut self, discovery: SocketAddr, at: Instant) {
+    pub(super) fn discovery_line_read(&mut self, discovery: SocketAddr, at: Instant) {
         if self.setup.discovery != Some(discovery) {
             return;
         }
@@ -61,9 +61,9 @@
     }
 
     /// The watch has ended. What is pushed counts as told also while none is open.
-    pub(super) fn watch_lost(&mut self, discovery: SocketAddr) {
+    pub(super) fn watch_ended(&mut self, discovery: SocketAddr) {
         if self.setup.discovery == Some(discovery) && self.lists_are_pushed() {
-            self.limit_list(UNWATCHED_TERM);
+            self.limit_lease(UNWATCHED_TERM);
         }
     }
 
@@ -80,30 +80,30 @@
     }
 
     /// Discovery is elsewhere from now on; the old one's word does not hold for long.
-    pub(super) fn discovery_moved(&mut self) {
-        self.limit_list(MOVED_TERM);
+    pub(super) fn discovery_address_changed(&mut self) {
+        self.limit_lease(ADDRESS_CHANGE_TERM);
     }
 
     /// The module hears of the moment, not of an age: the process may be stopped before its next turn.
     fn list_current_as_of(&mut self, at: Instant) {
         // What is older than the clock has run out of date.
-        if let Some(as_of) = at.checked_duration_since(self.origin) {
+        if let Some(as_of) = at.checked_duration_since(self.clock_origin) {
             self.events.push(Event::MembershipCurrent { as_of });
         }
     }
 
-    fn limit_list(&mut self, term: Duration) {
-        let until = Instant::now().duration_since(self.origin) + term;
+    fn limit_lease(&mut self, term: Duration) {
+        let until = Instant::now().duration_since(self.clock_origin) + term;
         self.events.push(Event::MembershipLimited { until });
     }
 
     /// Tells the connections, the pages and the log until when the list may be acted on.
     pub(super) fn apply_lease(&mut self, now: Instant) {
-        let expires = self.brain.membership_expires_at().map(|at| self.origin + at);
-        self.out.calls.set_list_valid_until(expires);
+        let expires = self.brain.membership_expires_at().map(|at| self.clock_origin + at);
+        self.attempts.calls.set_list_valid_until(expires);
         self.setup.watch_status.set_lease(expires);
         let expired = expires.is_some_and(|at| at <= now);
-        let stale = expired && !self.out.held.is_empty() && self.members.has_listed();
+        let stale = expired && !self.attempts.held.is_empty() && self.members.has_listed();
         match (self.members.list_stale_since, stale) {
             (None, true) => {
                 eprintln!(
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -8,27 +8,27 @@
 use std::collections::VecDeque;
 
 /// Batches of notices on their way at once, and notices in one.
-const POSTS_MOST: usize = 4;
-const BATCH_MOST: usize = 200;
+const MAX_POSTS_IN_FLIGHT: usize = 4;
+const MAX_NOTICES_PER_POST: usize = 200;
 
 pub(super) struct Notices {
     /// Each with the record that must be kept before it goes out.
     pub(super) queue: VecDeque<(u64, Notice)>,
     /// Batches on their way.
-    pub(super) posts: usize,
+    pub(super) posts_in_flight: usize,
     pub(super) outcomes: Outcomes,
 }
 
 impl Notices {
     pub(super) fn new(outcomes: Outcomes) -> Self {
-        Notices { queue: VecDeque::new(), posts: 0, outcomes }
+        Notices { queue: VecDeque::new(), posts_in_flight: 0, outcomes }
     }
 }
 
 impl Dispatcher {
     /// The module has ended a message undelivered: on record first, then told.
-    pub(super) fn judge(&mut self, message: u64, verdict: Verdict) {
-        let Some(m) = self.out.held.get(&message) else { return };
+    pub(super) fn record_verdict(&mut self, message: u64, verdict: Verdict) {
+        let Some(m) = self.attempts.held.get(&message) else { return };
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
             return;
         }
@@ -39,30 +39,35 @@
             format_args!(
                 "ends verdict={verdict:?} attempts={} out={} left={left:?}",
                 m.attempts,
-                m.out.is_some()
+                m.in_flight.is_some()
             ),
         );
-        if m.out.is_none() {
-            self.out.held.remove(&message);
+        if m.in_flight.is_none() {
+            self.attempts.held.remove(&message);
         }
         self.journal.judge(message, verdict);
-        self.memory.notice(message);
-        self.tell_verdict(message, verdict);
+        self.memory.add_notice(message);
+        self.notify_owner_of_verdict(message, verdict);
         self.notices.queue.push_back((self.journal.last_seq(), Notice { message, id, verdict }));
     }
 
-    pub(super) fn post(&mut self) {
+    pub(super) fn post_notices(&mut self) {
         // A notice must not go out before its verdict is on record.
         let durable = self.journal.durable();
-        while self.notices.posts < POSTS_MOST && self.records.disk_failed.is_none() {
-            let kept =
-                self.notices.queue.iter().take(BATCH_MOST).take_while(|(seq, _)| *seq <= durable).count();
+        while self.notices.posts_in_flight < MAX_POSTS_IN_FLIGHT && self.records.disk_failed.is_none() {
+            let kept = self
+                .notices
+                .queue
+                .iter()
+                .take(MAX_NOTICES_PER_POST)
+                .take_while(|(seq, _)| *seq <= durable)
+                .count();
             if kept == 0 {
                 return;
             }
             let batch: Vec<_> = self.notices.queue.drain(..kept).map(|(_, notice)| notice).collect();
-            self.notices.posts += 1;
-            tokio::task::spawn_local(self.notices.outcomes.clone().post(batch, self.news.clone()));
+            self.notices.posts_in_flight += 1;
+            tokio::task::spawn_local(self.notices.outcomes.clone().post(batch, self.event_tx.clone()));
         }
     }
 }
--- a/crates/courier/src/dispatcher/shutdown.rs
+++ b/crates/courier/src/dispatcher/shutdown.rs
@@ -7,15 +7,15 @@
 
 /// After SIGTERM: how long new attempts are begun, and when it ends whatever is still out. SIGKILL comes
 /// no sooner than 3.7 s after it.
-pub(super) const STOP_SENDING: Duration = Duration::from_millis(2200);
-const STOP_ALL: Duration = Duration::from_millis(3300);
+pub(super) const ATTEMPT_CUTOFF: Duration = Duration::from_millis(2200);
+const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3300);
 /// For so long after SIGTERM new connections go on coming.
-const STOP_LISTENING: Duration = Duration::from_millis(700);
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(700);
 /// How often it is looked whether all is done.
-pub(super) const STOP_LOOK: Duration = Duration::from_millis(20);
+pub(super) const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Default)]
-pub(super) struct Stopping {
+pub(super) struct Shutdown {
     /// When the courier was told.
     pub(super) since: Option<Instant>,
 }
@@ -24,8 +24,8 @@
 struct Workload {
     held: usize,
     /// Of those that are held: with a call out.
-    out: usize,
-    offers: usize,
+    in_flight: usize,
+    pending: usize,
     /// Notices that wait to be posted, and posts that wait for their answer.
     notices: usize,
     posts: usize,
@@ -36,10 +36,10 @@
 
 impl fmt::Display for Workload {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Workload { held, out, offers, notices, posts, records, disk_fails } = self;
+        let Workload { held, in_flight, pending, notices, posts, records, disk_fails } = self;
         write!(
             f,
-            "{held} messages held, {out} of them with a call out; {offers} offered; {notices} notices to post, \
+            "{held} messages held, {in_flight} of them with a call out; {pending} offered; {notices} notices to post, \
              {posts} posts out; {records} wait for the journal"
         )?;
         f.write_str(if *disk_fails { ", which cannot write" } else { "" })
@@ -48,40 +48,41 @@
 
 impl Dispatcher {
     /// SIGTERM has come.
-    pub(super) fn stop(&mut self) {
+    pub(super) fn begin_shutdown(&mut self) {
         self.standing.stop();
-        if self.stopping.since.is_none() {
-            self.stopping.since = Some(Instant::now());
+        if self.shutdown.since.is_none() {
+            self.shutdown.since = Some(Instant::now());
             eprintln!("stopping: {}", self.workload());
         }
     }
 
     fn workload(&self) -> Workload {
         Workload {
-            held: self.out.held.len(),
-            out: self.out.held.values().filter(|m| m.out.is_some()).count(),
-            offers: self.taking.offers.len(),
+            held: self.attempts.held.len(),
+            in_flight: self.attempts.held.values().filter(|m| m.in_flight.is_some()).count(),
+            pending: self.acceptance.pending.len(),
             notices: self.notices.queue.len(),
-            posts: self.notices.posts,
+            posts: self.notices.posts_in_flight,
             records: self.records.waiting.len(),
             disk_fails: self.records.disk_failed.is_some(),
         }
     }
 
     /// Whether all is done that can be done after SIGTERM.
-    pub(super) fn stopped(&mut self) -> bool {
-        let Some(since) = self.stopping.since else { return false };
+    pub(super) fn is_shutdown_complete(&mut self) -> bool {
+        let Some(since) = self.shutdown.since else { return false };
         let since = since.elapsed();
-        let told =
-            self.notices.queue.is_empty() && self.notices.posts == 0 && self.records.waiting.is_empty();
-        let quiet = since >= STOP_LISTENING
+        let notices_done = self.notices.queue.is_empty()
+            && self.notices.posts_in_flight == 0
+            && self.records.waiting.is_empty();
+        let quiet = since >= MIN_ACCEPT_TIME
             && self.standing.open.borrow().is_empty()
-            && self.taking.offers.is_empty();
-        let calls = self.out.held.values().any(|m| matches!(m.out, Some((_, Some(_)))));
-        let idle = self.out.held.is_empty() || since >= STOP_SENDING;
-        let done = since >= STOP_ALL || (quiet && told && idle && !calls);
+            && self.acceptance.pending.is_empty();
+        let calls = self.attempts.held.values().any(|m| matches!(m.in_flight, Some((_, Some(_)))));
+        let idle = self.attempts.held.is_empty() || since >= ATTEMPT_CUTOFF;
+        let done = since >= SHUTDOWN_LIMIT || (quiet && notices_done && idle && !calls);
         if done {
-            self.settle();
+            self.flush_journal();
             eprintln!("stopped after {:.2} s: {}", since.as_secs_f64(), self.workload());
         }
         done
--- a/crates/courier/src/dispatcher/stored_state.rs
+++ b/crates/courier/src/dispatcher/stored_state.rs
@@ -1,13 +1,13 @@
 //! State of other parts of the courier that outlasts the process: kept in the journal under a key each.
 
 use super::Dispatcher;
-use super::held_message::Waiting;
+use super::held_message::DeferredAction;
 use crate::events::StateUpdate;
 use stairshed_journal::{Note, Refusal};
 
 impl Dispatcher {
     /// Keys of the notes with this prefix, without it, and their values.
-    pub(super) fn notes_under(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
+    pub(super) fn states_with_prefix(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
         let of = self
             .journal
             .notes()
@@ -15,42 +15,42 @@
         of.collect()
     }
 
-    pub(super) fn resume_notes(&mut self) {
-        self.notes = self.journal.notes().map(|(number, note)| (note.key.clone(), number)).collect();
+    pub(super) fn load_state_numbers(&mut self) {
+        self.state_numbers = self.journal.notes().map(|(number, note)| (note.key.clone(), number)).collect();
     }
 
     /// Puts a note in its place, whatever else the journal holds.
-    pub(super) fn note(&mut self, key: &str, value: bytes::Bytes) {
-        let number = *self.notes.entry(key.to_owned()).or_insert(self.taking.next);
-        self.taking.next = self.taking.next.max(number + 1);
+    pub(super) fn put_state(&mut self, key: &str, value: bytes::Bytes) {
+        let number = *self.state_numbers.entry(key.to_owned()).or_insert(self.acceptance.next);
+        self.acceptance.next = self.acceptance.next.max(number + 1);
         self.journal.note(number, Note { key: key.to_owned(), value });
     }
 
-    pub(super) fn erase(&mut self, key: &str) {
-        if let Some(number) = self.notes.remove(key) {
+    pub(super) fn delete_state(&mut self, key: &str) {
+        if let Some(number) = self.state_numbers.remove(key) {
             self.journal.end(number);
         }
     }
 
     /// Puts a front's state on record, or takes it off; the front hears of it once it is kept.
-    pub(super) fn store(&mut self, store: StateUpdate) {
+    pub(super) fn store_state(&mut self, store: StateUpdate) {
         let StateUpdate { token, key, value } = store;
         let fits = match &value {
             _ if self.records.disk_failed.is_some() => Err(Refusal::DiskFails),
             Some(value) => self.journal.fits_note((key.len() + value.len()) as u64),
             None => Ok(()),
         };
-        let Some(front) = self.front.clone() else { return };
+        let Some(frontend) = self.frontend.clone() else { return };
         if let Err(why) = fits {
-            return front.on_stored(token, Err(why));
+            return frontend.on_stored(token, Err(why));
         }
         match value {
-            Some(value) => self.note(&key, value),
-            None => self.erase(&key),
+            Some(value) => self.put_state(&key, value),
+            None => self.delete_state(&key),
         }
-        match self.settle() {
-            true => self.when_kept(self.journal.last_seq(), Waiting::Stored { token }),
-            false => front.on_stored(token, Err(Refusal::DiskFails)),
+        match self.flush_journal() {
+            true => self.run_when_durable(self.journal.last_seq(), DeferredAction::ConfirmState { token }),
+            false => frontend.on_stored(token, Err(Refusal::DiskFails)),
         }
     }
 }
