--- a/crates/courier/src/clock.rs
+++ b/crates/courier/src/clock.rs
@@ -1,8 +1,8 @@
-//! The time of day.
+//! The wall clock.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Unix time.
+/// Time since the Unix epoch; zero if the clock is set before it.
 pub fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -1,4 +1,4 @@
-//! What the owner of the decision module is told at its start: by the platform, or by an operator's file.
+//! The dispatcher's initial settings, from the platform or from an operator's file.
 
 use crate::events::EndpointList;
 use crate::front::effective::Effective;
@@ -14,28 +14,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// The dispatcher's initial settings; it keeps them up to date as configurations change.
 pub struct Setup {
-    /// Its classes are those of `classes`.
+    /// Settings of the decision module; their classes are those of `classes`.
     pub settings: Settings,
     pub classes: ClassTable,
     pub zones: Vec<String>,
     pub endpoint_kinds: Vec<String>,
     pub seed: u64,
-    /// The list as it was when the configuration was written.
+    /// The endpoint list at the time when the configuration was written.
     pub initial_list: Option<EndpointList>,
     pub discovery: Option<SocketAddr>,
     pub watch_status: Rc<WatchStatus>,
-    /// Where the moment of discovery's last word is kept; None where lists have no term.
+    /// The file that keeps the time of discovery's last line; None where lists do not expire.
     pub list_age: Option<ListAgeFile>,
-    /// For an operator's courier: what is in effect.
+    /// For an operator's courier: the configuration in effect.
     pub installation: Option<Arc<Installation>>,
-    /// And where the fronts look for it.
+    /// The handle through which the frontends read it.
     pub effective: Option<Effective>,
-    /// How long messages of a pool that is gone wait for it to come back.
+    /// How long messages of a removed pool are held in case the pool returns.
     pub pool_wait: Duration,
-    /// Messages that have ended of which something may stay.
+    /// Limit on ended messages of which a record is kept.
     pub max_remembered: usize,
     pub memory_budget: MemoryBudget,
-    /// Where files stand that an installation names.
+    /// The folder against which paths in an installation are resolved.
     pub config_folder: PathBuf,
 }
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -1,5 +1,5 @@
-//! What crosses between the courier's parts: the news that its owner of the decision module hears, and
-//! what they carry. It stands below all of them, so that no part imports the owner.
+//! The events that the courier's parts send to the dispatcher, and the types they carry. All parts depend on this
+//! module, so that none of them depends on the dispatcher.
 
 use crate::memory_budget::MemoryRefusal;
 use crate::out::exchange::Exchange;
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What reaches the courier from its other parts.
+/// An event that a part of the courier sends to the dispatcher.
 pub enum CourierEvent {
     Submitted(Submission),
     CallEnded {
@@ -31,61 +31,63 @@
         sent: Instant,
         end: CallResult,
     },
-    /// An endpoint has told to wait, in an answer that has not ended or proves nothing else.
+    /// An endpoint asked for a wait in a response that is incomplete or proves nothing else.
     BackoffRequested {
         endpoint: EndpointId,
         until: Instant,
     },
     EndpointsListed(EndpointList),
-    /// Discovery at this address has written a whole line: the courier has all that it had told by then.
+    /// Discovery at this address has written a complete line: the courier's list is current as of `at`.
     DiscoveryLineRead {
         discovery: SocketAddr,
         at: Instant,
     },
-    /// The open watch at this address has ended.
+    /// The open watch on discovery at this address has ended.
     WatchEnded {
         discovery: SocketAddr,
     },
-    /// Discovery at this address could not be reached by a call that began then: it could not have told of a change.
+    /// A call to discovery at this address that began at `since` could not reach it, so that discovery could not have
+    /// reported a change.
     DiscoveryUnreachable {
         discovery: SocketAddr,
         since: Instant,
     },
-    /// The platform has acknowledged the notices for these.
+    /// The platform has acknowledged the notices for these messages.
     NoticesAcknowledged(Vec<u64>),
-    /// The configuration was read again: where discovery is now.
+    /// The configuration was reloaded and discovery has this address now.
     DiscoveryAddressChanged(SocketAddr),
-    /// A configuration is to take effect now.
+    /// A checked configuration that is to take effect.
     ConfigurationChanged(Box<ConfigurationUpdate>),
-    /// What names of endpoints stand for now: entries that changed.
+    /// DNS lookups of endpoint names: the entries that changed.
     NamesResolved(EndpointList),
-    /// Discovery is to be watched from now on.
+    /// Start watching discovery.
     StartWatch,
-    /// Whether a message of this id is taken on already.
+    /// Asks whether a message with this id has been accepted.
     QueryAccepted {
         id: String,
         reply: oneshot::Sender<bool>,
     },
-    /// What became of the journal's sync.
+    /// A journal sync has finished or failed.
     JournalSynced(Synced),
-    /// A front's state is to be put on record.
+    /// State of a frontend that is to be written to the journal.
     StoreState(StateUpdate),
-    /// A client has been told how its message ended, or never will be.
+    /// The outcome of a message has been delivered to its client, or can no longer be.
     OutcomeNotified {
         message: u64,
     },
-    /// A broker has the message under this packet id and waits for its release: on record first.
+    /// A broker has sent PUBREC for this packet id; it must be in the journal before PUBREL is sent.
     PubrecReceived {
         endpoint: EndpointId,
         id: u16,
         message: u64,
     },
-    /// A session with open fates is about to be resumed: on record first; or what became of it is known.
+    /// A broker's session with unresolved attempts is about to be resumed (`pending`), which must be in the journal
+    /// first; or it is known whether the session was resumed (not `pending`).
     SessionResuming {
         endpoint: EndpointId,
         pending: bool,
     },
-    /// The packet id is free.
+    /// The packet id may be reused.
     PacketIdFreed {
         endpoint: EndpointId,
         id: u16,
@@ -93,32 +95,33 @@
     Stop,
 }
 
-/// State that a front puts on record under a key; None to take it off.
+/// State of a frontend, written to the journal under a key. A `value` of None deletes it.
 pub struct StateUpdate {
     pub token: u64,
     pub key: String,
     pub value: Option<bytes::Bytes>,
 }
 
-/// A front whose clients are told how their messages ended, as the owner of the decision module sees it. Nothing here
-/// waits or calls back.
+/// A frontend whose clients are told the outcomes of their messages, as the dispatcher uses it. Its methods neither
+/// block nor call back into the dispatcher.
 pub trait Frontend {
-    /// What became of an offer.
+    /// The reply to a [`Submission`].
     fn on_reply(&self, token: u64, reply: Reply);
-    /// What became of a [`StateUpdate`].
+    /// The result of a [`StateUpdate`].
     fn on_stored(&self, token: u64, kept: Result<(), Refusal>);
-    /// Whether this client reads how its messages end, and has room for one more.
+    /// Whether this client subscribes to outcomes and has room for one more.
     fn accepts_outcomes(&self, owner: &str) -> bool;
-    /// Measures what it holds, for the ledger.
+    /// Measures the memory it uses and updates the ledger.
     fn measure_memory(&self);
-    /// Tells a client how its message ended: None if it was delivered. [`CourierEvent::OutcomeNotified`] follows.
+    /// Sends the outcome of a message to its client; a verdict of None means delivered.
+    /// [`CourierEvent::OutcomeNotified`] follows.
     fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>);
 }
 
-/// Where an answer goes.
+/// Where the reply to a submission goes.
 pub enum ReplyTo {
     Single(oneshot::Sender<Reply>),
-    /// A front that waits for many. `abandoned` is set once nobody waits for this one any more.
+    /// A frontend with many submissions pending. `abandoned` is set once nobody waits for this one any more.
     Frontend {
         frontend: Rc<dyn Frontend>,
         token: u64,
@@ -127,7 +130,7 @@
 }
 
 impl ReplyTo {
-    /// Nobody waits for it any more.
+    /// Whether nobody waits for the reply any more.
     pub fn is_closed(&self) -> bool {
         match self {
             ReplyTo::Single(to) => to.is_closed(),
@@ -135,8 +138,10 @@
         }
     }
 
+    /// Sends the reply.
+    ///
     /// # Errors
-    /// Nobody has heard it.
+    /// Returns the reply if nobody waits for it any more.
     pub fn send(self, reply: Reply) -> Result<(), Reply> {
         match self {
             ReplyTo::Single(to) => to.send(reply),
@@ -149,64 +154,65 @@
     }
 }
 
-/// A message that is offered, and where its answer goes.
+/// A message that a client submits, and where the reply goes.
 pub struct Submission {
     pub letter: Rc<Letter>,
     pub time_left: Duration,
     pub at: Instant,
     pub reply: ReplyTo,
-    /// If it is refused it is taken on and bounced at once, on record: its front has no refusal.
+    /// A refused message is accepted and bounced at once, in the journal, because its protocol has no refusal.
     pub bounce: bool,
-    /// The memory that its body has, as long as it is judged, and whose it is.
+    /// The memory charged for its body until it is accepted or refused.
     pub body_charge: Charge,
+    /// The client whose share of memory it uses.
     pub guest: Option<Guest>,
 }
 
-/// What a configuration changes.
+/// What a configuration changes among endpoints and destinations.
 pub struct MembershipChanges {
-    /// Endpoints that are new, other than before, or gone; and their limits, where stated.
+    /// Endpoints that are new, changed or gone.
     pub hosts: Vec<ListedEndpoint>,
+    /// Limits of endpoints, by host, where the configuration states them.
     pub limits: Vec<(String, f64)>,
-    /// Destinations that are there no more, and those that are.
     pub removed_destinations: Vec<u64>,
     pub present_destinations: Vec<u64>,
 }
 
-/// A configuration with what it changes, both made ready elsewhere.
+/// A checked configuration with its changes, both prepared off the dispatcher.
 pub struct ConfigurationUpdate {
-    /// 0 for the operator's file.
+    /// Its version; 0 for the operator's file.
     pub version: u64,
     pub installation: Arc<Installation>,
-    /// What memory there is from then on.
+    /// The memory caps from then on.
     pub caps: Caps,
     pub changes: MembershipChanges,
-    /// Told once it is in effect.
+    /// Signalled once it is in effect.
     pub done: oneshot::Sender<()>,
 }
 
-/// What a client is told.
+/// The reply to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     Accepted,
     Refused {
         wait: Option<Duration>,
     },
-    /// The courier cannot take anything just now.
+    /// The courier cannot accept anything at the moment.
     Unavailable,
-    /// It cannot be put on record.
+    /// The journal cannot record it.
     JournalRefused(Refusal),
-    /// There is no memory for it.
+    /// There is not enough memory for it.
     OutOfMemory(MemoryRefusal),
-    /// As many that have ended are remembered as may be.
+    /// The limit on remembered messages is reached.
     TooManyRemembered,
     UnknownDestination,
     Failed,
 }
 
-/// When to come again, where the module has not said it.
+/// The retry delay sent to clients where the decision module gives none.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Why something cannot be put on record, as clients are told.
+/// Why the journal cannot record something, in words for clients.
 pub fn refusal_reason(why: Refusal) -> &'static str {
     match why {
         Refusal::Full => "the journal is full of messages that have not ended",
@@ -215,31 +221,31 @@
     }
 }
 
-/// How a call ended.
+/// The result of a call or a probe.
 #[derive(Debug)]
 pub struct CallResult {
     pub outcome: Outcome,
     pub after: AfterAttempt,
     pub report: Option<Report>,
     pub at: Instant,
-    /// What the outcome rests on, for those who follow the message.
+    /// The evidence for the outcome, for the message trace (`--follow`).
     pub proof: &'static str,
-    /// The exchange on a connection; None where there was none.
+    /// The exchange on a connection, if there was one.
     pub exchange: Option<Exchange>,
 }
 
-/// What is still owed for a message once an attempt has ended.
+/// What remains to be done for a message after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAttempt {
-    /// Its end: another attempt may be made.
+    /// The message has not ended, and may be retried.
     RetryAllowed,
-    /// Nothing: it is delivered, or its endpoint's answer proves that it is over.
+    /// Nothing: it is delivered, or the endpoint's response proves that it has ended.
     Settled,
-    /// Word of its end, and no attempt: its endpoint has said that it is over, in an answer that proves nothing.
+    /// A notice of its end, but no retry: the endpoint said that it has ended, in a response that proves nothing.
     FailWithoutRetry,
 }
 
-/// A list, or its changes, as discovery writes it.
+/// A list of endpoints, or changes to one, in discovery's format.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
     #[serde(default)]
@@ -266,7 +272,7 @@
     /// For an MQTT broker: the topic that is published to.
     #[serde(skip)]
     pub topic: Option<String>,
-    /// It is sent to only while the list may be acted on, as what discovery writes is.
+    /// Whether messages are sent to it only while the lease on the list is valid, as for endpoints from discovery.
     #[serde(skip, default = "from_discovery")]
     pub leased: bool,
 }
@@ -275,7 +281,7 @@
     true
 }
 
-/// What differs from `before` to `now`, both by name: what is gone first.
+/// The changes from `before` to `now`, both by name. Endpoints that are gone come first.
 pub fn diff_endpoints(
     before: &BTreeMap<String, ListedEndpoint>,
     now: &BTreeMap<String, ListedEndpoint>,
@@ -292,7 +298,7 @@
     Ready,
     Draining,
     Gone,
-    /// A word that is not known here: nothing new is sent there.
+    /// Any other value: nothing new is sent there.
     #[serde(other)]
     Unknown,
 }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,12 +1,12 @@
 //! The real courier: the decision module on real sockets. Each room has one job; `dispatcher` owns the module, and the
-//! others tell it what happened, by `events`, which lies below them all.
+//! others report to it through `events`, on which they all depend.
 //!
 //! ```text
 //!   start   what it is told at its start: by the platform, by an operator's file
 //!   front   clients: HTTP, MQTT, and the operator's pages
 //!   place   where things are: discovery, names, the control service
 //!   out     calls to endpoints and brokers, notices of outcomes
-//!   dispatcher the decision module, its turn, and what is held
+//!   dispatcher  the decision module, its batches, and the messages held
 //! ```
 
 pub mod client;
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -1,4 +1,4 @@
-//! The ledger of memory with the courier's clock: where all parts ask for room, and learn when to come back.
+//! The memory ledger with the courier's clock: all parts reserve memory here, and learn when to retry if there is none.
 
 use crate::system;
 use serde::Serialize;
@@ -14,23 +14,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Shared by all parts of one courier.
+/// The memory budget that all parts of one courier share.
 #[derive(Clone)]
 pub struct MemoryBudget {
     pub ledger: Ledger,
-    /// Connections that are turned away.
+    /// Connections that were refused and wait to be told so.
     pub partings: Rc<RefCell<Partings>>,
     origin: Instant,
 }
 
-/// There is no room for something new, and when to come back.
+/// A refused reservation, and how long to wait before retrying.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryRefusal {
     pub refused: Refused,
     pub wait: Duration,
 }
 
-/// `/-/memory`: see `docs/operating-memory.md`.
+/// The page `/-/memory`, described in `docs/operating-memory.md`.
 #[derive(Debug, Serialize)]
 struct Page {
     level: Level,
@@ -38,7 +38,7 @@
     /// Bytes in use for all purposes.
     accounted: u64,
     clients: usize,
-    /// Connections that were turned away since the start, by reason.
+    /// Connections refused since the start, by reason.
     turned_away: BTreeMap<String, Counts>,
     #[serde(flatten)]
     process: Option<Process>,
@@ -48,16 +48,16 @@
 #[derive(Debug, Serialize)]
 struct Process {
     resident: u64,
-    /// What the allocator has given out and no purpose has on its books; below zero where estimates are too high.
+    /// Bytes allocated that no purpose accounts for; negative where estimates are too high.
     unaccounted: i64,
     #[serde(flatten)]
     allocator: system::Allocator,
 }
 
-/// The caps of a configuration, with what the process was started with where it states no total.
+/// The memory caps of a configuration. Where it states no total, the process's memory limit applies.
 ///
 /// # Errors
-/// All that is wrong with them, or the configuration itself takes more than it may.
+/// Returns all faults in the caps, or that the configuration itself exceeds its cap.
 pub fn caps(installation: &Installation) -> Result<Caps, Vec<String>> {
     let caps = installation::caps(&installation.file, system::limit());
     let caps = caps.map_err(|faults| faults.iter().map(|f| format!("memory: {f}")).collect::<Vec<_>>())?;
@@ -77,21 +77,22 @@
         MemoryBudget { ledger: Ledger::new(caps, share), partings: Rc::default(), origin: Instant::now() }
     }
 
-    /// Other caps from now on.
+    /// Replaces the caps.
     pub fn set_caps(&self, caps: &Caps, share: f64) {
         self.ledger.set_caps(caps, share);
     }
 
-    /// The ledger's time.
+    /// The ledger's clock: time since the start.
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// What somebody who was refused is told.
+    /// Adds the time to wait to a refusal.
     pub fn refusal(&self, refused: Refused) -> MemoryRefusal {
         MemoryRefusal { refused, wait: self.ledger.wait(&refused, self.now()) }
     }
 
+    /// The content of `/-/memory`.
     pub fn page(&self) -> Value {
         let accounted = self.ledger.in_use();
         let process = system::resident().zip(system::allocator()).map(|(resident, allocator)| Process {
