--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -1,14 +1,15 @@
-//! The only owner of the decision module. Feeds it what happened, no oftener than once a tick, and carries
-//! out what it asks for. It decides nothing about a message itself. Here are the module and the turn; each room
-//! below has a part of the state and what is done with it:
+//! The dispatcher: the only owner of the decision module. It passes events to the module in batches, at most one
+//! per tick, and carries out the actions that the module returns. It makes no decision about a message itself. This
+//! file has the event loop; each submodule has a part of the state and the operations on it:
 //!
 //! ```text
-//!   taking    offers, ids, replies          members   endpoints, zones, changes, drains
-//!   out       messages held, their calls    records   what waits on the journal, a failing disk
-//!   notices   verdicts to be acknowledged   stopping  the end after SIGTERM
-//!   memory    what each message holds, measuring, giving back
-//!   lease     until when the list of endpoints may be acted on
-//!   ended     what stays of ended messages  brokers   attempts at MQTT brokers      notes  state by key
+//!   acceptance      submissions, ids, replies      attempts   messages held and their calls
+//!   members         endpoints, zones, drains       lease      until when the endpoint list may be used
+//!   records         what waits on the journal, disk failures
+//!   notices         verdicts until their notices are acknowledged
+//!   ended_messages  records of ended messages      brokers    attempts at MQTT brokers
+//!   memory          memory of each message, measuring, releasing
+//!   stored_state    state of other parts by key    shutdown   the end after SIGTERM
 //! ```
 
 mod acceptance;
@@ -48,6 +49,7 @@
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::{Instant, sleep_until};
 
+/// The dispatcher of one courier.
 pub struct Dispatcher {
     setup: Setup,
     brain: Brain,
@@ -55,9 +57,9 @@
     standing: Rc<Standing>,
     event_tx: Sender<CourierEvent>,
     clock_origin: Instant,
-    /// What the module has not heard of yet.
+    /// Events for the module's next batch.
     events: Vec<Event>,
-    /// The module's one wake-up; a later request for one takes its place.
+    /// The module's timer and its token; a later request replaces it.
     wake: Option<(Instant, u64)>,
     acceptance: Acceptance,
     attempts: Attempts,
@@ -66,15 +68,16 @@
     notices: Notices,
     shutdown: Shutdown,
     memory: Memory,
-    /// Whose clients are told how their messages end.
+    /// The frontend whose clients are told the outcomes of their messages.
     frontend: Option<Rc<dyn Frontend>>,
     ended_messages: ended_messages::EndedMessages,
     brokers: brokers::Brokers,
-    /// Numbers of the journal's notes, by key.
+    /// Record numbers of stored state in the journal, by key.
     state_numbers: HashMap<String, u64>,
 }
 
 impl Dispatcher {
+    /// Resumes what the journal holds from the previous process.
     pub fn new(
         setup: Setup,
         brain: Brain,
@@ -127,19 +130,19 @@
         dispatcher
     }
 
-    /// Tells the clients of this front how their messages end.
+    /// Sets the frontend whose clients are told the outcomes of their messages.
     pub fn set_frontend(&mut self, frontend: Rc<dyn Frontend>) {
         self.frontend = Some(frontend);
     }
 
-    /// What is on record under keys with this prefix.
+    /// Stored state under keys with this prefix: keys without the prefix, and values.
     pub fn stored_state(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
         self.states_with_prefix(prefix)
     }
 
     fn reconfigure(&mut self) {
         if let Err(why) = self.brain.reconfigure(self.setup.settings.clone()) {
-            // Checked before; the module goes on with what it had.
+            // The settings were checked before; on an error the module keeps the previous ones.
             eprintln!("configuration: {why}");
         }
     }
@@ -259,7 +262,7 @@
             CourierEvent::NamesResolved(list) => self.apply_endpoint_list(list),
             CourierEvent::StartWatch => self.start_watch(),
             CourierEvent::QueryAccepted { id, reply } => {
-                // Who asked may be gone.
+                // The receiver may have been dropped.
                 let _ = reply.send(self.is_accepted(&id));
             }
             CourierEvent::JournalSynced(done) => self.sync_finished(done),
@@ -274,7 +277,7 @@
         }
     }
 
-    /// One batch: what happened goes in, and what the module asks for is carried out.
+    /// Runs one batch: passes the pending events to the module and carries out its actions.
     fn run_batch(&mut self, now: Instant) {
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
             self.events.push(Event::Woken { token });
@@ -311,7 +314,7 @@
                         self.members.ids_by_host.remove(&e.host);
                     }
                 }
-                Action::Note { text } => eprintln!("note: {text}"),
+                Action::Note { text } => eprintln!("decision module: {text}"),
             }
         }
         self.accept_submissions(&mut refused);
@@ -323,7 +326,7 @@
             let in_flight = self.attempts.held.get_mut(&message).and_then(|m| m.in_flight.as_mut());
             match in_flight.and_then(|(_, cancel)| cancel.take()) {
                 Some(cancel) => drop(cancel.send(())),
-                // A PUBLISH that has begun cannot be called off, and does not end as if it were.
+                // A PUBLISH that has begun cannot be cancelled, and must not be reported as cancelled.
                 None => endpoint.into_iter().for_each(|e| self.cancel_publish(e, message)),
             }
         }
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -1,5 +1,6 @@
-//! Taking on: what clients offer, until the module has judged it and they have heard. Owns the offers, the ids of
-//! all that is held, and the next message's number; `turn` calls it with the module's refusals.
+//! Acceptance: submissions until the module has accepted or refused them and their clients have the reply. Owns the
+//! pending submissions, the ids of all held messages, and the next message number; `run_batch` passes in the module's
+//! refusals.
 
 use super::held_message::{DeferredAction, HeldMessage};
 use super::memory::MessageMemory;
@@ -10,38 +11,39 @@
 use stairshed_journal::{Letter, Refusal};
 use std::collections::{BTreeMap, HashMap};
 
-/// An offer that waits for the module's word.
+/// A submission that waits for the module's decision.
 pub(super) struct PendingSubmission {
     pub(super) class: usize,
     submission: Submission,
-    /// The memory that it has if it is taken on.
+    /// The memory reserved for it if it is accepted.
     memory: MessageMemory,
 }
 
 #[derive(Default)]
 pub(super) struct Acceptance {
-    /// Those that wait for the module's word.
+    /// Submissions that wait for the module's decision, by message number.
     pub(super) pending: BTreeMap<u64, PendingSubmission>,
-    /// Messages by the id that their clients gave them, until they have ended.
+    /// Message numbers by the id that the client gave, until the message has ended.
     pub(super) ids: HashMap<String, u64>,
-    /// Of the next message.
+    /// The next message number.
     pub(super) next: u64,
 }
 
 impl Acceptance {
-    /// Numbers go on behind the last that an earlier life has used.
+    /// Numbers continue after the last one that a previous process used.
     pub(super) fn after(last: u64) -> Self {
         Acceptance { next: last + 1, ..Acceptance::default() }
     }
 }
 
 impl Dispatcher {
+    /// Takes in a submission: replies at once, or passes it to the module in the next batch.
     pub(super) fn submit(&mut self, mut submission: Submission) {
         let respond = |submission: Submission, reply| {
-            // A client that is gone hears nothing, and nothing was taken.
+            // A client that has disconnected gets no reply, and its message was not accepted.
             let _ = submission.reply.send(reply);
         };
-        // Handed in twice under one id: it is taken already, or about to be judged.
+        // A second submission with the same id: the first one is accepted already, or not decided yet.
         if let Some(message) = self.acceptance.ids.get(&submission.letter.id) {
             let is_accepted = !self.acceptance.pending.contains_key(message);
             return respond(submission, if is_accepted { Reply::Accepted } else { Reply::Unavailable });
@@ -76,14 +78,14 @@
         self.acceptance.pending.insert(message, PendingSubmission { class, submission, memory });
     }
 
-    /// Whether a message of this id is taken on.
+    /// Whether a message with this id is accepted.
     pub(super) fn is_accepted(&self, id: &str) -> bool {
         let held =
             self.acceptance.ids.get(id).is_some_and(|message| !self.acceptance.pending.contains_key(message));
         held || self.ended_messages.contains(id)
     }
 
-    /// Why a message cannot be taken on before the module is asked.
+    /// The refusal of a message that cannot be accepted whatever the module decides.
     pub(super) fn early_refusal(&mut self, letter: &Letter) -> Option<Reply> {
         if self.records.disk_failed.is_some() {
             return Some(Reply::JournalRefused(Refusal::DiskFails));
@@ -107,8 +109,8 @@
         self.journal.fits(letter).err().map(Reply::JournalRefused)
     }
 
-    /// A client that has given up before it was told counts its message as not taken, and may hand it in
-    /// again elsewhere: it must not be sent from here.
+    /// Drops submissions whose client gave up before it had a reply: such a client counts its message as not accepted
+    /// and may submit it elsewhere, so it must not be sent from here.
     pub(super) fn drop_abandoned_submissions(&mut self) {
         let abandoned: Vec<u64> = self
             .acceptance
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Records the new messages that the module keeps, then tells the clients.
+    /// Writes the new messages that the module did not refuse to the journal, then replies to their clients.
     pub(super) fn accept_submissions(&mut self, refused: &mut HashMap<u64, Verdict>) {
         let mut accepted = Vec::new();
         for (message, PendingSubmission { class, submission, memory }) in
@@ -136,7 +138,7 @@
                 self.acceptance.ids.remove(&submission.letter.id);
                 follow::step(
                     &submission.letter.id,
-                    format_args!("refused at once class={} verdict={verdict:?}", submission.letter.class),
+                    format_args!("refused class={} verdict={verdict:?}", submission.letter.class),
                 );
                 let reply = match verdict {
                     Verdict::Bounced { wait } => Reply::Refused { wait },
@@ -145,7 +147,7 @@
                 self.reject(submission, reply);
                 continue;
             }
-            // Others of this batch may have taken the room since it was offered.
+            // Other messages of this batch may have used up the journal's space since this one was submitted.
             if let Err(why) = self.journal.fits(&submission.letter) {
                 self.acceptance.ids.remove(&submission.letter.id);
                 self.events.push(Event::Withdrawn { message: MessageId(message) });
@@ -156,7 +158,7 @@
             follow::step(
                 &letter.id,
                 format_args!(
-                    "taken number={message} class={} destination={}",
+                    "accepted number={message} class={} destination={}",
                     letter.class, letter.destination
                 ),
             );
@@ -172,7 +174,7 @@
         let recorded = self.flush_journal();
         for (message, reply) in accepted {
             if !recorded {
-                // Whether its client hears this or not, it is not taken on.
+                // The message is not accepted, whether or not its client gets this reply.
                 let _ = reply.send(Reply::JournalRefused(Refusal::DiskFails));
                 self.withdraw(message);
             } else {
@@ -181,31 +183,36 @@
         }
     }
 
-    /// Tells a client that its message is taken on. One that has left counts it as not taken.
+    /// Tells a client that its message is accepted. A client that has disconnected counts it as not accepted, so the
+    /// message is withdrawn.
     pub(super) fn confirm_acceptance(&mut self, message: u64, reply: ReplyTo) {
         if reply.send(Reply::Accepted).is_err() {
             if let Some(m) = self.attempts.held.get(&message) {
-                follow::step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
+                follow::step(
+                    &m.letter.id,
+                    format_args!("withdrawn: the client disconnected before the reply"),
+                );
             }
             self.withdraw(message);
         }
     }
 
-    /// Nobody is owed anything for the message.
+    /// Drops a message for which nobody waits for a result.
     pub(super) fn withdraw(&mut self, message: u64) {
         self.end_message(message);
         self.attempts.held.remove(&message);
         self.events.push(Event::Withdrawn { message: MessageId(message) });
     }
 
-    /// The class of a message, by its name and, where a route took it, by what a repeat did then.
+    /// The class of a message: by its name and, for a message from a route, by the effect and deadline recorded when it
+    /// was accepted.
     pub(super) fn classify(&mut self, letter: &Letter) -> Option<usize> {
         let deadline = letter.until.saturating_sub(letter.taken);
         let Some(routed) = &letter.routed else {
             let classes = &mut self.setup.classes;
             let class = classes.named(&letter.class)?;
             let keyed = classes.get(class).is_some_and(|c| matches!(c.effect, Effect::Keyed { .. }));
-            // Without a key no endpoint can tell a repeat from another message.
+            // Without a key no endpoint can tell a repeat from a new message.
             let may_run_again = keyed && letter.key.is_none();
             return Some(if may_run_again {
                 classes.recorded(&letter.class, Effect::Once, deadline)
@@ -216,8 +223,8 @@
         Some(self.setup.classes.recorded(&letter.class, routed.effect, deadline))
     }
 
-    /// Tells the module of classes that came since it was told last: what was taken by an earlier version may
-    /// be of one that the present one has not.
+    /// Passes new classes to the module: messages accepted under an earlier configuration version may have a class that
+    /// the current version lacks.
     pub(super) fn update_classes(&mut self) {
         if self.setup.classes.len() != self.setup.settings.classes.len() {
             self.setup.settings.classes = self.setup.classes.classes();
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! What is out: the messages that are held, their calls, and how each call ended.
+//! The messages held, the attempts to deliver them, and how each attempt ended.
 
 use super::Dispatcher;
 use super::held_message::{DeferredAction, HeldMessage};
@@ -15,6 +15,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+/// Messages held, by number, and the calls to endpoints.
 pub(super) struct Attempts {
     pub(super) held: BTreeMap<u64, HeldMessage>,
     pub(super) calls: Calls,
@@ -27,14 +28,15 @@
 }
 
 impl Dispatcher {
-    /// As from a check: it concerns the endpoint, not a message.
+    /// Passes a requested wait to the module as the result of a probe, since it concerns the endpoint and no message.
     pub(super) fn back_off_endpoint(&mut self, endpoint: EndpointId, until: Instant) {
         let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
         self.events.push(Event::Probed { endpoint, outcome, took: Duration::ZERO, report: None });
     }
 
+    /// Records the result of a call and passes it to the module.
     pub(super) fn call_ended(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallResult) {
-        // What proves that it never ran; all else may have.
+        // These outcomes prove that the message never ran; after any other it may have run.
         let never = matches!(
             end.outcome,
             Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Crowded | Outcome::Moot
@@ -45,7 +47,7 @@
         match end.after {
             AfterAttempt::RetryAllowed => {}
             AfterAttempt::Settled => {
-                // Told to be over without a delivery: it never ran, and may be handed in again.
+                // The endpoint said that it has ended without a delivery: it never ran, and may be submitted again.
                 let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
                 self.finish_message(message, verdict);
             }
@@ -73,7 +75,7 @@
                 ),
             );
         }
-        // It may have gone while the call was out, and its connection was kept after that.
+        // The endpoint may have been removed during the call, and the connection kept open after that.
         self.close_unless_ready(endpoint);
         let Some(m) = self.attempts.held.get_mut(&message) else { return };
         let Some((sent, _)) = m.in_flight.take() else { return };
@@ -85,12 +87,13 @@
             over: end.after != AfterAttempt::RetryAllowed,
             report: end.report,
         }));
-        // The module drops a message with its last outcome, and so does the courier.
+        // The module drops a message with its last outcome, and so does the dispatcher.
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
             self.attempts.held.remove(&message);
         }
     }
 
+    /// Starts the calls that the module asked for, once their attempts are in the journal.
     pub(super) fn start_calls(&mut self, sends: Vec<(u64, EndpointId, Duration)>, now: Instant) {
         let late = self.shutdown.since.is_some_and(|t| now >= t + ATTEMPT_CUTOFF);
         let mut ready = Vec::new();
@@ -98,7 +101,7 @@
             let e = self.members.endpoints.get(&endpoint);
             let to = e.and_then(|e| Some((e, e.address?)));
             let Some((m, (e, address))) = self.attempts.held.get_mut(&message).zip(to) else {
-                // Its client left in this very batch: the module hears that nothing was sent.
+                // The message was withdrawn in this batch: the module is told that nothing was sent.
                 self.events.push(not_sent(message, endpoint, Outcome::Moot));
                 continue;
             };
@@ -107,7 +110,8 @@
             let broker = e.topic.is_some();
             m.in_flight = Some((now, None));
             if late {
-                // This process ends before an answer could come: it is left to the next, as never sent.
+                // The process ends before a response could arrive: the next process sends it, since no attempt is
+                // recorded.
                 continue;
             }
             let to = match broker {
@@ -116,13 +120,13 @@
             };
             let Some(m) = self.attempts.held.get_mut(&message) else { continue };
             let Some(to) = to else {
-                // As many are on their way to the broker as may be.
+                // The limit on messages in flight to the broker is reached.
                 m.in_flight = None;
                 self.events.push(not_sent(message, endpoint, Outcome::Full { wait: None }));
                 continue;
             };
             let Ok(number) = self.journal.attempt(message, attempt) else {
-                // Names so long that no room was kept for them, and there is no other.
+                // The attempt's names are longer than the space reserved for them, and the journal has no more.
                 m.in_flight = None;
                 self.release_packet_id(&to, endpoint);
                 self.events.push(not_sent(message, endpoint, Outcome::Moot));
@@ -147,7 +151,7 @@
             ready.push(Call { message, attempt: number, endpoint, pool, to, letter, until, once });
         }
         let seq = self.journal.last_seq();
-        // The attempts are on record before their first byte goes out; the verdicts before their notice.
+        // Attempts must be in the journal before their first byte is sent, and verdicts before their notice.
         if !self.flush_journal() {
             for call in ready {
                 self.journal.never_ran(call.message, call.attempt);
@@ -168,13 +172,14 @@
         }
     }
 
-    /// Nothing was sent there after all.
+    /// Frees the packet id of a message that was not sent after all.
     pub(super) fn release_packet_id(&mut self, to: &To, endpoint: EndpointId) {
         if let To::Broker(id) = to {
             self.free_packet_id(endpoint, *id);
         }
     }
 
+    /// Starts one call in a task of its own, or publishes the message to its broker.
     pub(super) fn start_call(&self, call: Call, cancelled: oneshot::Receiver<()>) {
         match call.to {
             To::Broker(id) => self.publish(call, id),
@@ -185,6 +190,7 @@
         }
     }
 
+    /// Probes an endpoint, for at most twice the connect timeout.
     pub(super) fn probe(&mut self, endpoint: EndpointId) {
         if let Some(address) = self.members.endpoints.get(&endpoint).and_then(|e| e.address) {
             let timeout = self.setup.settings.connect_timeout * 2;
@@ -198,7 +204,8 @@
     }
 }
 
-/// A wait runs from when its answer arrived: the age of the batch is not added to it.
+/// Subtracts the time since `at` from a requested wait: a wait starts when its response arrives, not when the batch
+/// runs.
 pub(super) fn less_elapsed(outcome: Outcome, at: Instant) -> Outcome {
     match outcome {
         Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: Some(wait.saturating_sub(at.elapsed())) },
@@ -206,6 +213,7 @@
     }
 }
 
+/// The event for a call that was not started.
 fn not_sent(message: u64, endpoint: EndpointId, outcome: Outcome) -> Event {
     Event::Ended(Ended {
         message: MessageId(message),
--- a/crates/courier/src/dispatcher/held_message.rs
+++ b/crates/courier/src/dispatcher/held_message.rs
@@ -1,5 +1,5 @@
-//! What the parts of the owner hand each other: a message that is held, what waits for its record, and the zone of
-//! which nothing is known. Below all of them, and owns nothing itself.
+//! Types that the dispatcher's submodules share: a held message, an action that waits for the journal, and the
+//! placeholder for an unknown zone.
 
 use crate::events::ReplyTo;
 use crate::out::calls::Call;
@@ -9,43 +9,31 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The zone of an attempt of which only damage of the journal speaks. No endpoint's: it is no text of a file.
+/// The zone of an attempt whose record was lost to journal damage. It matches no endpoint's zone, since no
+/// configuration file can contain it.
 pub(super) const UNKNOWN_ZONE: &str = "\0";
 
+/// A message that the courier holds until it ends.
 pub(super) struct HeldMessage {
     pub(super) letter: Rc<Letter>,
     pub(super) class: usize,
     pub(super) attempts: u32,
-    /// The call that is out: when it left, and how to call it off.
+    /// The call in flight: when it was started, and how to cancel it where that is possible.
     pub(super) in_flight: Option<(Instant, Option<oneshot::Sender<()>>)>,
 }
 
-/// What must not be done before a record is kept.
+/// An action that must wait until its record is durable.
 pub(super) enum DeferredAction {
-    ConfirmAcceptance {
-        message: u64,
-        reply: ReplyTo,
-    },
-    StartCall {
-        call: Call,
-        cancelled: oneshot::Receiver<()>,
-    },
-    /// A message that was taken on and bounced at once.
-    ConfirmBounce {
-        message: u64,
-        reply: ReplyTo,
-    },
-    /// A front's state.
-    ConfirmState {
-        token: u64,
-    },
-    /// A broker's receipt.
-    ConfirmPubrec {
-        endpoint: EndpointId,
-        id: u16,
-    },
-    /// That a broker's session is being resumed.
-    ResumeSession {
-        endpoint: EndpointId,
-    },
+    /// Tell the client that its message is accepted.
+    ConfirmAcceptance { message: u64, reply: ReplyTo },
+    /// Start a call whose attempt is in the journal.
+    StartCall { call: Call, cancelled: oneshot::Receiver<()> },
+    /// Confirm a message that was accepted and bounced at once.
+    ConfirmBounce { message: u64, reply: ReplyTo },
+    /// Tell the frontend that its state is stored.
+    ConfirmState { token: u64 },
+    /// Go on after a broker's PUBREC.
+    ConfirmPubrec { endpoint: EndpointId, id: u16 },
+    /// Resume a broker's session.
+    ResumeSession { endpoint: EndpointId },
 }
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -1,5 +1,5 @@
-//! What waits on records: nothing goes out, and nobody is told, before the journal has kept what must be kept.
-//! Owns that queue and the standing of the disk; takes over what an earlier life has left.
+//! Journal records: nothing is sent and no client is answered before the records that this needs are durable. Owns the
+//! queue of deferred actions and the state of the disk, and resumes the messages of the previous process.
 
 use super::Dispatcher;
 use super::held_message::{DeferredAction, HeldMessage, UNKNOWN_ZONE};
@@ -13,22 +13,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bytes that a step of compaction copies: some 50 us. And the pause before the next when nothing else is on.
+/// Bytes that one compaction step copies, which takes about 50 us.
 const COMPACTION_STEP_BYTES: u64 = 64 * 1024;
+/// Pause between compaction steps while the dispatcher is idle.
 pub(super) const COMPACTION_INTERVAL: Duration = Duration::from_millis(1);
-/// When a disk that failed is tried again.
+/// Interval between retries of a failed disk.
 pub(super) const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
+/// Actions that wait for the journal, and the state of the disk.
 #[derive(Default)]
 pub(super) struct Records {
-    /// What waits for a sync, in the order of the records that it needs.
+    /// Actions that wait for a sync, in the order of the sequence numbers that they need.
     pub(super) waiting: VecDeque<(u64, DeferredAction)>,
+    /// When a write failed last; None once writes succeed again.
     pub(super) disk_failed: Option<Instant>,
-    /// When a sync failed last; until all is kept again.
+    /// When a sync failed last; None once everything is durable again.
     pub(super) sync_failed: Option<Instant>,
 }
 
-/// Says what an earlier life has left, if it has left anything.
+/// Logs how many messages the previous process left, if any.
 fn log_resumed(live: &[(u64, Live)]) {
     if live.is_empty() {
         return;
@@ -46,7 +49,7 @@
 }
 
 impl Dispatcher {
-    /// Hands back what the journal holds, with what is known of its attempts.
+    /// Resumes the messages in the journal, with what is known of their attempts.
     pub(super) fn resume_messages(&mut self) {
         let live: Vec<(u64, Live)> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
         log_resumed(&live);
@@ -55,8 +58,8 @@
             self.acceptance.ids.insert(letter.id.clone(), message);
             self.memory.resume_message(message, &letter);
             let class = self.classify(&letter);
-            // A message with its end decided only waits to have it acknowledged: sending it again would
-            // deliver what a client was told to hand in again.
+            // A message with a verdict only waits for its notice to be acknowledged: sending it again could deliver a
+            // message that its client was told to submit again.
             let verdict = m.verdict.or(class.is_none().then_some(Verdict::Dead));
             if let Some(verdict) = verdict {
                 if m.verdict.is_none() {
@@ -67,7 +70,7 @@
                 self.notices.queue.push_back((seq, Notice { message, id: letter.id.clone(), verdict }));
                 continue;
             }
-            // One whose pool a configuration has removed meanwhile waits as if that were removed now.
+            // A message whose pool the configuration no longer has is held as if the pool were removed now.
             if self.setup.installation.is_some() && !self.members.destinations.contains(&letter.destination) {
                 let until = Instant::now() + self.setup.pool_wait;
                 self.members.removed_destinations.entry(letter.destination).or_insert(until);
@@ -88,16 +91,17 @@
         self.update_classes();
     }
 
-    /// A message of an earlier life, or one that the module has not heard of yet, with what it went through.
+    /// The module's event for a message with earlier attempts: one of a previous process, or one that the module does
+    /// not know yet.
     pub(super) fn resumed_message(&mut self, message: u64, live: &Live, class: usize) -> Taken {
-        // A clock that has jumped back since must not give what is held more time than it had: neither than was
-        // left when last a time was recorded, nor than its class has.
+        // If the clock has jumped back, a message must not gain time: neither beyond what was left at the latest time
+        // on record, nor beyond its class's deadline.
         let now = unix_time().max(self.journal.latest());
         let letter = &live.letter;
         let ran = live.attempts.iter().find(|a| a.may_have_run).map(|a| Ran {
             endpoint: self.endpoint_id(&a.host),
-            // An operator's endpoints may be without a zone, and where this one was is not known: their
-            // memory of keys must not be taken for the one that has seen it.
+            // An operator's endpoints may have no zone, and this attempt's zone is not known: a keyed repeat must not
+            // rely on the key memory of endpoints that may not have seen the key.
             zone: self.zone_index(if a.host.is_empty() { UNKNOWN_ZONE } else { &a.zone }),
             ago: now.saturating_sub(a.sent),
         });
@@ -114,7 +118,7 @@
         }
     }
 
-    /// A step of compaction, so short that nobody notices it.
+    /// Runs one compaction step, short enough not to delay other events.
     pub(super) fn compact(&mut self) {
         if self.records.disk_failed.is_none() && self.journal.wants_compaction() {
             self.journal.compact(COMPACTION_STEP_BYTES);
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Begins the sync that is due. It runs on a thread of its own, so that nobody waits who need not.
+    /// Starts the sync that is due, on a thread of its own so that it does not block the dispatcher.
     pub(super) fn start_sync(&mut self) {
         if let Some(failed) = &mut self.records.sync_failed {
             if failed.elapsed() < DISK_RETRY_INTERVAL {
@@ -134,13 +138,14 @@
             let event_tx = self.event_tx.clone();
             tokio::task::spawn_local(async move {
                 if let Ok(done) = tokio::task::spawn_blocking(|| job.run()).await {
-                    // Nobody is left to hear it once the courier has stopped.
+                    // The receiver is gone once the courier has stopped.
                     let _ = event_tx.send(CourierEvent::JournalSynced(done)).await;
                 }
             });
         }
     }
 
+    /// Handles the result of a sync.
     pub(super) fn sync_finished(&mut self, done: Synced) {
         if let Err(e) = self.journal.finish_sync(done) {
             eprintln!("journal: {e}");
@@ -153,11 +158,11 @@
             self.records.sync_failed = Some(Instant::now());
         }
         self.flush_journal();
-        // A disk that fails to take more has kept this all the same.
+        // These records are durable even if later writes fail.
         self.run_durable_actions();
     }
 
-    /// Does what has waited for records that are kept now.
+    /// Runs the deferred actions whose records are durable now.
     pub(super) fn run_durable_actions(&mut self) {
         let durable = self.journal.durable();
         while let Some((_, waiting)) = self.records.waiting.pop_front_if(|(seq, _)| *seq <= durable) {
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Does what needs the records up to `seq`: at once if they are kept, else when they are.
+    /// Runs an action once the records up to `seq` are durable: at once if they are already.
     pub(super) fn run_when_durable(&mut self, seq: u64, waiting: DeferredAction) {
         match self.journal.durable() >= seq {
             true => self.run_deferred(waiting),
@@ -173,6 +178,7 @@
         }
     }
 
+    /// Runs an action whose records are durable.
     pub(super) fn run_deferred(&mut self, waiting: DeferredAction) {
         match waiting {
             DeferredAction::ConfirmAcceptance { message, reply } => self.confirm_acceptance(message, reply),
@@ -188,7 +194,8 @@
         }
     }
 
-    /// Brings the records into the file; after an error nothing more is taken on until it works again.
+    /// Writes the buffered records to the file, and returns whether that worked. After an error nothing more is accepted
+    /// until a write succeeds.
     pub(super) fn flush_journal(&mut self) -> bool {
         match self.journal.flush() {
             Ok(()) => {
@@ -205,14 +212,14 @@
         let well = self.records.disk_failed.is_none();
         if well {
             self.start_sync();
-            // What a failing disk has kept waiting; else only a sync lets anything go on.
+            // Runs what waited out a disk failure; otherwise only a sync makes records durable.
             self.run_durable_actions();
         }
         self.standing.ready.set(well && self.shutdown.since.is_none());
         well
     }
 
-    /// Nothing more is owed for the message.
+    /// Ends a message for which nothing remains to be done.
     pub(super) fn end_message(&mut self, message: u64) {
         if let Some(m) = self.journal.get(message) {
             let id = m.letter.id.clone();
