--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -1,6 +1,6 @@
-//! The dispatcher: the only owner of the decision module. It passes events to the module in batches, at most one
-//! per tick, and carries out the actions that the module returns. It makes no decision about a message itself. This
-//! file has the event loop; each submodule has a part of the state and the operations on it:
+//! The dispatcher: the only owner of the decision module. It passes events to the module in batches, at most
+//! one per tick, and carries out the actions that the module returns. It makes no decision about a message
+//! itself. This file has the event loop; each submodule has a part of the state and the operations on it:
 //!
 //! ```text
 //!   acceptance      submissions, ids, replies      attempts   messages held and their calls
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -1,6 +1,6 @@
-//! Acceptance: submissions until the module has accepted or refused them and their clients have the reply. Owns the
-//! pending submissions, the ids of all held messages, and the next message number; `run_batch` passes in the module's
-//! refusals.
+//! Acceptance: submissions until the module has accepted or refused them and their clients have the reply.
+//! Owns the pending submissions, the ids of all held messages, and the next message number; `run_batch`
+//! passes in the module's refusals.
 
 use super::held_message::{DeferredAction, HeldMessage};
 use super::memory::MessageMemory;
@@ -109,8 +109,8 @@
         self.journal.fits(letter).err().map(Reply::JournalRefused)
     }
 
-    /// Drops submissions whose client gave up before it had a reply: such a client counts its message as not accepted
-    /// and may submit it elsewhere, so it must not be sent from here.
+    /// Drops submissions whose client gave up before it had a reply: such a client counts its message as not
+    /// accepted and may submit it elsewhere, so it must not be sent from here.
     pub(super) fn drop_abandoned_submissions(&mut self) {
         let abandoned: Vec<u64> = self
             .acceptance
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Tells a client that its message is accepted. A client that has disconnected counts it as not accepted, so the
-    /// message is withdrawn.
+    /// Tells a client that its message is accepted. A client that has disconnected counts it as not accepted,
+    /// so the message is withdrawn.
     pub(super) fn confirm_acceptance(&mut self, message: u64, reply: ReplyTo) {
         if reply.send(Reply::Accepted).is_err() {
             if let Some(m) = self.attempts.held.get(&message) {
@@ -204,8 +204,8 @@
         self.events.push(Event::Withdrawn { message: MessageId(message) });
     }
 
-    /// The class of a message: by its name and, for a message from a route, by the effect and deadline recorded when it
-    /// was accepted.
+    /// The class of a message: by its name and, for a message from a route, by the effect and deadline
+    /// recorded when it was accepted.
     pub(super) fn classify(&mut self, letter: &Letter) -> Option<usize> {
         let deadline = letter.until.saturating_sub(letter.taken);
         let Some(routed) = &letter.routed else {
@@ -223,8 +223,8 @@
         Some(self.setup.classes.recorded(&letter.class, routed.effect, deadline))
     }
 
-    /// Passes new classes to the module: messages accepted under an earlier configuration version may have a class that
-    /// the current version lacks.
+    /// Passes new classes to the module: messages accepted under an earlier configuration version may have a
+    /// class that the current version lacks.
     pub(super) fn update_classes(&mut self) {
         if self.setup.classes.len() != self.setup.settings.classes.len() {
             self.setup.settings.classes = self.setup.classes.classes();
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -28,7 +28,8 @@
 }
 
 impl Dispatcher {
-    /// Passes a requested wait to the module as the result of a probe, since it concerns the endpoint and no message.
+    /// Passes a requested wait to the module as the result of a probe, since it concerns the endpoint and no
+    /// message.
     pub(super) fn back_off_endpoint(&mut self, endpoint: EndpointId, until: Instant) {
         let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
         self.events.push(Event::Probed { endpoint, outcome, took: Duration::ZERO, report: None });
@@ -47,7 +48,8 @@
         match end.after {
             AfterAttempt::RetryAllowed => {}
             AfterAttempt::Settled => {
-                // The endpoint said that it has ended without a delivery: it never ran, and may be submitted again.
+                // The endpoint said that it has ended without a delivery: it never ran, and may be submitted
+                // again.
                 let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
                 self.finish_message(message, verdict);
             }
@@ -110,8 +112,8 @@
             let broker = e.topic.is_some();
             m.in_flight = Some((now, None));
             if late {
-                // The process ends before a response could arrive: the next process sends it, since no attempt is
-                // recorded.
+                // The process ends before a response could arrive: the next process sends it, since no
+                // attempt is recorded.
                 continue;
             }
             let to = match broker {
@@ -126,7 +128,8 @@
                 continue;
             };
             let Ok(number) = self.journal.attempt(message, attempt) else {
-                // The attempt's names are longer than the space reserved for them, and the journal has no more.
+                // The attempt's names are longer than the space reserved for them, and the journal has no
+                // more.
                 m.in_flight = None;
                 self.release_packet_id(&to, endpoint);
                 self.events.push(not_sent(message, endpoint, Outcome::Moot));
@@ -138,7 +141,8 @@
             follow::step(
                 &m.letter.id,
                 format_args!(
-                    "attempt={number} decided endpoint={} host={} address={address} for={timeout:?} list={} list_age={:?}",
+                    "attempt={number} decided endpoint={} host={} address={address} \
+                     for={timeout:?} list={} list_age={:?}",
                     endpoint.0,
                     host.unwrap_or_default(),
                     list.version(),
@@ -204,8 +208,8 @@
     }
 }
 
-/// Subtracts the time since `at` from a requested wait: a wait starts when its response arrives, not when the batch
-/// runs.
+/// Subtracts the time since `at` from a requested wait: a wait starts when its response arrives, not when the
+/// batch runs.
 pub(super) fn less_elapsed(outcome: Outcome, at: Instant) -> Outcome {
     match outcome {
         Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: Some(wait.saturating_sub(at.elapsed())) },
--- a/crates/courier/src/dispatcher/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -1,5 +1,5 @@
-//! Attempts at MQTT brokers, as the owner of the decision module keeps them: each is on record with its packet id, so
-//! that one whose fate is open is resumed after a restart, and is never a second one.
+//! Attempts at MQTT brokers. Each is in the journal with its packet id, so that an attempt whose result is
+//! unknown is resumed under the same id after a restart and does not deliver the message a second time.
 
 use super::Dispatcher;
 use super::held_message::{DeferredAction, HeldMessage};
@@ -15,41 +15,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Notes of packet ids that are in use: `broker/ID/HOST`.
+/// Key prefix of the state records of packet ids in use: `broker/ID/HOST`.
 const PACKET_ID_PREFIX: &str = "broker/";
-/// Notes of brokers whose session is being resumed: `resuming/HOST`.
+/// Key prefix of the state records of brokers whose session is being resumed: `resuming/HOST`.
 const RESUMING_PREFIX: &str = "resuming/";
-/// A message whose fate is open over a restart ends this long before its time is up.
+/// A message whose result is still unknown after a restart ends this long before its deadline.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(50);
 
-/// What is on record of a packet id.
+/// The journal's state record of a packet id.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct PacketIdRecord {
     message: u64,
-    /// PUBREC has come.
+    /// Whether PUBREC has arrived.
     released: bool,
 }
 
-/// An attempt of an earlier life whose fate is open.
+/// An attempt of a previous process whose result is unknown.
 struct OpenAttempt {
     host: String,
     id: u16,
     released: bool,
-    /// A broker has it.
+    /// Whether it was handed to its broker to be resumed.
     resumed: bool,
-    /// When its message ends at the latest.
+    /// When its message is ended at the latest.
     until: Instant,
 }
 
+/// The brokers, and the attempts that a previous process left.
 #[derive(Default)]
 pub struct Brokers {
     by_endpoint: HashMap<EndpointId, Rc<Broker>>,
-    /// Those of which the configuration may say something else by now: looked at before the next message, where
-    /// nothing is on its way.
+    /// Endpoints whose broker settings may have changed: checked before the next message, once nothing is in
+    /// flight.
     stale: HashSet<EndpointId>,
-    /// Messages whose attempt is of an earlier life. The module does not know them.
+    /// Unresolved attempts of a previous process, by message. The module does not know these messages.
     open_attempts: BTreeMap<u64, OpenAttempt>,
-    /// Packet ids of messages that have ended, by host: a broker's session may still know them.
+    /// Hosts and packet ids of ended messages: the ids may still be in use in a broker's session.
     blocked_ids: Vec<(String, u16)>,
 }
 
@@ -58,10 +59,10 @@
 }
 
 impl Dispatcher {
-    /// Reads which attempts of an earlier life may be resumed.
+    /// Loads the attempts of a previous process that may be resumed.
     pub(super) fn load_open_attempts(&mut self) {
         let now = unix_time();
-        // Their sessions count as lost: see `Client::opened`.
+        // Sessions that were being resumed at the stop count as lost; see `Client::opened`.
         let lost: HashSet<String> =
             self.states_with_prefix(RESUMING_PREFIX).into_iter().map(|(host, _)| host).collect();
         for host in &lost {
@@ -71,7 +72,7 @@
             let of = key.split_once('/').and_then(|(id, host)| Some((id.parse().ok()?, host.to_owned())));
             let read = of.zip(serde_json::from_slice::<PacketIdRecord>(&value).ok());
             let Some(((id, host), of)) = read else {
-                eprintln!("mqtt: a record of a packet id cannot be read, and is dropped: {key}");
+                eprintln!("mqtt: deleting an unreadable packet id record: {key}");
                 self.delete_state(&format!("{PACKET_ID_PREFIX}{key}"));
                 continue;
             };
@@ -86,13 +87,15 @@
                     let open = OpenAttempt { host, id, released: of.released, resumed: false, until };
                     self.brokers.open_attempts.insert(of.message, open);
                 }
-                // Its message has ended: nothing more is sent for it, and its id is not used while the session lasts.
+                // The message has ended: nothing more is sent for it, and its id is not reused while the
+                // session lasts.
                 _ => self.brokers.blocked_ids.push((host, id)),
             }
         }
     }
 
-    /// Whether a message waits for the fate of an attempt of an earlier life. It is held, and not the module's.
+    /// Holds a message whose attempt by a previous process is unresolved, without passing it to the module.
+    /// Returns whether it is one.
     pub(super) fn hold_open_attempt(&mut self, message: u64, live: &Live, class: usize) -> bool {
         if !self.brokers.open_attempts.contains_key(&message) {
             return false;
@@ -103,7 +106,7 @@
         true
     }
 
-    /// The broker behind an endpoint, as it is configured now.
+    /// The broker at an endpoint, started or restarted with the current settings where needed.
     fn broker_for(&mut self, endpoint: EndpointId) -> Option<Rc<Broker>> {
         let known = self.brokers.by_endpoint.get(&endpoint);
         if let Some(broker) = known.filter(|b| !self.brokers.stale.contains(&endpoint) || b.is_busy()) {
@@ -132,7 +135,7 @@
         Some(broker)
     }
 
-    /// Takes a packet id for a message, on record. None if as many are on their way as may be.
+    /// Reserves a packet id for a message and records it. None if the limit on messages in flight is reached.
     pub(super) fn reserve_packet_id(&mut self, endpoint: EndpointId, message: u64) -> Option<u16> {
         let broker = self.broker_for(endpoint)?;
         let id = broker.reserve()?;
@@ -142,24 +145,25 @@
     }
 
     fn record_packet_id(&mut self, host: &str, id: u16, of: PacketIdRecord) {
-        // Whatever the journal holds: these are few, and without them what it holds could not be delivered.
+        // Written even if the journal is full: these records are few, and held messages cannot be delivered
+        // without them.
         let value = serde_json::to_vec(&of).unwrap_or_default();
         self.put_state(&packet_id_key(host, id), value.into());
     }
 
-    /// The broker that a message is on its way to, if it is.
+    /// The broker that a message is in flight to, if any.
     pub(super) fn publishing_to(&self, message: u64) -> Option<EndpointId> {
         let of = self.brokers.by_endpoint.iter().find(|(_, broker)| broker.has(message));
         of.map(|(endpoint, _)| *endpoint)
     }
 
-    /// What a repeat of a held message does; of one that is not known, the strictest.
+    /// The effect of a held message; `once`, the strictest, if the message or its class is unknown.
     fn effect_of(&self, message: u64) -> Effect {
         let class = self.attempts.held.get(&message).and_then(|m| self.setup.classes.get(m.class));
         class.map_or(Effect::Once, |c| c.effect)
     }
 
-    /// Sends a message whose attempt is on record.
+    /// Publishes a message whose attempt is in the journal.
     pub(super) fn publish(&self, call: Call, id: u16) {
         if let Some(broker) = self.brokers.by_endpoint.get(&call.endpoint) {
             let effect = self.effect_of(call.message);
@@ -167,13 +171,14 @@
         }
     }
 
-    /// What was not handed over after all.
+    /// Deletes the record of a packet id that is no longer in use.
     pub(super) fn free_packet_id(&mut self, endpoint: EndpointId, id: u16) {
         if let Some(host) = self.members.endpoints.get(&endpoint).map(|e| e.host.clone()) {
             self.delete_state(&packet_id_key(&host, id));
         }
     }
 
+    /// Records a PUBREC; the broker goes on with PUBREL once the record is durable.
     pub(super) fn pubrec_received(&mut self, endpoint: EndpointId, id: u16, message: u64) {
         let Some(host) = self.members.endpoints.get(&endpoint).map(|e| e.host.clone()) else { return };
         self.record_packet_id(&host, id, PacketIdRecord { message, released: true });
@@ -181,7 +186,8 @@
         self.run_when_durable(self.journal.last_seq(), DeferredAction::ConfirmPubrec { endpoint, id });
     }
 
-    /// A broker's session is about to be resumed, or what became of it is known.
+    /// Records that a broker's session is about to be resumed, or deletes that record once the result is
+    /// known.
     pub(super) fn session_resuming(&mut self, endpoint: EndpointId, pending: bool) {
         let Some(host) = self.members.endpoints.get(&endpoint).map(|e| e.host.clone()) else { return };
         let key = format!("{RESUMING_PREFIX}{host}");
@@ -205,13 +211,15 @@
         }
     }
 
+    /// Tells the broker to give up a message.
     pub(super) fn cancel_publish(&self, endpoint: EndpointId, message: u64) {
         if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
             broker.cancel(message);
         }
     }
 
-    /// News of an endpoint that is a broker: what waits for it is resumed, a drain is kept.
+    /// Handles a changed state of an endpoint that is a broker: resumes its attempts if it is ready, else
+    /// drains it.
     pub(super) fn broker_state_changed(&mut self, endpoint: EndpointId, ready: bool) {
         let Some(e) = self.members.endpoints.get(&endpoint).filter(|e| e.topic.is_some()) else { return };
         self.brokers.stale.insert(endpoint);
@@ -226,7 +234,7 @@
         }
     }
 
-    /// Resumes what can be at the endpoints that were listed before it was read.
+    /// Resumes attempts at brokers that were listed before the attempts were loaded.
     pub(super) fn resume_open_attempts(&mut self) {
         let ready = self.members.endpoints.iter().filter(|(_, e)| e.ready && e.topic.is_some());
         let ready: Vec<EndpointId> = ready.map(|(id, _)| *id).collect();
@@ -260,7 +268,8 @@
         }
     }
 
-    /// An attempt of an earlier life has come to its end. Unless the message has, too, the module has it from here.
+    /// Handles the end of an attempt of a previous process, and returns whether it was one. Unless the
+    /// message has ended too, it is handed over to the module.
     pub(super) fn open_attempt_ended(&mut self, message: u64, end: &CallResult) -> bool {
         if self.brokers.open_attempts.remove(&message).is_none() {
             return false;
@@ -274,7 +283,7 @@
         true
     }
 
-    /// Gives a message to the module with what it went through.
+    /// Hands a message over to the module, with its earlier attempts.
     fn hand_over_to_module(&mut self, message: u64) {
         let Some(live) = self.journal.get(message).cloned() else { return };
         let Some(held) = self.attempts.held.get_mut(&message) else { return };
@@ -284,12 +293,12 @@
         self.events.push(Event::Taken(taken));
     }
 
-    /// When the next message whose fate is open over a restart ends.
+    /// When the next message with an unresolved attempt expires.
     pub(super) fn next_open_expiry(&self) -> Option<Instant> {
         self.brokers.open_attempts.values().map(|o| o.until).min()
     }
 
-    /// Ends those whose time is up: whether it took effect is not known.
+    /// Ends messages whose unresolved attempt has expired: it is not known whether they took effect.
     pub(super) fn end_expired_open_attempts(&mut self) {
         let now = Instant::now();
         let due: Vec<u64> =
@@ -312,19 +321,20 @@
         }
     }
 
-    /// Another configuration is in effect.
+    /// Has all broker settings checked after a change of the configuration.
     pub(super) fn mark_brokers_stale(&mut self) {
         self.brokers.stale.extend(self.brokers.by_endpoint.keys());
         self.drop_lost_sessions();
     }
 
-    /// What waits for an endpoint that the configuration has no more has lost its session: the module decides.
+    /// Gives up unresolved attempts at endpoints that the configuration no longer has, since their sessions
+    /// are lost, and hands their messages over to the module.
     pub(super) fn drop_lost_sessions(&mut self) {
         let Some(installation) = self.setup.installation.clone() else { return };
         if self.brokers.open_attempts.is_empty() && self.brokers.blocked_ids.is_empty() {
             return;
         }
-        // Of a name that is looked up each address is an endpoint, `NAME@ADDRESS`.
+        // Each address of a name that is looked up in DNS is an endpoint `NAME@ADDRESS`.
         let brokers = installation.pools.iter().flat_map(|p| &p.members).filter(|m| m.topic.is_some());
         let configured: HashSet<&str> = brokers.map(|m| m.host.as_str()).collect();
         let known = |host: &str| {
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -1,5 +1,5 @@
-//! What stays of messages that have ended: so that a repeat is known as one, and a client that reads how its messages
-//! end is told, whatever crashes in between. The journal holds it; here stands what is looked up.
+//! Records of ended messages: they identify repeats, and let clients that subscribe to outcomes be told after
+//! any crash. The journal holds the records; this module holds the lookup tables.
 
 use super::Dispatcher;
 use super::held_message::DeferredAction;
@@ -13,17 +13,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long the platform's messages are known by their ids once they have ended. A client that loses its connection
-/// sends its request once more under the same id, and gives up after 400 ms: twelve times that.
+/// How long the ids of the platform's messages are remembered after they end. A client that loses its
+/// connection repeats its request with the same id and gives up after 400 ms; this is twelve times that.
 const RECENT_ID_TTL: Duration = Duration::from_secs(5);
-/// As many at most, the latest: half a megabyte.
+/// Limit on remembered ids, of which the latest are kept: about half a megabyte.
 const MAX_RECENT_IDS: usize = 4096;
 
-/// The ids of messages that have ended a moment ago.
+/// The ids of messages that ended within the last [`RECENT_ID_TTL`].
 #[derive(Default)]
 struct RecentIds {
     ids: HashSet<Rc<str>>,
-    /// In the order of their ends.
+    /// In the order in which the messages ended.
     ended: VecDeque<(Instant, Rc<str>)>,
 }
 
@@ -49,19 +49,20 @@
     }
 }
 
+/// Lookup tables of ended messages.
 #[derive(Default)]
 pub struct EndedMessages {
-    /// Messages that are remembered, by the id that their clients gave them.
+    /// Remembered messages by the id that the client gave.
     by_id: HashMap<String, u64>,
-    /// When each is forgotten, Unix time.
+    /// When each is forgotten, in Unix time.
     expiry: BTreeSet<(Duration, u64)>,
-    /// All of which something stays.
+    /// All messages of which a record is kept.
     remembered: HashSet<u64>,
-    /// Those whose client is being told in this life; and those whose client has been, while the notice for the
-    /// operator is still on its way.
+    /// Messages whose client is being told the outcome by this process.
     notifying: HashSet<u64>,
+    /// Messages whose client has been told while the notice to the operator is not acknowledged yet.
     notified: HashSet<u64>,
-    /// On the platform, which has no time for which ids are remembered.
+    /// For the platform, whose messages have no time for which their ids are remembered.
     recent_ids: RecentIds,
 }
 
@@ -82,12 +83,12 @@
         }
     }
 
-    /// Whether a message of this id is remembered.
+    /// Whether a message with this id is remembered.
     pub(super) fn contains(&self, id: &str) -> bool {
         self.by_id.contains_key(id) || self.recent_ids.contains(id)
     }
 
-    /// Its tables after a burst.
+    /// Shrinks its tables after a burst.
     pub(super) fn shrink_tables(&mut self) {
         self.by_id.tighten();
         self.remembered.tighten();
@@ -95,19 +96,19 @@
         self.notified.tighten();
     }
 
-    /// When the next is forgotten, Unix time.
+    /// When the next message is forgotten, in Unix time.
     pub fn next_expiry(&self) -> Option<Duration> {
         self.expiry.first().map(|(at, _)| *at)
     }
 }
 
-/// Whether something may stay of a message once it has ended.
+/// Whether a record of the message may be kept after it has ended.
 fn leaves_record(letter: &Letter) -> bool {
     letter.routed.as_ref().is_some_and(|r| r.owner.is_some() || !r.remember.is_zero())
 }
 
 impl Dispatcher {
-    /// Takes in what an earlier life has left: clients that were not told are told now.
+    /// Loads the records that a previous process left, and tells the clients that have not been told.
     pub(super) fn resume_ended(&mut self) {
         let all: Vec<(u64, Kept)> = self.journal.kept().map(|(n, k)| (n, Kept::clone(k))).collect();
         for (message, kept) in all {
@@ -117,23 +118,23 @@
                 Some(owner) if self.frontend.is_some() => {
                     self.notify_owner(owner, message, &kept.id, kept.verdict)
                 }
-                // Its front is not there any more.
+                // The frontend is not configured any more.
                 Some(_) => self.owner_notified(message),
                 None => {}
             }
         }
     }
 
-    /// Whether one more can be remembered.
+    /// Whether the message would need a record beyond the limit on remembered messages.
     pub(super) fn remembers_too_many(&self, letter: &Letter) -> bool {
         leaves_record(letter) && self.ended_messages.remembered.len() >= self.setup.max_remembered
     }
 
-    /// The answer to a message whose id is remembered: it is taken on already, and its client is told again how it
-    /// ended.
+    /// The reply to a message whose id is remembered: it is accepted already, and its client is told the
+    /// outcome again.
     pub(super) fn reply_to_duplicate(&mut self, letter: &Letter) -> Option<Reply> {
         if letter.routed.is_none() && self.ended_messages.recent_ids.contains(&letter.id) {
-            follow::step(&letter.id, format_args!("handed in again after its end: not sent again"));
+            follow::step(&letter.id, format_args!("submitted again after its end; not sent again"));
             return Some(Reply::Accepted);
         }
         let message = *self.ended_messages.by_id.get(&letter.id)?;
@@ -148,6 +149,7 @@
         Some(Reply::Accepted)
     }
 
+    /// Whether this client subscribes to outcomes and has room for one more.
     pub(super) fn accepts_outcomes(&self, owner: &str) -> bool {
         self.frontend.as_ref().is_some_and(|f| f.accepts_outcomes(owner))
     }
@@ -160,7 +162,7 @@
         }
     }
 
-    /// The module has ended a message undelivered: its client hears that at once.
+    /// Tells the client at once that the module has ended its message undelivered.
     pub(super) fn notify_owner_of_verdict(&mut self, message: u64, verdict: Verdict) {
         let Some(live) = self.journal.get(message) else { return };
         let letter = live.letter.clone();
@@ -170,14 +172,15 @@
         }
     }
 
-    /// Nothing more is done for a message; `verdict` is None if it was delivered. What must stay of it stays.
+    /// Ends a message for which nothing remains to be done, and keeps a record of it where one is needed. A
+    /// verdict of None means delivered.
     pub(super) fn finish_message(&mut self, message: u64, verdict: Option<Verdict>) {
         let Some(live) = self.journal.get(message) else { return };
         let letter = live.letter.clone();
         self.acceptance.ids.remove(&letter.id);
         let notified = self.ended_messages.notified.remove(&message);
         let Some(routed) = letter.routed.as_ref().filter(|_| leaves_record(&letter)) else {
-            // One that bounced may be handed in again; of all others a repeat would run what has run.
+            // A bounced message may be submitted again; a repeat of any other could run it a second time.
             if letter.routed.is_none() && !matches!(verdict, Some(Verdict::Bounced { .. })) {
                 self.ended_messages.recent_ids.insert(&letter.id, Instant::now());
             }
@@ -186,7 +189,7 @@
         };
         let notifying = self.ended_messages.notifying.contains(&message);
         let owner = routed.owner.clone().filter(|o| !notified && (notifying || self.accepts_outcomes(o)));
-        // One that bounced may be handed in again under the same id.
+        // A bounced message may be submitted again with the same id.
         let bounced = matches!(verdict, Some(Verdict::Bounced { .. }));
         let until = letter.taken + routed.remember;
         let until = if bounced || until <= unix_time() { Duration::ZERO } else { until };
@@ -203,13 +206,13 @@
         }
     }
 
-    /// A client has been told, or never will be.
+    /// The outcome has been delivered to its client, or can no longer be.
     pub(super) fn owner_notified(&mut self, message: u64) {
         self.ended_messages.notifying.remove(&message);
         match self.journal.kept_of(message).map(|k| Kept::clone(k)) {
             Some(kept) if kept.until.is_zero() => self.forget_message(message, &kept),
             Some(kept) => self.journal.keep(message, Kept { owner: None, ..kept }),
-            // Its notice for the operator is not acknowledged yet.
+            // The notice to the operator is not acknowledged yet.
             None if self.journal.get(message).is_some() => drop(self.ended_messages.notified.insert(message)),
             None => {}
         }
@@ -221,7 +224,7 @@
         self.journal.end(message);
     }
 
-    /// Forgets those whose time has come; one whose client is still to be told stays for that.
+    /// Forgets messages that have expired; the record stays while a client is still to be told.
     pub(super) fn forget_expired(&mut self) {
         let now = unix_time();
         let mut any_expired = false;
@@ -244,8 +247,8 @@
         }
     }
 
-    /// Answers an offer that is not taken on. Where its front has no refusal it is taken on and bounced at once, on
-    /// record; if that cannot be done either, it is refused all the same.
+    /// Replies to a submission that is not accepted. Where the protocol has no refusal, the message is
+    /// accepted and bounced at once, in the journal; if that is not possible either, it is refused.
     pub(super) fn reject(&mut self, submission: Submission, reply: Reply) {
         let Submission { letter, reply: to, bounce, .. } = submission;
         let owner = letter
@@ -254,7 +257,7 @@
             .and_then(|r| r.owner.clone())
             .filter(|o| bounce && self.accepts_outcomes(o));
         let Some(owner) = owner else {
-            // A client that is gone hears nothing, and nothing was taken.
+            // A client that has disconnected gets no reply, and its message was not accepted.
             let _ = to.send(reply);
             return;
         };
@@ -286,9 +289,10 @@
         self.run_when_durable(self.journal.last_seq(), DeferredAction::ConfirmBounce { message, reply: to });
     }
 
-    /// A message that was taken on and bounced at once is on record: its client hears the one, then the other.
+    /// Tells the client of a message that was accepted and bounced at once, now that this is in the journal:
+    /// first the acceptance, then the outcome.
     pub(super) fn confirm_bounce(&mut self, reply: ReplyTo, message: u64) {
-        // One that has left reads of it when it comes back.
+        // A client that has disconnected is told when it returns.
         let _ = reply.send(Reply::Accepted);
         if let Some(kept) = self.journal.kept_of(message).map(|k| Kept::clone(k))
             && let Some(owner) = &kept.owner
--- a/crates/courier/src/dispatcher/ended_messages_test.rs
+++ b/crates/courier/src/dispatcher/ended_messages_test.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_id_is_known_for_its_time_and_no_more_are_than_may_be() {
+fn recent_ids_expire_and_their_number_is_limited() {
     let (mut recent_ids, now) = (RecentIds::default(), Instant::now());
     recent_ids.insert("a", now);
     recent_ids.insert("a", now);
--- a/crates/courier/src/dispatcher/held_message.rs
+++ b/crates/courier/src/dispatcher/held_message.rs
@@ -1,5 +1,5 @@
-//! Types that the dispatcher's submodules share: a held message, an action that waits for the journal, and the
-//! placeholder for an unknown zone.
+//! Types that the dispatcher's submodules share: a held message, an action that waits for the journal, and
+//! the placeholder for an unknown zone.
 
 use crate::events::ReplyTo;
 use crate::out::calls::Call;
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -1,5 +1,6 @@
-//! The lease on the list of endpoints, between the watch that renews it and the decision module that keeps it: what a
-//! start knows of the list's age, what renews the lease, and what the connections and the log learn of it.
+//! The lease on the endpoint list. The watch on discovery renews it and the decision module holds it; this
+//! module restores it after a restart, passes on renewals, and reports its expiry to the connections and the
+//! log.
 
 use super::Dispatcher;
 use crate::place::list_age::ListAge;
@@ -8,28 +9,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Taken as the age of a list that comes with the configuration of a first start.
+/// Assumed age of the list in the configuration at the first start.
 const ASSUMED_FIRST_AGE: Duration = Duration::from_secs(1);
-/// What a new discovery has counts as told this long after SIGHUP (protocol page).
+/// Lease on the old discovery's list after SIGHUP has changed the address (protocol page: by then the new
+/// discovery counts as having reported its list).
 const ADDRESS_CHANGE_TERM: Duration = Duration::from_secs(4);
-/// Of a pushed list while no watch is open; within the grace that the rule on drains gives.
+/// Lease on a pushed list while no watch is open; shorter than the grace that the rule on drains gives.
 const UNWATCHED_TERM: Duration = Duration::from_millis(500);
 
-/// Longer than a list is ever acted on.
+/// Longer than any lease on a list.
 const CLOCK_HEAD_START: Duration = Duration::from_secs(60);
 
-/// Where the clock of the decision module begins: before the start, so that it can tell how old a list is that an
-/// earlier life has left.
+/// The zero of the decision module's clock. It lies before the process start, so that the clock can express
+/// the age of a list that a previous process received.
 pub(super) fn clock_origin() -> Instant {
     let now = Instant::now();
     now.checked_sub(CLOCK_HEAD_START).unwrap_or(now)
 }
 
 impl Dispatcher {
-    /// The list that the start was given is as old as discovery's last word to an earlier life. Where that is not
-    /// known, messages are held until discovery has answered.
+    /// Restores the lease: the initial list is as old as the last line that discovery sent to a previous
+    /// process. Where that time is not known, messages are held until discovery answers.
     pub(super) fn resume_lease(&mut self) {
-        // What is pushed counts as told from the first moment of a process, so there is nothing to resume.
+        // A pushed list counts as current from the start of the process, so there is nothing to restore.
         let file = self.setup.list_age.as_ref().filter(|_| !self.lists_are_pushed());
         let Some((file, discovery)) = file.zip(self.setup.discovery) else { return };
         let ago = match file.load(discovery) {
@@ -37,7 +39,7 @@
             ListAge::Unrecorded if self.journal.last() == 0 => ASSUMED_FIRST_AGE,
             ListAge::Unrecorded | ListAge::Unknown => {
                 eprintln!(
-                    "discovery: the age of the list is not known; nothing is sent until discovery answers"
+                    "discovery: the age of the list is unknown; nothing is sent until discovery answers"
                 );
                 self.members.list_age_unknown = true;
                 return;
@@ -48,45 +50,48 @@
         }
     }
 
-    /// Discovery has written a whole line: what is listed here is all that it had to tell by then.
+    /// Renews the lease: discovery has written a complete line, so the list is current as of `at`.
     pub(super) fn discovery_line_read(&mut self, discovery: SocketAddr, at: Instant) {
         if self.setup.discovery != Some(discovery) {
             return;
         }
         self.list_current_as_of(at);
         if let Some(Err(e)) = self.setup.list_age.as_ref().map(|file| file.save(discovery)) {
-            // The next start takes the list for older than it is.
+            // The next start will assume an older list than it is.
             self.members.report_list_age_error(&e);
         }
     }
 
-    /// The watch has ended. What is pushed counts as told also while none is open.
+    /// Shortens the lease on a pushed list, which counts as current even without a watch, after the watch has
+    /// ended.
     pub(super) fn watch_ended(&mut self, discovery: SocketAddr) {
         if self.setup.discovery == Some(discovery) && self.lists_are_pushed() {
             self.limit_lease(UNWATCHED_TERM);
         }
     }
 
-    /// Whether discovery tells of changes without being asked, as the platform's settings may have it.
+    /// Whether discovery pushes changes without being asked, which the platform's settings may state.
     pub(super) fn lists_are_pushed(&self) -> bool {
         self.setup.installation.is_none() && !self.setup.settings.must_subscribe
     }
 
-    /// Discovery could not be reached since then, and so could not tell of a change.
+    /// Renews the lease as of `since`: discovery has been unreachable since then, so it could not report a
+    /// change.
     pub(super) fn discovery_unreachable(&mut self, discovery: SocketAddr, since: Instant) {
         if self.setup.discovery == Some(discovery) {
             self.list_current_as_of(since);
         }
     }
 
-    /// Discovery is elsewhere from now on; the old one's word does not hold for long.
+    /// Shortens the lease, because discovery has a new address and the list is the old one's.
     pub(super) fn discovery_address_changed(&mut self) {
         self.limit_lease(ADDRESS_CHANGE_TERM);
     }
 
-    /// The module hears of the moment, not of an age: the process may be stopped before its next turn.
+    /// Tells the module when the list was current. This is a point in time, not an age, because the process
+    /// may be suspended before the next batch.
     fn list_current_as_of(&mut self, at: Instant) {
-        // What is older than the clock has run out of date.
+        // A time before the clock's zero means that the lease has expired.
         if let Some(as_of) = at.checked_duration_since(self.clock_origin) {
             self.events.push(Event::MembershipCurrent { as_of });
         }
@@ -97,7 +102,7 @@
         self.events.push(Event::MembershipLimited { until });
     }
 
-    /// Tells the connections, the pages and the log until when the list may be acted on.
+    /// Tells the connections, the admin pages and the log when the lease expires.
     pub(super) fn apply_lease(&mut self, now: Instant) {
         let expires = self.brain.membership_expires_at().map(|at| self.clock_origin + at);
         self.attempts.calls.set_list_valid_until(expires);
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -1,5 +1,5 @@
-//! Membership: the endpoints that the module knows, their zones and numbers, what configuration, discovery and
-//! look-ups change among them, and the destinations that are gone.
+//! Membership: the endpoints that the module knows, their zones and ids, the changes from configurations,
+//! discovery and DNS lookups, and removed destinations.
 
 use super::Dispatcher;
 use super::held_message::HeldMessage;
@@ -17,61 +17,66 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Endpoints of a changed configuration that the module hears of in one turn, and turns that all take at most:
-/// with turns 5 ms apart an endpoint that is gone gets nothing new after a fifth of a second.
+/// Changed endpoints of a configuration that are passed to the module per batch, at least.
 const MIN_ENDPOINTS_PER_BATCH: usize = 250;
+/// Batches over which the changes of a configuration are spread, at most: with batches 5 ms apart, a removed
+/// endpoint gets nothing new after 0.2 s.
 const MAX_BATCHES_PER_CONFIGURATION: usize = 40;
 
-/// Between two lines of the log on the same fault.
+/// Minimum interval between log lines on the same fault.
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
+/// An endpoint that the module knows.
 pub(super) struct Endpoint {
     pub(super) host: String,
     pub(super) address: Option<SocketAddr>,
     pub(super) zone: usize,
-    /// As the list has it: elsewhere no connection to it is kept.
+    /// Whether the list has it as ready; no idle connection is kept to an endpoint that is not.
     pub(super) ready: bool,
-    /// Discovery lists it.
+    /// Whether it is listed by discovery, so that it is used only while the lease on the list is valid.
     leased: bool,
     pub(super) destination: u64,
     /// For an MQTT broker: the topic that is published to.
     pub(super) topic: Option<String>,
 }
 
+/// Endpoints and destinations, and the changes to them.
 #[derive(Default)]
 pub(super) struct Members {
-    /// Those that the module knows; it says when one is forgotten. Numbers are never used again.
+    /// Endpoints that the module knows, until it forgets them. Ids are never reused.
     pub(super) endpoints: HashMap<EndpointId, Endpoint>,
     next_id: u32,
     pub(super) ids_by_host: HashMap<String, EndpointId>,
     pub(super) destinations: BTreeSet<u64>,
-    /// Discovery has answered since the start.
+    /// Whether discovery has answered since the start.
     pub(super) discovery_answered: bool,
     watch: Option<AbortHandle>,
-    /// Since when messages are held because the list may be out of date.
+    /// When messages began to be held because the list may be out of date; None while it is current.
     pub(super) list_stale_since: Option<Instant>,
-    /// Nothing says how old the list of the start is, nor which discovery gave it.
+    /// Whether the age of the initial list, and the discovery that it came from, are unknown.
     pub(super) list_age_unknown: bool,
     list_age_reported: Option<Instant>,
-    /// What a configuration changes among the endpoints and the module has not heard of yet, and how many of
-    /// them it hears of in a turn; who is told once it has.
+    /// Changed endpoints of a configuration that have not been passed to the module yet.
     pub(super) pending_changes: VecDeque<ListedEndpoint>,
+    /// How many of them are passed on per batch.
     pub(super) batch_size: usize,
+    /// Signalled once all of them have been passed on.
     pub(super) applied: Option<oneshot::Sender<()>>,
-    /// For an operator's courier: what discovery lists, and what of it the module was told.
+    /// For an operator's courier: the endpoints that discovery lists.
     discovered: BTreeMap<String, ListedEndpoint>,
+    /// Those of them that were passed to the module.
     reported: BTreeMap<String, ListedEndpoint>,
-    /// Destinations that a configuration has removed, and when what is held for them ends.
+    /// Destinations that a configuration has removed, and when the messages held for them end.
     pub(super) removed_destinations: BTreeMap<u64, Instant>,
 }
 
 impl Members {
-    /// Whether discovery has listed any endpoint.
+    /// Whether any endpoint comes from discovery.
     pub(super) fn has_listed(&self) -> bool {
         self.endpoints.values().any(|e| e.leased)
     }
 
-    /// Says once in a while that the age of the list cannot be kept.
+    /// Logs, at most once per [`REPORT_INTERVAL`], that the age of the list cannot be saved.
     pub(super) fn report_list_age_error(&mut self, error: &io::Error) {
         let now = Instant::now();
         if self.list_age_reported.is_none_or(|at| now - at >= REPORT_INTERVAL) {
@@ -84,7 +89,7 @@
 }
 
 impl Dispatcher {
-    /// Puts a configuration into effect: whole, between two turns.
+    /// Puts a configuration into effect as a whole, between two batches.
     pub(super) fn apply_configuration(&mut self, update: ConfigurationUpdate) {
         let ConfigurationUpdate { version, installation, caps, changes, done } = update;
         let MembershipChanges { hosts, limits, removed_destinations, present_destinations } = changes;
@@ -122,8 +127,8 @@
         self.members.applied = Some(done);
     }
 
-    /// Takes in what discovery lists beside the endpoints of the configuration: a whole list says nothing of
-    /// those.
+    /// Applies a list from discovery to the discovered endpoints. Even a whole list does not affect the
+    /// endpoints that the configuration names.
     pub(super) fn apply_discovered_list(&mut self, list: EndpointList) {
         if list.whole {
             self.members.discovered.clear();
@@ -137,7 +142,7 @@
         self.update_discovered_endpoints();
     }
 
-    /// Tells the module of what is discovered for pools that take their endpoints from there.
+    /// Passes changes among the discovered endpoints to the module, for pools that use discovery.
     pub(super) fn update_discovered_endpoints(&mut self) {
         let Some(installation) = &self.setup.installation else { return };
         let destinations: BTreeSet<u64> =
@@ -152,7 +157,8 @@
         }
     }
 
-    /// The next slice of changed endpoints, one a turn: thousands at once would hold everybody up.
+    /// Passes the next changed endpoints to the module. The changes are spread over batches, since thousands
+    /// at once would delay everything else.
     pub(super) fn apply_pending_changes(&mut self) {
         if !self.members.pending_changes.is_empty() {
             let hosts = self
@@ -165,19 +171,19 @@
         if self.members.pending_changes.is_empty()
             && let Some(done) = self.members.applied.take()
         {
-            // Its sender may be gone, which changes nothing.
+            // The receiver may be gone, which changes nothing.
             let _ = done.send(());
         }
     }
 
-    /// Takes in what a configuration changes among the endpoints.
+    /// Queues the endpoint changes of a configuration and applies changed limits at once.
     pub(super) fn queue_membership_changes(
         &mut self,
         hosts: Vec<ListedEndpoint>,
         limits: Vec<(String, f64)>,
     ) {
         for (host, limit) in limits {
-            // One that is new takes it from the list.
+            // A new endpoint gets its limit from its list entry.
             if let Some(endpoint) = self.members.ids_by_host.get(&host) {
                 self.brain.relimit(*endpoint, limit);
             }
@@ -187,9 +193,9 @@
         self.members.pending_changes.extend(hosts);
     }
 
-    /// Ends what is still held for destinations that have been gone for long enough: nothing can deliver it
-    /// any more. What never ran, or harms nobody twice, may be handed in again; of the rest it is not known
-    /// whether it took effect.
+    /// Ends the messages held for destinations whose removal is final, since they can no longer be delivered.
+    /// Messages that never ran, or are repeatable, bounce and may be submitted again; for the others it is
+    /// not known whether they took effect.
     pub(super) fn end_messages_of_removed_pools(&mut self) {
         let now = Instant::now();
         let due: Vec<u64> =
@@ -213,7 +219,7 @@
             self.record_verdict(*message, *verdict);
         }
         for destination in due {
-            // Others may have calls out: they end with those.
+            // Messages with a call in flight end with that call.
             if !self.attempts.held.values().any(|m| m.letter.destination == destination) {
                 self.members.removed_destinations.remove(&destination);
                 self.members.destinations.remove(&destination);
@@ -226,8 +232,8 @@
         }
     }
 
-    /// The number of a zone. Those that the settings do not tell are numbered as they are heard of, also those that
-    /// only the journal names: with one number for two zones a keyed repeat would go where its key is not known.
+    /// The index of a zone. Zones that the settings lack get the next index, even if only the journal names
+    /// them: with one index for two zones, a keyed repeat could go to a zone that does not know its key.
     pub(super) fn zone_index(&mut self, name: &str) -> usize {
         let zones = &mut self.setup.zones;
         zones.iter().position(|z| z == name).unwrap_or_else(|| {
@@ -236,6 +242,7 @@
         })
     }
 
+    /// The id of an endpoint, which is assigned on first use.
     pub(super) fn endpoint_id(&mut self, host: &str) -> EndpointId {
         if let Some(id) = self.members.ids_by_host.get(host) {
             return *id;
@@ -257,9 +264,10 @@
         id
     }
 
+    /// Applies a list, or changes to it, and passes them to the module.
     pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
         let mut entries = Vec::new();
-        // Only those that the list names can change by one that is not whole.
+        // A list of changes affects only the endpoints that it names.
         let named = list.hosts.iter().filter_map(|h| self.members.ids_by_host.get(&h.host).copied());
         let before: Vec<EndpointId> = match list.whole {
             true => self.members.endpoints.keys().copied().collect(),
@@ -281,7 +289,7 @@
             if std::mem::replace(&mut e.address, address) != address {
                 self.attempts.calls.close(endpoint);
             }
-            // An address that cannot be read leaves nowhere to send to.
+            // Without a valid address nothing can be sent to the endpoint.
             let standing = match host.health {
                 Health::Ready if e.address.is_some() => interface::Standing::Ready,
                 Health::Gone => interface::Standing::Gone,
@@ -302,26 +310,28 @@
         }
     }
 
-    /// Nothing new goes to an endpoint that is not ready: connections kept for it would only take room, and
-    /// whatever comes to its address next is another.
+    /// Closes the idle connections to an endpoint that is not ready: it gets no new calls, so they would only
+    /// use sockets, and its address may be given to another endpoint.
     pub(super) fn close_unless_ready(&self, endpoint: EndpointId) {
         if !self.members.endpoints.get(&endpoint).is_some_and(|e| e.ready) {
             self.attempts.calls.close(endpoint);
         }
     }
 
-    /// One watch lasts for good and asks again by itself.
+    /// Starts the watch on discovery, once: it reconnects by itself.
     pub(super) fn start_watch(&mut self) {
         if self.members.watch.is_none() {
-            // A version means something only to the discovery that gave it.
+            // A version is valid only for the discovery that issued it.
             let known = self.setup.initial_list.as_ref().filter(|_| !self.members.list_age_unknown);
             self.spawn_watch(known.map_or(0, |l| l.seq), known.is_none());
         }
     }
 
+    /// Spawns a watch that continues from version `seq`.
     pub(super) fn spawn_watch(&mut self, seq: u64, fresh: bool) {
         let Some(address) = self.setup.discovery else { return };
-        // An agent that pushes serves its own courier; a service that is asked serves the fleet.
+        // An agent that pushes lists serves one courier, while a service that is asked serves the whole
+        // fleet: calls to it are spread out.
         let spread = if self.lists_are_pushed() { Duration::ZERO } else { self.setup.settings.ask_spread() };
         let status = self.setup.watch_status.clone();
         let watch = Watch { address, seed: self.setup.seed, seq, fresh, spread, status };
@@ -329,8 +339,9 @@
         self.members.watch = Some(task.abort_handle());
     }
 
-    /// Discovery has another address. A watch that went on at the old one would hear of drains only once
-    /// that has closed it; and the new one's versions need not continue the old one's, so all is asked for.
+    /// Switches to another address of discovery. A watch on the old address would miss drains until that
+    /// closes it, and the new discovery's versions need not continue the old ones, so the whole list is
+    /// requested.
     pub(super) fn change_discovery_address(&mut self, discovery: SocketAddr) {
         if self.setup.discovery.replace(discovery) == Some(discovery) {
             return;
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -1,5 +1,5 @@
-//! Memory: what each accepted message holds and may still need, what is measured now and then, and how memory goes
-//! back when a burst is over. What there is room for is decided by the ledger (`stairshed-memory`).
+//! Memory of the dispatcher: what each accepted message uses and may still need, periodic measurements, and
+//! releasing memory after a burst. The ledger (`stairshed-memory`) decides what there is memory for.
 
 use super::Dispatcher;
 use super::held_message::HeldMessage;
@@ -13,34 +13,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the ledger is looked at, and what is estimated is measured, while there is traffic.
+/// Interval at which the ledger is checked and estimates are replaced by measurements, while there is
+/// traffic.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Memory goes back this long after the traffic that took it, and again as often while there is some.
+/// How long after traffic memory is released; also the interval between releases while traffic goes on.
 pub(super) const RELEASE_DELAY: Duration = Duration::from_secs(10);
-/// Under pressure it goes back at once, and no oftener than this.
+/// Under memory pressure it is released at once, with at least this interval between releases.
 const MIN_TRIM_INTERVAL: Duration = Duration::from_secs(2);
-/// With less than this free in the allocator's hands giving it back is not worth the page faults to come, bytes.
+/// With fewer bytes than this free in the allocator, returning them is not worth the later page faults.
 const MIN_FREE_TO_TRIM_BYTES: u64 = 512_000;
-/// A table that is this many times as large as what is in it shrinks.
+/// A table shrinks once its capacity is more than this many times its length.
 const SHRINK_FACTOR: usize = 4;
-/// Entries for which a table may always have room.
+/// Capacity, in entries, up to which a table never shrinks.
 const MIN_SHRINK_CAPACITY: usize = 256;
 
-/// What an entry of a hash table takes beside its bytes: tables are between 44 and 87 % full.
+/// Estimated bytes of a hash table entry with its overhead: tables are between 44 and 87 % full.
 const fn hash_entry_bytes(bytes: usize) -> usize {
     (bytes + 1) * 3 / 2
 }
 
-/// An entry of a B-tree whose keys only rise.
+/// Estimated bytes of an entry, with its overhead, in a B-tree whose keys only ascend.
 const fn btree_entry_bytes(bytes: usize) -> usize {
     (bytes + 2) * 11 / 6
 }
 
-/// A string beside its bytes: what a small allocation takes.
+/// Bytes of a string beside its content: the overhead of a small allocation.
 const STRING_OVERHEAD_BYTES: usize = 16;
 
-/// What each accepted message takes beside its strings: letter, rows in the journal, the module, the tables of the
-/// owner, and the guards of this memory.
+/// Bytes of an accepted message beside its strings: the message, its rows in the journal, the module and the
+/// dispatcher's tables, and the charges for its memory.
 const MESSAGE_BYTES: u64 = weigh::MESSAGE
     + ROW
     + (size_of::<Letter>()
@@ -49,11 +50,12 @@
         + btree_entry_bytes(size_of::<(u64, HeldMessage)>())
         + btree_entry_bytes(size_of::<(u64, MessageMemory)>())
         + 4 * STRING_OVERHEAD_BYTES) as u64;
-/// Room for the records of a message's attempts: a vector has room for four from its first entry.
+/// Bytes for the records of a message's attempts: a vector allocates four entries with its first.
 const ATTEMPTS_BYTES: u64 = (4 * (size_of::<Attempt>() + 64)) as u64;
-/// A notice beside its id, with its place in the queue and in a batch, and its line.
+/// Bytes of a notice beside its id: its entries in the queue and in a batch, and its line.
 const NOTICE_BYTES: u64 = 250;
-/// What is remembered of a message beside its id and client: rows in the journal and in the owner's tables.
+/// Bytes of the record of an ended message beside its id and client: rows in the journal and in the
+/// dispatcher's tables.
 const REMEMBERED_BYTES: u64 = ROW
     + (size_of::<Kept>()
         + 32
@@ -62,22 +64,23 @@
         + btree_entry_bytes(size_of::<(Duration, u64)>())
         + btree_entry_bytes(size_of::<(u64, Charge)>())
         + 3 * STRING_OVERHEAD_BYTES) as u64;
-/// An outcome on its way to an MQTT client, beside the id in it.
+/// Bytes of an outcome in flight to an MQTT client, beside the id in it.
 const OUTCOME_BYTES: u64 = 150;
 
-/// What an accepted message has, until it has ended.
+/// The memory of an accepted message, until it ends.
 pub(super) struct MessageMemory {
     _body: Charge,
     _rows: Charge,
     _attempts: Reserve,
-    /// Taken at acceptance, drawn when there is a notice.
+    /// Reserved at acceptance, used when there is a notice.
     notice: Reserve,
     notice_charge: Option<Charge>,
-    /// For what stays of it, where something does.
+    /// For its record after it has ended, if it needs one.
     kept: Option<Reserve>,
     _outcome: Option<Reserve>,
 }
 
+/// The memory of all messages, and when it is measured and released.
 pub(super) struct Memory {
     pub(super) budget: MemoryBudget,
     messages: BTreeMap<u64, MessageMemory>,
@@ -86,9 +89,9 @@
     journal: Charge,
     configuration: Charge,
     last_sample: Option<Instant>,
-    /// When memory goes back, if there was traffic since it did.
+    /// When memory is released next; None without traffic since the last release.
     release_at: Option<Instant>,
-    /// When it was given back under pressure.
+    /// When memory was last released under pressure.
     last_trim: Option<Instant>,
 }
 
@@ -110,13 +113,13 @@
 
     /// When [`Dispatcher::look_at_memory`] is due without other news.
     pub(super) fn due(&self) -> Option<Instant> {
-        // One that is not ample is looked at until it is: its level must not stand for good after the last message.
+        // Checked until the level is ample: otherwise the level would stay up after the last message.
         let level = self.budget.ledger.worst() > Level::Ample;
         let sample = self.last_sample.filter(|_| level).map(|at| at + SAMPLE_INTERVAL);
         sample.into_iter().chain(self.release_at).min()
     }
 
-    /// Room for a message, and for all that may be needed on its behalf.
+    /// Reserves memory for a message and for everything that it may need later.
     fn reserve(
         &self,
         letter: &Letter,
@@ -126,7 +129,7 @@
         let ledger = &self.budget.ledger;
         let body = body.turn_into(Purpose::BodiesHeld).map_err(|(_, refused)| refused)?;
         let needs = MemoryNeeds::of(letter, accepts_outcomes);
-        // Its record is buffered until the turn has been written.
+        // Its record is buffered until the batch is written.
         ledger.fits(Purpose::Journal, body.bytes() + needs.rows, None)?;
         Ok(MessageMemory {
             _body: body,
@@ -139,7 +142,7 @@
         })
     }
 
-    /// The same for a message of an earlier life, which cannot be refused.
+    /// The same for a message of a previous process, which cannot be refused.
     pub(super) fn resume_message(&mut self, message: u64, letter: &Letter) {
         let ledger = &self.budget.ledger;
         let needs = MemoryNeeds::of(letter, true);
@@ -155,11 +158,12 @@
         self.messages.insert(message, memory);
     }
 
+    /// Keeps the memory of a message that was accepted.
     pub(super) fn accepted(&mut self, message: u64, memory: MessageMemory) {
         self.messages.insert(message, memory);
     }
 
-    /// There is a notice of it.
+    /// Uses the memory reserved for the message's notice.
     pub(super) fn add_notice(&mut self, message: u64) {
         if let Some(memory) = self.messages.get_mut(&message) {
             let bytes = memory.notice.bytes();
@@ -167,7 +171,7 @@
         }
     }
 
-    /// It has ended, and this stays of it.
+    /// Replaces the memory of an ended message by that of its record.
     pub(super) fn remember(&mut self, message: u64, kept: &Kept) {
         let bytes =
             REMEMBERED_BYTES + (2 * kept.id.len() + kept.owner.as_ref().map_or(0, String::len)) as u64;
@@ -179,19 +183,19 @@
         self.remembered.insert(message, charge);
     }
 
-    /// Nothing of it is left.
+    /// Releases all memory of a message.
     pub(super) fn release(&mut self, message: u64) {
         self.messages.remove(&message);
         self.remembered.remove(&message);
     }
 
-    /// A configuration of so many bytes is in effect.
+    /// Sets the size of the configuration in effect, in bytes.
     pub(super) fn set_configuration_bytes(&mut self, bytes: u64) {
         self.configuration.set(bytes);
     }
 }
 
-/// What a message takes and may need, by purpose, bytes.
+/// The memory that a message uses and may need, by purpose, in bytes.
 struct MemoryNeeds {
     rows: u64,
     notice: u64,
@@ -200,10 +204,10 @@
 }
 
 impl MemoryNeeds {
-    /// `accepts_outcomes` says whether its client reads how it ends.
+    /// `accepts_outcomes` says whether its client subscribes to outcomes.
     fn of(letter: &Letter, accepts_outcomes: bool) -> MemoryNeeds {
         let id = letter.id.len() as u64;
-        // The id stands with the letter and in the owner's table, the key with the letter.
+        // The id is stored with the message and in the dispatcher's table, the key with the message.
         let strings = 2 * id + (letter.class.len() + letter.key.as_ref().map_or(0, String::len)) as u64;
         let Some(routed) = &letter.routed else {
             return MemoryNeeds {
@@ -217,7 +221,7 @@
             .headers
             .iter()
             .map(|(n, v)| n.len() + v.len() + 2 * STRING_OVERHEAD_BYTES + size_of::<(String, String)>());
-        // An order stands with the letter and thrice in the module.
+        // An order key is stored with the message and three times in the module.
         let order = routed.order.as_ref().map_or(0, |o| 4 * (o.len() + STRING_OVERHEAD_BYTES) + 200);
         let owner = routed.owner.as_ref().map_or(0, String::len);
         let routed_bytes = routed.route.len()
@@ -236,7 +240,7 @@
     }
 }
 
-/// A table that shrinks once most of it is empty.
+/// A table that can shrink once most of it is empty.
 pub(super) trait Shrink {
     fn tighten(&mut self);
 }
@@ -253,7 +257,7 @@
     )+};
 }
 
-/// A key of a hash table.
+/// The bounds of a hash table's key.
 pub(super) trait HashKey: Eq + std::hash::Hash {}
 
 impl<T: Eq + std::hash::Hash> HashKey for T {}
@@ -266,9 +270,12 @@
 }
 
 impl Dispatcher {
-    /// Why there is no memory for an offer; else what it holds from now on.
+    /// Reserves the memory of a submission.
+    ///
+    /// # Errors
+    /// The reply, if there is not enough.
     pub(super) fn reserve_memory(&mut self, submission: &mut Submission) -> Result<MessageMemory, Reply> {
-        // The offer keeps a charge of nothing: what it had is the message's.
+        // The submission keeps an empty charge: the memory of its body passes to the message.
         let none = self.memory.budget.ledger.force(Purpose::BodiesRead, 0);
         let body = std::mem::replace(&mut submission.body_charge, none);
         let owner = submission.letter.routed.as_ref().and_then(|r| r.owner.as_ref());
@@ -278,7 +285,7 @@
         held.map_err(|refused| Reply::OutOfMemory(self.memory.budget.refusal(refused)))
     }
 
-    /// Measures what is estimated, tells of levels that changed, and gives back what a burst has left.
+    /// Measures what was estimated, logs changed levels, and releases memory after a burst.
     pub(super) fn check_memory(&mut self, traffic: bool) {
         let now = Instant::now();
         if traffic && self.memory.release_at.is_none() {
@@ -291,7 +298,7 @@
             self.sample();
         }
         if self.memory.release_at.is_some_and(|at| at <= now) {
-            // Once more after the next traffic, if there is any.
+            // Set again by the next traffic.
             self.memory.release_at = None;
             self.release_memory();
         }
@@ -313,12 +320,12 @@
         for change in budget.ledger.tick(budget.now()) {
             eprintln!("{change}");
         }
-        // Caches go first: connections that are kept for the next call.
+        // Idle connections are released first: they are only a cache.
         if budget.ledger.level(Purpose::Endpoints) > Level::Ample || budget.ledger.whole() > Level::Ample {
             self.attempts.calls.close_half();
         }
-        // Memory that is free in the allocator's hands must not be the reason of a refusal. To look for it costs some
-        // milliseconds where much is in pieces, so it is not done at each look.
+        // Free memory in the allocator must not cause refusals. Releasing it takes some milliseconds if it is
+        // fragmented, so it is not done at each check.
         let pressed = budget.ledger.whole() > Level::Ample;
         if pressed && self.memory.last_trim.is_none_or(|at| at.elapsed() > MIN_TRIM_INTERVAL) {
             self.memory.last_trim = Some(Instant::now());
@@ -326,7 +333,7 @@
         }
     }
 
-    /// All tables of the owner that grow with a burst, in one place; B-trees give back by themselves.
+    /// Shrinks all of the dispatcher's tables that grow with a burst; B-trees release memory by themselves.
     fn release_memory(&mut self) {
         let tables: [&mut dyn Shrink; 7] = [
             &mut self.events,
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -1,4 +1,4 @@
-//! Verdicts and the notices of them: on record first, then posted in batches until acknowledged.
+//! Verdicts and their notices: recorded in the journal first, then posted in batches until acknowledged.
 
 use super::Dispatcher;
 use crate::clock::unix_time;
@@ -7,14 +7,16 @@
 use stairshed_journal::Verdict;
 use std::collections::VecDeque;
 
-/// Batches of notices on their way at once, and notices in one.
+/// Limit on batches of notices in flight.
 const MAX_POSTS_IN_FLIGHT: usize = 4;
+/// Limit on notices in one batch.
 const MAX_NOTICES_PER_POST: usize = 200;
 
+/// Notices to be posted, and the client that posts them.
 pub(super) struct Notices {
-    /// Each with the record that must be kept before it goes out.
+    /// Each with the sequence number of the record that must be durable before it is posted.
     pub(super) queue: VecDeque<(u64, Notice)>,
-    /// Batches on their way.
+    /// Batches in flight.
     pub(super) posts_in_flight: usize,
     pub(super) outcomes: Outcomes,
 }
@@ -26,7 +28,7 @@
 }
 
 impl Dispatcher {
-    /// The module has ended a message undelivered: on record first, then told.
+    /// Records the verdict on a message that ended undelivered, and queues its notice.
     pub(super) fn record_verdict(&mut self, message: u64, verdict: Verdict) {
         let Some(m) = self.attempts.held.get(&message) else { return };
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
@@ -37,7 +39,7 @@
         follow::step(
             &id,
             format_args!(
-                "ends verdict={verdict:?} attempts={} out={} left={left:?}",
+                "ended verdict={verdict:?} attempts={} in_flight={} left={left:?}",
                 m.attempts,
                 m.in_flight.is_some()
             ),
@@ -51,8 +53,9 @@
         self.notices.queue.push_back((self.journal.last_seq(), Notice { message, id, verdict }));
     }
 
+    /// Posts queued notices in batches, up to the limit on batches in flight.
     pub(super) fn post_notices(&mut self) {
-        // A notice must not go out before its verdict is on record.
+        // A notice must not be posted before its verdict is durable.
         let durable = self.journal.durable();
         while self.notices.posts_in_flight < MAX_POSTS_IN_FLIGHT && self.records.disk_failed.is_none() {
             let kept = self
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -1,5 +1,6 @@
-//! Journal records: nothing is sent and no client is answered before the records that this needs are durable. Owns the
-//! queue of deferred actions and the state of the disk, and resumes the messages of the previous process.
+//! Journal records: nothing is sent and no client is answered before the records that this needs are durable.
+//! Owns the queue of deferred actions and the state of the disk, and resumes the messages of the previous
+//! process.
 
 use super::Dispatcher;
 use super::held_message::{DeferredAction, HeldMessage, UNKNOWN_ZONE};
@@ -58,8 +59,8 @@
             self.acceptance.ids.insert(letter.id.clone(), message);
             self.memory.resume_message(message, &letter);
             let class = self.classify(&letter);
-            // A message with a verdict only waits for its notice to be acknowledged: sending it again could deliver a
-            // message that its client was told to submit again.
+            // A message with a verdict only waits for its notice to be acknowledged: sending it again could
+            // deliver a message that its client was told to submit again.
             let verdict = m.verdict.or(class.is_none().then_some(Verdict::Dead));
             if let Some(verdict) = verdict {
                 if m.verdict.is_none() {
@@ -91,17 +92,17 @@
         self.update_classes();
     }
 
-    /// The module's event for a message with earlier attempts: one of a previous process, or one that the module does
-    /// not know yet.
+    /// The module's event for a message with earlier attempts: one of a previous process, or one that the
+    /// module does not know yet.
     pub(super) fn resumed_message(&mut self, message: u64, live: &Live, class: usize) -> Taken {
-        // If the clock has jumped back, a message must not gain time: neither beyond what was left at the latest time
-        // on record, nor beyond its class's deadline.
+        // If the clock has jumped back, a message must not gain time: neither beyond what was left at the
+        // latest time on record, nor beyond its class's deadline.
         let now = unix_time().max(self.journal.latest());
         let letter = &live.letter;
         let ran = live.attempts.iter().find(|a| a.may_have_run).map(|a| Ran {
             endpoint: self.endpoint_id(&a.host),
-            // An operator's endpoints may have no zone, and this attempt's zone is not known: a keyed repeat must not
-            // rely on the key memory of endpoints that may not have seen the key.
+            // An operator's endpoints may have no zone, and this attempt's zone is not known: a keyed repeat
+            // must not rely on the key memory of endpoints that may not have seen the key.
             zone: self.zone_index(if a.host.is_empty() { UNKNOWN_ZONE } else { &a.zone }),
             ago: now.saturating_sub(a.sent),
         });
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Writes the buffered records to the file, and returns whether that worked. After an error nothing more is accepted
-    /// until a write succeeds.
+    /// Writes the buffered records to the file, and returns whether that worked. After an error nothing more
+    /// is accepted until a write succeeds.
     pub(super) fn flush_journal(&mut self) -> bool {
         match self.journal.flush() {
             Ok(()) => {
--- a/crates/courier/src/dispatcher/shutdown.rs
+++ b/crates/courier/src/dispatcher/shutdown.rs
@@ -1,35 +1,38 @@
-//! The end after SIGTERM: how long attempts are begun, and when all is done that can be done.
+//! Shutdown after SIGTERM: how long attempts are still started, and when everything is done that can be done.
 
 use super::Dispatcher;
 use std::fmt;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After SIGTERM: how long new attempts are begun, and when it ends whatever is still out. SIGKILL comes
-/// no sooner than 3.7 s after it.
+/// How long after SIGTERM new attempts are started.
 pub(super) const ATTEMPT_CUTOFF: Duration = Duration::from_millis(2200);
+/// When the courier exits after SIGTERM, whatever is still in flight. SIGKILL follows 3.7 s after SIGTERM at
+/// the earliest.
 const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3300);
-/// For so long after SIGTERM new connections go on coming.
+/// How long after SIGTERM new connections may still arrive.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(700);
-/// How often it is looked whether all is done.
+/// Interval between checks whether everything is done.
 pub(super) const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
+/// State of the shutdown.
 #[derive(Default)]
 pub(super) struct Shutdown {
-    /// When the courier was told.
+    /// When SIGTERM arrived; None while the courier runs.
     pub(super) since: Option<Instant>,
 }
 
-/// What the courier still has to do, for the log.
+/// The courier's remaining work, for the log.
 struct Workload {
     held: usize,
-    /// Of those that are held: with a call out.
+    /// Held messages with a call in flight.
     in_flight: usize,
     pending: usize,
-    /// Notices that wait to be posted, and posts that wait for their answer.
+    /// Notices that wait to be posted.
     notices: usize,
+    /// Posts in flight.
     posts: usize,
-    /// What waits for its record to be kept.
+    /// Actions that wait for their record to be durable.
     records: usize,
     disk_fails: bool,
 }
@@ -39,15 +42,15 @@
         let Workload { held, in_flight, pending, notices, posts, records, disk_fails } = self;
         write!(
             f,
-            "{held} messages held, {in_flight} of them with a call out; {pending} offered; {notices} notices to post, \
-             {posts} posts out; {records} wait for the journal"
+            "{held} messages held, {in_flight} of them with a call in flight; {pending} submissions pending; \
+             {notices} notices to post, {posts} posts in flight; {records} actions wait for the journal"
         )?;
         f.write_str(if *disk_fails { ", which cannot write" } else { "" })
     }
 }
 
 impl Dispatcher {
-    /// SIGTERM has come.
+    /// Begins the shutdown when SIGTERM arrives.
     pub(super) fn begin_shutdown(&mut self) {
         self.standing.stop();
         if self.shutdown.since.is_none() {
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Whether all is done that can be done after SIGTERM.
+    /// Whether everything is done that can be done after SIGTERM, or the time is up.
     pub(super) fn is_shutdown_complete(&mut self) -> bool {
         let Some(since) = self.shutdown.since else { return false };
         let since = since.elapsed();
--- a/crates/courier/src/dispatcher/stored_state.rs
+++ b/crates/courier/src/dispatcher/stored_state.rs
@@ -1,4 +1,4 @@
-//! State of other parts of the courier that outlasts the process: kept in the journal under a key each.
+//! State of other parts of the courier that must survive a restart, stored in the journal by key.
 
 use super::Dispatcher;
 use super::held_message::DeferredAction;
@@ -6,7 +6,7 @@
 use stairshed_journal::{Note, Refusal};
 
 impl Dispatcher {
-    /// Keys of the notes with this prefix, without it, and their values.
+    /// The stored state whose keys have this prefix: keys without the prefix, and values.
     pub(super) fn states_with_prefix(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
         let of = self
             .journal
@@ -15,11 +15,12 @@
         of.collect()
     }
 
+    /// Loads the record numbers of all stored state.
     pub(super) fn load_state_numbers(&mut self) {
         self.state_numbers = self.journal.notes().map(|(number, note)| (note.key.clone(), number)).collect();
     }
 
-    /// Puts a note in its place, whatever else the journal holds.
+    /// Stores a value under a key, replacing the previous one, without checking the journal's free space.
     pub(super) fn put_state(&mut self, key: &str, value: bytes::Bytes) {
         let number = *self.state_numbers.entry(key.to_owned()).or_insert(self.acceptance.next);
         self.acceptance.next = self.acceptance.next.max(number + 1);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Puts a front's state on record, or takes it off; the front hears of it once it is kept.
+    /// Stores or deletes state of the frontend, and tells it once that is durable.
     pub(super) fn store_state(&mut self, store: StateUpdate) {
         let StateUpdate { token, key, value } = store;
         let fits = match &value {
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -1,5 +1,5 @@
-//! The events that the courier's parts send to the dispatcher, and the types they carry. All parts depend on this
-//! module, so that none of them depends on the dispatcher.
+//! The events that the courier's parts send to the dispatcher, and the types they carry. All parts depend on
+//! this module, so that none of them depends on the dispatcher.
 
 use crate::memory_budget::MemoryRefusal;
 use crate::out::exchange::Exchange;
@@ -46,8 +46,8 @@
     WatchEnded {
         discovery: SocketAddr,
     },
-    /// A call to discovery at this address that began at `since` could not reach it, so that discovery could not have
-    /// reported a change.
+    /// A call to discovery at this address that began at `since` could not reach it, so that discovery could
+    /// not have reported a change.
     DiscoveryUnreachable {
         discovery: SocketAddr,
         since: Instant,
@@ -81,8 +81,8 @@
         id: u16,
         message: u64,
     },
-    /// A broker's session with unresolved attempts is about to be resumed (`pending`), which must be in the journal
-    /// first; or it is known whether the session was resumed (not `pending`).
+    /// A broker's session with unresolved attempts is about to be resumed (`pending`), which must be in the
+    /// journal first; or it is known whether the session was resumed (not `pending`).
     SessionResuming {
         endpoint: EndpointId,
         pending: bool,
@@ -102,8 +102,8 @@
     pub value: Option<bytes::Bytes>,
 }
 
-/// A frontend whose clients are told the outcomes of their messages, as the dispatcher uses it. Its methods neither
-/// block nor call back into the dispatcher.
+/// A frontend whose clients are told the outcomes of their messages, as the dispatcher uses it. Its methods
+/// neither block nor call back into the dispatcher.
 pub trait Frontend {
     /// The reply to a [`Submission`].
     fn on_reply(&self, token: u64, reply: Reply);
@@ -160,7 +160,8 @@
     pub time_left: Duration,
     pub at: Instant,
     pub reply: ReplyTo,
-    /// A refused message is accepted and bounced at once, in the journal, because its protocol has no refusal.
+    /// A refused message is accepted and bounced at once, in the journal, because its protocol has no
+    /// refusal.
     pub bounce: bool,
     /// The memory charged for its body until it is accepted or refused.
     pub body_charge: Charge,
@@ -241,7 +242,8 @@
     RetryAllowed,
     /// Nothing: it is delivered, or the endpoint's response proves that it has ended.
     Settled,
-    /// A notice of its end, but no retry: the endpoint said that it has ended, in a response that proves nothing.
+    /// A notice of its end, but no retry: the endpoint said that it has ended, in a response that proves
+    /// nothing.
     FailWithoutRetry,
 }
 
@@ -272,7 +274,8 @@
     /// For an MQTT broker: the topic that is published to.
     #[serde(skip)]
     pub topic: Option<String>,
-    /// Whether messages are sent to it only while the lease on the list is valid, as for endpoints from discovery.
+    /// Whether messages are sent to it only while the lease on the list is valid, as for endpoints from
+    /// discovery.
     #[serde(skip, default = "from_discovery")]
     pub leased: bool,
 }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,5 +1,5 @@
-//! The real courier: the decision module on real sockets. Each room has one job; `dispatcher` owns the module, and the
-//! others report to it through `events`, on which they all depend.
+//! The real courier: the decision module on real sockets. Each room has one job; `dispatcher` owns the
+//! module, and the others report to it through `events`, on which they all depend.
 //!
 //! ```text
 //!   start   what it is told at its start: by the platform, by an operator's file
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -1,4 +1,5 @@
-//! The memory ledger with the courier's clock: all parts reserve memory here, and learn when to retry if there is none.
+//! The memory ledger with the courier's clock: all parts reserve memory here, and learn when to retry if
+//! there is none.
 
 use crate::system;
 use serde::Serialize;
