--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -163,7 +163,7 @@
                 ),
             );
             self.journal.accept(message, letter.clone());
-            self.memory.accepted(message, memory);
+            self.memory.add_message(message, memory);
             self.attempts.held.insert(message, HeldMessage { letter, class, attempts: 0, in_flight: None });
             accepted.push((message, reply));
         }
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -19,7 +19,7 @@
 /// Limit on remembered ids, of which the latest are kept: about half a megabyte.
 const MAX_RECENT_IDS: usize = 4096;
 
-/// The ids of messages that ended within the last [`RECENT_ID_TTL`].
+/// The ids of messages that ended recently. Expired ids are removed at the next insertion.
 #[derive(Default)]
 struct RecentIds {
     ids: HashSet<Rc<str>>,
@@ -90,10 +90,10 @@
 
     /// Shrinks its tables after a burst.
     pub(super) fn shrink_tables(&mut self) {
-        self.by_id.tighten();
-        self.remembered.tighten();
-        self.notifying.tighten();
-        self.notified.tighten();
+        self.by_id.shrink();
+        self.remembered.shrink();
+        self.notifying.shrink();
+        self.notified.shrink();
     }
 
     /// When the next message is forgotten, in Unix time.
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -97,11 +97,11 @@
 
 impl Memory {
     pub(super) fn new(budget: MemoryBudget) -> Memory {
-        let none = |purpose| budget.ledger.force(purpose, 0);
+        let empty = |purpose| budget.ledger.force(purpose, 0);
         Memory {
-            module: none(Purpose::Module),
-            journal: none(Purpose::Journal),
-            configuration: none(Purpose::Configuration),
+            module: empty(Purpose::Module),
+            journal: empty(Purpose::Journal),
+            configuration: empty(Purpose::Configuration),
             budget,
             messages: BTreeMap::new(),
             remembered: BTreeMap::new(),
@@ -111,11 +111,11 @@
         }
     }
 
-    /// When [`Dispatcher::look_at_memory`] is due without other news.
+    /// When [`Dispatcher::check_memory`] is due without any event.
     pub(super) fn due(&self) -> Option<Instant> {
         // Checked until the level is ample: otherwise the level would stay up after the last message.
-        let level = self.budget.ledger.worst() > Level::Ample;
-        let sample = self.last_sample.filter(|_| level).map(|at| at + SAMPLE_INTERVAL);
+        let elevated = self.budget.ledger.worst() > Level::Ample;
+        let sample = self.last_sample.filter(|_| elevated).map(|at| at + SAMPLE_INTERVAL);
         sample.into_iter().chain(self.release_at).min()
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Keeps the memory of a message that was accepted.
-    pub(super) fn accepted(&mut self, message: u64, memory: MessageMemory) {
+    pub(super) fn add_message(&mut self, message: u64, memory: MessageMemory) {
         self.messages.insert(message, memory);
     }
 
@@ -242,13 +242,13 @@
 
 /// A table that can shrink once most of it is empty.
 pub(super) trait Shrink {
-    fn tighten(&mut self);
+    fn shrink(&mut self);
 }
 
 macro_rules! impl_shrink {
     ($($of:ty where $($t:ident $(: $bound:path)?),+);+ $(;)?) => {$(
         impl<$($t $(: $bound)?),+> Shrink for $of {
-            fn tighten(&mut self) {
+            fn shrink(&mut self) {
                 if self.capacity() > MIN_SHRINK_CAPACITY.max(self.len() * SHRINK_FACTOR) {
                     self.shrink_to(self.len() * 2);
                 }
@@ -276,13 +276,13 @@
     /// The reply, if there is not enough.
     pub(super) fn reserve_memory(&mut self, submission: &mut Submission) -> Result<MessageMemory, Reply> {
         // The submission keeps an empty charge: the memory of its body passes to the message.
-        let none = self.memory.budget.ledger.force(Purpose::BodiesRead, 0);
-        let body = std::mem::replace(&mut submission.body_charge, none);
+        let empty = self.memory.budget.ledger.force(Purpose::BodiesRead, 0);
+        let body = std::mem::replace(&mut submission.body_charge, empty);
         let owner = submission.letter.routed.as_ref().and_then(|r| r.owner.as_ref());
         let accepts_outcomes = owner.is_some_and(|owner| self.accepts_outcomes(owner));
-        let held =
+        let memory =
             self.memory.reserve(&submission.letter, body, (submission.guest.as_ref(), accepts_outcomes));
-        held.map_err(|refused| Reply::OutOfMemory(self.memory.budget.refusal(refused)))
+        memory.map_err(|refused| Reply::OutOfMemory(self.memory.budget.refusal(refused)))
     }
 
     /// Measures what was estimated, logs changed levels, and releases memory after a burst.
@@ -326,8 +326,8 @@
         }
         // Free memory in the allocator must not cause refusals. Releasing it takes some milliseconds if it is
         // fragmented, so it is not done at each check.
-        let pressed = budget.ledger.whole() > Level::Ample;
-        if pressed && self.memory.last_trim.is_none_or(|at| at.elapsed() > MIN_TRIM_INTERVAL) {
+        let under_pressure = budget.ledger.whole() > Level::Ample;
+        if under_pressure && self.memory.last_trim.is_none_or(|at| at.elapsed() > MIN_TRIM_INTERVAL) {
             self.memory.last_trim = Some(Instant::now());
             self.release_memory();
         }
@@ -344,7 +344,7 @@
             &mut self.records.waiting,
             &mut self.notices.queue,
         ];
-        tables.into_iter().for_each(Shrink::tighten);
+        tables.into_iter().for_each(Shrink::shrink);
         self.ended_messages.shrink_tables();
         let free = system::allocator().map_or(0, |a| a.free);
         if free > MIN_FREE_TO_TRIM_BYTES {
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -166,22 +166,22 @@
     /// Runs the deferred actions whose records are durable now.
     pub(super) fn run_durable_actions(&mut self) {
         let durable = self.journal.durable();
-        while let Some((_, waiting)) = self.records.waiting.pop_front_if(|(seq, _)| *seq <= durable) {
-            self.run_deferred(waiting);
+        while let Some((_, action)) = self.records.waiting.pop_front_if(|(seq, _)| *seq <= durable) {
+            self.run_deferred(action);
         }
     }
 
     /// Runs an action once the records up to `seq` are durable: at once if they are already.
-    pub(super) fn run_when_durable(&mut self, seq: u64, waiting: DeferredAction) {
+    pub(super) fn run_when_durable(&mut self, seq: u64, action: DeferredAction) {
         match self.journal.durable() >= seq {
-            true => self.run_deferred(waiting),
-            false => self.records.waiting.push_back((seq, waiting)),
+            true => self.run_deferred(action),
+            false => self.records.waiting.push_back((seq, action)),
         }
     }
 
     /// Runs an action whose records are durable.
-    pub(super) fn run_deferred(&mut self, waiting: DeferredAction) {
-        match waiting {
+    pub(super) fn run_deferred(&mut self, action: DeferredAction) {
+        match action {
             DeferredAction::ConfirmAcceptance { message, reply } => self.confirm_acceptance(message, reply),
             DeferredAction::StartCall { call, cancelled } => self.start_call(call, cancelled),
             DeferredAction::ConfirmBounce { message, reply } => self.confirm_bounce(reply, message),
@@ -210,14 +210,14 @@
                 }
             }
         }
-        let well = self.records.disk_failed.is_none();
-        if well {
+        let disk_works = self.records.disk_failed.is_none();
+        if disk_works {
             self.start_sync();
             // Runs what waited out a disk failure; otherwise only a sync makes records durable.
             self.run_durable_actions();
         }
-        self.standing.ready.set(well && self.shutdown.since.is_none());
-        well
+        self.standing.ready.set(disk_works && self.shutdown.since.is_none());
+        disk_works
     }
 
     /// Ends a message for which nothing remains to be done.
--- a/crates/courier/src/dispatcher/stored_state.rs
+++ b/crates/courier/src/dispatcher/stored_state.rs
@@ -27,6 +27,7 @@
         self.journal.note(number, Note { key: key.to_owned(), value });
     }
 
+    /// Deletes the value under a key, if there is one.
     pub(super) fn delete_state(&mut self, key: &str) {
         if let Some(number) = self.state_numbers.remove(key) {
             self.journal.end(number);
@@ -34,8 +35,8 @@
     }
 
     /// Stores or deletes state of the frontend, and tells it once that is durable.
-    pub(super) fn store_state(&mut self, store: StateUpdate) {
-        let StateUpdate { token, key, value } = store;
+    pub(super) fn store_state(&mut self, update: StateUpdate) {
+        let StateUpdate { token, key, value } = update;
         let fits = match &value {
             _ if self.records.disk_failed.is_some() => Err(Refusal::DiskFails),
             Some(value) => self.journal.fits_note((key.len() + value.len()) as u64),
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -19,6 +19,7 @@
 
 /// An event that a part of the courier sends to the dispatcher.
 pub enum CourierEvent {
+    /// A client submits a message.
     Submitted(Submission),
     CallEnded {
         message: u64,
@@ -36,6 +37,7 @@
         endpoint: EndpointId,
         until: Instant,
     },
+    /// Discovery has sent a list of endpoints, or changes to one.
     EndpointsListed(EndpointList),
     /// Discovery at this address has written a complete line: the courier's list is current as of `at`.
     DiscoveryLineRead {
@@ -92,6 +94,7 @@
         endpoint: EndpointId,
         id: u16,
     },
+    /// The courier is to stop.
     Stop,
 }
 
@@ -157,7 +160,9 @@
 /// A message that a client submits, and where the reply goes.
 pub struct Submission {
     pub letter: Rc<Letter>,
+    /// Time until its deadline, as of `at`.
     pub time_left: Duration,
+    /// When it arrived.
     pub at: Instant,
     pub reply: ReplyTo,
     /// A refused message is accepted and bounced at once, in the journal, because its protocol has no
@@ -258,6 +263,8 @@
     pub hosts: Vec<ListedEndpoint>,
 }
 
+/// An endpoint in discovery's format: `host` is its name, `dial` its address, `site` its zone, `class` its
+/// kind, `block` its destination and `share` its weight.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ListedEndpoint {
     pub host: String,
@@ -295,6 +302,7 @@
     gone.chain(new.map(|(_, host)| host.clone())).collect()
 }
 
+/// The state of a listed endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
