--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -2,8 +2,8 @@
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Serialize};
-use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::*;
+use stairshed_decide::scheduler::Brain;
 use stairshed_decide::settings::Conf;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead, Write};
--- a/crates/courier/src/owner/memory.rs
+++ b/crates/courier/src/owner/memory.rs
@@ -6,7 +6,7 @@
 use crate::news::{Offer, Reply};
 use crate::room::Room;
 use crate::system;
-use stairshed_decide::weigh;
+use stairshed_decide::memory_usage;
 use stairshed_journal::{Attempt, Kept, Letter, ROW};
 use stairshed_memory::{Charge, Guest, Level, Purpose, Refused, Reserve};
 use std::collections::{BTreeMap, HashMap};
@@ -41,7 +41,7 @@
 
 /// What each accepted message takes beside its strings: letter, rows in the journal, the module, the tables of the
 /// owner, and the guards of this memory.
-const MESSAGE: u64 = weigh::MESSAGE
+const MESSAGE: u64 = memory_usage::MESSAGE
     + ROW
     + (size_of::<Letter>()
         + 32
--- a/crates/courier/src/place/watch.rs
+++ b/crates/courier/src/place/watch.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response, StatusCode, header};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use stairshed_config::lines::Lines;
-use stairshed_decide::brain::ask_after;
+use stairshed_decide::scheduler::ask_after;
 use std::convert::Infallible;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/crates/decide/examples/embed.rs
+++ b/crates/decide/examples/embed.rs
@@ -1,7 +1,7 @@
 //! A courier in miniature: one destination with one endpoint, one message, answered at once.
 
-use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::*;
+use stairshed_decide::scheduler::Brain;
 use std::time::Duration;
 
 fn main() -> Result<(), String> {
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -1,5 +1,5 @@
 //! The vocabulary of the decision module: settings, events, actions and the ids they use.
-//! Plain data without behaviour of its own; every decision is in [`crate::brain`].
+//! Plain data without behaviour of its own; every decision is in [`crate::scheduler`].
 
 use std::time::Duration;
 
--- a/crates/decide/src/weigh.rs
+++ b/crates/decide/src/memory_usage.rs
@@ -1,5 +1,5 @@
 //! What the decision module holds in memory, estimated from what its tables have in them. Beside it, so that whoever
-//! changes a table finds this; `tests/weigh.rs` holds it against what the allocator gave out.
+//! changes a table finds this; `tests/memory_usage.rs` holds it against what the allocator gave out.
 
 use crate::interface::{DestinationId, EndpointId, MessageId, PoolId};
 use crate::state::{Brain, Destination, Endpoint, Message, Ns, Pool};
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -1,5 +1,5 @@
 //! What the decision module remembers, as plain data. Nothing here decides anything: each figure is
-//! set and read in [`crate::brain`].
+//! set and read in [`crate::scheduler`].
 
 use crate::interface::*;
 use crate::membership_lease::MembershipLease;
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 pub mod world;
 
-use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::*;
+use stairshed_decide::scheduler::Brain;
 use std::time::Duration;
 
 pub const MS: Duration = Duration::from_millis(1);
--- a/crates/decide/tests/layout.rs
+++ b/crates/decide/tests/layout.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn the_module_stays_within_1200_lines_of_110_columns() {
-    let text = include_str!("../src/brain.rs");
+    let text = include_str!("../src/scheduler.rs");
     let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-    assert!(lines <= 1200, "src/brain.rs has {lines} lines that are not blank");
+    assert!(lines <= 1200, "src/scheduler.rs has {lines} lines that are not blank");
     let wide: Vec<_> = text.lines().filter(|line| line.chars().count() > 110).collect();
     assert!(wide.is_empty(), "over 110 columns: {wide:?}");
 }
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -4,8 +4,8 @@
 mod common;
 use common::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::*;
+use stairshed_decide::scheduler::Brain;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/decide/tests/scenarios.rs
+++ b/crates/decide/tests/scenarios.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::*;
+use stairshed_decide::scheduler::Brain;
 
 /// Answers every send with `outcome` after `ms`, for `rounds` messages of a class.
 fn serve(
