--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -3,8 +3,8 @@
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Serialize};
 use stairshed_decide::interface::*;
-use stairshed_decide::scheduler::Brain;
-use stairshed_decide::settings::Conf;
+use stairshed_decide::scheduler::Scheduler;
+use stairshed_decide::settings::SettingsDocument;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -21,7 +21,7 @@
     #[serde(rename = "TABLE")]
     Table { buffer: u64, elements: Vec<Element> },
     #[serde(rename = "NEW_INSTANCE")]
-    NewInstance { courier_id: u64, salt: u64, conf: Box<Conf> },
+    NewInstance { courier_id: u64, salt: u64, conf: Box<SettingsDocument> },
     #[serde(rename = "EXIT")]
     Exit { courier_id: u64 },
     #[serde(rename = "DIRECTORY_UPDATE")]
@@ -174,14 +174,14 @@
     })
 }
 
-fn report(pressure: Option<Pressure>) -> Option<Report> {
+fn report(pressure: Option<Pressure>) -> Option<LimitReport> {
     let p = pressure?;
-    Some(Report { left: p.x0?, limit: p.x1? })
+    Some(LimitReport { remaining_share: p.x0?, limit: p.x1? })
 }
 
 /// One courier: its module and the numbers given to the endpoint addresses it has heard of.
 struct Instance {
-    brain: Option<Brain>,
+    scheduler: Option<Scheduler>,
     classes: usize,
     names: Vec<String>,
     numbers: HashMap<String, EndpointId>,
@@ -200,20 +200,20 @@
         id
     }
 
-    fn entry(&mut self, e: &Element) -> Result<Entry, String> {
-        Ok(Entry {
+    fn entry(&mut self, e: &Element) -> Result<EndpointEntry, String> {
+        Ok(EndpointEntry {
             endpoint: self.number(&e.endpoint),
             destination: DestinationId(e.destination),
             zone: e.zone,
             kind: e.sku,
-            standing: match e.state {
-                0 => Standing::Gone,
-                1 => Standing::Ready,
-                2 => Standing::Draining,
+            state: match e.state {
+                0 => EndpointState::Gone,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Draining,
                 other => return Err(format!("unknown state {other}")),
             },
             weight: e.rating,
-            leased: true,
+            requires_lease: true,
         })
     }
 }
@@ -268,14 +268,15 @@
                 self.tables.insert(buffer, elements);
             }
             News::NewInstance { courier_id, salt, conf } => {
-                let made = conf.settings().and_then(|s| Brain::new(s, salt).map_err(|e| e.to_string()));
-                let (brain, fault) = match made {
-                    Ok(brain) => (Some(brain), None),
+                let made = conf.settings().and_then(|s| Scheduler::new(s, salt).map_err(|e| e.to_string()));
+                let (scheduler, fault) = match made {
+                    Ok(scheduler) => (Some(scheduler), None),
                     Err(fault) => (None, Some(fault)),
                 };
                 let classes = conf.class_names().count();
                 let (names, numbers, news) = (Vec::new(), HashMap::new(), Vec::new());
-                self.instances.insert(courier_id, Instance { brain, classes, names, numbers, news, fault });
+                self.instances
+                    .insert(courier_id, Instance { scheduler, classes, names, numbers, news, fault });
                 self.known(courier_id)?;
             }
             News::Exit { courier_id } => {
@@ -292,9 +293,9 @@
                         let entries =
                             instance.and_then(|i| table.iter().map(|e| i.entry(e)).collect::<Result<_, _>>());
                         self.tables.insert(number, table);
-                        Event::Listed { whole: kind > 0, entries: entries? }
+                        Event::EndpointList { complete: kind > 0, entries: entries? }
                     }
-                    3 => Event::ListFailed,
+                    3 => Event::EndpointListFailed,
                     other => return Err(format!("unknown kind of list {other}")),
                 };
                 self.push(courier_id, event)?;
@@ -313,29 +314,29 @@
                 if kind >= self.known(courier_id)?.classes {
                     return Err(format!("class {kind} is not listed"));
                 }
-                let event = Event::Taken(Taken {
+                let event = Event::Accepted(Accepted {
                     message: MessageId(job),
                     class: kind,
                     tenant: customer,
                     destination: DestinationId(to_exchange),
                     key: item,
                     time_left: Duration::from_nanos(time_budget_ns.max(0) as u64),
-                    work: estimate_ns.filter(|_| marks & 1 != 0).map(Duration::from_nanos),
-                    past: Past::default(),
+                    estimated_work: estimate_ns.filter(|_| marks & 1 != 0).map(Duration::from_nanos),
+                    history: Past::default(),
                 });
                 self.push(courier_id, event)?;
             }
             News::Flowing { courier_id, job } => {
-                self.push(courier_id, Event::Answering { message: MessageId(job) })?;
+                self.push(courier_id, Event::ResponseStarted { message: MessageId(job) })?;
             }
             News::Done { courier_id, job, endpoint, how, detail, took_ns, last, pressure } => {
                 let endpoint = self.known(courier_id)?.number(&endpoint);
-                let event = Event::Ended(Ended {
+                let event = Event::AttemptEnded(AttemptEnded {
                     message: MessageId(job),
                     endpoint,
                     outcome: outcome(how, detail)?,
-                    took: Duration::from_nanos(took_ns),
-                    over: last,
+                    elapsed: Duration::from_nanos(took_ns),
+                    is_final: last,
                     report: report(pressure),
                 });
                 self.push(courier_id, event)?;
@@ -345,7 +346,7 @@
             }
             News::Elapsed { courier_id, name } => {
                 // A name that is no number was not set by the module; it has no use for it.
-                let woken = name.parse().map(|token| Event::Woken { token });
+                let woken = name.parse().map(|token| Event::TimerFired { token });
                 if let Ok(event) = woken {
                     self.push(courier_id, event)?;
                 } else {
@@ -354,17 +355,17 @@
             }
             News::Echo { courier_id, endpoint, how, detail, took_ns, pressure } => {
                 let endpoint = self.known(courier_id)?.number(&endpoint);
-                let event = Event::Probed {
+                let event = Event::ProbeEnded {
                     endpoint,
                     outcome: outcome(how, detail)?,
-                    took: Duration::from_nanos(took_ns),
+                    elapsed: Duration::from_nanos(took_ns),
                     report: report(pressure),
                 };
                 self.push(courier_id, event)?;
             }
             News::Whisper { courier_id, sender, contents } => {
                 let note = STANDARD.decode(contents).map_err(|e| format!("contents: {e}"))?;
-                self.push(courier_id, Event::Told { from: sender, note })?;
+                self.push(courier_id, Event::NoteReceived { from: sender, note })?;
             }
         }
         Ok(())
@@ -376,14 +377,14 @@
             let Some(instance) = self.instances.get_mut(&id) else { continue };
             let news = std::mem::take(&mut instance.news);
             actions.clear();
-            if let Some(brain) = &mut instance.brain {
+            if let Some(scheduler) = &mut instance.scheduler {
                 let now = self.now;
-                let run = catch_unwind(AssertUnwindSafe(|| brain.handle(now, &news, &mut actions)));
+                let run = catch_unwind(AssertUnwindSafe(|| scheduler.handle(now, &news, &mut actions)));
                 if let Err(panic) = run {
                     let text = panic.downcast_ref::<String>().map(String::as_str);
                     let text = text.or(panic.downcast_ref::<&str>().copied());
                     instance.fault = Some(text.unwrap_or("panic in the module").to_owned());
-                    instance.brain = None;
+                    instance.scheduler = None;
                 }
             }
             for action in &actions {
@@ -405,7 +406,7 @@
     let name = |e: EndpointId| names[e.0 as usize].as_str();
     Some(match action {
         // An endpoint that was once listed stays known to the bench.
-        Action::Forget { .. } => return None,
+        Action::ForgetEndpoint { .. } => return None,
         Action::Send { message, endpoint, timeout } => Deed::SubmitTo {
             courier_id,
             job: message.0,
@@ -418,18 +419,18 @@
         Action::Fail { message } => Deed::ReportFailure { courier_id, job: message.0 },
         Action::Cancel { message, attempt } => Deed::Revoke { courier_id, job: message.0, send_no: *attempt },
         Action::Probe { endpoint } => Deed::Poll { courier_id, endpoint: name(*endpoint) },
-        Action::Close { endpoint } => Deed::Close { courier_id, endpoint: name(*endpoint) },
+        Action::CloseIdleConnections { endpoint } => Deed::Close { courier_id, endpoint: name(*endpoint) },
         Action::Subscribe { active } => Deed::Subscribe { courier_id, active: *active },
-        Action::Fetch => Deed::Fetch { courier_id },
-        Action::Tell { to, note } => Deed::Notify {
+        Action::FetchEndpointList => Deed::Fetch { courier_id },
+        Action::SendNote { to, note } => Deed::Notify {
             courier_id,
             whom: to.map_or(-1, |peer| peer as i64),
             contents: STANDARD.encode(note),
         },
-        Action::Wake { token, after } => {
+        Action::SetTimer { token, after } => {
             Deed::WakeAt { courier_id, name: token.to_string(), from_now_ns: nanos(*after) }
         }
-        Action::Note { text } => Deed::NoteDown { courier_id, message: text.clone() },
+        Action::Log { text } => Deed::NoteDown { courier_id, message: text.clone() },
     })
 }
 
--- a/crates/config/src/classes.rs
+++ b/crates/config/src/classes.rs
@@ -121,12 +121,12 @@
         effect,
         ordered: false,
         aim_stretch: 0.0,
-        attempts: None,
+        max_attempts: None,
     }
 }
 
 fn alike(a: &Class, b: &Class) -> bool {
-    let figures = |c: &Class| (c.aim, c.deadline, c.worth, c.late_share, c.ordered, c.attempts);
+    let figures = |c: &Class| (c.aim, c.deadline, c.worth, c.late_share, c.ordered, c.max_attempts);
     figures(a) == figures(b) && a.effect == b.effect
 }
 
--- a/crates/courier/src/news.rs
+++ b/crates/courier/src/news.rs
@@ -5,7 +5,7 @@
 use crate::room::NoRoom;
 use serde::Deserialize;
 use stairshed_config::Installation;
-use stairshed_decide::interface::{EndpointId, Outcome, Report};
+use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
 use stairshed_journal::{Letter, Refusal, Synced, Verdict};
 use stairshed_memory::{Caps, Charge, Guest};
 use std::cell::Cell;
@@ -220,7 +220,7 @@
 pub struct CallEnd {
     pub outcome: Outcome,
     pub after: AfterAttempt,
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
     pub at: Instant,
     /// What the outcome rests on, for those who follow the message.
     pub proof: &'static str,
--- a/crates/courier/src/out/attempt_outcome.rs
+++ b/crates/courier/src/out/attempt_outcome.rs
@@ -7,7 +7,7 @@
 use crate::out::link::{Answer, Heard, Lost};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
-use stairshed_decide::interface::{Outcome, Report};
+use stairshed_decide::interface::{LimitReport, Outcome};
 use tokio::time::Instant;
 
 /// Forbids what the answer forbids, whether or not it is proof of anything: a message of which an endpoint has said that
@@ -91,7 +91,7 @@
 }
 
 /// Reads `X-Server-Load: TEXT x0=0.4, x1=25`.
-fn report(headers: &HeaderMap) -> Option<Report> {
+fn report(headers: &HeaderMap) -> Option<LimitReport> {
     let text = headers.get("X-Server-Load")?.to_str().ok()?;
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
     let field = |name: &str| {
@@ -99,7 +99,7 @@
         let value = pairs.filter(|(key, _)| key.trim() == name).map(|(_, value)| value.trim()).next()?;
         value.parse::<f64>().ok().filter(|v| v.is_finite())
     };
-    Some(Report { left: field("x0")?, limit: field("x1")? })
+    Some(LimitReport { remaining_share: field("x0")?, limit: field("x1")? })
 }
 
 #[cfg(test)]
--- a/crates/courier/src/out/attempt_outcome_test.rs
+++ b/crates/courier/src/out/attempt_outcome_test.rs
@@ -3,7 +3,7 @@
 fn read(text: &str) -> Option<(f64, f64)> {
     let mut headers = HeaderMap::new();
     headers.insert("X-Server-Load", text.parse().expect("a header"));
-    report(&headers).map(|r| (r.left, r.limit))
+    report(&headers).map(|r| (r.remaining_share, r.limit))
 }
 
 #[test]
--- a/crates/courier/src/out/calls.rs
+++ b/crates/courier/src/out/calls.rs
@@ -14,7 +14,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HOST;
-use stairshed_decide::interface::{EndpointId, Outcome, PoolId};
+use stairshed_decide::interface::{EndpointId, LimitGroupId, Outcome};
 use stairshed_journal::Letter;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -42,7 +42,7 @@
     pub attempt: u32,
     pub endpoint: EndpointId,
     /// Who shares its limit: a wait that is told holds for all of it.
-    pub pool: PoolId,
+    pub pool: LimitGroupId,
     pub to: To,
     pub letter: Rc<Letter>,
     /// Nothing of it is written from then on: reckoned from when it was decided, so that neither a slow disk nor a
@@ -66,7 +66,7 @@
     /// Endpoints to which nothing new goes, since when.
     parted: Rc<RefCell<HashMap<EndpointId, Instant>>>,
     /// Until when nothing may be written to a pool, as it has told.
-    waits: Rc<RefCell<HashMap<PoolId, Instant>>>,
+    waits: Rc<RefCell<HashMap<LimitGroupId, Instant>>>,
     /// Until when the list of endpoints may be acted on; None for good. Endpoints that it does not bind.
     list_valid_until: Rc<Cell<Option<Instant>>>,
     unleased: Rc<RefCell<HashSet<EndpointId>>>,
@@ -146,7 +146,7 @@
     /// this ends.
     async fn ask(
         &self,
-        (endpoint, pool): (EndpointId, Option<PoolId>),
+        (endpoint, pool): (EndpointId, Option<LimitGroupId>),
         (to, once): (SocketAddr, bool),
         request: Request<Full<Bytes>>,
         until: Instant,
@@ -194,7 +194,7 @@
     fn may_be_written(
         &self,
         endpoint: EndpointId,
-        pool: Option<PoolId>,
+        pool: Option<LimitGroupId>,
         latest: Instant,
     ) -> Result<(), Lost> {
         // One that came only now leaves no time for an answer: written all the same, the call would have run, or
@@ -219,7 +219,7 @@
     }
 
     /// Keeps the wait that an answer tells, for calls that still have no connection.
-    fn note_wait(&self, pool: Option<PoolId>, heard: Heard) {
+    fn note_wait(&self, pool: Option<LimitGroupId>, heard: Heard) {
         if let Some((pool, until)) = pool.zip(heard.blocked_until) {
             let mut waits = self.waits.borrow_mut();
             let now = Instant::now();
--- a/crates/courier/src/owner.rs
+++ b/crates/courier/src/owner.rs
@@ -39,7 +39,7 @@
 use setup::Setup;
 use stairshed_config::change::changes;
 use stairshed_decide::interface::*;
-use stairshed_decide::scheduler::Brain;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Journal, Verdict};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
 
 pub struct Courier {
     setup: Setup,
-    brain: Brain,
+    scheduler: Scheduler,
     journal: Journal,
     standing: Rc<Standing>,
     news: Sender<News>,
@@ -77,7 +77,7 @@
 impl Courier {
     pub fn new(
         setup: Setup,
-        brain: Brain,
+        scheduler: Scheduler,
         journal: Journal,
         calls: Calls,
         outcomes: Outcomes,
@@ -88,7 +88,7 @@
         let memory = Memory::new(setup.room.clone());
         let mut courier = Courier {
             setup,
-            brain,
+            scheduler,
             journal,
             standing,
             news,
@@ -138,7 +138,7 @@
     }
 
     fn reconfigure(&mut self) {
-        if let Err(why) = self.brain.reconfigure(self.setup.settings.clone()) {
+        if let Err(why) = self.scheduler.reconfigure(self.setup.settings.clone()) {
             // Checked before; the module goes on with what it had.
             eprintln!("configuration: {why}");
         }
@@ -212,9 +212,9 @@
             News::Offered(offer) => self.offered(offer),
             News::Called { message, attempt, endpoint, end } => self.called(message, attempt, endpoint, end),
             News::Probed { endpoint, sent, end } => {
-                let took = end.at.saturating_duration_since(sent);
+                let elapsed = end.at.saturating_duration_since(sent);
                 let outcome = aged(end.outcome, end.at);
-                self.events.push(Event::Probed { endpoint, outcome, took, report: end.report });
+                self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed, report: end.report });
             }
             News::ToldToWait { endpoint, until } => self.told_to_wait(endpoint, until),
             News::Listed(list) => {
@@ -255,13 +255,13 @@
     /// One batch: what happened goes in, and what the module asks for is carried out.
     fn turn(&mut self, now: Instant) {
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
-            self.events.push(Event::Woken { token });
+            self.events.push(Event::TimerFired { token });
         }
         self.drop_deserted();
         self.change();
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
-        self.brain.handle(now.duration_since(self.origin), &events, &mut actions);
+        self.scheduler.handle(now.duration_since(self.origin), &events, &mut actions);
         self.apply_lease(now);
         let (mut sends, mut refused, mut cancels) = (Vec::new(), HashMap::new(), Vec::new());
         for action in actions {
@@ -275,21 +275,21 @@
                 }
                 Action::Cancel { message, .. } => cancels.push((message.0, self.publishing_to(message.0))),
                 Action::Probe { endpoint } => self.probe(endpoint),
-                Action::Close { endpoint } => {
+                Action::CloseIdleConnections { endpoint } => {
                     self.out.calls.close(endpoint);
                     self.hang_up(endpoint);
                 }
-                Action::Subscribe { active: true } | Action::Fetch => self.watch(),
-                Action::Subscribe { active: false } | Action::Tell { .. } => {}
-                Action::Wake { token, after } => self.wake = Some((now + after, token)),
-                Action::Forget { endpoint } => {
+                Action::Subscribe { active: true } | Action::FetchEndpointList => self.watch(),
+                Action::Subscribe { active: false } | Action::SendNote { .. } => {}
+                Action::SetTimer { token, after } => self.wake = Some((now + after, token)),
+                Action::ForgetEndpoint { endpoint } => {
                     self.out.calls.forget(endpoint);
                     self.forget_broker(endpoint);
                     if let Some(e) = self.members.endpoints.remove(&endpoint) {
                         self.members.numbers.remove(&e.host);
                     }
                 }
-                Action::Note { text } => eprintln!("note: {text}"),
+                Action::Log { text } => eprintln!("note: {text}"),
             }
         }
         self.take_on(&mut refused);
--- a/crates/courier/src/owner/brokers.rs
+++ b/crates/courier/src/owner/brokers.rs
@@ -275,7 +275,7 @@
         held.out = None;
         let class = held.class;
         let taken = self.taken_before(message, &live, class);
-        self.events.push(Event::Taken(taken));
+        self.events.push(Event::Accepted(taken));
     }
 
     /// When the next message whose fate is open over a restart ends.
--- a/crates/courier/src/owner/lease.rs
+++ b/crates/courier/src/owner/lease.rs
@@ -69,7 +69,7 @@
 
     /// Whether discovery tells of changes without being asked, as the platform's settings may have it.
     pub(super) fn lists_are_pushed(&self) -> bool {
-        self.setup.installation.is_none() && !self.setup.settings.must_subscribe
+        self.setup.installation.is_none() && !self.setup.settings.subscription_required
     }
 
     /// Discovery could not be reached since then, and so could not tell of a change.
@@ -99,7 +99,7 @@
 
     /// Tells the connections, the pages and the log until when the list may be acted on.
     pub(super) fn apply_lease(&mut self, now: Instant) {
-        let expires = self.brain.membership_expires_at().map(|at| self.origin + at);
+        let expires = self.scheduler.membership_expires_at().map(|at| self.origin + at);
         self.out.calls.set_list_valid_until(expires);
         self.setup.watch_status.set_lease(expires);
         let expired = expires.is_some_and(|at| at <= now);
--- a/crates/courier/src/owner/members.rs
+++ b/crates/courier/src/owner/members.rs
@@ -167,7 +167,7 @@
         for (host, limit) in limits {
             // One that is new takes it from the list.
             if let Some(endpoint) = self.members.numbers.get(&host) {
-                self.brain.relimit(*endpoint, limit);
+                self.scheduler.set_limit(*endpoint, limit);
             }
         }
         self.members.slice = SLICE.max(hosts.len().div_ceil(SLICES_MOST));
@@ -263,27 +263,27 @@
             let Some(e) = self.members.endpoints.get_mut(&endpoint) else { continue };
             (e.zone, e.destination, e.topic) = (zone, host.block, host.topic.clone());
             e.leased = host.leased;
-            let leased = host.leased;
+            let requires_lease = host.leased;
             let address = host.dial.parse().ok().or(e.address);
             if std::mem::replace(&mut e.address, address) != address {
                 self.out.calls.close(endpoint);
             }
             // An address that cannot be read leaves nowhere to send to.
-            let standing = match host.health {
-                Health::Ready if e.address.is_some() => interface::Standing::Ready,
-                Health::Gone => interface::Standing::Gone,
-                _ => interface::Standing::Draining,
+            let state = match host.health {
+                Health::Ready if e.address.is_some() => interface::EndpointState::Ready,
+                Health::Gone => interface::EndpointState::Gone,
+                _ => interface::EndpointState::Draining,
             };
-            e.ready = standing == interface::Standing::Ready;
+            e.ready = state == interface::EndpointState::Ready;
             let ready = e.ready;
             self.out.calls.admit(endpoint, ready);
             self.out.calls.set_leased(endpoint, host.leased);
             self.broker_stands(endpoint, ready);
             self.members.destinations.insert(host.block);
             let (destination, weight) = (DestinationId(host.block), host.share);
-            entries.push(Entry { endpoint, destination, zone, kind, standing, weight, leased });
+            entries.push(EndpointEntry { endpoint, destination, zone, kind, state, weight, requires_lease });
         }
-        self.events.push(Event::Listed { whole: list.whole, entries });
+        self.events.push(Event::EndpointList { complete: list.whole, entries });
         for endpoint in before {
             self.part(endpoint);
         }
@@ -309,7 +309,8 @@
     pub(super) fn watch_from(&mut self, seq: u64, fresh: bool) {
         let Some(address) = self.setup.discovery else { return };
         // An agent that pushes serves its own courier; a service that is asked serves the fleet.
-        let spread = if self.lists_are_pushed() { Duration::ZERO } else { self.setup.settings.ask_spread() };
+        let spread =
+            if self.lists_are_pushed() { Duration::ZERO } else { self.setup.settings.list_retry_spread() };
         let status = self.setup.watch_status.clone();
         let watch = Watch { address, seed: self.setup.seed, seq, fresh, spread, status };
         let task = tokio::task::spawn_local(watch.run(self.news.clone()));
--- a/crates/courier/src/owner/memory.rs
+++ b/crates/courier/src/owner/memory.rs
@@ -41,7 +41,7 @@
 
 /// What each accepted message takes beside its strings: letter, rows in the journal, the module, the tables of the
 /// owner, and the guards of this memory.
-const MESSAGE: u64 = memory_usage::MESSAGE
+const MESSAGE: u64 = memory_usage::MESSAGE_BYTES
     + ROW
     + (size_of::<Letter>()
         + 32
@@ -291,7 +291,7 @@
     }
 
     fn sample(&mut self) {
-        let (module, journal) = (self.brain.weigh().endpoints, self.journal.memory());
+        let (module, journal) = (self.scheduler.memory_usage().endpoints, self.journal.memory());
         self.memory.module.set(module);
         self.memory.journal.set(journal);
         if let Some(front) = &self.front {
--- a/crates/courier/src/owner/out.rs
+++ b/crates/courier/src/owner/out.rs
@@ -30,7 +30,7 @@
     /// As from a check: it concerns the endpoint, not a message.
     pub(super) fn told_to_wait(&mut self, endpoint: EndpointId, until: Instant) {
         let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
-        self.events.push(Event::Probed { endpoint, outcome, took: Duration::ZERO, report: None });
+        self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed: Duration::ZERO, report: None });
     }
 
     pub(super) fn called(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallEnd) {
@@ -77,12 +77,12 @@
         self.part(endpoint);
         let Some(m) = self.out.held.get_mut(&message) else { return };
         let Some((sent, _)) = m.out.take() else { return };
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::AttemptEnded(AttemptEnded {
             message: MessageId(message),
             endpoint,
             outcome: aged(end.outcome, end.at),
-            took: end.at.saturating_duration_since(sent),
-            over: end.after != AfterAttempt::Open,
+            elapsed: end.at.saturating_duration_since(sent),
+            is_final: end.after != AfterAttempt::Open,
             report: end.report,
         }));
         // The module drops a message with its last outcome, and so does the courier.
@@ -143,7 +143,7 @@
             );
             let letter = m.letter.clone();
             let once = self.setup.classes.get(m.class).is_some_and(|c| c.effect == Effect::Once);
-            let (until, pool) = (now + timeout, self.brain.pool_id(endpoint));
+            let (until, pool) = (now + timeout, self.scheduler.limit_group_id(endpoint));
             ready.push(Call { message, attempt: number, endpoint, pool, to, letter, until, once });
         }
         let seq = self.journal.last_seq();
@@ -207,12 +207,12 @@
 }
 
 fn never_sent(message: u64, endpoint: EndpointId, outcome: Outcome) -> Event {
-    Event::Ended(Ended {
+    Event::AttemptEnded(AttemptEnded {
         message: MessageId(message),
         endpoint,
         outcome,
-        took: Duration::ZERO,
-        over: false,
+        elapsed: Duration::ZERO,
+        is_final: false,
         report: None,
     })
 }
--- a/crates/courier/src/owner/records.rs
+++ b/crates/courier/src/owner/records.rs
@@ -79,9 +79,9 @@
             let taken = self.taken_before(message, &m, class.unwrap_or_default());
             follow::step(
                 &letter.id,
-                format_args!("resumed number={message} class={} past={:?}", letter.class, taken.past),
+                format_args!("resumed number={message} class={} past={:?}", letter.class, taken.history),
             );
-            self.events.push(Event::Taken(taken));
+            self.events.push(Event::Accepted(taken));
             let (class, attempts) = (class.unwrap_or_default(), m.attempts.len() as u32);
             self.out.held.insert(message, Held { letter, class, attempts, out: None });
         }
@@ -89,7 +89,7 @@
     }
 
     /// A message of an earlier life, or one that the module has not heard of yet, with what it went through.
-    pub(super) fn taken_before(&mut self, message: u64, live: &Live, class: usize) -> Taken {
+    pub(super) fn taken_before(&mut self, message: u64, live: &Live, class: usize) -> Accepted {
         // A clock that has jumped back since must not give what is held more time than it had: neither than was
         // left when last a time was recorded, nor than its class has.
         let now = unix().max(self.journal.latest());
@@ -102,15 +102,15 @@
             ago: now.saturating_sub(a.sent),
         });
         let most = self.setup.classes.get(class).map(|c| c.deadline);
-        Taken {
+        Accepted {
             message: MessageId(message),
             class,
             tenant: 0,
             destination: DestinationId(letter.destination),
             key: letter.routed.as_ref().and_then(|r| r.order.clone()),
             time_left: letter.until.saturating_sub(now).min(most.unwrap_or(Duration::MAX)),
-            work: None,
-            past: Past { attempts: live.attempts.len() as u32, ran },
+            estimated_work: None,
+            history: Past { attempts: live.attempts.len() as u32, ran },
         }
     }
 
--- a/crates/courier/src/owner/taking.rs
+++ b/crates/courier/src/owner/taking.rs
@@ -61,15 +61,15 @@
         let message = self.taking.next;
         self.taking.next += 1;
         self.taking.ids.insert(offer.letter.id.clone(), message);
-        self.events.push(Event::Taken(Taken {
+        self.events.push(Event::Accepted(Accepted {
             message: MessageId(message),
             class,
             tenant: 0,
             destination: DestinationId(offer.letter.destination),
             key: offer.letter.routed.as_ref().and_then(|r| r.order.clone()),
             time_left: offer.time_left.saturating_sub(offer.at.elapsed()),
-            work: None,
-            past: Past::default(),
+            estimated_work: None,
+            history: Past::default(),
         }));
         self.taking.offers.insert(message, Offered { class, offer, holding });
     }
@@ -91,7 +91,7 @@
         if !self.members.destinations.contains(&letter.destination) {
             return Some(if self.members.listed { Reply::NoDestination } else { Reply::Unavailable });
         }
-        if self.out.held.len() + self.taking.offers.len() >= self.setup.settings.max_held {
+        if self.out.held.len() + self.taking.offers.len() >= self.setup.settings.max_messages {
             return Some(Reply::Refused { wait: None });
         }
         if self.is_crowded(letter) {
@@ -109,7 +109,7 @@
             if let Some(Offered { offer, .. }) = self.taking.offers.remove(&message) {
                 self.taking.ids.remove(&offer.letter.id);
             }
-            let of = |e: &Event| matches!(e, Event::Taken(t) if t.message.0 == message);
+            let of = |e: &Event| matches!(e, Event::Accepted(t) if t.message.0 == message);
             self.events.retain(|e| !of(e));
         }
     }
--- a/crates/courier/src/place/watch.rs
+++ b/crates/courier/src/place/watch.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response, StatusCode, header};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use stairshed_config::lines::Lines;
-use stairshed_decide::scheduler::ask_after;
+use stairshed_decide::scheduler::list_retry_delay;
 use std::convert::Infallible;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -117,7 +117,7 @@
             if lines_read > 0 && since.elapsed() > SILENCE_TIMEOUT {
                 backoff = INITIAL_BACKOFF_S;
             }
-            let mut pause = ask_after(backoff, self.spread, &mut rng);
+            let mut pause = list_retry_delay(backoff, self.spread, &mut rng);
             if lines_read > 0 {
                 outage.answered();
                 if news.send(News::WatchLost { discovery: self.address }).await.is_err() {
--- a/crates/courier/src/place/watch_test.rs
+++ b/crates/courier/src/place/watch_test.rs
@@ -7,7 +7,7 @@
         let mut seconds = [0; 20];
         for seed in 0..100 {
             let rng = &mut SmallRng::seed_from_u64(seed);
-            seconds[ask_after(INITIAL_BACKOFF_S, spread, rng).as_secs() as usize] += 1;
+            seconds[list_retry_delay(INITIAL_BACKOFF_S, spread, rng).as_secs() as usize] += 1;
         }
         seconds
     };
--- a/crates/courier/src/start/config.rs
+++ b/crates/courier/src/start/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
-use stairshed_decide::settings::Conf;
+use stairshed_decide::settings::SettingsDocument;
 use std::env;
 use std::fs;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     discovery: Option<String>,
     limits: Limits,
     known: Option<List>,
-    settings: Conf,
+    settings: SettingsDocument,
 }
 
 /// All that a courier is told.
--- a/crates/courier/src/start/platform.rs
+++ b/crates/courier/src/start/platform.rs
@@ -11,8 +11,8 @@
 use crate::out::outcomes::Outcomes;
 use crate::owner::Courier;
 use crate::room::Room;
-use stairshed_decide::interface::LIST_TERM;
-use stairshed_decide::scheduler::Brain;
+use stairshed_decide::interface::ENDPOINT_LIST_LEASE;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::Journal;
 use stairshed_memory::{ByPurpose, Caps, Purpose};
 use std::path::PathBuf;
@@ -60,7 +60,7 @@
     let mut terminate = on(SignalKind::terminate(), "SIGTERM")?;
     let hangup = on(SignalKind::hangup(), "SIGHUP")?;
     let disk = (config.limits.disk_mb * 1e6) as u64;
-    let options = settings.journal.options(disk, u64::from(config.settings.attempt_cap));
+    let options = settings.journal.options(disk, u64::from(config.settings.max_attempts));
     let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
     let (journal, report) = opened.map_err(|e| Fault::Bad("LB_STATE", e.to_string()))?;
     tell(&report);
@@ -71,10 +71,10 @@
         Calls::new(config.settings.connect_timeout, config.settings.keepalive, for_calls, room.clone());
     // The module reckons with the connections that are kept here.
     config.settings.keepalive = calls.keep_time();
-    config.settings.membership_term = Some(LIST_TERM);
-    let pushed = !config.settings.must_subscribe;
-    let brain = Brain::new(config.settings.clone(), config.seed);
-    let brain = brain.map_err(|e| Fault::Bad("LB_CONFIG", e))?;
+    config.settings.membership_lease_duration = Some(ENDPOINT_LIST_LEASE);
+    let pushed = !config.settings.subscription_required;
+    let scheduler = Scheduler::new(config.settings.clone(), config.seed);
+    let scheduler = scheduler.map_err(|e| Fault::Bad("LB_CONFIG", e))?;
     let (news, inbox) = mpsc::channel(INBOX);
     if pushed {
         // Nobody asks for lists that are pushed: the watch is open from the start.
@@ -95,7 +95,7 @@
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
     let outcomes = Outcomes::platform(config.discovery);
     let setup = config.setup(room);
-    let courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
+    let courier = Courier::new(setup, scheduler, journal, calls, outcomes, standing.clone(), news.clone());
     standing.ready.set(true);
     let accepting = tokio::task::spawn_local(intake.run(listener));
     tokio::task::spawn_local(async move {
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/start/serve.rs
@@ -25,7 +25,7 @@
 use stairshed_config::installation::Document;
 use stairshed_config::version::{Version, Versions};
 use stairshed_decide::interface::Settings;
-use stairshed_decide::scheduler::Brain;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Durability, Journal};
 use stairshed_mqtt::server::Limits;
 use std::path::{Path, PathBuf};
@@ -178,7 +178,8 @@
     let calls = Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, for_calls, room.clone());
     setup.settings.keepalive = calls.keep_time();
     let connections = calls.connection_status();
-    let brain = Brain::new(setup.settings.clone(), setup.seed).map_err(|e| bad("configuration", e))?;
+    let scheduler =
+        Scheduler::new(setup.settings.clone(), setup.seed).map_err(|e| bad("configuration", e))?;
     let (news, inbox) = mpsc::channel(INBOX);
     let standing = Rc::new(Standing::default());
     let farewells = Farewells::start(&room);
@@ -204,7 +205,8 @@
     let kept = journal.len();
     let discovery = installation.discovery.is_some();
     let watch_status = setup.watch_status.clone();
-    let mut courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
+    let mut courier =
+        Courier::new(setup, scheduler, journal, calls, outcomes, standing.clone(), news.clone());
     let hub = match installation.mqtt {
         Some(_) => Some(hub(&installation, &beside, &effective, &news, (&courier, &room, &farewells))?),
         None => None,
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -19,7 +19,7 @@
 pub struct DestinationId(pub u64);
 
 /// What shares one limit and its waits: a destination, or one endpoint of it where routes are separate.
-pub type PoolId = (DestinationId, Option<EndpointId>);
+pub type LimitGroupId = (DestinationId, Option<EndpointId>);
 
 /// What a repeated delivery of a message does.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -57,26 +57,26 @@
     pub ordered: bool,
     /// The aim grows by this multiple of the message's estimated work.
     pub aim_stretch: f64,
-    /// Attempts a message may have; None for [`Settings::attempt_cap`].
-    pub attempts: Option<u32>,
+    /// Attempts a message may have; None for [`Settings::max_attempts`].
+    pub max_attempts: Option<u32>,
 }
 
 /// How worth falls between the aim and the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorthLoss {
+pub enum WorthDecay {
     /// Evenly, down to the late share.
-    Line,
+    Linear,
     /// By half with each further aim, not under the late share.
-    Halves,
+    Halving,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct DestinationKind {
     /// The endpoints are routes apart, each with its own limit, pace and outages.
     pub separate_routes: bool,
     /// Messages that one call carries at most.
-    pub bundle_max: usize,
+    pub max_bundle_size: usize,
 }
 
 /// What the weight of a list entry means.
@@ -86,64 +86,64 @@
     /// Calls a second the destination or route takes from all couriers together.
     Nominal,
     /// The same, up to half too high or too low.
-    Rough,
+    Approximate,
 }
 
 /// How long a list is acted on: what discovery has counts as told after 6 s, whether or not it arrived (protocol page),
 /// and nothing may go to an endpoint that drains 1 s later. The rest is for lines that are read and calls that are
 /// written late.
-pub const LIST_TERM: Duration = Duration::from_millis(6200);
+pub const ENDPOINT_LIST_LEASE: Duration = Duration::from_millis(6200);
 
 /// What the courier knows when it starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// How many couriers share the destinations, this one included.
-    pub couriers: usize,
+    pub courier_count: usize,
     pub classes: Vec<Class>,
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DestinationKind>,
     /// Number of tenants; with none, fairness is between classes.
-    pub tenants: usize,
+    pub tenant_count: usize,
     /// Calls that may be out at once.
-    pub slots: usize,
+    pub max_calls_in_flight: usize,
     /// Messages that may be held, sent or not.
-    pub max_held: usize,
+    pub max_messages: usize,
     /// Attempts a message may have.
-    pub attempt_cap: u32,
-    pub worth_loss: WorthLoss,
+    pub max_attempts: u32,
+    pub worth_decay: WorthDecay,
     /// Price of a new connection, in points of the result for one a message.
     pub handshake_cost: f64,
     /// Price of a message on a separate route, by zone, in the same points.
     pub zone_fees: Vec<f64>,
-    pub weights: WeightKind,
+    pub weight_kind: WeightKind,
     /// A connection not established within this time is a failed connect.
     pub connect_timeout: Duration,
     /// Idle connections close after this time.
     pub keepalive: Duration,
-    pub may_probe: bool,
-    pub may_cancel: bool,
+    pub probing_enabled: bool,
+    pub cancellation_enabled: bool,
     /// List changes come only after [`Action::Subscribe`].
-    pub must_subscribe: bool,
+    pub subscription_required: bool,
     /// How long the list may be acted on from when it was last known to be current; None for good.
-    pub membership_term: Option<Duration>,
+    pub membership_lease_duration: Option<Duration>,
     /// The smallest time between two calls of the module.
     pub tick: Duration,
     /// Nothing new may go to an endpoint this long after news that it drains or is gone.
     pub drain_grace: Duration,
     /// A destination back from an outage has this share of its capacity at least,
-    pub cold_from: f64,
+    pub slow_start_min_share: f64,
     /// and all of it after this time.
-    pub cold_span: Duration,
+    pub slow_start_duration: Duration,
     /// A cold destination falls over when sent more than this multiple of its present capacity
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long.
-    pub fall_span: Duration,
+    pub overload_duration: Duration,
     /// How long a key rests after an attempt that may still be running.
     pub order_pause: Duration,
 }
 
-/// Standing of a list entry.
+/// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     Gone,
@@ -151,15 +151,15 @@
 
 /// One line of the endpoint list.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub endpoint: EndpointId,
     pub destination: DestinationId,
     pub zone: usize,
     pub kind: usize,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub weight: f64,
     /// Discovery lists it: it is sent to only while the list may be acted on.
-    pub leased: bool,
+    pub requires_lease: bool,
 }
 
 /// How an attempt or a probe ended.
@@ -188,16 +188,16 @@
 
 /// What an endpoint tells of its limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Report {
+pub struct LimitReport {
     /// Share of the allowance that is left.
-    pub left: f64,
+    pub remaining_share: f64,
     /// The limit in calls a second; 0 where there is none.
     pub limit: f64,
 }
 
 /// A message handed to the courier.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct Accepted {
     pub message: MessageId,
     pub class: usize,
     pub tenant: usize,
@@ -206,9 +206,9 @@
     /// How long it may still be delivered.
     pub time_left: Duration,
     /// A guess of the work it makes, if there is one.
-    pub work: Option<Duration>,
+    pub estimated_work: Option<Duration>,
     /// What it went through before this courier restarted; nothing for a new one.
-    pub past: Past,
+    pub history: Past,
 }
 
 /// What is on record of a message that was taken before the courier restarted.
@@ -229,42 +229,42 @@
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptEnded {
     pub message: MessageId,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
-    pub took: Duration,
+    pub elapsed: Duration,
     /// The message has its final answer.
-    pub over: bool,
-    pub report: Option<Report>,
+    pub is_final: bool,
+    pub report: Option<LimitReport>,
 }
 
 /// News for the module.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Changed entries, or with `whole` the complete list.
-    Listed { whole: bool, entries: Vec<Entry> },
+    /// Changed entries, or with `complete` the complete list.
+    EndpointList { complete: bool, entries: Vec<EndpointEntry> },
     /// A request for the list failed, or the subscription broke.
-    ListFailed,
+    EndpointListFailed,
     /// The list was current at this moment: discovery has written since, or could not have told of a change.
     MembershipCurrent { as_of: Time },
     /// Discovery may tell of changes that do not reach this courier: the list may be acted on until then without a
     /// new word.
     MembershipLimited { until: Time },
     /// A message was taken and is owed one final answer.
-    Taken(Taken),
+    Accepted(Accepted),
     /// A streamed answer has begun.
-    Answering { message: MessageId },
+    ResponseStarted { message: MessageId },
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// Nobody wants the message any more.
     Withdrawn { message: MessageId },
-    /// A wake-up asked for with [`Action::Wake`].
-    Woken { token: u64 },
+    /// A wake-up asked for with [`Action::SetTimer`].
+    TimerFired { token: u64 },
     /// A probe ended.
-    Probed { endpoint: EndpointId, outcome: Outcome, took: Duration, report: Option<Report> },
+    ProbeEnded { endpoint: EndpointId, outcome: Outcome, elapsed: Duration, report: Option<LimitReport> },
     /// A note from another courier.
-    Told { from: u64, note: Vec<u8> },
+    NoteReceived { from: u64, note: Vec<u8> },
 }
 
 /// What the module wants done.
@@ -297,26 +297,26 @@
         active: bool,
     },
     /// Ask for the whole list once.
-    Fetch,
+    FetchEndpointList,
     /// Close the idle connections to an endpoint.
-    Close {
+    CloseIdleConnections {
         endpoint: EndpointId,
     },
     /// An endpoint that is long gone is known no more: nothing refers to it.
-    Forget {
+    ForgetEndpoint {
         endpoint: EndpointId,
     },
     /// A note of 256 bytes at most to one courier, or to all.
-    Tell {
+    SendNote {
         to: Option<u64>,
         note: Vec<u8>,
     },
-    Wake {
+    SetTimer {
         token: u64,
         after: Duration,
     },
     /// A line for the operators' log.
-    Note {
+    Log {
         text: String,
     },
 }
--- a/crates/decide/src/memory_usage.rs
+++ b/crates/decide/src/memory_usage.rs
@@ -1,13 +1,13 @@
 //! What the decision module holds in memory, estimated from what its tables have in them. Beside it, so that whoever
 //! changes a table finds this; `tests/memory_usage.rs` holds it against what the allocator gave out.
 
-use crate::interface::{DestinationId, EndpointId, MessageId, PoolId};
-use crate::state::{Brain, Destination, Endpoint, Message, Ns, Pool};
+use crate::interface::{DestinationId, EndpointId, LimitGroupId, MessageId};
+use crate::state::{Destination, Endpoint, Message, Ns, Pool, Scheduler};
 use std::collections::VecDeque;
 
 /// Bytes of what the module holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Weight {
+pub struct MemoryUsage {
     /// Of messages: their records, and where they stand on charts and agendas.
     pub messages: u64,
     /// Of endpoints and destinations: their records, paces and limits.
@@ -15,10 +15,11 @@
 }
 
 /// What a message takes without its order.
-pub const MESSAGE: u64 = entry::<(MessageId, Message)>() + entry::<MessageId>() + entry::<(Ns, MessageId)>();
+pub const MESSAGE_BYTES: u64 =
+    entry::<(MessageId, Message)>() + entry::<MessageId>() + entry::<(Ns, MessageId)>();
 
-impl Weight {
-    pub fn sum(self) -> u64 {
+impl MemoryUsage {
+    pub fn total(self) -> u64 {
         self.messages + self.endpoints
     }
 }
@@ -36,11 +37,11 @@
     of.capacity() as u64 * size_of::<T>() as u64
 }
 
-impl Brain {
+impl Scheduler {
     /// What is held now. Walks all tables: some 20 ns a message and 50 ns an endpoint.
-    pub fn weigh(&self) -> Weight {
+    pub fn memory_usage(&self) -> MemoryUsage {
         let key = |key: &String| key.len() as u64 + ALLOCATION;
-        let mut messages = self.messages.len() as u64 * MESSAGE;
+        let mut messages = self.messages.len() as u64 * MESSAGE_BYTES;
         messages += self.messages.values().filter_map(|m| m.key.as_ref()).map(key).sum::<u64>();
         for (order, waiting) in &self.turns {
             messages += entry::<(String, VecDeque<MessageId>)>() + key(order) + ring(waiting);
@@ -66,9 +67,9 @@
             }
         }
         for pool in self.pools.values() {
-            endpoints += entry::<(PoolId, Pool)>() + ring(&pool.oks);
+            endpoints += entry::<(LimitGroupId, Pool)>() + ring(&pool.oks);
         }
         endpoints += self.agenda.len() as u64 * entry::<(Ns, DestinationId)>();
-        Weight { messages, endpoints }
+        MemoryUsage { messages, endpoints }
     }
 }
--- a/crates/decide/src/scheduler.rs
+++ b/crates/decide/src/scheduler.rs
@@ -4,7 +4,7 @@
 //! has missed least. `docs/design.md` tells what was kept and where it departs.
 
 use crate::interface::*;
-pub use crate::state::Brain;
+pub use crate::state::Scheduler;
 use crate::state::*;
 use rand::Rng;
 use std::collections::{BTreeSet, VecDeque};
@@ -100,14 +100,14 @@
 const HOLDS_A_CALL: f64 = 2.8;
 const HOLDS_LEAST: f64 = 6.0;
 
-impl Brain {
+impl Scheduler {
     /// Starts a courier's module without any state; `seed` feeds its jitter.
     pub fn new(set: Settings, seed: u64) -> Result<Self, String> {
         set.check()?;
-        let mut brain = Brain { ask_pause: LIST_RETRY, ..Brain::blank(set, seed) };
-        let spread = brain.set.ask_spread().as_secs_f64() * brain.rng.random::<f64>();
-        brain.ask_at = brain.ask_at.map(|at| at + sec(spread));
-        Ok(brain)
+        let mut scheduler = Scheduler { ask_pause: LIST_RETRY, ..Scheduler::blank(set, seed) };
+        let spread = scheduler.set.list_retry_spread().as_secs_f64() * scheduler.rng.random::<f64>();
+        scheduler.ask_at = scheduler.ask_at.map(|at| at + sec(spread));
+        Ok(scheduler)
     }
 
     /// Takes the news of one moment and appends what is to be done.
@@ -121,7 +121,7 @@
             self.agenda.remove(&(at, dest));
             self.touched.insert(dest);
         }
-        if self.calls_out < self.set.slots {
+        if self.calls_out < self.set.max_calls_in_flight {
             self.touched.append(&mut self.pressed);
         }
         let touched = std::mem::take(&mut self.touched);
@@ -139,7 +139,7 @@
         }
         if self.ask_at.is_some_and(|t| t <= self.now) {
             // Asked again only if no answer comes; an answer clears this.
-            let pause = ask_after(self.ask_pause * 4.0, self.set.ask_spread(), &mut self.rng);
+            let pause = list_retry_delay(self.ask_pause * 4.0, self.set.list_retry_spread(), &mut self.rng);
             self.ask_at = Some(self.now + ns(pause));
             out.push(Action::Subscribe { active: true });
         }
@@ -148,7 +148,7 @@
         if next < self.wake.map_or(NEVER, |w| w.1) {
             self.next_token += 1;
             self.wake = Some((self.next_token, next));
-            out.push(Action::Wake { token: self.next_token, after: span((next - self.now).max(1)) });
+            out.push(Action::SetTimer { token: self.next_token, after: span((next - self.now).max(1)) });
         }
     }
 
@@ -189,35 +189,35 @@
     }
 
     fn room(&self, d: &Destination) -> bool {
-        self.calls_out < self.set.slots && d.calls < self.cap(d)
+        self.calls_out < self.set.max_calls_in_flight && d.calls < self.cap(d)
     }
 
     /// What an endpoint shares its limit with. Panics for one that was never listed.
-    pub fn pool_id(&self, id: EndpointId) -> PoolId {
+    pub fn limit_group_id(&self, id: EndpointId) -> LimitGroupId {
         let e = &self.endpoints[&id];
         (e.dest, self.set.kinds[e.kind].separate_routes.then_some(id))
     }
 
     fn learn(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Listed { whole, entries } => self.listed(*whole, entries, out),
-            Event::ListFailed => {
-                let pause = ask_after(self.ask_pause, self.set.ask_spread(), &mut self.rng);
-                self.ask_at = self.set.must_subscribe.then_some(self.now + ns(pause));
+            Event::EndpointList { complete, entries } => self.listed(*complete, entries, out),
+            Event::EndpointListFailed => {
+                let pause = list_retry_delay(self.ask_pause, self.set.list_retry_spread(), &mut self.rng);
+                self.ask_at = self.set.subscription_required.then_some(self.now + ns(pause));
                 self.ask_pause = (self.ask_pause * 2.0).min(LIST_RETRY * 8.0);
             }
             Event::MembershipCurrent { as_of } => self.membership_current(*as_of),
             Event::MembershipLimited { until } => self.membership.limit(self.since_origin(*until)),
-            Event::Taken(taken) => self.taken(taken, out),
-            Event::Answering { .. } | Event::Told { .. } => {}
-            Event::Ended(ended) => self.ended(ended, out),
+            Event::Accepted(taken) => self.taken(taken, out),
+            Event::ResponseStarted { .. } | Event::NoteReceived { .. } => {}
+            Event::AttemptEnded(ended) => self.ended(ended, out),
             Event::Withdrawn { message } => self.close(*message),
-            Event::Woken { token } => self.wake = self.wake.filter(|w| w.0 != *token),
-            Event::Probed { endpoint, outcome, report, .. } => self.heed(*endpoint, *outcome, report),
+            Event::TimerFired { token } => self.wake = self.wake.filter(|w| w.0 != *token),
+            Event::ProbeEnded { endpoint, outcome, report, .. } => self.heed(*endpoint, *outcome, report),
         }
     }
 
-    fn listed(&mut self, whole: bool, entries: &[Entry], out: &mut Vec<Action>) {
+    fn listed(&mut self, whole: bool, entries: &[EndpointEntry], out: &mut Vec<Action>) {
         // The cached list of the start comes before anything was asked for; later news are answers.
         if self.now > 0 {
             (self.ask_at, self.ask_pause) = (None, LIST_RETRY);
@@ -230,16 +230,16 @@
             let (dest, zone, lean) = (entry.destination, entry.zone, self.rng.random());
             let fresh = || Endpoint { dest, zone, kind, lean, ..Endpoint::default() };
             let e = self.endpoints.entry(entry.endpoint).or_insert_with(fresh);
-            e.stand(entry.standing, self.now);
-            e.leased = entry.leased;
+            e.stand(entry.state, self.now);
+            e.leased = entry.requires_lease;
             self.dest(entry.destination).endpoints.insert(entry.endpoint);
-            let id = self.pool_id(entry.endpoint);
+            let id = self.limit_group_id(entry.endpoint);
             let pool = self.pools.entry(id).or_insert_with(|| Pool { tokens: 1.0, ..Pool::default() });
-            if self.set.weights != WeightKind::None && pool.limit.is_none() && entry.weight > 0.0 {
+            if self.set.weight_kind != WeightKind::None && pool.limit.is_none() && entry.weight > 0.0 {
                 pool.limit = Some(entry.weight);
                 // A fleet that calls before its first report is a burst of a call from each, then of another:
                 // paced from the start, and each bucket filled up at some time before the longest aim.
-                if let Some(even) = pool.even(self.set.couriers).filter(|_| self.set.crowd() > 0.0) {
+                if let Some(even) = pool.even(self.set.courier_count).filter(|_| self.set.crowd() > 0.0) {
                     let aim = self.set.classes.iter().map(|c| c.aim.as_secs_f64()).fold(0.0, f64::max);
                     let lack = self.set.crowd() * self.rng.random::<f64>() * (even * aim).min(1.0);
                     (pool.rate, pool.tokens, pool.filled) = (Some(even), 1.0 - lack, self.now);
@@ -265,7 +265,7 @@
     fn ask_before_expiry(&mut self) {
         let latest = self.membership.expires_at().saturating_sub(sec(LIST_ANSWER));
         if self.ask_at.is_some_and(|at| at > latest) {
-            let window = (latest - self.now).max(ns(self.set.ask_spread()) / 4);
+            let window = (latest - self.now).max(ns(self.set.list_retry_spread()) / 4);
             self.ask_at = Some(self.now + sec(secs(window) * self.rng.random::<f64>()));
         }
     }
@@ -275,7 +275,7 @@
         ns(at) - ns(self.origin.unwrap_or_default())
     }
 
-    /// Until when the list of endpoints may be acted on, on the clock of [`Brain::handle`]; None for good.
+    /// Until when the list of endpoints may be acted on, on the clock of [`Scheduler::handle`]; None for good.
     pub fn membership_expires_at(&self) -> Option<Time> {
         let expires_at = self.membership.expires_at();
         (expires_at != NEVER).then(|| self.origin.unwrap_or_default() + span(expires_at))
@@ -291,19 +291,19 @@
         self.dests.entry(id).or_insert_with(fresh)
     }
 
-    fn taken(&mut self, t: &Taken, out: &mut Vec<Action>) {
+    fn taken(&mut self, t: &Accepted, out: &mut Vec<Action>) {
         let (id, dest) = (t.message, t.destination);
         let class = t.class.min(self.set.classes.len() - 1);
         let c = &self.set.classes[class];
         let end = self.now + ns(t.time_left);
-        let stretch = t.work.map_or(0.0, |w| c.aim_stretch * w.as_secs_f64());
+        let stretch = t.estimated_work.map_or(0.0, |w| c.aim_stretch * w.as_secs_f64());
         let aim = (end - ns(c.deadline) + ns(c.aim) + sec(stretch)).min(end);
-        let group = if self.set.tenants > 0 { t.tenant.min(self.set.tenants - 1) } else { class };
+        let group = if self.set.tenant_count > 0 { t.tenant.min(self.set.tenant_count - 1) } else { class };
         let key = t.key.clone().filter(|_| c.ordered);
         if let Some(key) = &key {
             self.turns.entry(key.clone()).or_default().push_back(id);
         }
-        let past = Message::with_past(&t.past, self.now);
+        let past = Message::with_past(&t.history, self.now);
         let message = Message { class, group, dest, key, aim, end, due: aim, ..past };
         self.tally(group, 0.0, 1.0);
         self.messages.insert(id, message);
@@ -311,7 +311,7 @@
         self.dest(dest).members.insert(id);
         self.live += 1;
         self.hold(id, out);
-        while self.live as f64 > ROOM_SHARE * self.set.max_held as f64 {
+        while self.live as f64 > ROOM_SHARE * self.set.max_messages as f64 {
             // The destination that holds most gives way: a paused one must not close the door to others.
             let longest = self.dests.iter().max_by_key(|(_, d)| d.chart.held.len()).map(|(id, _)| *id);
             let Some(longest) = longest.filter(|d| !self.dests[d].chart.held.is_empty()) else { break };
@@ -320,7 +320,7 @@
         }
     }
 
-    fn ended(&mut self, ended: &Ended, out: &mut Vec<Action>) {
+    fn ended(&mut self, ended: &AttemptEnded, out: &mut Vec<Action>) {
         let (id, endpoint, outcome) = (ended.message, ended.endpoint, ended.outcome);
         self.heed(endpoint, outcome, &ended.report);
         let Some(m) = self.messages.get_mut(&id) else { return };
@@ -342,7 +342,7 @@
             );
         }
         let m = &self.messages[&id];
-        if outcome != Outcome::Delivered && !ended.over && !m.over {
+        if outcome != Outcome::Delivered && !ended.is_final && !m.over {
             return if self.may_try(m) { self.hold(id, out) } else { self.answer(id, out) };
         }
         if late && !m.over {
@@ -355,7 +355,7 @@
     fn back_off(&mut self, id: MessageId, full: bool) {
         let u = 0.5 + self.rng.random::<f64>();
         let m = self.messages.get_mut(&id).expect("known");
-        let cap = self.set.classes[m.class].attempts.unwrap_or(self.set.attempt_cap);
+        let cap = self.set.classes[m.class].max_attempts.unwrap_or(self.set.max_attempts);
         let left = cap.saturating_sub(m.attempts);
         let share = match (left, full) {
             (left, _) if left <= LAST_ATTEMPTS => 1.0 / f64::from(left + 1),
@@ -366,8 +366,8 @@
     }
 
     /// Books the end of a call: slots, latency, pace and health. A bundle is booked once.
-    fn call_ended(&mut self, flight: Flight, ended: &Ended) {
-        let (id, now, outcome, took) = (ended.endpoint, self.now, ended.outcome, ended.took.as_secs_f64());
+    fn call_ended(&mut self, flight: Flight, ended: &AttemptEnded) {
+        let (id, now, outcome, took) = (ended.endpoint, self.now, ended.outcome, ended.elapsed.as_secs_f64());
         let Flight { call, sent, opens, .. } = flight;
         let e = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
         let Some(open) = e.calls.get_mut(&call) else { return };
@@ -379,7 +379,7 @@
             let dest = e.dest;
             self.dest(dest).calls -= 1;
         }
-        let pool_id = self.pool_id(id);
+        let group_id = self.limit_group_id(id);
         let (gap, slow) = (self.gap(id), 1.0 / (self.part(id)).max(1e-3));
         if counts {
             self.connects(id, sent, opens, outcome);
@@ -391,13 +391,13 @@
             d.recent.push_back(!well || took > 2.0 * d.latency);
             d.recent.drain(..d.recent.len().saturating_sub(RECENT));
         }
-        let pool = self.pools.get_mut(&pool_id).expect("each endpoint has a pool");
+        let pool = self.pools.get_mut(&group_id).expect("each endpoint has a pool");
         match outcome {
             Outcome::Delivered => {
                 for (latency, first) in [(&mut e.latency, 0.0), (&mut d.latency, FIRST_LATENCY)] {
                     *latency += if *latency == first { 1.0 } else { LATENCY_GAIN } * (took - *latency);
                 }
-                let left = ended.report.map_or(ALLOWANCE_HALF, |r| r.left);
+                let left = ended.report.map_or(ALLOWANCE_HALF, |r| r.remaining_share);
                 pool.accepted(now, &self.set, left);
                 self.worked(id);
                 self.space(id);
@@ -415,7 +415,7 @@
                 if let Some(wait) = wait.filter(|w| w.as_secs_f64() > SHUT_WAIT) {
                     // Shut until then: all that were told so come at once, and it is cold.
                     e.warm_from = Some(now + ns(wait));
-                    let spread = self.set.cold_span.as_secs_f64() * u.sqrt();
+                    let spread = self.set.slow_start_duration.as_secs_f64() * u.sqrt();
                     e.free_at = now + ns(wait) + sec(spread.min(2.0 * u * gap));
                 }
                 e.trial = None;
@@ -477,9 +477,9 @@
     }
 
     /// The pools that a destination's ready endpoints draw on, each once.
-    fn ready_pools(&self, id: DestinationId) -> BTreeSet<PoolId> {
+    fn ready_pools(&self, id: DestinationId) -> BTreeSet<LimitGroupId> {
         let endpoints = self.dests[&id].endpoints.iter();
-        endpoints.filter(|e| self.endpoints[e].ready).map(|e| self.pool_id(*e)).collect()
+        endpoints.filter(|e| self.endpoints[e].ready).map(|e| self.limit_group_id(*e)).collect()
     }
 
     /// Calls that this courier may have out at a destination.
@@ -487,7 +487,7 @@
         let bad = d.recent.iter().filter(|b| **b).count();
         let ailing = d.recent.len() >= RECENT / 3 && bad * 2 > d.recent.len();
         let share = if ailing { AILING_CAP } else { DEST_CAP };
-        ((self.set.slots as f64 * share) as usize).max(1)
+        ((self.set.max_calls_in_flight as f64 * share) as usize).max(1)
     }
 
     fn hold(&mut self, id: MessageId, out: &mut Vec<Action>) {
@@ -536,7 +536,7 @@
         let score = |id: &MessageId| {
             let m = &self.messages[id];
             let t = &self.tallies[m.group];
-            let weight = if self.set.tenants > 0 { 1.0 } else { self.set.classes[m.class].worth };
+            let weight = if self.set.tenant_count > 0 { 1.0 } else { self.set.classes[m.class].worth };
             (t.misses + 0.5) / (t.total + 1.0) * weight
         };
         let by = |a: &&MessageId, b: &&MessageId| {
@@ -597,8 +597,8 @@
     /// come; an unsafe message is lost by it, so it hurts where very slow calls are answered.
     fn unstick(&mut self, out: &mut Vec<Action>) {
         self.stuck_at = NEVER;
-        let wanted = self.set.may_cancel && !self.pressed.is_empty();
-        let full = self.calls_out >= self.set.slots;
+        let wanted = self.set.cancellation_enabled && !self.pressed.is_empty();
+        let full = self.calls_out >= self.set.max_calls_in_flight;
         let stuck = |m: &Message| {
             let f = m.flight.as_ref().filter(|f| !f.cancelled && (full || self.pressed.contains(&m.dest)))?;
             Some(f.sent + sec(self.patience(&self.endpoints[&f.endpoint]) * STUCK_PATIENCE))
@@ -628,9 +628,9 @@
 
     fn send(&mut self, id: MessageId, endpoint: EndpointId, joined: &mut Joined, out: &mut Vec<Action>) {
         let now = self.now;
-        let pool = self.pool_id(endpoint);
+        let pool = self.limit_group_id(endpoint);
         let e = self.endpoints.get_mut(&endpoint).expect("chosen");
-        let bundle_max = self.set.kinds[e.kind].bundle_max.max(1);
+        let bundle_max = self.set.kinds[e.kind].max_bundle_size.max(1);
         let mut opens = false;
         let call = match joined.get_mut(&endpoint) {
             Some((call, room)) if *room > 0 => {
@@ -675,7 +675,8 @@
         let m = &self.messages[&id];
         let d = &self.dests[&m.dest];
         let room = self.room(d);
-        let few = self.calls_out + 1 + self.set.slots / SLOTS_FEW >= self.set.slots;
+        let few =
+            self.calls_out + 1 + self.set.max_calls_in_flight / SLOTS_FEW >= self.set.max_calls_in_flight;
         let short = if few { COST_SLOT } else { 0.0 };
         let (mut best, mut starved, mut later) = (None, Vec::new(), NEVER);
         for id in &d.endpoints {
@@ -692,8 +693,8 @@
                 later = later.min(at);
                 continue;
             }
-            let pool_id = self.pool_id(*id);
-            let pool = &self.pools[&pool_id];
+            let group_id = self.limit_group_id(*id);
+            let pool = &self.pools[&group_id];
             let joins = joined.get(id).is_some_and(|(_, room)| *room > 0);
             // Rules: waits are kept, and an endpoint back from an outage gets its calls spaced.
             let mut free =
@@ -705,7 +706,7 @@
                 let lack = 1.0 - pool.filled_up(self.now);
                 if let Some(rate) = pool.rate.filter(|_| lack > 0.0 && e.breaker == Breaker::Closed) {
                     free = free.max(self.now + sec(lack / rate) + 1);
-                    starved.push(pool_id);
+                    starved.push(group_id);
                 }
             }
             let idle = e.idle.iter().any(|t| *t > self.now - ns(self.set.keepalive));
@@ -752,7 +753,7 @@
             (Some(_), Effect::Once) => false,
             (Some(_), Effect::Keyed { .. }) => self.now < self.closing(m),
         };
-        in_window && m.attempts < self.set.classes[m.class].attempts.unwrap_or(self.set.attempt_cap)
+        in_window && m.attempts < self.set.classes[m.class].max_attempts.unwrap_or(self.set.max_attempts)
     }
 
     /// None if the message may go there, else when to ask again. A half-open breaker lets one trial through.
@@ -774,29 +775,30 @@
 
     /// This courier's part, in calls a second: an even share of the limit, or more where it has had more.
     fn part(&self, id: EndpointId) -> f64 {
-        let pool_id = self.pool_id(id);
-        let pool = &self.pools[&pool_id];
-        let sharing = match pool_id.1 {
+        let group_id = self.limit_group_id(id);
+        let pool = &self.pools[&group_id];
+        let sharing = match group_id.1 {
             Some(_) => 1,
-            None => self.dests[&pool_id.0].endpoints.iter().filter(|e| self.endpoints[e].ready).count(),
+            None => self.dests[&group_id.0].endpoints.iter().filter(|e| self.endpoints[e].ready).count(),
         };
-        let known = pool.even(self.set.couriers).unwrap_or(pool.peak);
+        let known = pool.even(self.set.courier_count).unwrap_or(pool.peak);
         known.max(2.0 * (pool.flow - 1.0 / FLOW_SPAN)) / sharing.max(1) as f64
     }
 
     /// Time between calls, s, that keeps this courier's part of the fail-back budget.
     fn gap(&self, id: EndpointId) -> f64 {
         let from = self.endpoints[&id].warm_from.unwrap_or(self.now);
-        let warm = secs(self.now - from) / self.set.cold_span.as_secs_f64().max(1e-3);
-        let present = self.set.cold_from + (1.0 - self.set.cold_from) * warm.clamp(0.0, 1.0);
-        1.0 / (self.set.fall_multiple * present * self.part(id)).max(1e-3)
+        let warm = secs(self.now - from) / self.set.slow_start_duration.as_secs_f64().max(1e-3);
+        let present =
+            self.set.slow_start_min_share + (1.0 - self.set.slow_start_min_share) * warm.clamp(0.0, 1.0);
+        1.0 / (self.set.overload_multiple * present * self.part(id)).max(1e-3)
     }
 
     /// Rule: an endpoint back from an outage is not pushed over. Each keeps its part of the budget, or,
     /// where that is less than a call, goes once at random while it warms, rather late than early.
     fn space(&mut self, id: EndpointId) {
         let (gap, u) = (self.gap(id), self.rng.random::<f64>());
-        let (now, cold) = (self.now, ns(self.set.cold_span));
+        let (now, cold) = (self.now, ns(self.set.slow_start_duration));
         let e = self.endpoints.get_mut(&id).expect("known");
         e.warm_from = e.warm_from.filter(|t| now - t <= cold);
         if let Some(from) = e.warm_from {
@@ -809,7 +811,7 @@
     /// so: only the others are turned away, for as long as it is kept.
     fn crowded(&self, id: EndpointId) -> bool {
         let e = &self.endpoints[&id];
-        let couriers = self.set.couriers as f64;
+        let couriers = self.set.courier_count as f64;
         let busy = couriers * self.part(id) * e.latency.max(self.dests[&e.dest].latency);
         !self.set.kinds[e.kind].separate_routes && couriers > (HOLDS_A_CALL * busy).max(HOLDS_LEAST)
     }
@@ -825,11 +827,11 @@
         }
         let span = self.set.keepalive.as_secs_f64();
         let tight = secs(self.now) < self.tight[e.kind] + TIGHT_SPANS * span;
-        let rare = self.pools[&self.pool_id(id)].flow * span < REUSE_LEAST;
+        let rare = self.pools[&self.limit_group_id(id)].flow * span < REUSE_LEAST;
         let unused = tight && rare && self.dests[&e.dest].chart.held.is_empty();
         if unused || self.crowded(id) {
             self.endpoints.get_mut(&id).expect("known").idle.clear();
-            out.push(Action::Close { endpoint: id });
+            out.push(Action::CloseIdleConnections { endpoint: id });
         }
     }
 
@@ -888,17 +890,17 @@
     }
 
     /// Rule: a wait told holds for the whole pool, whoever told it; a shorter one never replaces it.
-    fn heed(&mut self, id: EndpointId, outcome: Outcome, report: &Option<Report>) {
+    fn heed(&mut self, id: EndpointId, outcome: Outcome, report: &Option<LimitReport>) {
         let (Some(_), now) = (self.endpoints.get(&id), self.now) else { return };
-        let pool_id = self.pool_id(id);
-        let pool = self.pools.get_mut(&pool_id).expect("each endpoint has a pool");
+        let group_id = self.limit_group_id(id);
+        let pool = self.pools.get_mut(&group_id).expect("each endpoint has a pool");
         let before = pool.limit;
         pool.limit = report.map(|r| r.limit).filter(|l| *l > 0.0).or(pool.limit);
         if let (Some(before), Some(limit)) = (before, pool.limit) {
             // What was learnt of the others' use holds for a limit that has moved, too.
             pool.rate = pool.rate.map(|rate| rate * (1.0 + self.set.crowd() * (limit / before - 1.0)));
         }
-        let start = pool.even(self.set.couriers).filter(|even| *even * RATE_SPAN > 1.0);
+        let start = pool.even(self.set.courier_count).filter(|even| *even * RATE_SPAN > 1.0);
         pool.rate = pool.rate.or(start.map(|even| even * PACE_START));
         if let Outcome::Full { wait: Some(wait) } = outcome {
             pool.wait_until = pool.wait_until.max(now + ns(wait + self.set.tick));
@@ -911,10 +913,10 @@
         let d = &self.dests[&dest];
         let (held, usual) = (!d.chart.held.is_empty(), d.latency);
         for id in d.endpoints.iter().copied().collect::<Vec<_>>() {
-            let pool_waits = self.pools[&self.pool_id(id)].wait_until;
+            let pool_waits = self.pools[&self.limit_group_id(id)].wait_until;
             let e = self.endpoints.get_mut(&id).expect("known");
             let hang = sec((HANG_LATENCIES * e.latency.max(usual)).max(HANG_LEAST));
-            e.warm_from = e.warm_from.filter(|t| now - t <= ns(self.set.cold_span));
+            e.warm_from = e.warm_from.filter(|t| now - t <= ns(self.set.slow_start_duration));
             // Silence: a call much older than usual and no answer since it left. One slow call can trip it,
             // which costs a trial. A courier that stalled hears all its news first: that is no silence.
             let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && e.last_ok < c.0;
@@ -978,18 +980,18 @@
     /// watch has ended or was turned away. A fleet that asks again at once keeps its queue so long that each
     /// call is out of time when its turn comes, and none is ever served. Hurts where one courier restarts
     /// alone: it learns of what has changed meanwhile that much later.
-    pub fn ask_spread(&self) -> Duration {
+    pub fn list_retry_spread(&self) -> Duration {
         Duration::from_secs_f64(LIST_ALL * self.crowd())
     }
 
     /// Share of the couriers beyond those few that may act in the same moment: what one does alone adds up.
     fn crowd(&self) -> f64 {
-        (1.0 - FEW / self.couriers.max(1) as f64).max(0.0)
+        (1.0 - FEW / self.courier_count.max(1) as f64).max(0.0)
     }
 }
 
 /// How long until the list is asked for again: a pause, s, with jitter, and a part of the fleet's spread.
-pub fn ask_after(pause: f64, spread: Duration, rng: &mut impl Rng) -> Duration {
+pub fn list_retry_delay(pause: f64, spread: Duration, rng: &mut impl Rng) -> Duration {
     Duration::from_secs_f64(pause * (0.5 + rng.random::<f64>())) + spread.mul_f64(rng.random())
 }
 
@@ -1027,7 +1029,7 @@
     }
 
     fn accepted(&mut self, now: Ns, set: &Settings, left: f64) {
-        let (couriers, crowd) = (set.couriers, set.crowd());
+        let (couriers, crowd) = (set.courier_count, set.crowd());
         self.fulls = 0;
         self.flow = self.flow * (-secs(now - self.flow_at) / FLOW_SPAN).exp() + 1.0 / FLOW_SPAN;
         self.flow_at = now;
@@ -1050,7 +1052,7 @@
     }
 
     fn cut(&mut self, now: Ns, set: &Settings) {
-        let (couriers, crowd) = (set.couriers, set.crowd());
+        let (couriers, crowd) = (set.courier_count, set.crowd());
         if now - self.cut_at < sec(PACE_SPAN) && self.cut_at > 0 {
             return;
         }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -7,7 +7,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Conf {
+pub struct SettingsDocument {
     #[serde(default)]
     costs: Costs,
     #[serde(default)]
@@ -100,7 +100,7 @@
     u64::try_from(ns).map(Duration::from_nanos).map_err(|_| format!("{name} is negative"))
 }
 
-impl Conf {
+impl SettingsDocument {
     /// The names of the classes, in the order of their numbers.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.lanes.iter().map(|l| l.name.as_str())
@@ -141,45 +141,49 @@
                 effect,
                 ordered: lane.by_arrival,
                 aim_stretch: lane.aim_stretch,
-                attempts: None,
+                max_attempts: None,
             });
         }
         let (family, limits, rules) = (&conf.family_info, &conf.limits, &conf.rules);
         let count = conf.skus.len().max(family.bundle_max.len()).max(family.separate_routes.len()).max(1);
-        let kind = |k| Kind {
+        let kind = |k| DestinationKind {
             separate_routes: family.separate_routes.get(k).copied().unwrap_or(false),
-            bundle_max: family.bundle_max.get(k).copied().unwrap_or(1),
+            max_bundle_size: family.bundle_max.get(k).copied().unwrap_or(1),
         };
         Ok(Settings {
-            couriers: conf.siblings,
+            courier_count: conf.siblings,
             classes,
             kinds: (0..count).map(kind).collect(),
-            tenants: conf.customers.len(),
-            slots: family.slots,
-            max_held: limits.max_open,
-            attempt_cap: limits.send_cap,
-            worth_loss: if family.loses_worth == "halves" { WorthLoss::Halves } else { WorthLoss::Line },
+            tenant_count: conf.customers.len(),
+            max_calls_in_flight: family.slots,
+            max_messages: limits.max_open,
+            max_attempts: limits.send_cap,
+            worth_decay: if family.loses_worth == "halves" {
+                WorthDecay::Halving
+            } else {
+                WorthDecay::Linear
+            },
             handshake_cost: conf.costs.handshake,
             zone_fees: (0..conf.dcs.len().max(family.fee_by_zone.len()))
                 .map(|z| family.fee_by_zone.get(z).copied().unwrap_or(0.0))
                 .collect(),
-            weights: match conf.weight_kind.as_str() {
+            weight_kind: match conf.weight_kind.as_str() {
                 "nominal" => WeightKind::Nominal,
-                "rough" => WeightKind::Rough,
+                "rough" => WeightKind::Approximate,
                 _ => WeightKind::None,
             },
             connect_timeout: span(limits.connect_timeout_ns, "connect-timeout-ns")?,
             keepalive: span(limits.keepalive_ns, "keepalive-ns")?,
-            may_probe: limits.probing,
-            may_cancel: limits.cancel,
-            must_subscribe: conf.membership_mode == "subscribe",
-            membership_term: None,
+            probing_enabled: limits.probing,
+            cancellation_enabled: limits.cancel,
+            subscription_required: conf.membership_mode == "subscribe",
+            membership_lease_duration: None,
             tick: span(conf.tick_ns, "tick-ns")?,
             drain_grace: span(rules.drain_grace_ns, "drain-grace-ns")?,
-            cold_from: rules.cold_from,
-            cold_span: span(rules.cold_ns, "cold-ns")?,
-            fall_multiple: rules.fall_multiple,
-            fall_span: span(rules.fall_ns, "fall-ns")?,
+            slow_start_min_share: rules.cold_from,
+            slow_start_duration: span(rules.cold_ns, "cold-ns")?,
+            overload_multiple: rules.fall_multiple,
+            overload_duration: span(rules.fall_ns, "fall-ns")?,
             order_pause: span(rules.order_pause_ns, "order-pause-ns")?,
         })
     }
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -155,7 +155,7 @@
 }
 
 /// The decisions of one courier.
-pub struct Brain {
+pub struct Scheduler {
     pub(crate) set: Settings,
     pub(crate) rng: SmallRng,
     pub(crate) origin: Option<Time>,
@@ -164,7 +164,7 @@
     pub(crate) live: usize,
     pub(crate) dests: BTreeMap<DestinationId, Destination>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
-    pub(crate) pools: BTreeMap<PoolId, Pool>,
+    pub(crate) pools: BTreeMap<LimitGroupId, Pool>,
     /// Messages of ordered classes by key, in order of arrival; and when a key has rested.
     pub(crate) turns: BTreeMap<String, VecDeque<MessageId>>,
     pub(crate) rests: BTreeMap<String, (MessageId, Ns)>,
@@ -188,10 +188,10 @@
     pub(crate) ask_pause: f64,
 }
 
-impl Brain {
+impl Scheduler {
     pub(crate) fn blank(set: Settings, seed: u64) -> Self {
-        let groups = if set.tenants > 0 { set.tenants } else { set.classes.len() };
-        Brain {
+        let groups = if set.tenant_count > 0 { set.tenant_count } else { set.classes.len() };
+        Scheduler {
             rng: SmallRng::seed_from_u64(seed),
             origin: None,
             now: 0,
@@ -213,8 +213,8 @@
             pressed: BTreeSet::new(),
             spare: BTreeSet::new(),
             stuck_at: NEVER,
-            membership: MembershipLease::new(set.membership_term),
-            ask_at: set.must_subscribe.then_some(0),
+            membership: MembershipLease::new(set.membership_lease_duration),
+            ask_at: set.subscription_required.then_some(0),
             ask_pause: 0.0,
             set,
         }
@@ -228,15 +228,15 @@
     }
 
     /// Takes its standing from the list.
-    pub(crate) fn stand(&mut self, standing: Standing, now: Ns) {
+    pub(crate) fn stand(&mut self, standing: EndpointState, now: Ns) {
         match standing {
-            Standing::Gone => self.leave(now),
-            _ => (self.ready, self.gone) = (standing == Standing::Ready, None),
+            EndpointState::Gone => self.leave(now),
+            _ => (self.ready, self.gone) = (standing == EndpointState::Ready, None),
         }
     }
 }
 
-impl Brain {
+impl Scheduler {
     /// Other settings from now on. Classes and kinds keep their numbers: new ones come behind.
     ///
     /// # Errors
@@ -246,21 +246,21 @@
         if set.classes.len() < self.set.classes.len() || set.kinds.len() < self.set.kinds.len() {
             return Err("settings: a class or kind that may be in use is gone".to_owned());
         }
-        if set.tenants == 0 {
+        if set.tenant_count == 0 {
             self.tallies.resize(set.classes.len(), Tally::default());
         }
         self.tight.resize(set.kinds.len(), f64::MIN);
-        self.membership.set_term(set.membership_term);
+        self.membership.set_term(set.membership_lease_duration);
         self.set = set;
         Ok(())
     }
 
     /// The limit of an endpoint, or of all that share one with it, is now stated as this, calls a second.
-    pub fn relimit(&mut self, endpoint: EndpointId, limit: f64) {
+    pub fn set_limit(&mut self, endpoint: EndpointId, limit: f64) {
         if !self.endpoints.contains_key(&endpoint) {
             return;
         }
-        let id = self.pool_id(endpoint);
+        let id = self.limit_group_id(endpoint);
         if let Some(pool) = self.pools.get_mut(&id) {
             pool.limit = Some(limit);
             pool.rate = pool.rate.map(|rate| rate.min(limit));
@@ -270,7 +270,7 @@
     /// Drops the rows of endpoints that are long gone and that no call, wait or message names: where
     /// endpoints are replaced all day, the tables would grow and each choice walk ever more of them.
     pub(crate) fn forget(&mut self, out: &mut Vec<Action>) {
-        let (now, span) = (self.now, ns(self.set.cold_span));
+        let (now, span) = (self.now, ns(self.set.slow_start_duration));
         let old = |e: &Endpoint| e.gone.is_some_and(|t| now - t > span) && e.calls.is_empty();
         let mut gone: BTreeSet<_> =
             self.endpoints.iter().filter(|(_, e)| old(e)).map(|(id, _)| *id).collect();
@@ -282,7 +282,7 @@
             gone.retain(|id| !named.contains(&Some(*id)));
         }
         for id in gone {
-            let (dest, route) = self.pool_id(id);
+            let (dest, route) = self.limit_group_id(id);
             if self.pools.get(&(dest, route)).is_some_and(|p| p.wait_until > now) {
                 continue;
             }
@@ -291,7 +291,7 @@
             }
             self.endpoints.remove(&id);
             self.dests.get_mut(&dest).map(|d| d.endpoints.remove(&id));
-            out.push(Action::Forget { endpoint: id });
+            out.push(Action::ForgetEndpoint { endpoint: id });
         }
     }
 }
@@ -300,12 +300,12 @@
     /// Names the first figure that cannot be worked with.
     pub(crate) fn check(&self) -> Result<(), String> {
         let classes = self.classes.iter().flat_map(|c| [c.worth, c.late_share, c.aim_stretch]);
-        let figures = [self.cold_from, self.fall_multiple, self.handshake_cost].into_iter();
+        let figures = [self.slow_start_min_share, self.overload_multiple, self.handshake_cost].into_iter();
         let positive = |x: f64| x >= 0.0;
         for (good, what) in [
-            (self.slots > 0, "no slots"),
+            (self.max_calls_in_flight > 0, "no slots"),
             (!self.classes.is_empty() && !self.kinds.is_empty(), "no classes or no kinds"),
-            (self.max_held > 0 && self.attempt_cap > 0, "no room for messages or attempts"),
+            (self.max_messages > 0 && self.max_attempts > 0, "no room for messages or attempts"),
             (figures.chain(classes).chain(self.zone_fees.clone()).all(positive), "a figure is negative"),
         ] {
             if !good {
--- a/crates/decide/tests/common/world.rs
+++ b/crates/decide/tests/common/world.rs
@@ -14,7 +14,7 @@
 
 /// An endpoint; each has a limit of its own where routes are separate, else the destination's first one has it.
 pub struct Server {
-    pub entry: Entry,
+    pub entry: EndpointEntry,
     /// Calls a second, and how many of them it takes at once after a pause, s of its limit.
     pub limit: f64,
     pub depth: f64,
@@ -71,14 +71,14 @@
     /// The seed is printed: with it a failure plays again.
     pub fn new(mut set: Settings, couriers: usize, servers: Vec<Server>, seed: u64) -> Self {
         println!("a fleet of {couriers}, seed {seed}");
-        (set.couriers, set.weights, set.tick) = (couriers, WeightKind::Nominal, STEP);
-        let listed: Vec<_> = servers.iter().map(|s| Entry { weight: s.limit, ..s.entry }).collect();
+        (set.courier_count, set.weight_kind, set.tick) = (couriers, WeightKind::Nominal, STEP);
+        let listed: Vec<_> = servers.iter().map(|s| EndpointEntry { weight: s.limit, ..s.entry }).collect();
         let fleet: Vec<_> = (0..couriers)
             .map(|n| Drive::seeded(set.clone(), listed.clone(), seed * 1000 + n as u64))
             .collect();
         let full = |s: &Server| Bucket { level: s.depth * s.limit, report: 1.0 };
         let nothing_new =
-            |n| (fleet[0].now + WAY, n, Event::Listed { whole: false, entries: Vec::new() }, None);
+            |n| (fleet[0].now + WAY, n, Event::EndpointList { complete: false, entries: Vec::new() }, None);
         World {
             begun: fleet[0].now,
             buckets: servers.iter().map(full).collect(),
@@ -113,7 +113,7 @@
     /// Ends these couriers and starts them anew on the list that they had; what they held is handed in again at
     /// once, as their journal would. Answers on their way to them are lost.
     pub fn restart(&mut self, which: std::ops::Range<usize>, seed: u64) {
-        let entry = |s: &Server| Entry { weight: s.limit, ..s.entry };
+        let entry = |s: &Server| EndpointEntry { weight: s.limit, ..s.entry };
         let listed: Vec<_> = self.servers.iter().map(entry).collect();
         for n in which {
             let now = self.fleet[n].now;
@@ -219,7 +219,7 @@
 
     fn ended(&mut self, n: usize, news: &[Event]) {
         for event in news {
-            let Event::Ended(ended) = event else { continue };
+            let Event::AttemptEnded(ended) = event else { continue };
             match ended.outcome {
                 Outcome::Delivered => {
                     // It may have been given up while its call was out.
@@ -237,7 +237,7 @@
     fn act(&mut self, n: usize, now: Duration, action: Action) {
         match action {
             Action::Send { message, endpoint, .. } => self.call(n, now, message.0, endpoint.0 as usize),
-            Action::Close { endpoint } => self.idle[n][endpoint.0 as usize].clear(),
+            Action::CloseIdleConnections { endpoint } => self.idle[n][endpoint.0 as usize].clear(),
             Action::Refuse { message, .. } => {
                 self.counts.refused += usize::from(self.taken_at[n].remove(&message.0).is_some());
             }
@@ -245,7 +245,7 @@
                 self.counts.failed += usize::from(self.taken_at[n].remove(&message.0).is_some());
             }
             Action::Subscribe { .. } => {
-                let nothing_new = Event::Listed { whole: false, entries: Vec::new() };
+                let nothing_new = Event::EndpointList { complete: false, entries: Vec::new() };
                 self.coming.push((now + WAY * 2, n, nothing_new, None));
             }
             _ => {}
@@ -256,11 +256,12 @@
         self.counts.calls += 1;
         let fresh = self.idle[n][server].pop().is_none();
         let (open, pool) = (self.open_at(server), self.pool(server));
-        let mut end = |took: Duration, outcome, report, kept| {
+        let mut end = |elapsed: Duration, outcome, report, kept| {
             let endpoint = EndpointId(server as u32);
-            let over = outcome == Outcome::Delivered;
-            let ended = Ended { message: MessageId(message), endpoint, outcome, took, over, report };
-            self.coming.push((now + took, n, Event::Ended(ended), Some((server, kept))));
+            let is_final = outcome == Outcome::Delivered;
+            let ended =
+                AttemptEnded { message: MessageId(message), endpoint, outcome, elapsed, is_final, report };
+            self.coming.push((now + elapsed, n, Event::AttemptEnded(ended), Some((server, kept))));
         };
         if self.servers[server].away || (fresh && open >= self.servers[server].holds) {
             return end(WAY * 2, Outcome::ConnectFailed, None, false);
@@ -269,7 +270,7 @@
         self.counts.opened += usize::from(fresh);
         let opening = if fresh { WAY * 2 } else { Duration::ZERO };
         let bucket = &mut self.buckets[pool];
-        let report = Some(Report { left: bucket.report, limit: self.servers[pool].limit });
+        let report = Some(LimitReport { remaining_share: bucket.report, limit: self.servers[pool].limit });
         let room = bucket.level >= 1.0;
         // A refused call uses the limit up, too.
         bucket.level -= 1.0;
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -13,8 +13,8 @@
 /// a call fail there.
 fn calls_after_return(away: Duration) -> Vec<(usize, usize)> {
     let mut set = settings();
-    (set.couriers, set.weights, set.slots) = (COURIERS, WeightKind::Nominal, 2);
-    let listed = Entry { weight: 12.0, ..entry(0, 1, 0, 0) };
+    (set.courier_count, set.weight_kind, set.max_calls_in_flight) = (COURIERS, WeightKind::Nominal, 2);
+    let listed = EndpointEntry { weight: 12.0, ..entry(0, 1, 0, 0) };
     let mut fleet: Vec<_> =
         (0..COURIERS).map(|n| Drive::seeded(set.clone(), vec![listed], n as u64)).collect();
     let (start, mut calls, mut next) = (fleet[0].now, vec![(0, 0); 20], 0);
@@ -101,7 +101,7 @@
 #[test]
 fn a_fleet_does_not_ask_for_the_list_in_the_same_second() {
     for (couriers, most) in [(3, 3), (30, 12), (100, 25)] {
-        let set = Settings { must_subscribe: true, ..settings() };
+        let set = Settings { subscription_required: true, ..settings() };
         let mut world = World::new(set, couriers, small_shop(80.0), 3);
         world.pass(MS * 9000);
         let start = world.lists(0);
@@ -109,7 +109,7 @@
         assert!(start.iter().all(|asked| *asked <= most), "at a start: {start:?}");
         // Discovery goes down, and each watch with it.
         for drive in &mut world.fleet {
-            drive.feed(&[Event::ListFailed]);
+            drive.feed(&[Event::EndpointListFailed]);
         }
         world.pass(MS * 10_000);
         let asked = world.lists(9);
@@ -210,7 +210,7 @@
 
 #[test]
 fn couriers_that_are_killed_twice_ask_for_the_list_no_more_together_than_once() {
-    let set = Settings { must_subscribe: true, ..settings() };
+    let set = Settings { subscription_required: true, ..settings() };
     let mut world = World::new(set, 100, small_shop(80.0), 8);
     world.load = vec![(1, 40.0)];
     world.pass(MS * 10_000);
@@ -231,11 +231,11 @@
 
 #[test]
 fn any_number_of_couriers_and_any_limit_end_each_message_in_its_time() {
-    for couriers in [0, 1, 4, 5, 10_000, usize::MAX] {
+    for courier_count in [0, 1, 4, 5, 10_000, usize::MAX] {
         for limit in [0.0, 1e-9, 1.0, 1e12, f64::INFINITY] {
-            for weights in [WeightKind::None, WeightKind::Nominal] {
-                let set = Settings { couriers, weights, must_subscribe: true, ..settings() };
-                let listed = Entry { weight: limit, ..entry(0, 1, 0, 0) };
+            for weight_kind in [WeightKind::None, WeightKind::Nominal] {
+                let set = Settings { courier_count, weight_kind, subscription_required: true, ..settings() };
+                let listed = EndpointEntry { weight: limit, ..entry(0, 1, 0, 0) };
                 let mut drive = Drive::seeded(set, vec![listed], 3);
                 let mut out = drive.feed(&(1..=3).map(|n| taken(n, 0, 1, MS * 8000)).collect::<Vec<_>>());
                 let mut over = std::collections::BTreeSet::new();
@@ -248,11 +248,18 @@
                                 let full = step % 2 == 0;
                                 let outcome =
                                     if full { Outcome::Full { wait: None } } else { Outcome::Delivered };
-                                let report = Some(Report { left: 0.0, limit });
-                                let took = MS * 20;
-                                let ended = Ended { message, endpoint, outcome, took, over: !full, report };
+                                let report = Some(LimitReport { remaining_share: 0.0, limit });
+                                let elapsed = MS * 20;
+                                let ended = AttemptEnded {
+                                    message,
+                                    endpoint,
+                                    outcome,
+                                    elapsed,
+                                    is_final: !full,
+                                    report,
+                                };
                                 over.extend((!full).then_some(message));
-                                news.push(Event::Ended(ended));
+                                news.push(Event::AttemptEnded(ended));
                             }
                             Action::Refuse { message, .. } | Action::Fail { message } => {
                                 over.insert(message);
@@ -263,7 +270,7 @@
                     out = drive.feed(&news);
                     out.extend(drive.pass(MS * 100));
                 }
-                assert_eq!(over.len(), 3, "{couriers} couriers, a limit of {limit}, {weights:?}");
+                assert_eq!(over.len(), 3, "{courier_count} couriers, a limit of {limit}, {weight_kind:?}");
             }
         }
     }
--- a/crates/decide/tests/membership.rs
+++ b/crates/decide/tests/membership.rs
@@ -10,7 +10,7 @@
 const TERM: Duration = Duration::from_secs(6);
 
 fn leased() -> Settings {
-    Settings { membership_term: Some(TERM), ..settings() }
+    Settings { membership_lease_duration: Some(TERM), ..settings() }
 }
 
 fn current(drive: &Drive) -> Event {
@@ -43,7 +43,7 @@
 
 #[test]
 fn an_endpoint_that_discovery_does_not_list_is_sent_to_whatever_the_age_of_the_list() {
-    let own = Entry { leased: false, ..entry(1, 1, 0, 0) };
+    let own = EndpointEntry { requires_lease: false, ..entry(1, 1, 0, 0) };
     let mut drive = Drive::new(leased(), vec![entry(0, 1, 0, 0), own]);
     assert_eq!(sends(&drive.feed(&[taken(1, 0, 1, MS * 8000)])), [(1, 1)]);
 }
@@ -56,14 +56,14 @@
     let ends = actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }));
     assert_eq!(ends.count(), 2, "{actions:?}");
     assert!(sends(&actions).is_empty());
-    let wakes = actions.iter().filter(|a| matches!(a, Action::Wake { .. })).count();
+    let wakes = actions.iter().filter(|a| matches!(a, Action::SetTimer { .. })).count();
     assert!(wakes < 50, "{wakes} wake-ups while nothing can be sent");
 }
 
 #[test]
 fn a_fleet_asks_for_the_list_before_it_runs_out_and_not_all_at_once() {
     const FLEET: u64 = 100;
-    let set = Settings { couriers: FLEET as usize, must_subscribe: true, ..leased() };
+    let set = Settings { courier_count: FLEET as usize, subscription_required: true, ..leased() };
     let asked = (0..FLEET).map(|seed| {
         let mut drive = Drive::seeded(set.clone(), vec![entry(0, 1, 0, 0)], seed);
         let begun = drive.now;
--- a/crates/decide/tests/memory_usage.rs
+++ b/crates/decide/tests/memory_usage.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn the_estimate_is_near_what_the_allocator_gave_out() {
-    let settings = Settings { max_held: 20_000, slots: 64, ..settings() };
+    let settings = Settings { max_messages: 20_000, max_calls_in_flight: 64, ..settings() };
     for (endpoints, messages) in [(20_000, 0), (200, 20_000), (4000, 10_000)] {
         let region = Region::new(ALLOCATOR);
         let entries = (0..endpoints).map(|n| entry(n, u64::from(n / 4), 0, 1)).collect();
@@ -34,6 +34,10 @@
             drive.feed(&[taken(n, 0, n % u64::from(endpoints / 4), Duration::from_secs(8))]);
         }
         drive.log = Vec::new();
-        near(&format!("{endpoints} endpoints, {messages} messages"), drive.brain.weigh().sum(), &region);
+        near(
+            &format!("{endpoints} endpoints, {messages} messages"),
+            drive.scheduler.memory_usage().total(),
+            &region,
+        );
     }
 }
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -5,7 +5,7 @@
 use common::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use stairshed_decide::interface::*;
-use stairshed_decide::scheduler::Brain;
+use stairshed_decide::scheduler::Scheduler;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 }
 
 struct Told {
-    entry: Entry,
+    entry: EndpointEntry,
     /// Since when it is not to be used.
     ended: Option<Duration>,
 }
@@ -55,7 +55,7 @@
         assert!(!m.out, "two attempts out");
         assert_eq!(told.entry.destination.0, m.destination, "sent to another destination");
         assert!(told.ended.is_none_or(|t| self.now <= t + self.set.drain_grace), "drain not kept");
-        assert!(m.attempts < self.set.attempt_cap, "too many attempts");
+        assert!(m.attempts < self.set.max_attempts, "too many attempts");
         if let Some((first, at)) = m.ran {
             match self.set.classes[m.class].effect {
                 Effect::Repeatable => {}
@@ -87,20 +87,20 @@
             8 => Outcome::Crowded,
             _ => Outcome::Delivered,
         };
-        let took = match outcome {
+        let elapsed = match outcome {
             Outcome::TimedOut => timeout.max(MS),
             _ => MS * self.rng.random_range(5..400),
         };
-        let over = outcome == Outcome::Delivered;
-        let event = Event::Ended(Ended {
+        let is_final = outcome == Outcome::Delivered;
+        let event = Event::AttemptEnded(AttemptEnded {
             message: MessageId(message),
             endpoint: EndpointId(endpoint),
             outcome,
-            took,
-            over,
+            elapsed,
+            is_final,
             report: None,
         });
-        self.coming.push((self.now + took, event));
+        self.coming.push((self.now + elapsed, event));
     }
 
     fn answered(&mut self, message: u64, refused: bool) {
@@ -127,14 +127,14 @@
     }
 
     fn learn(&mut self, event: &Event) {
-        let Event::Ended(e) = event else { return };
+        let Event::AttemptEnded(e) = event else { return };
         let pool = self.pool(e.endpoint.0);
         let m = self.open.get_mut(&e.message.0).expect("known");
         m.out = false;
-        m.answered |= e.over;
+        m.answered |= e.is_final;
         let ran = matches!(e.outcome, Outcome::Error | Outcome::TimedOut | Outcome::Reset);
         if ran && m.ran.is_none() {
-            m.ran = Some((e.endpoint.0, self.now - e.took));
+            m.ran = Some((e.endpoint.0, self.now - e.elapsed));
         }
         if let (Outcome::TimedOut | Outcome::Reset, Some(key)) = (e.outcome, &m.key) {
             self.rests.insert(key.clone(), (e.message.0, self.now + self.set.order_pause));
@@ -150,9 +150,9 @@
 fn play(seed: u64) -> (usize, usize) {
     let mut set = settings();
     set.classes[1].ordered = seed.is_multiple_of(2);
-    set.slots = if seed.is_multiple_of(3) { 3 } else { 12 };
-    set.may_probe = !seed.is_multiple_of(5);
-    let mut brain = Brain::new(set.clone(), seed).expect("workable settings");
+    set.max_calls_in_flight = if seed.is_multiple_of(3) { 3 } else { 12 };
+    set.probing_enabled = !seed.is_multiple_of(5);
+    let mut scheduler = Scheduler::new(set.clone(), seed).expect("workable settings");
     let mut list = BTreeMap::new();
     for (n, (dest, zone, kind)) in
         [(0, 0, 0), (0, 1, 0), (1, 0, 1), (1, 1, 1), (2, 0, 2), (2, 0, 2)].into_iter().enumerate()
@@ -169,7 +169,7 @@
         waits: BTreeMap::new(),
         turns: BTreeMap::new(),
         rests: BTreeMap::new(),
-        coming: vec![(MS * 500, Event::Listed { whole: true, entries })],
+        coming: vec![(MS * 500, Event::EndpointList { complete: true, entries })],
         answers: 0,
         sends: 0,
     };
@@ -194,37 +194,39 @@
             let m =
                 Open { class, destination, key: ordered, end, ran, out: false, attempts: 0, answered: false };
             world.open.insert(next, m);
-            let Event::Taken(mut t) = taken(next, class, destination, left) else { unreachable!() };
+            let Event::Accepted(mut t) = taken(next, class, destination, left) else { unreachable!() };
             t.key = key;
-            events.push(Event::Taken(t));
+            events.push(Event::Accepted(t));
         }
         if world.rng.random_bool(0.004) {
             let n = world.rng.random_range(0..6);
             let told = world.list.get_mut(&n).expect("listed");
-            let standing =
-                [Standing::Ready, Standing::Draining, Standing::Gone][world.rng.random_range(0..3)];
-            told.entry.standing = standing;
-            told.ended = (standing != Standing::Ready).then(|| told.ended.unwrap_or(now));
-            events.push(Event::Listed { whole: false, entries: vec![told.entry] });
+            let standing = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
+                [world.rng.random_range(0..3)];
+            told.entry.state = standing;
+            told.ended = (standing != EndpointState::Ready).then(|| told.ended.unwrap_or(now));
+            events.push(Event::EndpointList { complete: false, entries: vec![told.entry] });
         }
         if world.rng.random_bool(0.01) {
-            events.push(Event::Woken { token: 999_999 });
+            events.push(Event::TimerFired { token: 999_999 });
             events.push(Event::Withdrawn { message: MessageId(888_888) });
-            events.push(Event::ListFailed);
+            events.push(Event::EndpointListFailed);
         }
         events.iter().for_each(|e| world.learn(e));
         let mut actions = Vec::new();
-        brain.handle(now, &events, &mut actions);
+        scheduler.handle(now, &events, &mut actions);
         for action in actions {
             match action {
                 Action::Send { message, endpoint, timeout } => world.sent(message.0, endpoint.0, timeout),
                 Action::Refuse { message, .. } => world.answered(message.0, true),
                 Action::Fail { message } => world.answered(message.0, false),
-                Action::Wake { token, after } => world.coming.push((now + after, Event::Woken { token })),
+                Action::SetTimer { token, after } => {
+                    world.coming.push((now + after, Event::TimerFired { token }))
+                }
                 Action::Probe { endpoint } => {
                     let outcome =
                         if world.rng.random_bool(0.5) { Outcome::Delivered } else { Outcome::TimedOut };
-                    let event = Event::Probed { endpoint, outcome, took: MS * 30, report: None };
+                    let event = Event::ProbeEnded { endpoint, outcome, elapsed: MS * 30, report: None };
                     world.coming.push((now + MS * 30, event));
                 }
                 Action::Cancel { message, attempt } => {
--- a/crates/decide/tests/scenarios.rs
+++ b/crates/decide/tests/scenarios.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use stairshed_decide::interface::*;
-use stairshed_decide::scheduler::Brain;
+use stairshed_decide::scheduler::Scheduler;
 
 /// Answers every send with `outcome` after `ms`, for `rounds` messages of a class.
 fn serve(
@@ -29,15 +29,18 @@
 
 #[test]
 fn settings_that_cannot_be_worked_with_are_an_error() {
-    let no_slots = Settings { slots: 0, ..settings() };
+    let no_slots = Settings { max_calls_in_flight: 0, ..settings() };
     let no_classes = Settings { classes: Vec::new(), ..settings() };
-    let nonsense = Settings { fall_multiple: f64::NAN, ..settings() };
-    assert!([no_slots, no_classes, nonsense].into_iter().all(|s| Brain::new(s, 1).is_err()));
+    let nonsense = Settings { overload_multiple: f64::NAN, ..settings() };
+    assert!([no_slots, no_classes, nonsense].into_iter().all(|s| Scheduler::new(s, 1).is_err()));
 }
 
 #[test]
 fn earliest_deadline_leaves_first_when_slots_are_few() {
-    let mut d = Drive::new(Settings { slots: 1, ..settings() }, vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0)]);
+    let mut d = Drive::new(
+        Settings { max_calls_in_flight: 1, ..settings() },
+        vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0)],
+    );
     assert_eq!(sends(&d.feed(&[taken(1, 2, 1, MS * 20_000)])), [(1, 0)]);
     d.feed(&[taken(2, 2, 1, MS * 20_000), taken(3, 0, 2, MS * 8000)]);
     // The aim of class 0 is the nearest.
@@ -130,7 +133,12 @@
         }
         if has(&actions, |a| matches!(a, Action::Probe { .. })) {
             let endpoint = EndpointId(0);
-            d.feed(&[Event::Probed { endpoint, outcome: Outcome::Delivered, took: MS * 5, report: None }]);
+            d.feed(&[Event::ProbeEnded {
+                endpoint,
+                outcome: Outcome::Delivered,
+                elapsed: MS * 5,
+                report: None,
+            }]);
         }
     }
     let call = |a: &Action| matches!(a, Action::Send { .. } | Action::Probe { .. });
@@ -142,7 +150,10 @@
 #[test]
 fn a_stuck_call_gives_up_its_slot_when_others_wait_for_it() {
     // Incident i5036bc: unsafe calls without an answer held the slots for their whole life.
-    let mut d = Drive::new(Settings { slots: 2, ..settings() }, vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0)]);
+    let mut d = Drive::new(
+        Settings { max_calls_in_flight: 2, ..settings() },
+        vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0)],
+    );
     d.feed(&[taken(1, 2, 1, MS * 20_000), taken(2, 2, 2, MS * 20_000)]);
     let cancel = |a: &Action| matches!(a, Action::Cancel { .. });
     assert!(!has(&d.pass(MS * 6000), cancel), "with nothing waiting the call is left its time");
@@ -153,8 +164,8 @@
 #[test]
 fn nothing_goes_to_a_draining_endpoint_and_a_message_without_one_is_refused_in_time() {
     let mut d = Drive::new(settings(), vec![entry(0, 1, 0, 0)]);
-    let gone = Entry { standing: Standing::Draining, ..entry(0, 1, 0, 0) };
-    d.feed(&[Event::Listed { whole: false, entries: vec![gone] }]);
+    let gone = EndpointEntry { state: EndpointState::Draining, ..entry(0, 1, 0, 0) };
+    d.feed(&[Event::EndpointList { complete: false, entries: vec![gone] }]);
     let mut actions = d.feed(&[taken(1, 0, 1, MS * 3000)]);
     actions.extend(d.pass(MS * 3100));
     assert!(sends(&actions).is_empty());
@@ -163,14 +174,14 @@
 
 #[test]
 fn a_failed_subscription_is_asked_for_again() {
-    let mut d = Drive::new(Settings { must_subscribe: true, ..settings() }, vec![entry(0, 1, 0, 0)]);
+    let mut d = Drive::new(Settings { subscription_required: true, ..settings() }, vec![entry(0, 1, 0, 0)]);
     let asks = |d: &Drive| d.log.iter().filter(|(_, a)| matches!(a, Action::Subscribe { .. })).count();
     assert_eq!(asks(&d), 1);
     d.now += MS * 5;
-    d.feed(&[Event::ListFailed]);
+    d.feed(&[Event::EndpointListFailed]);
     d.pass(MS * 3000);
     assert_eq!(asks(&d), 2);
-    d.feed(&[Event::Listed { whole: false, entries: Vec::new() }]);
+    d.feed(&[Event::EndpointList { complete: false, entries: Vec::new() }]);
     d.pass(MS * 20_000);
     assert_eq!(asks(&d), 2);
 }
@@ -178,7 +189,7 @@
 #[test]
 fn a_paused_destination_cannot_fill_the_room() {
     let mut d =
-        Drive::new(Settings { max_held: 40, ..settings() }, vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0)]);
+        Drive::new(Settings { max_messages: 40, ..settings() }, vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0)]);
     let (message, endpoint) = sends(&d.feed(&[taken(0, 1, 1, MS * 20_000)]))[0];
     d.feed(&[ended(message, endpoint, Outcome::Full { wait: Some(MS * 9000) }, 10)]);
     let actions = d.feed(&(1..60).map(|id| taken(id, 1, 1, MS * 20_000)).collect::<Vec<_>>());
@@ -200,8 +211,8 @@
 #[test]
 fn a_pace_cut_in_a_trouble_does_not_refuse_what_can_be_served_later() {
     // Found on a busy day with failing destinations: the chart counted on the cut pace.
-    let set = Settings { weights: WeightKind::Nominal, ..settings() };
-    let mut d = Drive::new(set, vec![Entry { weight: 20.0, ..entry(0, 1, 0, 0) }]);
+    let set = Settings { weight_kind: WeightKind::Nominal, ..settings() };
+    let mut d = Drive::new(set, vec![EndpointEntry { weight: 20.0, ..entry(0, 1, 0, 0) }]);
     // Refused as full, again and again, until the pace is near its floor.
     let mut fulls = 0;
     let mut out = sends(&d.feed(&[taken(0, 1, 1, MS * 20_000), taken(1, 1, 1, MS * 20_000)]));
@@ -227,7 +238,10 @@
     assert_eq!(sends(&d.feed(&[taken(100, 2, 1, MS * 20_000)])), [(100, 0)]);
     d.now += MS * 2000;
     d.feed(&[ended(100, 0, Outcome::Delivered, 60), taken(101, 2, 1, MS * 20_000)]);
-    assert_eq!(d.log.last().map(|l| matches!(l.1, Action::Send { .. } | Action::Wake { .. })), Some(true));
+    assert_eq!(
+        d.log.last().map(|l| matches!(l.1, Action::Send { .. } | Action::SetTimer { .. })),
+        Some(true)
+    );
     assert!(sends(&d.log.iter().map(|l| l.1.clone()).collect::<Vec<_>>()).contains(&(101, 0)));
 }
 
@@ -235,7 +249,7 @@
 fn a_rare_courier_frees_its_connection_once_connections_are_few() {
     // Found on the first days at full size: hundreds of idle connections left none for a call.
     let mut d = Drive::new(settings(), vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0), entry(2, 3, 0, 1)]);
-    let close = |a: &Action| matches!(a, Action::Close { .. });
+    let close = |a: &Action| matches!(a, Action::CloseIdleConnections { .. });
     let end = |d: &mut Drive, id, dest, outcome| {
         let (message, endpoint) = sends(&d.feed(&[taken(id, 0, dest, MS * 8000)]))[0];
         d.feed(&[ended(message, endpoint, outcome, 30)])
@@ -249,7 +263,7 @@
 #[test]
 fn an_idle_courier_sleeps_and_a_holding_one_wakes_when_something_can_change() {
     let mut d = Drive::new(settings(), vec![entry(0, 1, 0, 0)]);
-    let wakes = |d: &Drive| d.log.iter().filter(|(_, a)| matches!(a, Action::Wake { .. })).count();
+    let wakes = |d: &Drive| d.log.iter().filter(|(_, a)| matches!(a, Action::SetTimer { .. })).count();
     d.pass(MS * 10_000);
     assert_eq!(wakes(&d), 0);
     let (message, endpoint) = sends(&d.feed(&[taken(1, 0, 1, MS * 8000)]))[0];
@@ -278,9 +292,9 @@
 fn endpoints_of_one_destination_that_are_shut_take_turns_at_trials() {
     // Found on a day with replaced endpoints: a failed trial put the others behind its own next one, so that
     // one endpoint that stayed down was tried for ever and one that was back never.
-    let known = |id| Entry { weight: 20.0, ..entry(id, 1, 0, 1) };
+    let known = |id| EndpointEntry { weight: 20.0, ..entry(id, 1, 0, 1) };
     let mut d =
-        Drive::new(Settings { weights: WeightKind::Nominal, ..settings() }, (0..3).map(known).collect());
+        Drive::new(Settings { weight_kind: WeightKind::Nominal, ..settings() }, (0..3).map(known).collect());
     let mut late = Vec::new();
     for id in 0..600 {
         let mut actions = d.feed(&[taken(id, 0, 1, MS * 8000)]);
@@ -299,12 +313,13 @@
 fn an_endpoint_long_gone_is_forgotten_once_nothing_names_it() {
     let mut d = Drive::new(settings(), vec![entry(0, 1, 0, 1), entry(1, 1, 0, 1)]);
     let forgotten = |actions: &[Action]| -> Vec<u32> {
-        let one = |a: &Action| if let Action::Forget { endpoint } = a { Some(endpoint.0) } else { None };
+        let one =
+            |a: &Action| if let Action::ForgetEndpoint { endpoint } = a { Some(endpoint.0) } else { None };
         actions.iter().filter_map(one).collect()
     };
     let sent = sends(&d.feed(&[taken(1, 2, 1, MS * 60_000)]));
     let (out, other) = (sent[0].1, 1 - sent[0].1);
-    let list = |entries: Vec<Entry>| Event::Listed { whole: true, entries };
+    let list = |entries: Vec<EndpointEntry>| Event::EndpointList { complete: true, entries };
     assert!(forgotten(&d.feed(&[list(vec![entry(2, 1, 0, 1)])])).is_empty(), "it may come back cold");
     let mut seen = d.pass(MS * 11_000);
     seen.extend(d.feed(&[list(vec![entry(2, 1, 0, 1)])]));
