--- a/crates/courier/src/front/admin.rs
+++ b/crates/courier/src/front/admin.rs
@@ -2,7 +2,7 @@
 //! their own, off unless configured, loopback only.
 
 use crate::front::intake::Standing;
-use crate::out::connection_status::ConnectionStatus;
+use crate::outbound::connection_status::ConnectionStatus;
 use crate::place::control::View;
 use crate::place::watch_status::WatchStatus;
 use crate::room::Room;
--- a/crates/courier/src/front/mqtt.rs
+++ b/crates/courier/src/front/mqtt.rs
@@ -6,7 +6,7 @@
 use crate::front::farewell::{Farewells, Speaks, Why};
 use crate::front::users::Users;
 use crate::news::{COME_AGAIN, Front, News, Offer, Reply, ReplyTo, Store, reason};
-use crate::out::outcomes;
+use crate::outbound::outcomes;
 use crate::room::{NoRoom, Room};
 use crate::socket::is_transient;
 use bytes::BytesMut;
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -12,10 +12,10 @@
 pub mod client;
 mod clock;
 mod fault;
-pub mod follow;
 mod front;
+pub mod message_trace;
 mod news;
-mod out;
+mod outbound;
 mod owner;
 mod place;
 mod room;
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -1,7 +1,7 @@
 //! The `stairshed` command: the courier, and tools for its configuration and its journal.
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
-use stairshed_courier::follow::{Followed, follow};
+use stairshed_courier::message_trace::{Followed, follow};
 use stairshed_courier::users;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/courier/src/follow.rs
+++ b/crates/courier/src/message_trace.rs
@@ -110,5 +110,5 @@
 }
 
 #[cfg(test)]
-#[path = "follow_test.rs"]
+#[path = "message_trace_test.rs"]
 mod tests;
--- a/crates/courier/src/news.rs
+++ b/crates/courier/src/news.rs
@@ -1,7 +1,7 @@
 //! What crosses between the courier's parts: the news that its owner of the decision module hears, and
 //! what they carry. It stands below all of them, so that no part imports the owner.
 
-use crate::out::exchange::Exchange;
+use crate::outbound::exchange::Exchange;
 use crate::room::NoRoom;
 use serde::Deserialize;
 use stairshed_config::Installation;
--- a/crates/courier/src/out/attempt_outcome.rs
+++ b/crates/courier/src/outbound/attempt_outcome.rs
@@ -4,7 +4,7 @@
 //! message that is over is not sent again, whatever becomes of the rest of the answer that says so.
 
 use crate::news::{AfterAttempt, CallEnd};
-use crate::out::link::{Answer, Heard, Lost};
+use crate::outbound::http_connection::{Answer, Heard, Lost};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
 use stairshed_decide::interface::{Outcome, Report};
--- a/crates/courier/src/out/broker.rs
+++ b/crates/courier/src/outbound/broker_connection.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::unix;
 use crate::news::{AfterAttempt, CallEnd, News};
-use crate::out::calls::Call;
+use crate::outbound::endpoint_client::Call;
 use crate::socket::is_transient;
 use bytes::Bytes;
 use stairshed_config::file::{self, MqttVersion};
--- a/crates/courier/src/out/connection_pool.rs
+++ b/crates/courier/src/outbound/connection_pool.rs
@@ -1,9 +1,9 @@
 //! The connections to endpoints that stand idle between two exchanges, and the sockets and the memory for new ones.
 
-use crate::out::answer_identity::{AnswerHistories, Expectation};
-use crate::out::break_rate::BreakRates;
-use crate::out::connection_status::{CloseReason, ConnectionStatus};
-use crate::out::link::{Answer, Link};
+use crate::outbound::break_rate::BreakRates;
+use crate::outbound::connection_status::{CloseReason, ConnectionStatus};
+use crate::outbound::http_connection::{Answer, Link};
+use crate::outbound::response_identity::{AnswerHistories, Expectation};
 use crate::room::Room;
 use stairshed_decide::interface::EndpointId;
 use stairshed_memory::{Charge, Purpose};
--- a/crates/courier/src/out/connection_status.rs
+++ b/crates/courier/src/outbound/connection_status.rs
@@ -1,6 +1,6 @@
 //! Counters of the connections to endpoints and of why they were closed, for the log and the page `/-/connections`.
 
-use crate::out::link::{Heard, SocketFailure};
+use crate::outbound::http_connection::{Heard, SocketFailure};
 use serde_json::{Value, json};
 use stairshed_decide::interface::EndpointId;
 use std::cell::{Cell, RefCell};
--- a/crates/courier/src/out/calls.rs
+++ b/crates/courier/src/outbound/endpoint_client.rs
@@ -2,13 +2,13 @@
 //! may have run is told apart from what never did.
 
 use crate::news::{CallEnd, News};
-use crate::out::answer_identity::AnswerIdentity;
-use crate::out::attempt_outcome::{ended, restrained, unanswered};
-use crate::out::connection_pool::{ConnectionPool, PooledConnection};
-use crate::out::connection_status::ConnectionStatus;
-use crate::out::exchange::Exchange;
-use crate::out::link::{Answer, Heard, Lost};
-use crate::out::listening::{Listening, watched};
+use crate::outbound::attempt_outcome::{ended, restrained, unanswered};
+use crate::outbound::connection_pool::{ConnectionPool, PooledConnection};
+use crate::outbound::connection_status::ConnectionStatus;
+use crate::outbound::exchange::Exchange;
+use crate::outbound::exchange_monitor::{Listening, watched};
+use crate::outbound::http_connection::{Answer, Heard, Lost};
+use crate::outbound::response_identity::AnswerIdentity;
 use crate::room::Room;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -297,5 +297,5 @@
 }
 
 #[cfg(test)]
-#[path = "calls_test.rs"]
+#[path = "endpoint_client_test.rs"]
 mod tests;
--- a/crates/courier/src/out/exchange.rs
+++ b/crates/courier/src/outbound/exchange.rs
@@ -1,7 +1,7 @@
 //! What the log says of one exchange: a request on a connection to an endpoint, and the answer that was read for it.
 
-use crate::out::connection_status::CloseReason;
-use crate::out::link::Heard;
+use crate::outbound::connection_status::CloseReason;
+use crate::outbound::http_connection::Heard;
 use std::fmt;
 use std::time::Duration;
 
--- a/crates/courier/src/out/listening.rs
+++ b/crates/courier/src/outbound/exchange_monitor.rs
@@ -1,7 +1,7 @@
 //! What is heard of an answer while its exchange goes on, and what of it is passed on at once.
 
 use crate::news::News;
-use crate::out::link::{Heard, Listener};
+use crate::outbound::http_connection::{Heard, Listener};
 use stairshed_decide::interface::{EndpointId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
--- a/crates/courier/src/out/link.rs
+++ b/crates/courier/src/outbound/http_connection.rs
@@ -1,9 +1,9 @@
 //! One connection to another machine, driven by whoever holds it. There is no task behind it: dropping a
 //! link closes its socket at once, and what became of a request is known.
 
-use crate::out::answer_head::AnswerHead;
-use crate::out::answer_identity::AnswerIdentity;
-use crate::out::connection_status::CloseReason;
+use crate::outbound::connection_status::CloseReason;
+use crate::outbound::response_head::AnswerHead;
+use crate::outbound::response_identity::AnswerIdentity;
 use crate::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/crates/courier/src/out/outcomes.rs
+++ b/crates/courier/src/outbound/outcomes.rs
@@ -2,7 +2,7 @@
 //! post, in a file, or both. Sent until they are acknowledged, however long that takes.
 
 use crate::news::News;
-use crate::out::link::Link;
+use crate::outbound::http_connection::Link;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
--- a/crates/courier/src/out/answer_head.rs
+++ b/crates/courier/src/outbound/response_head.rs
@@ -131,5 +131,5 @@
 }
 
 #[cfg(test)]
-#[path = "answer_head_test.rs"]
+#[path = "response_head_test.rs"]
 mod tests;
--- a/crates/courier/src/out/answer_identity.rs
+++ b/crates/courier/src/outbound/response_identity.rs
@@ -102,5 +102,5 @@
 }
 
 #[cfg(test)]
-#[path = "answer_identity_test.rs"]
+#[path = "response_identity_test.rs"]
 mod tests;
--- a/crates/courier/src/owner/ended.rs
+++ b/crates/courier/src/owner/ended.rs
@@ -5,7 +5,7 @@
 use super::held::Waiting;
 use super::memory::Loose;
 use crate::clock::unix;
-use crate::follow;
+use crate::message_trace;
 use crate::news::{Offer, Reply, ReplyTo};
 use stairshed_journal::{Kept, Letter, Verdict};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -133,7 +133,7 @@
     /// ended.
     pub(super) fn repeat(&mut self, letter: &Letter) -> Option<Reply> {
         if letter.routed.is_none() && self.ended.recalled.has(&letter.id) {
-            follow::step(&letter.id, format_args!("handed in again after its end: not sent again"));
+            message_trace::step(&letter.id, format_args!("handed in again after its end: not sent again"));
             return Some(Reply::Taken);
         }
         let message = *self.ended.by_id.get(&letter.id)?;
--- a/crates/courier/src/owner/notices.rs
+++ b/crates/courier/src/owner/notices.rs
@@ -2,8 +2,8 @@
 
 use super::Courier;
 use crate::clock::unix;
-use crate::follow;
-use crate::out::outcomes::{Notice, Outcomes};
+use crate::message_trace;
+use crate::outbound::outcomes::{Notice, Outcomes};
 use stairshed_journal::Verdict;
 use std::collections::VecDeque;
 
@@ -34,7 +34,7 @@
         }
         let id = m.letter.id.clone();
         let left = m.letter.until.saturating_sub(unix());
-        follow::step(
+        message_trace::step(
             &id,
             format_args!(
                 "ends verdict={verdict:?} attempts={} out={} left={left:?}",
--- a/crates/courier/src/owner/out.rs
+++ b/crates/courier/src/owner/out.rs
@@ -4,10 +4,10 @@
 use super::held::{Held, Waiting};
 use super::stopping::STOP_SENDING;
 use crate::clock::unix;
-use crate::follow;
+use crate::message_trace;
 use crate::news::{AfterAttempt, CallEnd};
-use crate::out::calls::{Call, Calls, To};
-use crate::out::exchange::Logged;
+use crate::outbound::endpoint_client::{Call, Calls, To};
+use crate::outbound::exchange::Logged;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Attempt, Verdict};
 use std::collections::BTreeMap;
@@ -62,7 +62,7 @@
             } else {
                 "maybe"
             };
-            follow::step(
+            message_trace::step(
                 &m.letter.id,
                 format_args!(
                     "attempt={attempt} ended outcome={:?} ran={ran} over={} proof={:?} {}",
@@ -131,7 +131,7 @@
             m.attempts += 1;
             let list = &self.setup.watch_status;
             let host = self.members.endpoints.get(&endpoint).map(|e| e.host.as_str());
-            follow::step(
+            message_trace::step(
                 &m.letter.id,
                 format_args!(
                     "attempt={number} decided endpoint={} host={} address={address} for={timeout:?} list={} list_age={:?}",
--- a/crates/courier/src/owner/records.rs
+++ b/crates/courier/src/owner/records.rs
@@ -4,9 +4,9 @@
 use super::Courier;
 use super::held::{Held, NOWHERE, Waiting};
 use crate::clock::unix;
-use crate::follow;
+use crate::message_trace;
 use crate::news::News;
-use crate::out::outcomes::Notice;
+use crate::outbound::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Synced, Verdict};
 use std::collections::VecDeque;
@@ -77,7 +77,7 @@
                 continue;
             }
             let taken = self.taken_before(message, &m, class.unwrap_or_default());
-            follow::step(
+            message_trace::step(
                 &letter.id,
                 format_args!("resumed number={message} class={} past={:?}", letter.class, taken.past),
             );
--- a/crates/courier/src/place/control.rs
+++ b/crates/courier/src/place/control.rs
@@ -6,7 +6,7 @@
 use crate::front::intake::Intake;
 use crate::front::listener::listen;
 use crate::news::{Changes, Configured, News};
-use crate::out::link::Link;
+use crate::outbound::http_connection::Link;
 use crate::place::dns::Lookups;
 use crate::place::file;
 use crate::place::hosts::hosts;
--- a/crates/courier/src/place/watch.rs
+++ b/crates/courier/src/place/watch.rs
@@ -4,7 +4,7 @@
 use super::outage::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
 use crate::news::{List, News};
-use crate::out::link::{ConnectError, Link, Lost, StreamEnd};
+use crate::outbound::http_connection::{ConnectError, Link, Lost, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
