--- a/crates/courier/src/front/mqtt.rs
+++ b/crates/courier/src/front/mqtt.rs
@@ -116,7 +116,7 @@
     }
 
     fn outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
-        let line = outcomes::line(id, verdict);
+        let line = outcomes::outcome_line(id, verdict);
         self.with(|machine, _| machine.outcome(owner, Outcome { message, line }));
     }
 }
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -1,7 +1,7 @@
 //! The `stairshed` command: the courier, and tools for its configuration and its journal.
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
-use stairshed_courier::message_trace::{Followed, follow};
+use stairshed_courier::message_trace::{TraceFilter, enable_tracing};
 use stairshed_courier::users;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,7 +26,7 @@
     settings: Option<PathBuf>,
     /// Writes each step of these messages to standard error: ids with commas between them, or a share such as 1/100.
     #[arg(long, value_name = "IDS", global = true)]
-    follow: Option<Followed>,
+    follow: Option<TraceFilter>,
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -117,7 +117,7 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     if let Some(followed) = cli.follow {
-        follow(followed);
+        enable_tracing(followed);
     }
     let out = &mut std::io::stdout();
     let text = |e: &dyn std::fmt::Display| e.to_string();
--- a/crates/courier/src/message_trace.rs
+++ b/crates/courier/src/message_trace.rs
@@ -16,7 +16,7 @@
 
 /// Which messages are followed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Followed {
+pub enum TraceFilter {
     /// Those with these ids.
     Ids(BTreeSet<String>),
     /// One in so many, drawn by the id: the same ones at every courier.
@@ -25,7 +25,7 @@
 
 /// What cannot be followed.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum Unclear {
+pub enum TraceFilterError {
     #[error("`1/{0}` names no share: give 1/1 for every message, 1/100 for one in a hundred")]
     Share(String),
     #[error("no id is named: give ids with commas between them, or a share such as 1/100")]
@@ -34,30 +34,30 @@
     Many(usize),
 }
 
-impl FromStr for Followed {
-    type Err = Unclear;
+impl FromStr for TraceFilter {
+    type Err = TraceFilterError;
 
-    fn from_str(text: &str) -> Result<Self, Unclear> {
+    fn from_str(text: &str) -> Result<Self, TraceFilterError> {
         if let Some(share) = text.strip_prefix("1/") {
             let one_in = share.parse().ok().filter(|n| *n > 0);
-            return one_in.map(Followed::OneIn).ok_or_else(|| Unclear::Share(share.to_owned()));
+            return one_in.map(TraceFilter::OneIn).ok_or_else(|| TraceFilterError::Share(share.to_owned()));
         }
         let ids: BTreeSet<_> =
             text.split(',').map(str::trim).filter(|id| !id.is_empty()).map(str::to_owned).collect();
         match ids.len() {
-            0 => Err(Unclear::Empty),
-            n if n > IDS_MOST => Err(Unclear::Many(n)),
-            _ => Ok(Followed::Ids(ids)),
+            0 => Err(TraceFilterError::Empty),
+            n if n > IDS_MOST => Err(TraceFilterError::Many(n)),
+            _ => Ok(TraceFilter::Ids(ids)),
         }
     }
 }
 
-impl Followed {
+impl TraceFilter {
     fn has(&self, id: &str) -> bool {
         match self {
-            Followed::Ids(ids) => ids.contains(id),
-            Followed::OneIn(1) => true,
-            Followed::OneIn(n) => {
+            TraceFilter::Ids(ids) => ids.contains(id),
+            TraceFilter::OneIn(1) => true,
+            TraceFilter::OneIn(n) => {
                 let mut hasher = DefaultHasher::new();
                 id.hash(&mut hasher);
                 hasher.finish().is_multiple_of(*n)
@@ -66,7 +66,7 @@
     }
 }
 
-static FOLLOWED: OnceLock<Followed> = OnceLock::new();
+static FOLLOWED: OnceLock<TraceFilter> = OnceLock::new();
 
 thread_local! {
     /// The second, the lines in it, and those that were not written.
@@ -74,7 +74,7 @@
 }
 
 /// Follows these from now on, till the process ends. The first call counts.
-pub fn follow(followed: Followed) {
+pub fn enable_tracing(followed: TraceFilter) {
     let _ = FOLLOWED.set(followed);
 }
 
@@ -91,7 +91,7 @@
 }
 
 /// Writes a step of a message, if it is followed: `follow`, Unix time in s, its id, what happened.
-pub fn step(id: &str, what: Arguments) {
+pub fn log_step(id: &str, what: Arguments) {
     if FOLLOWED.get().is_some_and(|f| f.has(id)) {
         write(id, what);
     }
--- a/crates/courier/src/outbound/attempt_outcome.rs
+++ b/crates/courier/src/outbound/attempt_outcome.rs
@@ -4,7 +4,7 @@
 //! message that is over is not sent again, whatever becomes of the rest of the answer that says so.
 
 use crate::news::{AfterAttempt, CallEnd};
-use crate::outbound::http_connection::{Answer, Heard, Lost};
+use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
 use stairshed_decide::interface::{Outcome, Report};
@@ -12,7 +12,7 @@
 
 /// Forbids what the answer forbids, whether or not it is proof of anything: a message of which an endpoint has said that
 /// it is over is not sent again.
-pub fn restrained(end: CallEnd, heard: Heard) -> CallEnd {
+pub fn restrained(end: CallEnd, heard: ResponseProgress) -> CallEnd {
     match end.after {
         AfterAttempt::Open if heard.is_over() => {
             let proof = "an answer of 410 that could not be read to its end";
@@ -28,21 +28,21 @@
 }
 
 /// What PROTOCOL says of an answer: what it proves, and what it forbids.
-pub fn ended(answer: Result<Answer, Lost>, heard: Heard) -> CallEnd {
+pub fn ended(answer: Result<HttpResponse, RequestError>, heard: ResponseProgress) -> CallEnd {
     restrained(proven(answer, heard.blocked_until), heard)
 }
 
 /// What an answer proves. Only what PROTOCOL calls 'never' counts as not run.
-fn proven(answer: Result<Answer, Lost>, blocked_until: Option<Instant>) -> CallEnd {
+fn proven(answer: Result<HttpResponse, RequestError>, blocked_until: Option<Instant>) -> CallEnd {
     let answer = match answer {
         Ok(answer) => answer,
         Err(lost) => {
             let (outcome, proof) = match lost {
-                Lost::Unsent => (Outcome::ConnectFailed, "no connection, nothing written"),
+                RequestError::NotSent => (Outcome::ConnectFailed, "no connection, nothing written"),
                 // It says nothing of the endpoint, which has not been asked.
-                Lost::Withheld(why) => (Outcome::Moot, why),
-                Lost::Broken => (Outcome::Reset, "connection broke under it"),
-                Lost::Silent => (Outcome::TimedOut, "no answer in time"),
+                RequestError::Withheld(why) => (Outcome::Moot, why),
+                RequestError::ConnectionBroken => (Outcome::Reset, "connection broke under it"),
+                RequestError::TimedOut => (Outcome::TimedOut, "no answer in time"),
             };
             return unanswered(outcome, proof);
         }
--- a/crates/courier/src/outbound/attempt_outcome_test.rs
+++ b/crates/courier/src/outbound/attempt_outcome_test.rs
@@ -14,7 +14,7 @@
             .map(|(name, value)| (name.parse().expect("a name"), value.parse().expect("a value")));
         let (status, at) = (StatusCode::SERVICE_UNAVAILABLE, Instant::now());
         ended(
-            Ok(Answer {
+            Ok(HttpResponse {
                 status,
                 headers: heads.collect(),
                 at,
@@ -22,14 +22,17 @@
                 reusable: Ok(()),
                 identity: None,
             }),
-            Heard::default(),
+            ResponseProgress::default(),
         )
         .outcome
     };
     assert_eq!(of(&[("connection", "close")]), Outcome::Crowded);
     assert_eq!(of(&[]), Outcome::Full { wait: None });
     assert_eq!(of(&[("slots-taken", "1"), ("connection", "close")]), Outcome::Moot);
-    assert_eq!(ended(Err(Lost::Unsent), Heard::default()).outcome, Outcome::ConnectFailed);
+    assert_eq!(
+        ended(Err(RequestError::NotSent), ResponseProgress::default()).outcome,
+        Outcome::ConnectFailed
+    );
 }
 
 #[test]
@@ -45,12 +48,16 @@
 // called off (incident 9421da).
 #[test]
 fn an_attempt_that_has_heard_410_is_the_last_one_however_it_ends() {
-    let gone = Heard { status: Some(410), ..Heard::default() };
+    let gone = ResponseProgress { status: Some(410), ..ResponseProgress::default() };
     let called_off = unanswered(Outcome::Cancelled, "called off");
-    for end in [proven(Err(Lost::Broken), None), proven(Err(Lost::Silent), None), called_off] {
+    for end in [
+        proven(Err(RequestError::ConnectionBroken), None),
+        proven(Err(RequestError::TimedOut), None),
+        called_off,
+    ] {
         assert_eq!(end.after, AfterAttempt::Open);
         assert_eq!(restrained(end, gone).after, AfterAttempt::EndOwed);
     }
-    let other = Heard { status: Some(503), ..Heard::default() };
-    assert_eq!(ended(Err(Lost::Broken), other).after, AfterAttempt::Open);
+    let other = ResponseProgress { status: Some(503), ..ResponseProgress::default() };
+    assert_eq!(ended(Err(RequestError::ConnectionBroken), other).after, AfterAttempt::Open);
 }
--- a/crates/courier/src/outbound/broker_connection.rs
+++ b/crates/courier/src/outbound/broker_connection.rs
@@ -31,7 +31,7 @@
 /// A time that never comes, as long as this program runs.
 const NEVER: Duration = Duration::from_secs(1 << 32);
 
-pub struct Broker {
+pub struct BrokerConnection {
     endpoint: EndpointId,
     address: SocketAddr,
     topic: String,
@@ -50,14 +50,14 @@
     Ok(Bytes::from(text.lines().next().unwrap_or_default().to_owned()))
 }
 
-impl Broker {
+impl BrokerConnection {
     pub fn start(
         endpoint: EndpointId,
         (address, topic): (SocketAddr, String),
         (settings, client, connect_time): (file::Broker, String, Duration),
         folder: &Path,
         news: Sender<News>,
-    ) -> Rc<Broker> {
+    ) -> Rc<BrokerConnection> {
         let password = settings.password_file.as_ref().and_then(|f| match password(folder, f) {
             Ok(password) => Some(password),
             Err(e) => {
@@ -83,7 +83,7 @@
             connect_time,
             in_flight: settings.in_flight,
         };
-        let broker = Rc::new(Broker {
+        let broker = Rc::new(BrokerConnection {
             endpoint,
             address,
             topic,
@@ -99,7 +99,7 @@
     }
 
     /// Whether it is the one that is configured so.
-    pub fn is(&self, address: SocketAddr, topic: &str, settings: &file::Broker) -> bool {
+    pub fn matches(&self, address: SocketAddr, topic: &str, settings: &file::Broker) -> bool {
         self.address == address && self.topic == topic && self.settings == *settings
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Whether a message is on its way to it.
-    pub fn has(&self, message: u64) -> bool {
+    pub fn has_message(&self, message: u64) -> bool {
         self.attempts.borrow().contains_key(&message)
     }
 
@@ -124,14 +124,14 @@
         act(&mut self.machine.borrow_mut(), self.origin.elapsed());
     }
 
-    pub fn reserve(&self) -> Option<u16> {
+    pub fn reserve_packet_id(&self) -> Option<u16> {
         self.machine.borrow_mut().reserve()
     }
 
     /// Sends a message under a reserved id.
     pub fn publish(&self, id: u16, call: Call, effect: Effect) {
         self.attempts.borrow_mut().insert(call.message, call.attempt);
-        let patience = call.until.saturating_duration_since(Instant::now());
+        let patience = call.deadline.saturating_duration_since(Instant::now());
         let message = self.message(call.message, &call.letter, patience, effect, None);
         self.with(|machine, now| machine.publish(id, message, now));
     }
@@ -182,16 +182,16 @@
         Message { number, publish, patience, until: now + left, repeat_until }
     }
 
-    pub fn block(&self, id: u16) {
+    pub fn block_packet_id(&self, id: u16) {
         self.with(|machine, now| machine.block(id, now));
     }
 
-    pub fn recorded(&self, id: u16) {
+    pub fn release_recorded(&self, id: u16) {
         self.with(|machine, now| machine.recorded(id, now));
     }
 
     /// That its session is being resumed is on record.
-    pub fn resuming(&self) {
+    pub fn resume_recorded(&self) {
         self.with(|machine, now| machine.resuming(now));
     }
 
@@ -200,16 +200,16 @@
     }
 
     /// Nothing new goes there after `grace`.
-    pub fn part(&self, grace: Duration) {
+    pub fn drain_after(&self, grace: Duration) {
         self.with(|machine, now| machine.part(now + grace, now));
     }
 
-    pub fn join(&self) {
+    pub fn cancel_drain(&self) {
         self.with(|machine, _| machine.join());
     }
 
     /// Ends its connection if nothing is on its way.
-    pub fn hang_up(&self) {
+    pub fn disconnect_if_idle(&self) {
         self.with(|machine, _| machine.hang_up());
     }
 
--- a/crates/courier/src/outbound/connection_pool.rs
+++ b/crates/courier/src/outbound/connection_pool.rs
@@ -2,8 +2,8 @@
 
 use crate::outbound::break_rate::BreakRates;
 use crate::outbound::connection_status::{CloseReason, ConnectionStatus};
-use crate::outbound::http_connection::{Answer, Link};
-use crate::outbound::response_identity::{AnswerHistories, Expectation};
+use crate::outbound::http_connection::{HttpConnection, HttpResponse};
+use crate::outbound::response_identity::{Expectation, ResponseHistories};
 use crate::room::Room;
 use stairshed_decide::interface::EndpointId;
 use stairshed_memory::{Charge, Purpose};
@@ -31,7 +31,7 @@
 const MAX_EXCHANGES: usize = 256;
 
 struct Idle {
-    link: Link,
+    link: HttpConnection,
     since: Instant,
     /// Whether the next answer on it will differ is not known of this endpoint.
     presumed: bool,
@@ -41,18 +41,18 @@
 /// inherit connections to that one.
 pub struct ConnectionPool {
     connect_timeout: Cell<Duration>,
-    keep_time: Cell<Duration>,
+    idle_timeout: Cell<Duration>,
     sockets: Arc<Semaphore>,
     idle: RefCell<HashMap<EndpointId, Vec<Idle>>>,
     break_rates: RefCell<BreakRates>,
-    histories: RefCell<AnswerHistories>,
+    histories: RefCell<ResponseHistories>,
     status: Rc<ConnectionStatus>,
     room: Room,
 }
 
 /// A connection for one exchange.
 pub struct PooledConnection {
-    pub link: Link,
+    pub link: HttpConnection,
     /// How long it stood idle; None for a new one.
     pub idle: Option<Duration>,
 }
@@ -63,7 +63,7 @@
     pub fn start(connect_timeout: Duration, keepalive: Duration, sockets: usize, room: Room) -> Rc<Self> {
         let pool = Rc::new(ConnectionPool {
             connect_timeout: Cell::new(connect_timeout),
-            keep_time: Cell::new(keepalive.mul_f64(KEEP_SHARE)),
+            idle_timeout: Cell::new(keepalive.mul_f64(KEEP_SHARE)),
             sockets: Arc::new(Semaphore::new(sockets)),
             idle: RefCell::default(),
             break_rates: RefCell::default(),
@@ -83,15 +83,15 @@
     }
 
     /// How long connections are kept.
-    pub fn keep_time(&self) -> Duration {
-        self.keep_time.get()
+    pub fn idle_timeout(&self) -> Duration {
+        self.idle_timeout.get()
     }
 
     /// Other times from now on; how long connections are kept.
-    pub fn retime(&self, connect_timeout: Duration, keepalive: Duration) -> Duration {
+    pub fn set_timeouts(&self, connect_timeout: Duration, keepalive: Duration) -> Duration {
         self.connect_timeout.set(connect_timeout);
-        self.keep_time.set(keepalive.mul_f64(KEEP_SHARE));
-        self.keep_time.get()
+        self.idle_timeout.set(keepalive.mul_f64(KEEP_SHARE));
+        self.idle_timeout.get()
     }
 
     /// Its counters.
@@ -116,7 +116,7 @@
     /// Whether a kept connection can carry another exchange; if not, the reason is counted.
     fn is_usable(&self, endpoint: EndpointId, connection: &mut Idle) -> bool {
         let age = connection.since.elapsed();
-        let usable = connection.link.check().and_then(|()| match age < self.keep_time.get() {
+        let usable = connection.link.check().and_then(|()| match age < self.idle_timeout.get() {
             true => Ok(()),
             false => Err(CloseReason::IdleLimit),
         });
@@ -124,7 +124,7 @@
     }
 
     /// Counts a connection that is closed `idle` after its last answer.
-    fn note_close(&self, endpoint: EndpointId, link: &Link, idle: Duration, reason: CloseReason) {
+    fn note_close(&self, endpoint: EndpointId, link: &HttpConnection, idle: Duration, reason: CloseReason) {
         match reason {
             CloseReason::UnsolicitedBytes => self.status.unsolicited(endpoint, link.number(), idle),
             reason => self.status.closed(reason, 1),
@@ -132,13 +132,13 @@
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn close(&self, endpoint: EndpointId) {
+    pub fn close_idle(&self, endpoint: EndpointId) {
         let closed = self.idle.borrow_mut().remove(&endpoint);
         self.status.closed(CloseReason::EndpointLeft, closed.map_or(0, |idle| idle.len()));
     }
 
     /// Closes every second idle connection, the older ones of each endpoint: memory is tight.
-    pub fn close_half(&self) {
+    pub fn close_half_of_idle(&self) {
         self.idle.borrow_mut().retain(|_, idle| {
             let closed = idle.drain(..idle.len().div_ceil(2)).count();
             self.status.closed(CloseReason::Pressure, closed);
@@ -161,7 +161,7 @@
     }
 
     /// A kept connection and how long it stood idle. `once`: what it is for must not be sent again if it may have run.
-    fn take(&self, endpoint: EndpointId, once: bool) -> Option<(Link, Duration)> {
+    fn take(&self, endpoint: EndpointId, once: bool) -> Option<(HttpConnection, Duration)> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&endpoint)?;
         while let Some(mut connection) = idle.pop() {
@@ -222,7 +222,9 @@
         }
         let permit = self.permit().await?;
         let memory = self.reserve_memory();
-        let link = Link::open(address, self.connect_timeout.get(), Some((permit, memory))).await.ok()?;
+        let link = HttpConnection::connect(address, self.connect_timeout.get(), Some((permit, memory)))
+            .await
+            .ok()?;
         self.status.opened();
         Some(PooledConnection { link, idle: None })
     }
@@ -239,7 +241,12 @@
     }
 
     /// Takes a connection back whose exchange has ended with this answer; why it is closed, if it cannot carry another.
-    pub fn release(&self, endpoint: EndpointId, link: Link, answer: &Answer) -> Result<(), CloseReason> {
+    pub fn release(
+        &self,
+        endpoint: EndpointId,
+        link: HttpConnection,
+        answer: &HttpResponse,
+    ) -> Result<(), CloseReason> {
         let presumed = self
             .expect_other_answer(endpoint, &link, answer)
             .inspect_err(|reason| self.note_close(endpoint, &link, Duration::ZERO, *reason))?;
@@ -252,8 +259,8 @@
     fn expect_other_answer(
         &self,
         endpoint: EndpointId,
-        link: &Link,
-        answer: &Answer,
+        link: &HttpConnection,
+        answer: &HttpResponse,
     ) -> Result<bool, CloseReason> {
         let expectation = match answer.identity {
             Some(identity) => self.histories.borrow_mut().add(endpoint, identity),
@@ -271,8 +278,8 @@
     }
 
     /// Nothing goes to this endpoint any more.
-    pub fn forget(&self, endpoint: EndpointId) {
-        self.close(endpoint);
+    pub fn remove_endpoint(&self, endpoint: EndpointId) {
+        self.close_idle(endpoint);
         self.histories.borrow_mut().forget(endpoint);
     }
 }
--- a/crates/courier/src/outbound/connection_status.rs
+++ b/crates/courier/src/outbound/connection_status.rs
@@ -1,6 +1,6 @@
 //! Counters of the connections to endpoints and of why they were closed, for the log and the page `/-/connections`.
 
-use crate::outbound::http_connection::{Heard, SocketFailure};
+use crate::outbound::http_connection::{ResponseProgress, SocketFailure};
 use serde_json::{Value, json};
 use stairshed_decide::interface::EndpointId;
 use std::cell::{Cell, RefCell};
@@ -89,7 +89,7 @@
     }
 
     /// An exchange ended with an answer that was not believed, or with none though its connection broke.
-    pub fn disbelieved(&self, heard: Heard) {
+    pub fn disbelieved(&self, heard: ResponseProgress) {
         *self.disbelieved.borrow_mut().entry(heard.status).or_default() += 1;
         if let Some(failure) = heard.failure {
             *self.failures.borrow_mut().entry(failure).or_default() += 1;
--- a/crates/courier/src/outbound/endpoint_client.rs
+++ b/crates/courier/src/outbound/endpoint_client.rs
@@ -6,9 +6,9 @@
 use crate::outbound::connection_pool::{ConnectionPool, PooledConnection};
 use crate::outbound::connection_status::ConnectionStatus;
 use crate::outbound::exchange::Exchange;
-use crate::outbound::exchange_monitor::{Listening, watched};
-use crate::outbound::http_connection::{Answer, Heard, Lost};
-use crate::outbound::response_identity::AnswerIdentity;
+use crate::outbound::exchange_monitor::{ExchangeMonitor, watched};
+use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
+use crate::outbound::response_identity::ResponseIdentity;
 use crate::room::Room;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -30,7 +30,7 @@
 const ANSWER_SHARE: f64 = 0.25;
 /// Nothing new goes to an endpoint this long after news that it drains or is gone; a rule says 1 s. The news may be read,
 /// and the request written, up to 0.15 s late each.
-pub const DRAIN_TIME: Duration = Duration::from_millis(700);
+pub const MAX_WRITE_AFTER_DRAIN: Duration = Duration::from_millis(700);
 
 /// An attempt that was decided on a valid list may be written so much later; with the list's term it stays within the
 /// grace that the rule on drains gives.
@@ -43,25 +43,25 @@
     pub endpoint: EndpointId,
     /// Who shares its limit: a wait that is told holds for all of it.
     pub pool: PoolId,
-    pub to: To,
+    pub target: CallTarget,
     pub letter: Rc<Letter>,
     /// Nothing of it is written from then on: reckoned from when it was decided, so that neither a slow disk nor a
     /// wait for a connection adds to what the module allowed.
-    pub until: Instant,
+    pub deadline: Instant,
     /// It must not be sent again if it may have run.
     pub once: bool,
 }
 
 /// Where an attempt goes.
 #[derive(Clone, Copy, Debug)]
-pub enum To {
+pub enum CallTarget {
     Http(SocketAddr),
     /// A broker, under this packet id.
     Broker(u16),
 }
 
 #[derive(Clone)]
-pub struct Calls {
+pub struct EndpointClient {
     pool: Rc<ConnectionPool>,
     /// Endpoints to which nothing new goes, since when.
     parted: Rc<RefCell<HashMap<EndpointId, Instant>>>,
@@ -72,23 +72,23 @@
     unleased: Rc<RefCell<HashSet<EndpointId>>>,
 }
 
-impl Calls {
+impl EndpointClient {
     /// `keepalive` is when endpoints close an idle connection; none is kept for as long here.
     pub fn new(connect: Duration, keepalive: Duration, sockets: usize, room: Room) -> Self {
         let pool = ConnectionPool::start(connect, keepalive, sockets, room);
         let (parted, waits) = (Rc::default(), Rc::default());
         let (list_valid_until, unleased) = (Rc::default(), Rc::default());
-        Calls { pool, parted, waits, list_valid_until, unleased }
+        EndpointClient { pool, parted, waits, list_valid_until, unleased }
     }
 
     /// How long connections are kept here: the module reckons with that.
-    pub fn keep_time(&self) -> Duration {
-        self.pool.keep_time()
+    pub fn idle_timeout(&self) -> Duration {
+        self.pool.idle_timeout()
     }
 
     /// Other times from now on; how long connections are kept.
-    pub fn retime(&self, connect: Duration, keepalive: Duration) -> Duration {
-        self.pool.retime(connect, keepalive)
+    pub fn set_timeouts(&self, connect: Duration, keepalive: Duration) -> Duration {
+        self.pool.set_timeouts(connect, keepalive)
     }
 
     /// Counters of the connections, for the operator's pages.
@@ -97,7 +97,7 @@
     }
 
     /// Whether anything new may go to an endpoint.
-    pub fn admit(&self, endpoint: EndpointId, ready: bool) {
+    pub fn set_available(&self, endpoint: EndpointId, ready: bool) {
         let mut parted = self.parted.borrow_mut();
         match ready {
             true => drop(parted.remove(&endpoint)),
@@ -126,20 +126,20 @@
     }
 
     /// The endpoint is known no more.
-    pub fn forget(&self, endpoint: EndpointId) {
+    pub fn remove_endpoint(&self, endpoint: EndpointId) {
         self.unleased.borrow_mut().remove(&endpoint);
-        self.pool.forget(endpoint);
+        self.pool.remove_endpoint(endpoint);
         self.parted.borrow_mut().remove(&endpoint);
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn close(&self, endpoint: EndpointId) {
-        self.pool.close(endpoint);
+    pub fn close_idle(&self, endpoint: EndpointId) {
+        self.pool.close_idle(endpoint);
     }
 
     /// Closes every second idle connection, the older ones of each endpoint: memory is tight.
-    pub fn close_half(&self) {
-        self.pool.close_half();
+    pub fn close_half_of_idle(&self) {
+        self.pool.close_half_of_idle();
     }
 
     /// One exchange on a connection to an endpoint, and what the log says of it. `listening` tells of the answer before
@@ -150,13 +150,13 @@
         (to, once): (SocketAddr, bool),
         request: Request<Full<Bytes>>,
         until: Instant,
-        listening: &Listening,
-    ) -> (Result<Answer, Lost>, Option<Exchange>) {
+        listening: &ExchangeMonitor,
+    ) -> (Result<HttpResponse, RequestError>, Option<Exchange>) {
         let latest = until - until.saturating_duration_since(Instant::now()).mul_f64(ANSWER_SHARE);
         // A call whose time is up while it still has no connection was never sent.
         let acquired = tokio::time::timeout_at(until, self.pool.acquire(endpoint, to, once)).await;
         let Some(PooledConnection { mut link, idle }) = acquired.ok().flatten() else {
-            return (Err(Lost::Unsent), None);
+            return (Err(RequestError::NotSent), None);
         };
         if let Err(lost) = self.may_be_written(endpoint, pool, latest) {
             self.pool.discard();
@@ -164,7 +164,7 @@
         }
         let (connection, sequence, started) = (link.number(), link.answered() + 1, Instant::now());
         listening.to(link.listener());
-        let answer = watched(link.ask(request, until), || {
+        let answer = watched(link.send_request(request, until), || {
             let heard = listening.heard();
             self.note_wait(pool, heard);
             listening.try_tell_wait();
@@ -172,11 +172,13 @@
             if heard.is_over() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
         })
         .await
-        .unwrap_or(Err(Lost::Broken));
+        .unwrap_or(Err(RequestError::ConnectionBroken));
         let (took, heard) = (started.elapsed(), listening.heard());
         self.note_wait(pool, heard);
-        let digest = answer.as_ref().ok().and_then(|a| a.identity).map(AnswerIdentity::hash);
-        let broke = answer.as_ref().map_or_else(|lost| *lost == Lost::Broken, Answer::repeats);
+        let digest = answer.as_ref().ok().and_then(|a| a.identity).map(ResponseIdentity::hash);
+        let broke = answer
+            .as_ref()
+            .map_or_else(|lost| *lost == RequestError::ConnectionBroken, HttpResponse::repeats);
         self.pool.note_exchange(idle, broke);
         if broke || answer.as_ref().is_ok_and(|a| !a.whole) {
             self.pool.status().disbelieved(heard);
@@ -196,30 +198,30 @@
         endpoint: EndpointId,
         pool: Option<PoolId>,
         latest: Instant,
-    ) -> Result<(), Lost> {
+    ) -> Result<(), RequestError> {
         // One that came only now leaves no time for an answer: written all the same, the call would have run, or
         // may have, for nothing. Unwritten it never ran.
         if Instant::now() >= latest {
-            return Err(Lost::Unsent);
+            return Err(RequestError::NotSent);
         }
         // Whoever waited long for a connection must not come in after a drain's grace.
-        if self.parted.borrow().get(&endpoint).is_some_and(|since| since.elapsed() > DRAIN_TIME) {
-            return Err(Lost::Withheld("the endpoint drains or is gone"));
+        if self.parted.borrow().get(&endpoint).is_some_and(|since| since.elapsed() > MAX_WRITE_AFTER_DRAIN) {
+            return Err(RequestError::Withheld("the endpoint drains or is gone"));
         }
         // Nor on a list that ran out of date while it waited.
         if self.is_out_of_date(endpoint) {
-            return Err(Lost::Withheld("the list of endpoints may be out of date"));
+            return Err(RequestError::Withheld("the list of endpoints may be out of date"));
         }
         // Nor may it break a wait that was told to another call meanwhile: the module knew of none when it let this
         // one go, and a connection may be a second in coming.
         if pool.is_some_and(|p| self.waits.borrow().get(&p).is_some_and(|until| Instant::now() < *until)) {
-            return Err(Lost::Withheld("another call was told to wait"));
+            return Err(RequestError::Withheld("another call was told to wait"));
         }
         Ok(())
     }
 
     /// Keeps the wait that an answer tells, for calls that still have no connection.
-    fn note_wait(&self, pool: Option<PoolId>, heard: Heard) {
+    fn note_wait(&self, pool: Option<PoolId>, heard: ResponseProgress) {
         if let Some((pool, until)) = pool.zip(heard.blocked_until) {
             let mut waits = self.waits.borrow_mut();
             let now = Instant::now();
@@ -238,8 +240,8 @@
         cancel: oneshot::Receiver<()>,
         news: Sender<News>,
     ) {
-        let Call { message, attempt, endpoint, pool, letter, until, once, .. } = call;
-        let timeout = until.saturating_duration_since(Instant::now());
+        let Call { message, attempt, endpoint, pool, letter, deadline, once, .. } = call;
+        let timeout = deadline.saturating_duration_since(Instant::now());
         let path = letter.routed.as_ref().map_or("/inbox", |r| &r.path);
         let mut request = Request::post(path)
             .header(HOST, address.to_string())
@@ -254,12 +256,12 @@
                 request = request.header(name, value);
             }
         }
-        let listening = Listening::new(endpoint, news);
+        let listening = ExchangeMonitor::new(endpoint, news);
         let end = match request.body(Full::new(letter.body.clone())) {
             Ok(request) => tokio::select! {
                 biased;
                 (answer, exchange) =
-                    self.ask((endpoint, Some(pool)), (address, once), request, until, &listening) =>
+                    self.ask((endpoint, Some(pool)), (address, once), request, deadline, &listening) =>
                 {
                     CallEnd { exchange, ..ended(answer, listening.heard()) }
                 }
@@ -283,12 +285,12 @@
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
-        let listening = Listening::new(endpoint, news);
+        let listening = ExchangeMonitor::new(endpoint, news);
         let (answer, exchange) = match request {
             Ok(request) => {
                 self.ask((endpoint, None), (address, false), request, sent + timeout, &listening).await
             }
-            Err(_) => (Err(Lost::Unsent), None),
+            Err(_) => (Err(RequestError::NotSent), None),
         };
         let end = CallEnd { exchange, ..ended(answer, listening.heard()) };
         let outcome = end.outcome;
--- a/crates/courier/src/outbound/endpoint_client_test.rs
+++ b/crates/courier/src/outbound/endpoint_client_test.rs
@@ -3,16 +3,16 @@
 use stairshed_decide::interface::DestinationId;
 
 /// A listener, its address, and calls that have one socket between them.
-async fn one_socket() -> (tokio::net::TcpListener, SocketAddr, Calls) {
+async fn one_socket() -> (tokio::net::TcpListener, SocketAddr, EndpointClient) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let to = listener.local_addr().expect("its address");
     let room = Room::new(&stairshed_memory::Caps::none(), 1.0);
-    (listener, to, Calls::new(Duration::from_secs(5), Duration::from_secs(10), 1, room))
+    (listener, to, EndpointClient::new(Duration::from_secs(5), Duration::from_secs(10), 1, room))
 }
 
 /// To whose news nobody listens.
-fn listening() -> Listening {
-    Listening::new(EndpointId(1), tokio::sync::mpsc::channel(1).0)
+fn listening() -> ExchangeMonitor {
+    ExchangeMonitor::new(EndpointId(1), tokio::sync::mpsc::channel(1).0)
 }
 
 #[tokio::test]
@@ -32,20 +32,24 @@
                 drop(socket);
             };
             let ((answer, _), ()) = tokio::join!(ask, free);
-            assert_eq!(answer.err(), Some(Lost::Unsent), "written, it would count as one that may have run");
+            assert_eq!(
+                answer.err(),
+                Some(RequestError::NotSent),
+                "written, it would count as one that may have run"
+            );
             assert_eq!(calls.pool.idle_count(endpoint), 0);
         })
         .await;
 }
 
 /// What becomes of a call whose connection comes `after` this time, its endpoint draining from the start.
-async fn drained_call(after: Duration) -> Option<Lost> {
+async fn drained_call(after: Duration) -> Option<RequestError> {
     tokio::task::LocalSet::new()
         .run_until(async {
             let (_listener, to, calls) = one_socket().await;
             let socket = calls.pool.permit().await.expect("the only one");
             let request = Request::get("/").header(HOST, "h").body(Full::default()).expect("a request");
-            calls.admit(EndpointId(1), false);
+            calls.set_available(EndpointId(1), false);
             let until = Instant::now() + after + Duration::from_millis(400);
             let listening = listening();
             let ask = calls.ask((EndpointId(1), None), (to, true), request, until, &listening);
@@ -63,11 +67,11 @@
 // 0.15 s after it was written, and the write may be held up for as long.
 #[tokio::test]
 async fn a_connection_that_comes_late_in_the_grace_is_not_written_to_a_draining_endpoint() {
-    let withheld = Some(Lost::Withheld("the endpoint drains or is gone"));
+    let withheld = Some(RequestError::Withheld("the endpoint drains or is gone"));
     assert_eq!(drained_call(Duration::from_millis(760)).await, withheld);
     assert_eq!(
         drained_call(Duration::from_millis(300)).await,
-        Some(Lost::Silent),
+        Some(RequestError::TimedOut),
         "early in it, it is written"
     );
 }
@@ -105,7 +109,7 @@
             assert_eq!(first.map(|a| a.status).ok(), Some(StatusCode::TOO_MANY_REQUESTS));
             assert_eq!(
                 second.err(),
-                Some(Lost::Withheld("another call was told to wait")),
+                Some(RequestError::Withheld("another call was told to wait")),
                 "the pool has told to wait"
             );
             let (other, _) = ask(2).await;
--- a/crates/courier/src/outbound/exchange.rs
+++ b/crates/courier/src/outbound/exchange.rs
@@ -1,7 +1,7 @@
 //! What the log says of one exchange: a request on a connection to an endpoint, and the answer that was read for it.
 
 use crate::outbound::connection_status::CloseReason;
-use crate::outbound::http_connection::Heard;
+use crate::outbound::http_connection::ResponseProgress;
 use std::fmt;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     /// From the begin of the request to the end of the answer or of the attempt.
     pub took: Duration,
     /// The first line of the answer and the system's error, also where the answer was not believed.
-    pub heard: Heard,
+    pub heard: ResponseProgress,
     /// A hash of status, header fields and body of the answer: equal answers have equal ones.
     pub digest: Option<u64>,
     /// Why the connection was closed after it; None if it is kept.
@@ -46,9 +46,9 @@
 }
 
 /// The exchange of an attempt, which may have had none, as the log has it.
-pub struct Logged(pub Option<Exchange>);
+pub struct ExchangeLog(pub Option<Exchange>);
 
-impl fmt::Display for Logged {
+impl fmt::Display for ExchangeLog {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match &self.0 {
             Some(exchange) => exchange.fmt(f),
--- a/crates/courier/src/outbound/exchange_monitor.rs
+++ b/crates/courier/src/outbound/exchange_monitor.rs
@@ -1,7 +1,7 @@
 //! What is heard of an answer while its exchange goes on, and what of it is passed on at once.
 
 use crate::news::News;
-use crate::outbound::http_connection::{Heard, Listener};
+use crate::outbound::http_connection::{ProgressHandle, ResponseProgress};
 use stairshed_decide::interface::{EndpointId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -12,28 +12,28 @@
 
 /// What is heard on the connection of one exchange, once it has one. A wait that its answer tells is passed on before the
 /// rest of that has come, which may take longer than a wait may be ignored.
-pub struct Listening {
+pub struct ExchangeMonitor {
     endpoint: EndpointId,
     news: Sender<News>,
-    listener: RefCell<Option<Listener>>,
+    listener: RefCell<Option<ProgressHandle>>,
     /// The dispatcher has been told of the wait.
     wait_told: Cell<bool>,
 }
 
-impl Listening {
+impl ExchangeMonitor {
     /// For an exchange with this endpoint; `news` reaches the dispatcher.
     pub fn new(endpoint: EndpointId, news: Sender<News>) -> Self {
-        Listening { endpoint, news, listener: RefCell::default(), wait_told: Cell::default() }
+        ExchangeMonitor { endpoint, news, listener: RefCell::default(), wait_told: Cell::default() }
     }
 
     /// The exchange has its connection.
-    pub fn to(&self, listener: Listener) {
+    pub fn to(&self, listener: ProgressHandle) {
         self.listener.replace(Some(listener));
     }
 
     /// What it has shown so far.
-    pub fn heard(&self) -> Heard {
-        self.listener.borrow().as_ref().map(Listener::heard).unwrap_or_default()
+    pub fn heard(&self) -> ResponseProgress {
+        self.listener.borrow().as_ref().map(ProgressHandle::heard).unwrap_or_default()
     }
 
     /// The wait that nobody has been told of yet.
--- a/crates/courier/src/outbound/http_connection.rs
+++ b/crates/courier/src/outbound/http_connection.rs
@@ -2,8 +2,8 @@
 //! link closes its socket at once, and what became of a request is known.
 
 use crate::outbound::connection_status::CloseReason;
-use crate::outbound::response_head::AnswerHead;
-use crate::outbound::response_identity::AnswerIdentity;
+use crate::outbound::response_head::ResponseHead;
+use crate::outbound::response_identity::ResponseIdentity;
 use crate::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -38,7 +38,7 @@
 /// Bytes that are read of an answer once its connection has failed.
 const MAX_LATE_HEAD: usize = 4096;
 
-impl Heard {
+impl ResponseProgress {
     /// The answer says that its message is over.
     pub fn is_over(self) -> bool {
         self.status == Some(StatusCode::GONE.as_u16())
@@ -49,13 +49,13 @@
 struct Wire {
     stream: TcpStream,
     written: Cell<u64>,
-    progress: Rc<Progress>,
+    progress: Rc<ReceiveState>,
 }
 
 /// What the answer of the latest exchange began with, and the last error.
 #[derive(Default)]
-struct Progress {
-    head: RefCell<AnswerHead>,
+struct ReceiveState {
+    head: RefCell<ResponseHead>,
     failure: Cell<Option<SocketFailure>>,
 }
 
@@ -76,13 +76,13 @@
 }
 
 /// Tells what an exchange has shown, also to those who do not drive its connection. It does not keep that open.
-pub struct Listener(Rc<Progress>);
+pub struct ProgressHandle(Rc<ReceiveState>);
 
-impl Listener {
+impl ProgressHandle {
     /// So far.
-    pub fn heard(&self) -> Heard {
+    pub fn heard(&self) -> ResponseProgress {
         let head = self.0.head.borrow();
-        Heard {
+        ResponseProgress {
             status: head.status().or_else(|| head.unended_status()),
             blocked_until: head.blocked_until(),
             failure: self.0.failure.get(),
@@ -92,7 +92,7 @@
 
 /// What an exchange has shown so far, whether or not its answer could be read to its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct ResponseProgress {
     /// The status in the first line of the answer.
     pub status: Option<u16>,
     /// Until when the answer forbids to send more.
@@ -223,13 +223,13 @@
 /// Numbers the connections of this process.
 static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-pub struct Link {
+pub struct HttpConnection {
     wire: Rc<Wire>,
     sender: SendRequest<Full<Bytes>>,
     driver: Driver,
     number: u64,
     /// The answers that were read on it.
-    answers: Vec<AnswerIdentity>,
+    answers: Vec<ResponseIdentity>,
     _room: Option<(OwnedSemaphorePermit, Charge)>,
 }
 
@@ -246,33 +246,33 @@
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Lost {
+pub enum RequestError {
     /// No byte of the request left.
     #[error("no byte of the request was written")]
-    Unsent,
+    NotSent,
     /// Its connection came, and it must not be written any more: why.
     #[error("{0}")]
     Withheld(&'static str),
     /// The connection broke with the request out, or part of it.
     #[error("the connection broke with the request out")]
-    Broken,
+    ConnectionBroken,
     /// Time was up with the request out.
     #[error("no answer in time")]
-    Silent,
+    TimedOut,
 }
 
 /// Why a body without an end has no next piece.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamEnd {
     #[error("silent for {0:?}")]
-    Silent(Duration),
+    IdleTimeout(Duration),
     #[error("ended by the other side")]
     Ended,
     #[error("broken: {0}")]
     Broken(hyper::Error),
 }
 
-pub struct Answer {
+pub struct HttpResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     /// When its head arrived.
@@ -282,10 +282,10 @@
     /// Whether the link can carry another request, or why not.
     pub reusable: Result<(), CloseReason>,
     /// What tells it from other answers; None where not all of it came.
-    pub identity: Option<AnswerIdentity>,
+    pub identity: Option<ResponseIdentity>,
 }
 
-impl Answer {
+impl HttpResponse {
     /// It equals an earlier one on its connection, and may be a second copy of that: it proves nothing of its request.
     pub fn repeats(&self) -> bool {
         self.reusable == Err(CloseReason::AnswerRepeated)
@@ -295,7 +295,7 @@
     fn spoilt(at: Instant) -> Self {
         let (status, headers) = (StatusCode::OK, HeaderMap::new());
         let reusable = Err(CloseReason::AttemptFailed);
-        Answer { status, headers, at, whole: false, reusable, identity: None }
+        HttpResponse { status, headers, at, whole: false, reusable, identity: None }
     }
 }
 
@@ -325,9 +325,9 @@
     .await
 }
 
-impl Link {
+impl HttpConnection {
     /// Connects within the time given. `room` is its socket and its memory; None where they are counted elsewhere.
-    pub async fn open(
+    pub async fn connect(
         to: SocketAddr,
         within: Duration,
         room: Option<(OwnedSemaphorePermit, Charge)>,
@@ -339,7 +339,7 @@
         let io = TokioIo::new(Tap(wire.clone()));
         let (sender, driver) = http1::Builder::new().max_buf_size(BODY_MOST).handshake(io).await?;
         let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
-        Ok(Link {
+        Ok(HttpConnection {
             wire,
             sender,
             driver: Driver::Running(Box::pin(driver)),
@@ -360,8 +360,8 @@
     }
 
     /// What the latest exchange has shown; it can be asked while that goes on.
-    pub fn listener(&self) -> Listener {
-        Listener(self.wire.progress.clone())
+    pub fn listener(&self) -> ProgressHandle {
+        ProgressHandle(self.wire.progress.clone())
     }
 
     /// Whether the peer has left it open and said nothing out of turn. Asks the kernel: the runtime may not
@@ -383,22 +383,26 @@
         }
     }
 
-    async fn start(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Lost> {
+    async fn start(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, RequestError> {
         let before = self.wire.written.get();
         if drive(&mut self.driver, self.sender.ready()).await.is_err() {
-            return Err(Lost::Unsent);
+            return Err(RequestError::NotSent);
         }
         let answer = self.sender.try_send_request(request);
         drive(&mut self.driver, answer).await.map_err(|e| {
             let unsent = e.message().is_some() || self.wire.written.get() == before;
-            if unsent { Lost::Unsent } else { Lost::Broken }
+            if unsent { RequestError::NotSent } else { RequestError::ConnectionBroken }
         })
     }
 
     /// Sends a request and waits for the answer until then. After an error the link is of no more use.
-    pub async fn ask(&mut self, request: Request<Full<Bytes>>, until: Instant) -> Result<Answer, Lost> {
+    pub async fn send_request(
+        &mut self,
+        request: Request<Full<Bytes>>,
+        until: Instant,
+    ) -> Result<HttpResponse, RequestError> {
         let (before, wire) = (self.wire.written.get(), self.wire.clone());
-        *wire.progress.head.borrow_mut() = AnswerHead::default();
+        *wire.progress.head.borrow_mut() = ResponseHead::default();
         let started = in_time(&wire, until, self.start(request)).await;
         let at = Instant::now();
         let (parts, body) = match started {
@@ -409,13 +413,15 @@
                 // What cannot be read further has still delivered if it began so: taken for a reset, a
                 // message that must not run twice would be reported dead.
                 return match lost {
-                    Some(Err(Lost::Unsent)) => Err(Lost::Unsent),
+                    Some(Err(RequestError::NotSent)) => Err(RequestError::NotSent),
                     // On a used connection it may be what is left of a second copy of an earlier answer.
-                    _ if head.status() == Some(200) && self.answers.is_empty() => Ok(Answer::spoilt(at)),
+                    _ if head.status() == Some(200) && self.answers.is_empty() => {
+                        Ok(HttpResponse::spoilt(at))
+                    }
                     Some(Err(lost)) => Err(lost),
-                    None if wire.written.get() == before => Err(Lost::Unsent),
-                    None if head.begun().is_none() => Err(Lost::Silent),
-                    _ => Err(Lost::Broken),
+                    None if wire.written.get() == before => Err(RequestError::NotSent),
+                    None if head.begun().is_none() => Err(RequestError::TimedOut),
+                    _ => Err(RequestError::ConnectionBroken),
                 };
             }
         };
@@ -428,18 +434,18 @@
             let reusable = Err(CloseReason::AttemptFailed);
             // On a used connection it may be what is left of a second copy, too.
             if !self.answers.is_empty() {
-                return Err(Lost::Broken);
+                return Err(RequestError::ConnectionBroken);
             }
-            return Ok(Answer { status, headers, at, whole: false, reusable, identity: None });
+            return Ok(HttpResponse { status, headers, at, whole: false, reusable, identity: None });
         };
-        let identity = AnswerIdentity::of(status, &headers, &body);
+        let identity = ResponseIdentity::of(status, &headers, &body);
         let reusable = match self.answers.contains(&identity) {
             true => Err(CloseReason::AnswerRepeated),
             false if status == StatusCode::GONE => Err(CloseReason::MessageOver),
             false => self.settle().await,
         };
         self.answers.push(identity);
-        Ok(Answer { status, headers, at, whole: true, reusable, identity: Some(identity) })
+        Ok(HttpResponse { status, headers, at, whole: true, reusable, identity: Some(identity) })
     }
 
     /// Whether the link can carry another request, once an answer has been read whole.
@@ -450,23 +456,23 @@
         self.check()
     }
 
-    /// Sends a request whose answer has no end; its pieces come from [`Link::piece`].
-    pub async fn watch(
+    /// Sends a request whose answer has no end; its pieces come from [`HttpConnection::next_chunk`].
+    pub async fn open_stream(
         &mut self,
         request: Request<Full<Bytes>>,
         within: Duration,
-    ) -> Result<Response<Incoming>, Lost> {
-        timeout(within, self.start(request)).await.unwrap_or(Err(Lost::Silent))
+    ) -> Result<Response<Incoming>, RequestError> {
+        timeout(within, self.start(request)).await.unwrap_or(Err(RequestError::TimedOut))
     }
 
     /// The next piece of a body.
     ///
     /// # Errors
     /// It ended, broke, or nothing came `within` this time.
-    pub async fn piece(&mut self, body: &mut Incoming, within: Duration) -> Result<Bytes, StreamEnd> {
+    pub async fn next_chunk(&mut self, body: &mut Incoming, within: Duration) -> Result<Bytes, StreamEnd> {
         loop {
             let frame = timeout(within, drive(&mut self.driver, body.frame())).await;
-            let frame = frame.map_err(|_| StreamEnd::Silent(within))?.ok_or(StreamEnd::Ended)?;
+            let frame = frame.map_err(|_| StreamEnd::IdleTimeout(within))?.ok_or(StreamEnd::Ended)?;
             if let Ok(data) = frame.map_err(StreamEnd::Broken)?.into_data() {
                 return Ok(data);
             }
--- a/crates/courier/src/outbound/outcomes.rs
+++ b/crates/courier/src/outbound/outcomes.rs
@@ -2,7 +2,7 @@
 //! post, in a file, or both. Sent until they are acknowledged, however long that takes.
 
 use crate::news::News;
-use crate::outbound::http_connection::Link;
+use crate::outbound::http_connection::HttpConnection;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
@@ -43,7 +43,7 @@
 }
 
 /// How a message ended, as a line of JSON without its end: None for one that was delivered.
-pub fn line(id: &str, verdict: Option<Verdict>) -> String {
+pub fn outcome_line(id: &str, verdict: Option<Verdict>) -> String {
     let (result, wait) = match verdict {
         None => ("delivered", None),
         Some(Verdict::Dead) => ("dead", None),
@@ -55,12 +55,12 @@
 
 impl Notice {
     fn line(&self) -> String {
-        line(&self.id, Some(self.verdict)) + "\n"
+        outcome_line(&self.id, Some(self.verdict)) + "\n"
     }
 }
 
 #[derive(Clone)]
-pub struct Outcomes {
+pub struct OutcomeNotifier {
     post: Option<Post>,
     file: Option<Arc<Mutex<Sink>>>,
     /// Where notices go that the other side cannot read.
@@ -118,11 +118,11 @@
     }
 }
 
-impl Outcomes {
+impl OutcomeNotifier {
     /// The platform's.
     pub fn platform(address: SocketAddr) -> Self {
         let post = Post { address: Rc::new(Cell::new(address)), path: "/v1/outcomes".into() };
-        Outcomes { post: Some(post), file: None, unread: None }
+        OutcomeNotifier { post: Some(post), file: None, unread: None }
     }
 
     /// An operator's: posted to `url`, appended to `file`, or both. What the other side cannot read is appended
@@ -130,18 +130,18 @@
     pub fn operator(url: Option<&Url>, file: Option<PathBuf>, unread: PathBuf, sync: bool) -> Self {
         let post = url.map(|u| Post { address: Rc::new(Cell::new(u.address)), path: u.path.as_str().into() });
         let sink = |path| Arc::new(Mutex::new(Sink { path, sync }));
-        Outcomes { post, file: file.map(sink), unread: Some(sink(unread)) }
+        OutcomeNotifier { post, file: file.map(sink), unread: Some(sink(unread)) }
     }
 
     /// From now on notices go to another address, those that are tried again among them.
-    pub fn move_to(&self, address: SocketAddr) {
+    pub fn set_address(&self, address: SocketAddr) {
         if let Some(post) = &self.post {
             post.address.set(address);
         }
     }
 
     /// Delivers a batch until it is acknowledged, then reports it.
-    pub async fn post(self, batch: Vec<Notice>, news: Sender<News>) {
+    pub async fn deliver(self, batch: Vec<Notice>, news: Sender<News>) {
         if let Some(file) = &self.file {
             append(file, batch.iter().map(Notice::line).collect()).await;
         }
@@ -186,14 +186,14 @@
     /// copy of the one before.
     async fn once(&self, batch: &[Notice]) -> Option<StatusCode> {
         let to = self.address.get();
-        let mut link = Link::open(to, CONNECT, None).await.ok()?;
+        let mut link = HttpConnection::connect(to, CONNECT, None).await.ok()?;
         let text: String = batch.iter().map(Notice::line).collect();
         let request = Request::post(&*self.path)
             .header(header::HOST, to.to_string())
             .header(header::CONTENT_TYPE, "application/x-ndjson")
             .body(Full::new(Bytes::from(text)))
             .ok()?;
-        let answer = link.ask(request, Instant::now() + ANSWER).await.ok()?;
+        let answer = link.send_request(request, Instant::now() + ANSWER).await.ok()?;
         Some(answer.status)
     }
 }
--- a/crates/courier/src/outbound/response_head.rs
+++ b/crates/courier/src/outbound/response_head.rs
@@ -17,7 +17,7 @@
 
 /// Reads the head of an answer, past 1xx answers ahead.
 #[derive(Default)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     part: Part,
     line: Vec<u8>,
     begun: Option<Instant>,
@@ -37,7 +37,7 @@
     Rest,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// The status of the answer, past 1xx ones; None until its first line is here, or if that has none.
     pub fn status(&self) -> Option<u16> {
         self.status
@@ -76,7 +76,7 @@
         self.begun.get_or_insert_with(Instant::now);
         match self.part {
             Part::FirstLine => self.first_line(byte),
-            Part::Informational if byte == b'\n' && self.is_blank() => *self = AnswerHead::default(),
+            Part::Informational if byte == b'\n' && self.is_blank() => *self = ResponseHead::default(),
             Part::Fields if byte == b'\n' && self.is_blank() => self.part = Part::Rest,
             Part::Informational | Part::Fields if byte == b'\n' => self.end_field(),
             Part::Informational | Part::Fields => {
--- a/crates/courier/src/outbound/response_head_test.rs
+++ b/crates/courier/src/outbound/response_head_test.rs
@@ -16,12 +16,12 @@
         ("\x7fjunk 200 OK and more\r\nHTTP/1.1 200 OK\r\n", None),
     ] {
         for size in [1, 3, 1000] {
-            let mut first = AnswerHead::default();
+            let mut first = ResponseHead::default();
             text.as_bytes().chunks(size).for_each(|piece| first.hear(piece));
             assert_eq!(first.status, status, "{text:?} in pieces of {size}");
         }
     }
-    let mut first = AnswerHead::default();
+    let mut first = ResponseHead::default();
     first.hear(b"HTTP/1.1 100 Continue\r\n\r\n");
     assert!(first.begun.is_none(), "the answer itself may still take its time");
 }
@@ -35,7 +35,7 @@
         ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 410", Some(410), None),
         ("noise of 410", None, None),
     ] {
-        let mut head = AnswerHead::default();
+        let mut head = ResponseHead::default();
         head.hear(text.as_bytes());
         assert_eq!((head.unended_status(), head.status()), (unended, status), "{text:?}");
     }
@@ -44,7 +44,7 @@
 #[test]
 fn a_wait_is_heard_as_soon_as_its_field_is_here_whatever_follows() {
     let wait = |text: &str, size| {
-        let mut head = AnswerHead::default();
+        let mut head = ResponseHead::default();
         text.as_bytes().chunks(size).for_each(|piece| head.hear(piece));
         head.blocked_until().zip(head.begun()).map(|(until, begun)| (until - begun).as_millis())
     };
--- a/crates/courier/src/outbound/response_identity.rs
+++ b/crates/courier/src/outbound/response_identity.rs
@@ -19,12 +19,12 @@
 /// What tells one answer from another: status, `X-Request-ID` and body; without a body the header fields but `Date`, since
 /// nothing else could differ. With a body they do not count: a copy may have been given other fields on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerIdentity {
+pub struct ResponseIdentity {
     status: StatusCode,
     hash: u64,
 }
 
-impl AnswerIdentity {
+impl ResponseIdentity {
     /// The identity of an answer that came whole.
     pub fn of(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Self {
         let mut hasher = DefaultHasher::new();
@@ -34,7 +34,7 @@
             let fields = headers.iter().filter(|(name, _)| *name != DATE);
             fields.for_each(|field| field.hash(&mut hasher));
         }
-        AnswerIdentity { status, hash: hasher.finish() }
+        ResponseIdentity { status, hash: hasher.finish() }
     }
 
     /// For the log: the same for equal answers.
@@ -56,14 +56,14 @@
 
 /// The latest answers, on whatever connection: of each endpoint, and of all together.
 #[derive(Default)]
-pub struct AnswerHistories {
-    by_endpoint: HashMap<EndpointId, AnswerHistory>,
-    all: AnswerHistory,
+pub struct ResponseHistories {
+    by_endpoint: HashMap<EndpointId, ResponseHistory>,
+    all: ResponseHistory,
 }
 
-impl AnswerHistories {
+impl ResponseHistories {
     /// Adds an answer of an endpoint; what can be expected of the next one there.
-    pub fn add(&mut self, endpoint: EndpointId, answer: AnswerIdentity) -> Expectation {
+    pub fn add(&mut self, endpoint: EndpointId, answer: ResponseIdentity) -> Expectation {
         let own = self.by_endpoint.entry(endpoint).or_default().add(answer);
         let all = self.all.add(answer);
         match own {
@@ -81,11 +81,11 @@
 
 /// The latest answers of each status, so that many of one do not push out the few of another.
 #[derive(Default)]
-struct AnswerHistory(Vec<(StatusCode, VecDeque<u64>)>);
+struct ResponseHistory(Vec<(StatusCode, VecDeque<u64>)>);
 
-impl AnswerHistory {
+impl ResponseHistory {
     /// Adds an answer. Whether it differs from the others of its status; None if there is none.
-    fn add(&mut self, answer: AnswerIdentity) -> Option<bool> {
+    fn add(&mut self, answer: ResponseIdentity) -> Option<bool> {
         let Some((_, hashes)) = self.0.iter_mut().find(|(status, _)| *status == answer.status) else {
             if self.0.len() < MAX_STATUSES {
                 self.0.push((answer.status, VecDeque::from([answer.hash])));
--- a/crates/courier/src/outbound/response_identity_test.rs
+++ b/crates/courier/src/outbound/response_identity_test.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn identity(status: u16, fields: &[(&'static str, &'static str)], body: &str) -> AnswerIdentity {
+fn identity(status: u16, fields: &[(&'static str, &'static str)], body: &str) -> ResponseIdentity {
     let field = |(name, value): &(&'static str, &'static str)| {
         (name.parse().expect("a name"), value.parse().expect("a value"))
     };
     let headers = fields.iter().map(field).collect();
-    AnswerIdentity::of(StatusCode::from_u16(status).expect("a status"), &headers, body.as_bytes())
+    ResponseIdentity::of(StatusCode::from_u16(status).expect("a status"), &headers, body.as_bytes())
 }
 
 #[test]
@@ -26,7 +26,7 @@
     assert_ne!(first, identity(200, &[("X-Request-ID", "m2")], "ok"));
 }
 
-fn body(text: &str) -> AnswerIdentity {
+fn body(text: &str) -> ResponseIdentity {
     identity(200, &[], text)
 }
 
@@ -35,7 +35,7 @@
 
 #[test]
 fn answers_are_expected_to_differ_only_where_another_of_their_status_did() {
-    let mut histories = AnswerHistories::default();
+    let mut histories = ResponseHistories::default();
     assert_eq!(histories.add(FIRST, body("a")), Expectation::Alike, "nothing is known yet");
     assert_eq!(histories.add(FIRST, body("b")), Expectation::Differs);
     let refusal = identity(503, &[], "");
@@ -47,7 +47,7 @@
 
 #[test]
 fn first_answer_of_an_endpoint_is_presumed_to_differ_where_those_of_others_do() {
-    let mut histories = AnswerHistories::default();
+    let mut histories = ResponseHistories::default();
     histories.add(FIRST, body("a"));
     assert_eq!(histories.add(SECOND, body("b")), Expectation::Presumed);
     histories.forget(SECOND);
@@ -57,7 +57,7 @@
 
 #[test]
 fn history_forgets_what_is_old_but_not_for_answers_of_another_status() {
-    let mut histories = AnswerHistories::default();
+    let mut histories = ResponseHistories::default();
     histories.add(FIRST, body("first"));
     histories.add(FIRST, identity(503, &[], "full"));
     for n in 0..HISTORY {
@@ -70,7 +70,7 @@
 
 #[test]
 fn nothing_is_expected_of_more_statuses_than_are_remembered() {
-    let mut histories = AnswerHistories::default();
+    let mut histories = ResponseHistories::default();
     for status in 200..200 + MAX_STATUSES as u16 {
         histories.add(FIRST, identity(status, &[], "a"));
     }
--- a/crates/courier/src/owner.rs
+++ b/crates/courier/src/owner.rs
@@ -28,8 +28,8 @@
 use crate::clock::unix;
 use crate::front::intake::Standing;
 use crate::news::{Front, List, News};
-use crate::outbound::endpoint_client::Calls;
-use crate::outbound::outcomes::Outcomes;
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
 use crate::place::hosts::hosts;
 use members::Members;
 use memory::Memory;
@@ -79,8 +79,8 @@
         setup: Setup,
         brain: Brain,
         journal: Journal,
-        calls: Calls,
-        outcomes: Outcomes,
+        calls: EndpointClient,
+        outcomes: OutcomeNotifier,
         standing: Rc<Standing>,
         news: Sender<News>,
     ) -> Self {
@@ -276,14 +276,14 @@
                 Action::Cancel { message, .. } => cancels.push((message.0, self.publishing_to(message.0))),
                 Action::Probe { endpoint } => self.probe(endpoint),
                 Action::Close { endpoint } => {
-                    self.out.calls.close(endpoint);
+                    self.out.calls.close_idle(endpoint);
                     self.hang_up(endpoint);
                 }
                 Action::Subscribe { active: true } | Action::Fetch => self.watch(),
                 Action::Subscribe { active: false } | Action::Tell { .. } => {}
                 Action::Wake { token, after } => self.wake = Some((now + after, token)),
                 Action::Forget { endpoint } => {
-                    self.out.calls.forget(endpoint);
+                    self.out.calls.remove_endpoint(endpoint);
                     self.forget_broker(endpoint);
                     if let Some(e) = self.members.endpoints.remove(&endpoint) {
                         self.members.numbers.remove(&e.host);
--- a/crates/courier/src/owner/brokers.rs
+++ b/crates/courier/src/owner/brokers.rs
@@ -5,8 +5,8 @@
 use super::held::{Held, Waiting};
 use crate::clock::unix;
 use crate::news::{AfterAttempt, CallEnd};
-use crate::outbound::broker_connection::Broker;
-use crate::outbound::endpoint_client::{Call, DRAIN_TIME};
+use crate::outbound::broker_connection::BrokerConnection;
+use crate::outbound::endpoint_client::{Call, MAX_WRITE_AFTER_DRAIN};
 use serde::{Deserialize, Serialize};
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Verdict};
@@ -43,7 +43,7 @@
 
 #[derive(Default)]
 pub struct Brokers {
-    of: HashMap<EndpointId, Rc<Broker>>,
+    of: HashMap<EndpointId, Rc<BrokerConnection>>,
     /// Those of which the configuration may say something else by now: looked at before the next message, where
     /// nothing is on its way.
     stale: HashSet<EndpointId>,
@@ -103,7 +103,7 @@
     }
 
     /// The broker behind an endpoint, as it is configured now.
-    fn broker(&mut self, endpoint: EndpointId) -> Option<Rc<Broker>> {
+    fn broker(&mut self, endpoint: EndpointId) -> Option<Rc<BrokerConnection>> {
         let known = self.brokers.of.get(&endpoint);
         if let Some(broker) = known.filter(|b| !self.brokers.stale.contains(&endpoint) || b.is_busy()) {
             return Some(broker.clone());
@@ -114,13 +114,13 @@
         let pool = installation.pools.iter().find(|p| p.destination == e.destination);
         let settings = pool.and_then(|p| p.broker.clone()).unwrap_or_default();
         self.brokers.stale.remove(&endpoint);
-        if let Some(broker) = known.filter(|b| b.is(address, &topic, &settings)) {
+        if let Some(broker) = known.filter(|b| b.matches(address, &topic, &settings)) {
             return Some(broker.clone());
         }
         let courier = installation.file.name.clone().unwrap_or_else(|| "stairshed".to_owned());
         let client = settings.client.clone().unwrap_or_else(|| format!("{courier}/{}", e.host));
         let connect = installation.settings.connect_timeout;
-        let broker = Broker::start(
+        let broker = BrokerConnection::start(
             endpoint,
             (address, topic),
             (settings, client, connect),
@@ -134,7 +134,7 @@
     /// Takes a packet id for a message, on record. None if as many are on their way as may be.
     pub(super) fn reserve(&mut self, endpoint: EndpointId, message: u64) -> Option<u16> {
         let broker = self.broker(endpoint)?;
-        let id = broker.reserve()?;
+        let id = broker.reserve_packet_id()?;
         let host = self.members.endpoints.get(&endpoint)?.host.clone();
         self.put_in_use(&host, id, InUse { message, released: false });
         Some(id)
@@ -148,7 +148,7 @@
 
     /// The broker that a message is on its way to, if it is.
     pub(super) fn publishing_to(&self, message: u64) -> Option<EndpointId> {
-        let of = self.brokers.of.iter().find(|(_, broker)| broker.has(message));
+        let of = self.brokers.of.iter().find(|(_, broker)| broker.has_message(message));
         of.map(|(endpoint, _)| *endpoint)
     }
 
@@ -194,13 +194,13 @@
 
     pub(super) fn may_resume(&self, endpoint: EndpointId) {
         if let Some(broker) = self.brokers.of.get(&endpoint) {
-            broker.resuming();
+            broker.resume_recorded();
         }
     }
 
     pub(super) fn recorded(&self, endpoint: EndpointId, id: u16) {
         if let Some(broker) = self.brokers.of.get(&endpoint) {
-            broker.recorded(id);
+            broker.release_recorded(id);
         }
     }
 
@@ -217,11 +217,11 @@
         let host = e.host.clone();
         if ready {
             if let Some(broker) = self.brokers.of.get(&endpoint) {
-                broker.join();
+                broker.cancel_drain();
             }
             self.resume_at(endpoint, &host);
         } else if let Some(broker) = self.brokers.of.get(&endpoint) {
-            broker.part(DRAIN_TIME);
+            broker.drain_after(MAX_WRITE_AFTER_DRAIN);
         }
     }
 
@@ -241,7 +241,7 @@
             return;
         }
         let Some(broker) = self.broker(endpoint) else { return };
-        blocked.into_iter().for_each(|id| broker.block(id));
+        blocked.into_iter().for_each(|id| broker.block_packet_id(id));
         for message in due {
             let Some(live) = self.journal.get(message) else { continue };
             let attempt = live.attempts.len().saturating_sub(1) as u32;
@@ -336,7 +336,7 @@
 
     pub(super) fn hang_up(&self, endpoint: EndpointId) {
         if let Some(broker) = self.brokers.of.get(&endpoint) {
-            broker.hang_up();
+            broker.disconnect_if_idle();
         }
     }
 
--- a/crates/courier/src/owner/ended.rs
+++ b/crates/courier/src/owner/ended.rs
@@ -133,7 +133,10 @@
     /// ended.
     pub(super) fn repeat(&mut self, letter: &Letter) -> Option<Reply> {
         if letter.routed.is_none() && self.ended.recalled.has(&letter.id) {
-            message_trace::step(&letter.id, format_args!("handed in again after its end: not sent again"));
+            message_trace::log_step(
+                &letter.id,
+                format_args!("handed in again after its end: not sent again"),
+            );
             return Some(Reply::Taken);
         }
         let message = *self.ended.by_id.get(&letter.id)?;
--- a/crates/courier/src/owner/members.rs
+++ b/crates/courier/src/owner/members.rs
@@ -93,8 +93,10 @@
         self.setup.classes.change(classes, &in_use);
         self.setup.settings =
             Settings { classes: self.setup.classes.classes(), ..installation.settings.clone() };
-        self.setup.settings.keepalive =
-            self.out.calls.retime(installation.settings.connect_timeout, installation.settings.keepalive);
+        self.setup.settings.keepalive = self
+            .out
+            .calls
+            .set_timeouts(installation.settings.connect_timeout, installation.settings.keepalive);
         self.reconfigure();
         let wait = Instant::now() + installation.file.limits.pool_wait.0;
         self.setup.pool_wait = installation.file.limits.pool_wait.0;
@@ -266,7 +268,7 @@
             let leased = host.leased;
             let address = host.dial.parse().ok().or(e.address);
             if std::mem::replace(&mut e.address, address) != address {
-                self.out.calls.close(endpoint);
+                self.out.calls.close_idle(endpoint);
             }
             // An address that cannot be read leaves nowhere to send to.
             let standing = match host.health {
@@ -276,7 +278,7 @@
             };
             e.ready = standing == interface::Standing::Ready;
             let ready = e.ready;
-            self.out.calls.admit(endpoint, ready);
+            self.out.calls.set_available(endpoint, ready);
             self.out.calls.set_leased(endpoint, host.leased);
             self.broker_stands(endpoint, ready);
             self.members.destinations.insert(host.block);
@@ -293,7 +295,7 @@
     /// whatever comes to its address next is another.
     pub(super) fn part(&self, endpoint: EndpointId) {
         if !self.members.endpoints.get(&endpoint).is_some_and(|e| e.ready) {
-            self.out.calls.close(endpoint);
+            self.out.calls.close_idle(endpoint);
         }
     }
 
@@ -322,7 +324,7 @@
         if self.setup.discovery.replace(discovery) == Some(discovery) {
             return;
         }
-        self.notices.outcomes.move_to(discovery);
+        self.notices.outcomes.set_address(discovery);
         self.discovery_moved();
         if let Some(watch) = self.members.watch.take() {
             watch.abort();
--- a/crates/courier/src/owner/memory.rs
+++ b/crates/courier/src/owner/memory.rs
@@ -308,7 +308,7 @@
         }
         // Caches go first: connections that are kept for the next call.
         if room.ledger.level(Purpose::Endpoints) > Level::Ample || room.ledger.whole() > Level::Ample {
-            self.out.calls.close_half();
+            self.out.calls.close_half_of_idle();
         }
         // Memory that is free in the allocator's hands must not be the reason of a refusal. To look for it costs some
         // milliseconds where much is in pieces, so it is not done at each look.
--- a/crates/courier/src/owner/notices.rs
+++ b/crates/courier/src/owner/notices.rs
@@ -3,7 +3,7 @@
 use super::Courier;
 use crate::clock::unix;
 use crate::message_trace;
-use crate::outbound::outcomes::{Notice, Outcomes};
+use crate::outbound::outcomes::{Notice, OutcomeNotifier};
 use stairshed_journal::Verdict;
 use std::collections::VecDeque;
 
@@ -16,11 +16,11 @@
     pub(super) queue: VecDeque<(u64, Notice)>,
     /// Batches on their way.
     pub(super) posts: usize,
-    pub(super) outcomes: Outcomes,
+    pub(super) outcomes: OutcomeNotifier,
 }
 
 impl Notices {
-    pub(super) fn new(outcomes: Outcomes) -> Self {
+    pub(super) fn new(outcomes: OutcomeNotifier) -> Self {
         Notices { queue: VecDeque::new(), posts: 0, outcomes }
     }
 }
@@ -34,7 +34,7 @@
         }
         let id = m.letter.id.clone();
         let left = m.letter.until.saturating_sub(unix());
-        message_trace::step(
+        message_trace::log_step(
             &id,
             format_args!(
                 "ends verdict={verdict:?} attempts={} out={} left={left:?}",
@@ -62,7 +62,7 @@
             }
             let batch: Vec<_> = self.notices.queue.drain(..kept).map(|(_, notice)| notice).collect();
             self.notices.posts += 1;
-            tokio::task::spawn_local(self.notices.outcomes.clone().post(batch, self.news.clone()));
+            tokio::task::spawn_local(self.notices.outcomes.clone().deliver(batch, self.news.clone()));
         }
     }
 }
--- a/crates/courier/src/owner/out.rs
+++ b/crates/courier/src/owner/out.rs
@@ -6,8 +6,8 @@
 use crate::clock::unix;
 use crate::message_trace;
 use crate::news::{AfterAttempt, CallEnd};
-use crate::outbound::endpoint_client::{Call, Calls, To};
-use crate::outbound::exchange::Logged;
+use crate::outbound::endpoint_client::{Call, CallTarget, EndpointClient};
+use crate::outbound::exchange::ExchangeLog;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Attempt, Verdict};
 use std::collections::BTreeMap;
@@ -17,11 +17,11 @@
 
 pub(super) struct Out {
     pub(super) held: BTreeMap<u64, Held>,
-    pub(super) calls: Calls,
+    pub(super) calls: EndpointClient,
 }
 
 impl Out {
-    pub(super) fn new(calls: Calls) -> Self {
+    pub(super) fn new(calls: EndpointClient) -> Self {
         Out { held: BTreeMap::new(), calls }
     }
 }
@@ -62,14 +62,14 @@
             } else {
                 "maybe"
             };
-            message_trace::step(
+            message_trace::log_step(
                 &m.letter.id,
                 format_args!(
                     "attempt={attempt} ended outcome={:?} ran={ran} over={} proof={:?} {}",
                     end.outcome,
                     end.after != AfterAttempt::Open,
                     end.proof,
-                    Logged(end.exchange)
+                    ExchangeLog(end.exchange)
                 ),
             );
         }
@@ -110,12 +110,12 @@
                 // This process ends before an answer could come: it is left to the next, as never sent.
                 continue;
             }
-            let to = match broker {
-                false => Some(To::Http(address)),
-                true => self.reserve(endpoint, message).map(To::Broker),
+            let target = match broker {
+                false => Some(CallTarget::Http(address)),
+                true => self.reserve(endpoint, message).map(CallTarget::Broker),
             };
             let Some(m) = self.out.held.get_mut(&message) else { continue };
-            let Some(to) = to else {
+            let Some(target) = target else {
                 // As many are on their way to the broker as may be.
                 m.out = None;
                 self.events.push(never_sent(message, endpoint, Outcome::Full { wait: None }));
@@ -124,14 +124,14 @@
             let Ok(number) = self.journal.attempt(message, attempt) else {
                 // Names so long that no room was kept for them, and there is no other.
                 m.out = None;
-                self.take_back(&to, endpoint);
+                self.take_back(&target, endpoint);
                 self.events.push(never_sent(message, endpoint, Outcome::Moot));
                 continue;
             };
             m.attempts += 1;
             let list = &self.setup.watch_status;
             let host = self.members.endpoints.get(&endpoint).map(|e| e.host.as_str());
-            message_trace::step(
+            message_trace::log_step(
                 &m.letter.id,
                 format_args!(
                     "attempt={number} decided endpoint={} host={} address={address} for={timeout:?} list={} list_age={:?}",
@@ -143,15 +143,15 @@
             );
             let letter = m.letter.clone();
             let once = self.setup.classes.get(m.class).is_some_and(|c| c.effect == Effect::Once);
-            let (until, pool) = (now + timeout, self.brain.pool_id(endpoint));
-            ready.push(Call { message, attempt: number, endpoint, pool, to, letter, until, once });
+            let (deadline, pool) = (now + timeout, self.brain.pool_id(endpoint));
+            ready.push(Call { message, attempt: number, endpoint, pool, target, letter, deadline, once });
         }
         let seq = self.journal.last_seq();
         // The attempts are on record before their first byte goes out; the verdicts before their notice.
         if !self.settle() {
             for call in ready {
                 self.journal.never_ran(call.message, call.attempt);
-                self.take_back(&call.to, call.endpoint);
+                self.take_back(&call.target, call.endpoint);
                 if let Some(m) = self.out.held.get_mut(&call.message) {
                     m.out = None;
                 }
@@ -162,23 +162,23 @@
         for call in ready {
             let (cancel, cancelled) = oneshot::channel();
             if let Some(m) = self.out.held.get_mut(&call.message) {
-                m.out = Some((now, matches!(call.to, To::Http(_)).then_some(cancel)));
+                m.out = Some((now, matches!(call.target, CallTarget::Http(_)).then_some(cancel)));
             }
             self.when_kept(seq, Waiting::Call { call, cancelled });
         }
     }
 
     /// Nothing was sent there after all.
-    pub(super) fn take_back(&mut self, to: &To, endpoint: EndpointId) {
-        if let To::Broker(id) = to {
+    pub(super) fn take_back(&mut self, target: &CallTarget, endpoint: EndpointId) {
+        if let CallTarget::Broker(id) = target {
             self.unreserve(endpoint, *id);
         }
     }
 
     pub(super) fn call(&self, call: Call, cancelled: oneshot::Receiver<()>) {
-        match call.to {
-            To::Broker(id) => self.publish(call, id),
-            To::Http(address) => {
+        match call.target {
+            CallTarget::Broker(id) => self.publish(call, id),
+            CallTarget::Http(address) => {
                 let call = self.out.calls.clone().call(call, address, cancelled, self.news.clone());
                 tokio::task::spawn_local(call);
             }
--- a/crates/courier/src/owner/records.rs
+++ b/crates/courier/src/owner/records.rs
@@ -77,7 +77,7 @@
                 continue;
             }
             let taken = self.taken_before(message, &m, class.unwrap_or_default());
-            message_trace::step(
+            message_trace::log_step(
                 &letter.id,
                 format_args!("resumed number={message} class={} past={:?}", letter.class, taken.past),
             );
--- a/crates/courier/src/owner/taking.rs
+++ b/crates/courier/src/owner/taking.rs
@@ -120,7 +120,7 @@
         for (message, Offered { class, offer, holding }) in std::mem::take(&mut self.taking.offers) {
             if let Some(verdict) = refused.remove(&message) {
                 self.taking.ids.remove(&offer.letter.id);
-                message_trace::step(
+                message_trace::log_step(
                     &offer.letter.id,
                     format_args!("refused at once class={} verdict={verdict:?}", offer.letter.class),
                 );
@@ -139,7 +139,7 @@
                 continue;
             }
             let Offer { letter, reply, .. } = offer;
-            message_trace::step(
+            message_trace::log_step(
                 &letter.id,
                 format_args!(
                     "taken number={message} class={} destination={}",
@@ -171,7 +171,7 @@
     pub(super) fn taken(&mut self, message: u64, reply: ReplyTo) {
         if reply.send(Reply::Taken).is_err() {
             if let Some(m) = self.out.held.get(&message) {
-                message_trace::step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
+                message_trace::log_step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
             }
             self.withdraw(message);
         }
--- a/crates/courier/src/place/control.rs
+++ b/crates/courier/src/place/control.rs
@@ -6,7 +6,7 @@
 use crate::front::intake::Intake;
 use crate::front::listener::listen;
 use crate::news::{Changes, Configured, News};
-use crate::outbound::http_connection::Link;
+use crate::outbound::http_connection::HttpConnection;
 use crate::place::dns::Lookups;
 use crate::place::file;
 use crate::place::hosts::hosts;
@@ -569,13 +569,13 @@
 
     /// One connection, to its end, and whether a line came on it; a refusal if it is the sender's fault.
     async fn once(&self, hear: &Sender<Heard>, heard: &mut bool) -> Option<Refusal> {
-        let mut link = Link::open(self.url.address, CONNECT, None).await.ok()?;
+        let mut connection = HttpConnection::connect(self.url.address, CONNECT, None).await.ok()?;
         let held = self.held.borrow().map_or(String::new(), |v| format!("&version={v}"));
         let request = Request::get(format!("{}?node={}{held}", self.url.path, self.node))
             .header(header::HOST, self.url.address.to_string())
             .body(Full::<Bytes>::default())
             .ok()?;
-        let answer = link.watch(request, ANSWER).await.ok()?;
+        let answer = connection.open_stream(request, ANSWER).await.ok()?;
         if answer.status() != StatusCode::OK {
             return None;
         }
@@ -584,7 +584,7 @@
         let (most, key) = (self.most, "control.version_most").min((fits, "as memory.configuration allows"));
         let (mut body, mut lines) = (answer.into_body(), Lines::new(most as usize));
         let mut begun: Option<Instant> = None;
-        while let Ok(piece) = link.piece(&mut body, self.silence).await {
+        while let Ok(piece) = connection.next_chunk(&mut body, self.silence).await {
             if lines.push(&piece).is_err() {
                 let why = format!("longer than {most} bytes ({key})");
                 return Some(Refusal::Unreadable(why));
@@ -624,13 +624,13 @@
 /// Posts one answer to a version, on a connection of its own: on a used one a second copy of the acknowledgement before
 /// could be taken for its own.
 async fn post_answer(url: &Url, answer: &Value) -> Option<StatusCode> {
-    let mut link = Link::open(url.address, CONNECT, None).await.ok()?;
+    let mut connection = HttpConnection::connect(url.address, CONNECT, None).await.ok()?;
     let request = Request::post(format!("{}/answers", url.path.trim_end_matches('/')))
         .header(header::HOST, url.address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(answer.to_string())))
         .ok()?;
-    Some(link.ask(request, Instant::now() + ANSWER).await.ok()?.status)
+    Some(connection.send_request(request, Instant::now() + ANSWER).await.ok()?.status)
 }
 
 impl From<io::Error> for Fault {
--- a/crates/courier/src/place/watch.rs
+++ b/crates/courier/src/place/watch.rs
@@ -4,7 +4,7 @@
 use super::outage::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
 use crate::news::{List, News};
-use crate::outbound::http_connection::{ConnectError, Link, Lost, StreamEnd};
+use crate::outbound::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -43,7 +43,7 @@
     #[error("no connection: {0}")]
     Connect(#[from] ConnectError),
     #[error("no answer: {0}")]
-    NoAnswer(#[from] Lost),
+    NoAnswer(#[from] RequestError),
     #[error("answered {0}")]
     Refused(StatusCode),
     #[error("{0}")]
@@ -82,7 +82,7 @@
             WatchEnd::Connect(_) => "connect",
             WatchEnd::NoAnswer(_) => "no_answer",
             WatchEnd::Refused(_) => "refused",
-            WatchEnd::Stream(StreamEnd::Silent(_)) => "silent",
+            WatchEnd::Stream(StreamEnd::IdleTimeout(_)) => "silent",
             WatchEnd::Stream(_) => "lost",
             WatchEnd::EndlessLine | WatchEnd::LineTooLong | WatchEnd::Unreadable(_) => "malformed",
             WatchEnd::Closing => "closing",
@@ -152,7 +152,7 @@
         lines_read: &mut u64,
     ) -> Result<Infallible, WatchEnd> {
         let begun = Instant::now();
-        let (mut link, answer) = self.call().await?;
+        let (mut connection, answer) = self.call().await?;
         let (mut body, mut lines) = (answer.into_body(), Lines::new(MAX_LINE_BYTES));
         let mut line_begun: Option<Instant> = None;
         loop {
@@ -161,7 +161,7 @@
             if line_time_left.is_zero() {
                 return Err(WatchEnd::EndlessLine);
             }
-            let piece = link.piece(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
+            let piece = connection.next_chunk(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
             if lines.push(&piece).is_err() || lines.buffered() > MAX_LINE_BYTES {
                 return Err(WatchEnd::LineTooLong);
             }
@@ -188,21 +188,21 @@
     }
 
     /// Connects and asks; an answer with a status other than 200 is none.
-    async fn call(&self) -> Result<(Link, Response<Incoming>), WatchEnd> {
+    async fn call(&self) -> Result<(HttpConnection, Response<Incoming>), WatchEnd> {
         self.status.call_started();
         let path = match self.fresh {
             true => "/api/targets?stream=1".to_owned(),
             false => format!("/api/targets?stream=1&index={}", self.seq),
         };
         eprintln!("discovery: calls {} for {path}", self.address);
-        let mut link = Link::open(self.address, CONNECT_TIMEOUT, None).await?;
+        let mut connection = HttpConnection::connect(self.address, CONNECT_TIMEOUT, None).await?;
         let request = Request::get(path)
             .header(header::HOST, self.address.to_string())
             .body(Full::<Bytes>::default())
-            .map_err(|_| WatchEnd::NoAnswer(Lost::Unsent))?;
-        let answer = link.watch(request, HEAD_TIMEOUT).await?;
+            .map_err(|_| WatchEnd::NoAnswer(RequestError::NotSent))?;
+        let answer = connection.open_stream(request, HEAD_TIMEOUT).await?;
         match answer.status() {
-            StatusCode::OK => Ok((link, answer)),
+            StatusCode::OK => Ok((connection, answer)),
             status => Err(WatchEnd::Refused(status)),
         }
     }
--- a/crates/courier/src/start/platform.rs
+++ b/crates/courier/src/start/platform.rs
@@ -7,8 +7,8 @@
 use crate::front::intake::{Front, Intake, Standing};
 use crate::front::listener::listen;
 use crate::news::News;
-use crate::outbound::endpoint_client::Calls;
-use crate::outbound::outcomes::Outcomes;
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
 use crate::owner::Courier;
 use crate::room::Room;
 use stairshed_decide::brain::Brain;
@@ -67,10 +67,14 @@
     let for_calls = (config.limits.sockets / 3).max(16);
     let for_clients = config.limits.sockets.saturating_sub(for_calls + SPARE_SOCKETS).max(8);
     let room = room(&config);
-    let calls =
-        Calls::new(config.settings.connect_timeout, config.settings.keepalive, for_calls, room.clone());
+    let calls = EndpointClient::new(
+        config.settings.connect_timeout,
+        config.settings.keepalive,
+        for_calls,
+        room.clone(),
+    );
     // The module reckons with the connections that are kept here.
-    config.settings.keepalive = calls.keep_time();
+    config.settings.keepalive = calls.idle_timeout();
     config.settings.membership_term = Some(LIST_TERM);
     let pushed = !config.settings.must_subscribe;
     let brain = Brain::new(config.settings.clone(), config.seed);
@@ -93,7 +97,7 @@
         farewells: None,
     });
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
-    let outcomes = Outcomes::platform(config.discovery);
+    let outcomes = OutcomeNotifier::platform(config.discovery);
     let setup = config.setup(room);
     let courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
     standing.ready.set(true);
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/start/serve.rs
@@ -10,8 +10,8 @@
 use crate::front::mqtt::{self, Hub};
 use crate::front::users::Users;
 use crate::news::News;
-use crate::outbound::endpoint_client::Calls;
-use crate::outbound::outcomes::Outcomes;
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
 use crate::owner::Courier;
 use crate::owner::setup::Setup;
 use crate::place::control::{Configurator, Status, Store};
@@ -175,8 +175,13 @@
     let caps = room::caps(&installation).map_err(Fault::Lines)?;
     let room = Room::new(&caps, installation.file.memory.client_share);
     let mut setup = setup(&installation, &effective, &room, &beside);
-    let calls = Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, for_calls, room.clone());
-    setup.settings.keepalive = calls.keep_time();
+    let calls = EndpointClient::new(
+        setup.settings.connect_timeout,
+        setup.settings.keepalive,
+        for_calls,
+        room.clone(),
+    );
+    setup.settings.keepalive = calls.idle_timeout();
     let connections = calls.connection_status();
     let brain = Brain::new(setup.settings.clone(), setup.seed).map_err(|e| bad("configuration", e))?;
     let (news, inbox) = mpsc::channel(INBOX);
@@ -194,7 +199,7 @@
     let unread = state.join("outcomes.ndjson");
     let to = outcomes.file.as_ref().map(|f| state.join(f));
     let to = if installation.outcomes.is_none() { to.or(Some(unread.clone())) } else { to };
-    let outcomes = Outcomes::operator(installation.outcomes.as_ref(), to, unread, machine);
+    let outcomes = OutcomeNotifier::operator(installation.outcomes.as_ref(), to, unread, machine);
     let (lookups, resolver) = dns::start(&installation, news.clone());
     let status = Rc::new(Status::new(file.clone(), version.as_ref().map(|v| v.version)));
     let waits = version.is_none() && takes_nothing;
