--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -11,40 +11,40 @@
 //!   ended     what stays of ended messages  brokers   attempts at MQTT brokers      notes  state by key
 //! ```
 
-mod acceptance;
-mod attempts;
 mod brokers;
 mod ended_messages;
 mod held_message;
 mod lease;
 mod members;
 mod memory;
+mod stored_state;
 mod notices;
+mod attempts;
 mod records;
 pub mod setup;
 mod shutdown;
-mod stored_state;
+mod acceptance;
 
 use crate::clock::unix_time;
-use crate::events::{CourierEvent, EndpointList, Frontend};
 use crate::front::intake::Standing;
-use crate::out::calls::Calls;
-use crate::out::outcomes::Outcomes;
+use crate::events::{Frontend, EndpointList, CourierEvent};
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
 use crate::place::hosts::hosts;
-use acceptance::Taking;
-use attempts::{Out, aged};
 use members::Members;
 use memory::Memory;
 use notices::Notices;
+use attempts::{Out, aged};
 use records::{COMPACT_PAUSE, DISK_RETRY, Records};
 use setup::Setup;
-use shutdown::{STOP_LOOK, Stopping};
 use stairshed_config::change::changes;
-use stairshed_decide::interface::*;
 use stairshed_decide::scheduler::Scheduler;
+use stairshed_decide::interface::*;
 use stairshed_journal::{Journal, Verdict};
 use std::collections::HashMap;
 use std::rc::Rc;
+use shutdown::{STOP_LOOK, Stopping};
+use acceptance::Taking;
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::{Instant, sleep_until};
 
@@ -79,8 +79,8 @@
         setup: Setup,
         scheduler: Scheduler,
         journal: Journal,
-        calls: Calls,
-        outcomes: Outcomes,
+        calls: EndpointClient,
+        outcomes: OutcomeNotifier,
         standing: Rc<Standing>,
         news: Sender<CourierEvent>,
     ) -> Self {
@@ -280,14 +280,14 @@
                 Action::Cancel { message, .. } => cancels.push((message.0, self.publishing_to(message.0))),
                 Action::Probe { endpoint } => self.probe(endpoint),
                 Action::CloseIdleConnections { endpoint } => {
-                    self.out.calls.close(endpoint);
+                    self.out.calls.close_idle(endpoint);
                     self.hang_up(endpoint);
                 }
                 Action::Subscribe { active: true } | Action::FetchEndpointList => self.watch(),
                 Action::Subscribe { active: false } | Action::SendNote { .. } => {}
                 Action::SetTimer { token, after } => self.wake = Some((now + after, token)),
                 Action::ForgetEndpoint { endpoint } => {
-                    self.out.calls.forget(endpoint);
+                    self.out.calls.remove_endpoint(endpoint);
                     self.forget_broker(endpoint);
                     if let Some(e) = self.members.endpoints.remove(&endpoint) {
                         self.members.numbers.remove(&e.host);
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -4,8 +4,8 @@
 use super::held_message::{Held, Waiting};
 use super::memory::Holding;
 use super::{Dispatcher, Verdict};
-use crate::events::{Reply, ReplyTo, Submission};
-use crate::follow;
+use crate::message_trace;
+use crate::events::{Submission, Reply, ReplyTo};
 use stairshed_decide::interface::*;
 use stairshed_journal::{Letter, Refusal};
 use std::collections::{BTreeMap, HashMap};
@@ -120,7 +120,7 @@
         for (message, Offered { class, offer, holding }) in std::mem::take(&mut self.taking.offers) {
             if let Some(verdict) = refused.remove(&message) {
                 self.taking.ids.remove(&offer.letter.id);
-                follow::step(
+                message_trace::log_step(
                     &offer.letter.id,
                     format_args!("refused at once class={} verdict={verdict:?}", offer.letter.class),
                 );
@@ -139,7 +139,7 @@
                 continue;
             }
             let Submission { letter, reply, .. } = offer;
-            follow::step(
+            message_trace::log_step(
                 &letter.id,
                 format_args!(
                     "taken number={message} class={} destination={}",
@@ -171,7 +171,7 @@
     pub(super) fn taken(&mut self, message: u64, reply: ReplyTo) {
         if reply.send(Reply::Accepted).is_err() {
             if let Some(m) = self.out.held.get(&message) {
-                follow::step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
+                message_trace::log_step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
             }
             self.withdraw(message);
         }
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -5,8 +5,8 @@
 use super::held_message::Waiting;
 use super::memory::Loose;
 use crate::clock::unix_time;
-use crate::events::{Reply, ReplyTo, Submission};
-use crate::follow;
+use crate::message_trace;
+use crate::events::{Submission, Reply, ReplyTo};
 use stairshed_journal::{Kept, Letter, Verdict};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -133,7 +133,10 @@
     /// ended.
     pub(super) fn repeat(&mut self, letter: &Letter) -> Option<Reply> {
         if letter.routed.is_none() && self.ended.recalled.has(&letter.id) {
-            follow::step(&letter.id, format_args!("handed in again after its end: not sent again"));
+            message_trace::log_step(
+                &letter.id,
+                format_args!("handed in again after its end: not sent again"),
+            );
             return Some(Reply::Accepted);
         }
         let message = *self.ended.by_id.get(&letter.id)?;
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -3,9 +3,7 @@
 
 use super::Dispatcher;
 use super::held_message::Held;
-use crate::events::{
-    ConfigurationUpdate, EndpointList, Health, ListedEndpoint, MembershipChanges, diff_endpoints,
-};
+use crate::events::{MembershipChanges, ConfigurationUpdate, Health, ListedEndpoint, EndpointList, diff_endpoints};
 use crate::place::watch::Watch;
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
@@ -95,8 +93,10 @@
         self.setup.classes.change(classes, &in_use);
         self.setup.settings =
             Settings { classes: self.setup.classes.classes(), ..installation.settings.clone() };
-        self.setup.settings.keepalive =
-            self.out.calls.retime(installation.settings.connect_timeout, installation.settings.keepalive);
+        self.setup.settings.keepalive = self
+            .out
+            .calls
+            .set_timeouts(installation.settings.connect_timeout, installation.settings.keepalive);
         self.reconfigure();
         let wait = Instant::now() + installation.file.limits.pool_wait.0;
         self.setup.pool_wait = installation.file.limits.pool_wait.0;
@@ -269,7 +269,7 @@
             let requires_lease = host.leased;
             let address = host.dial.parse().ok().or(e.address);
             if std::mem::replace(&mut e.address, address) != address {
-                self.out.calls.close(endpoint);
+                self.out.calls.close_idle(endpoint);
             }
             // An address that cannot be read leaves nowhere to send to.
             let state = match host.health {
@@ -279,7 +279,7 @@
             };
             e.ready = state == interface::EndpointState::Ready;
             let ready = e.ready;
-            self.out.calls.admit(endpoint, ready);
+            self.out.calls.set_available(endpoint, ready);
             self.out.calls.set_leased(endpoint, host.leased);
             self.broker_stands(endpoint, ready);
             self.members.destinations.insert(host.block);
@@ -296,7 +296,7 @@
     /// whatever comes to its address next is another.
     pub(super) fn part(&self, endpoint: EndpointId) {
         if !self.members.endpoints.get(&endpoint).is_some_and(|e| e.ready) {
-            self.out.calls.close(endpoint);
+            self.out.calls.close_idle(endpoint);
         }
     }
 
@@ -326,7 +326,7 @@
         if self.setup.discovery.replace(discovery) == Some(discovery) {
             return;
         }
-        self.notices.outcomes.move_to(discovery);
+        self.notices.outcomes.set_address(discovery);
         self.discovery_moved();
         if let Some(watch) = self.members.watch.take() {
             watch.abort();
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -4,9 +4,9 @@
 use super::Dispatcher;
 use super::held_message::{Held, NOWHERE, Waiting};
 use crate::clock::unix_time;
+use crate::message_trace;
 use crate::events::CourierEvent;
-use crate::follow;
-use crate::out::outcomes::Notice;
+use crate::outbound::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Synced, Verdict};
 use std::collections::VecDeque;
@@ -77,7 +77,7 @@
                 continue;
             }
             let taken = self.taken_before(message, &m, class.unwrap_or_default());
-            follow::step(
+            message_trace::log_step(
                 &letter.id,
                 format_args!("resumed number={message} class={} past={:?}", letter.class, taken.history),
             );
--- a/crates/courier/src/front/mqtt.rs
+++ b/crates/courier/src/front/mqtt.rs
@@ -2,14 +2,12 @@
 //! sessions. What a PUBLISH means is asked of the routes in effect, what becomes of it of the courier.
 
 use crate::clock::unix_time;
-use crate::events::{
-    CourierEvent, DEFAULT_RETRY_AFTER, Frontend, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
-};
 use crate::front::effective::Effective;
 use crate::front::farewell::{Farewells, Speaks, Why};
 use crate::front::users::Users;
-use crate::memory_budget::{MemoryBudget, MemoryRefusal};
-use crate::out::outcomes;
+use crate::events::{DEFAULT_RETRY_AFTER, Frontend, CourierEvent, Submission, Reply, ReplyTo, StateUpdate, refusal_reason};
+use crate::outbound::outcomes;
+use crate::memory_budget::{MemoryRefusal, MemoryBudget};
 use crate::socket::is_transient;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
@@ -118,7 +116,7 @@
     }
 
     fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
-        let line = outcomes::line(id, verdict);
+        let line = outcomes::outcome_line(id, verdict);
         self.with(|machine, _| machine.outcome(owner, Outcome { message, line }));
     }
 }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -11,14 +11,14 @@
 
 pub mod client;
 mod clock;
-mod dispatcher;
-mod events;
 mod fault;
-pub mod follow;
+pub mod message_trace;
 mod front;
-mod memory_budget;
-mod out;
+mod events;
+mod outbound;
+mod dispatcher;
 mod place;
+mod memory_budget;
 mod socket;
 mod start;
 mod system;
--- a/crates/courier/src/start/platform.rs
+++ b/crates/courier/src/start/platform.rs
@@ -3,16 +3,16 @@
 use super::config::{self, Config};
 use super::settings::Settings;
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::dispatcher::Dispatcher;
-use crate::events::CourierEvent;
 use crate::fault::Fault;
 use crate::front::intake::{Front, Intake, Standing};
 use crate::front::listener::listen;
+use crate::events::CourierEvent;
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
+use crate::dispatcher::Dispatcher;
 use crate::memory_budget::MemoryBudget;
-use crate::out::calls::Calls;
-use crate::out::outcomes::Outcomes;
-use stairshed_decide::interface::ENDPOINT_LIST_LEASE;
 use stairshed_decide::scheduler::Scheduler;
+use stairshed_decide::interface::ENDPOINT_LIST_LEASE;
 use stairshed_journal::Journal;
 use stairshed_memory::{ByPurpose, Caps, Purpose};
 use std::path::PathBuf;
@@ -67,10 +67,14 @@
     let for_calls = (config.limits.sockets / 3).max(16);
     let for_clients = config.limits.sockets.saturating_sub(for_calls + SPARE_SOCKETS).max(8);
     let room = room(&config);
-    let calls =
-        Calls::new(config.settings.connect_timeout, config.settings.keepalive, for_calls, room.clone());
+    let calls = EndpointClient::new(
+        config.settings.connect_timeout,
+        config.settings.keepalive,
+        for_calls,
+        room.clone(),
+    );
     // The module reckons with the connections that are kept here.
-    config.settings.keepalive = calls.keep_time();
+    config.settings.keepalive = calls.idle_timeout();
     config.settings.membership_lease_duration = Some(ENDPOINT_LIST_LEASE);
     let pushed = !config.settings.subscription_required;
     let scheduler = Scheduler::new(config.settings.clone(), config.seed);
@@ -93,7 +97,7 @@
         farewells: None,
     });
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
-    let outcomes = Outcomes::platform(config.discovery);
+    let outcomes = OutcomeNotifier::platform(config.discovery);
     let setup = config.setup(room);
     let courier = Dispatcher::new(setup, scheduler, journal, calls, outcomes, standing.clone(), news.clone());
     standing.ready.set(true);
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/start/serve.rs
@@ -1,9 +1,6 @@
 //! An operator's courier: started from a file, with versions of a control service over it.
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::dispatcher::Dispatcher;
-use crate::dispatcher::setup::Setup;
-use crate::events::CourierEvent;
 use crate::fault::Fault;
 use crate::front::admin::{self, Pages};
 use crate::front::effective::Effective;
@@ -12,20 +9,23 @@
 use crate::front::listener::listen;
 use crate::front::mqtt::{self, Hub};
 use crate::front::users::Users;
-use crate::memory_budget::{self, MemoryBudget};
-use crate::out::calls::Calls;
-use crate::out::outcomes::Outcomes;
+use crate::events::CourierEvent;
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::setup::Setup;
 use crate::place::control::{Configurator, Status, Store};
 use crate::place::dns;
 use crate::place::file;
 use crate::place::hosts::kinds;
+use crate::memory_budget::{self, MemoryBudget};
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
 use stairshed_config::installation::Document;
 use stairshed_config::version::{Version, Versions};
-use stairshed_decide::interface::Settings;
 use stairshed_decide::scheduler::Scheduler;
+use stairshed_decide::interface::Settings;
 use stairshed_journal::{Durability, Journal};
 use stairshed_mqtt::server::Limits;
 use std::path::{Path, PathBuf};
@@ -180,8 +180,13 @@
     let caps = memory_budget::caps(&installation).map_err(Fault::Lines)?;
     let room = MemoryBudget::new(&caps, installation.file.memory.client_share);
     let mut setup = setup(&installation, &effective, &room, &beside);
-    let calls = Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, for_calls, room.clone());
-    setup.settings.keepalive = calls.keep_time();
+    let calls = EndpointClient::new(
+        setup.settings.connect_timeout,
+        setup.settings.keepalive,
+        for_calls,
+        room.clone(),
+    );
+    setup.settings.keepalive = calls.idle_timeout();
     let connections = calls.connection_status();
     let scheduler =
         Scheduler::new(setup.settings.clone(), setup.seed).map_err(|e| bad("configuration", e))?;
@@ -200,7 +205,7 @@
     let unread = state.join("outcomes.ndjson");
     let to = outcomes.file.as_ref().map(|f| state.join(f));
     let to = if installation.outcomes.is_none() { to.or(Some(unread.clone())) } else { to };
-    let outcomes = Outcomes::operator(installation.outcomes.as_ref(), to, unread, machine);
+    let outcomes = OutcomeNotifier::operator(installation.outcomes.as_ref(), to, unread, machine);
     let (lookups, resolver) = dns::start(&installation, news.clone());
     let status = Rc::new(Status::new(file.clone(), version.as_ref().map(|v| v.version)));
     let waits = version.is_none() && takes_nothing;
