--- a/crates/courier/src/config_tool.rs
+++ b/crates/courier/src/config_tool.rs
@@ -5,7 +5,7 @@
 use stairshed_config::route::{self, NoRoute, normal_path};
 use stairshed_config::topic;
 use stairshed_config::{Installation, Problems, load, report};
-use stairshed_courier::client;
+use stairshed_courier::admin_client;
 use stairshed_courier::host_name;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -183,7 +183,7 @@
 
 /// The effective configuration of a running courier.
 pub fn show(admin: SocketAddr, json: bool, out: &mut impl Write) -> Result<(), Error> {
-    let page = |path| client::get(admin, path).map_err(|why| Error::Courier { address: admin, why });
+    let page = |path| admin_client::get(admin, path).map_err(|why| Error::Courier { address: admin, why });
     let (status, values) = (page("/-/config")?, page("/-/config/values")?);
     if json {
         writeln!(out, "{}", values.trim_end())?;
--- a/crates/courier/src/front.rs
+++ b/crates/courier/src/ingress.rs
@@ -1,10 +1,10 @@
 //! Clients: what they hand in, what they are told, and the operator's pages.
 
+pub mod active_config;
 pub mod admin;
-pub mod effective;
-pub mod farewell;
-pub mod intake;
+pub mod http;
 pub mod listener;
+pub mod message_headers;
 pub mod mqtt;
-pub mod named;
+pub mod rejection;
 pub mod users;
--- a/crates/courier/src/front/effective.rs
+++ b/crates/courier/src/ingress/active_config.rs
@@ -1,7 +1,7 @@
 //! The configuration in effect, as the fronts see it: which route a request takes, and what is made of it.
 
 use crate::clock::unix;
-use crate::front::named::{ID_MOST, Named, Unfit};
+use crate::ingress::message_headers::{ID_MOST, Named, Unfit};
 use bytes::Bytes;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode};
--- a/crates/courier/src/front/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -1,7 +1,7 @@
 //! The operator's pages: what configuration is in effect, since when, and what was refused. On an address of
 //! their own, off unless configured, loopback only.
 
-use crate::front::intake::Standing;
+use crate::ingress::http::Standing;
 use crate::out::connection_status::ConnectionStatus;
 use crate::place::control::View;
 use crate::place::watch_status::WatchStatus;
--- a/crates/courier/src/front/intake.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,9 +1,9 @@
 //! The clients' side: takes messages in over HTTP, and tells whether the courier is ready.
 
 use crate::clock::unix;
-use crate::front::effective::Effective;
-use crate::front::farewell::{Farewells, Speaks, Why};
-use crate::front::named::{Named, Unfit};
+use crate::ingress::active_config::Effective;
+use crate::ingress::message_headers::{Named, Unfit};
+use crate::ingress::rejection::{Farewells, Speaks, Why};
 use crate::news::{COME_AGAIN, News, Offer, Reply, ReplyTo, reason};
 use crate::room::{NoRoom, Room};
 use crate::socket;
@@ -603,5 +603,5 @@
 }
 
 #[cfg(test)]
-#[path = "intake_test.rs"]
+#[path = "http_test.rs"]
 mod tests;
--- a/crates/courier/src/front/named.rs
+++ b/crates/courier/src/ingress/message_headers.rs
@@ -70,5 +70,5 @@
 }
 
 #[cfg(test)]
-#[path = "named_test.rs"]
+#[path = "message_headers_test.rs"]
 mod tests;
--- a/crates/courier/src/front/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -2,9 +2,9 @@
 //! sessions. What a PUBLISH means is asked of the routes in effect, what becomes of it of the courier.
 
 use crate::clock::unix;
-use crate::front::effective::Effective;
-use crate::front::farewell::{Farewells, Speaks, Why};
-use crate::front::users::Users;
+use crate::ingress::active_config::Effective;
+use crate::ingress::rejection::{Farewells, Speaks, Why};
+use crate::ingress::users::Users;
 use crate::news::{COME_AGAIN, Front, News, Offer, Reply, ReplyTo, Store, reason};
 use crate::out::outcomes;
 use crate::room::{NoRoom, Room};
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -3,17 +3,17 @@
 //!
 //! ```text
 //!   start   what it is told at its start: by the platform, by an operator's file
-//!   front   clients: HTTP, MQTT, and the operator's pages
+//!   ingress clients: HTTP, MQTT, and the operator's pages
 //!   place   where things are: discovery, names, the control service
 //!   out     calls to endpoints and brokers, notices of outcomes
 //!   owner   the decision module, its turn, and what is held
 //! ```
 
-pub mod client;
+pub mod admin_client;
 mod clock;
 mod fault;
 pub mod follow;
-mod front;
+mod ingress;
 mod news;
 mod out;
 mod owner;
@@ -24,7 +24,7 @@
 mod system;
 
 pub use fault::Fault;
-pub use front::effective::host_name;
-pub use front::users;
+pub use ingress::active_config::host_name;
+pub use ingress::users;
 pub use place::file;
 pub use start::{dev, run, serve, settings};
--- a/crates/courier/src/memory_tool.rs
+++ b/crates/courier/src/memory_tool.rs
@@ -1,7 +1,7 @@
 //! `stairshed memory`: what a running courier holds, by purpose.
 
 use serde_json::Value;
-use stairshed_courier::client;
+use stairshed_courier::admin_client;
 use stairshed_memory::caps::Bytes;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     out: &mut impl Write,
 ) -> io::Result<()> {
     loop {
-        let text = client::get(admin, "/-/memory")?;
+        let text = admin_client::get(admin, "/-/memory")?;
         if json {
             out.write_all(text.as_bytes())?;
         } else {
--- a/crates/courier/src/owner.rs
+++ b/crates/courier/src/owner.rs
@@ -26,7 +26,7 @@
 mod taking;
 
 use crate::clock::unix;
-use crate::front::intake::Standing;
+use crate::ingress::http::Standing;
 use crate::news::{Front, List, News};
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
--- a/crates/courier/src/owner/setup.rs
+++ b/crates/courier/src/owner/setup.rs
@@ -1,6 +1,6 @@
 //! What the owner of the decision module is told at its start: by the platform, or by an operator's file.
 
-use crate::front::effective::Effective;
+use crate::ingress::active_config::Effective;
 use crate::news::List;
 use crate::place::list_age::ListAgeFile;
 use crate::place::watch_status::WatchStatus;
--- a/crates/courier/src/place/control.rs
+++ b/crates/courier/src/place/control.rs
@@ -2,9 +2,9 @@
 //! the serving thread, stored, told to the courier, and only then acknowledged.
 
 use crate::fault::Fault;
-use crate::front::effective::Effective;
-use crate::front::intake::Intake;
-use crate::front::listener::listen;
+use crate::ingress::active_config::Effective;
+use crate::ingress::http::Intake;
+use crate::ingress::listener::listen;
 use crate::news::{Changes, Configured, News};
 use crate::out::link::Link;
 use crate::place::dns::Lookups;
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/start/serve.rs
@@ -2,13 +2,13 @@
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
 use crate::fault::Fault;
-use crate::front::admin::{self, Pages};
-use crate::front::effective::Effective;
-use crate::front::farewell::Farewells;
-use crate::front::intake::{BODY_MOST, Front, Intake, Standing};
-use crate::front::listener::listen;
-use crate::front::mqtt::{self, Hub};
-use crate::front::users::Users;
+use crate::ingress::active_config::Effective;
+use crate::ingress::admin::{self, Pages};
+use crate::ingress::http::{BODY_MOST, Front, Intake, Standing};
+use crate::ingress::listener::listen;
+use crate::ingress::mqtt::{self, Hub};
+use crate::ingress::rejection::Farewells;
+use crate::ingress::users::Users;
 use crate::news::News;
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
