--- a/crates/courier/src/ingress/active_config.rs
+++ b/crates/courier/src/ingress/active_config.rs
@@ -20,7 +20,7 @@
 
 /// Shared by the fronts; what is in effect is put in its place at one instant.
 #[derive(Clone)]
-pub struct Effective(Rc<RefCell<(u64, Arc<Installation>)>>);
+pub struct ActiveConfig(Rc<RefCell<(u64, Arc<Installation>)>>);
 
 /// Longest method and path that are put on record with a message, and all headers that a route passes on.
 const PATH_MOST: usize = 4096;
@@ -89,9 +89,9 @@
     out
 }
 
-impl Effective {
+impl ActiveConfig {
     pub fn new(version: u64, installation: Arc<Installation>) -> Self {
-        Effective(Rc::new(RefCell::new((version, installation))))
+        ActiveConfig(Rc::new(RefCell::new((version, installation))))
     }
 
     pub fn set(&self, version: u64, installation: Arc<Installation>) {
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -1,7 +1,7 @@
 //! The operator's pages: what configuration is in effect, since when, and what was refused. On an address of
 //! their own, off unless configured, loopback only.
 
-use crate::ingress::http::Standing;
+use crate::ingress::http::ServerState;
 use crate::out::connection_status::ConnectionStatus;
 use crate::place::control::View;
 use crate::place::watch_status::WatchStatus;
@@ -31,16 +31,16 @@
 
 /// What the pages show.
 #[derive(Clone)]
-pub struct Pages {
+pub struct AdminPages {
     pub view: View,
-    pub standing: Rc<Standing>,
+    pub server_state: Rc<ServerState>,
     pub room: Room,
     pub watch: Rc<WatchStatus>,
     pub connections: Rc<ConnectionStatus>,
 }
 
 /// Answers until the process ends.
-pub async fn run(listener: TcpListener, pages: Pages) {
+pub async fn run(listener: TcpListener, pages: AdminPages) {
     let places = Arc::new(Semaphore::new(CONNECTIONS));
     loop {
         let Ok(permit) = places.clone().acquire_owned().await else { return };
@@ -61,14 +61,14 @@
     }
 }
 
-async fn answer(request: &Request<Incoming>, pages: &Pages) -> Response<Full<Bytes>> {
+async fn answer(request: &Request<Incoming>, pages: &AdminPages) -> Response<Full<Bytes>> {
     let page = match (request.method(), request.uri().path()) {
         (&Method::GET, "/-/config") => Some(pages.view.status.json()),
         (&Method::GET, "/-/config/values") => Some(values(&pages.view).await),
         (&Method::GET, "/-/connections") => Some(pages.connections.page()),
         (&Method::GET, "/-/discovery") => Some(pages.watch.page()),
         (&Method::GET, "/-/memory") => Some(pages.room.page()),
-        (&Method::GET, "/-/ready") => Some(json!({"ready": pages.standing.ready.get()})),
+        (&Method::GET, "/-/ready") => Some(json!({"ready": pages.server_state.ready.get()})),
         _ => None,
     };
     let found = page.is_some();
@@ -88,7 +88,7 @@
 /// The effective configuration, each value with its source. Made off the serving thread: a large one takes
 /// tenths of a second.
 async fn values(view: &View) -> Value {
-    let (version, installation) = view.effective.get();
+    let (version, installation) = view.active_config.get();
     let (document, held) = view.document.borrow().clone();
     let made = tokio::task::spawn_blocking(move || {
         let over = held.as_ref().map(|v| (v.version, &*v.config));
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,9 +1,9 @@
 //! The clients' side: takes messages in over HTTP, and tells whether the courier is ready.
 
 use crate::clock::unix;
-use crate::ingress::active_config::Effective;
+use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::message_headers::{Named, Unfit};
-use crate::ingress::rejection::{Farewells, Speaks, Why};
+use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
 use crate::news::{COME_AGAIN, News, Offer, Reply, ReplyTo, reason};
 use crate::room::{NoRoom, Room};
 use crate::socket;
@@ -34,7 +34,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// A longer body is read no further and costs its connection.
 const BODY_DRAINED: usize = 1024 * 1024;
 /// A client is owed an answer or a close within 3 s of connecting: so long it may stay silent, a head may
@@ -56,11 +56,11 @@
 
 /// Standing of the program, as clients may know it.
 #[derive(Default)]
-pub struct Standing {
+pub struct ServerState {
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
     /// Told to all connections when the courier stops.
-    pub open: RefCell<BTreeMap<u64, Rc<Line>>>,
+    pub connections: RefCell<BTreeMap<u64, Rc<Line>>>,
     next: Cell<u64>,
     /// The task that takes clients in; it changes with the address.
     accepting: RefCell<Option<AbortHandle>>,
@@ -226,9 +226,9 @@
     }
 }
 
-impl Standing {
+impl ServerState {
     /// The task that takes clients in is another.
-    pub fn listens(&self, task: AbortHandle) {
+    pub fn set_accept_task(&self, task: AbortHandle) {
         *self.accepting.borrow_mut() = Some(task);
     }
 
@@ -240,15 +240,15 @@
     }
 
     /// Readiness off; idle connections close, the others after their answer.
-    pub fn stop(&self) {
+    pub fn begin_shutdown(&self) {
         self.ready.set(false);
         self.stopping.set(true);
-        self.open.borrow().values().for_each(|line| line.close.notify_one());
+        self.connections.borrow().values().for_each(|line| line.close.notify_one());
     }
 
     /// Closes the connection that is of least use, if one can go.
     fn shed(&self) -> bool {
-        let mut open = self.open.borrow_mut();
+        let mut open = self.connections.borrow_mut();
         // In a flood of newcomers the silent ones show in a moment, and go before what has served.
         if open.values().filter(|line| line.use_of().is_none()).count() * 4 > open.len() {
             return false;
@@ -264,25 +264,25 @@
 }
 
 /// Who says what a request means.
-pub enum Front {
+pub enum Routing {
     /// PROTOCOL: the path names a class, `Envelope` the destination.
     Platform { classes: Vec<String> },
     /// The routes of what is in effect.
-    Routes(Effective),
+    Routes(ActiveConfig),
 }
 
-pub struct Intake {
-    pub front: Front,
-    pub standing: Rc<Standing>,
+pub struct HttpServer {
+    pub routing: Routing,
+    pub server_state: Rc<ServerState>,
     pub news: Sender<News>,
     /// Clients' connections at most.
-    pub sockets: usize,
+    pub max_connections: usize,
     pub room: Room,
     /// Where clients are told apart, each with its share of the memory: who tells those that there is no room for.
-    pub farewells: Option<Rc<Farewells>>,
+    pub rejecter: Option<Rc<ConnectionRejecter>>,
 }
 
-impl Intake {
+impl HttpServer {
     /// Accepts clients until the task is dropped.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let this = self;
@@ -290,15 +290,15 @@
             // Out of sockets or of memory for them is backpressure: the one of least use makes room, else the
             // newcomer waits outside. Each closed one lets one in at once, so that hundreds that say nothing
             // starve nobody.
-            let full = this.standing.open.borrow().len() >= this.sockets
+            let full = this.server_state.connections.borrow().len() >= this.max_connections
                 || this.room.ledger.room(Purpose::Clients) < LINE_BYTES;
-            if full && !this.standing.shed() {
+            if full && !this.server_state.shed() {
                 sleep(Duration::from_millis(5)).await;
                 continue;
             }
             match listener.accept().await {
                 Ok((stream, from)) => {
-                    let apart = this.farewells.as_ref();
+                    let apart = this.rejecter.as_ref();
                     let from = from.ip();
                     let client = apart.and_then(|_| this.telling(|telling| telling.connection(from)));
                     let guest = client.map(|client| this.room.ledger.guest(client));
@@ -308,9 +308,9 @@
                             drop(tokio::task::spawn_local(this.clone().serve(stream, from, guest, room)))
                         }
                         Err(refused) => {
-                            if let Some(farewells) = apart {
+                            if let Some(rejecter) = apart {
                                 let why = Why::from(this.room.no(refused));
-                                farewells.turn_away(stream, Speaks::Http, why, false);
+                                rejecter.turn_away(stream, Speaks::Http, why, false);
                             }
                         }
                     }
@@ -328,9 +328,9 @@
     async fn serve(self: Rc<Self>, stream: TcpStream, from: IpAddr, guest: Option<Guest>, room: Charge) {
         let _ = stream.set_nodelay(true);
         let line = Rc::new(Line::new(room));
-        let id = self.standing.next.get();
-        self.standing.next.set(id + 1);
-        self.standing.open.borrow_mut().insert(id, line.clone());
+        let id = self.server_state.next.get();
+        self.server_state.next.set(id + 1);
+        self.server_state.connections.borrow_mut().insert(id, line.clone());
         let (this, of) = (self.clone(), line.clone());
         let service = service_fn(move |request| {
             let (this, line, guest) = (this.clone(), of.clone(), guest.clone());
@@ -344,7 +344,7 @@
         });
         let mut conn = http1::Builder::new()
             .max_buf_size(HEAD_MOST)
-            .keep_alive(!self.standing.stopping.get())
+            .keep_alive(!self.server_state.stopping.get())
             .serve_connection(TokioIo::new(Ear { stream, line: line.clone() }), service);
         let mut late = pin!(sleep(SILENT_TIME));
         let shed = loop {
@@ -360,12 +360,12 @@
                 },
             }
         };
-        self.standing.open.borrow_mut().remove(&id);
-        if let Some(farewells) = self.farewells.as_ref().filter(|_| shed) {
+        self.server_state.connections.borrow_mut().remove(&id);
+        if let Some(rejecter) = self.rejecter.as_ref().filter(|_| shed) {
             // Its next request may be on its way already, or half read.
             let heard = line.stage.get() == Stage::Head;
             let stream = conn.into_parts().io.into_inner().stream;
-            farewells.turn_away(stream, Speaks::Http, Why::connections(), heard);
+            rejecter.turn_away(stream, Speaks::Http, Why::connections(), heard);
         }
     }
 
@@ -376,16 +376,16 @@
         (from, guest): (IpAddr, Option<Guest>),
     ) -> Response<Full<Bytes>> {
         let mut answer = match (request.method(), request.uri().path()) {
-            (&Method::GET, "/-/ready") => match self.standing.ready.get() {
+            (&Method::GET, "/-/ready") => match self.server_state.ready.get() {
                 true => plain(StatusCode::OK, "ready\n"),
                 false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             },
             (&Method::POST, _) => self.take(request, line, (from, guest)).await,
             (&Method::GET | &Method::HEAD, _) => plain(StatusCode::NOT_FOUND, "no such page\n"),
-            _ if matches!(self.front, Front::Routes(_)) => self.take(request, line, (from, guest)).await,
+            _ if matches!(self.routing, Routing::Routes(_)) => self.take(request, line, (from, guest)).await,
             _ => plain(StatusCode::NOT_FOUND, "no such page\n"),
         };
-        if self.standing.stopping.get() {
+        if self.server_state.stopping.get() {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
@@ -408,7 +408,7 @@
             return closing(StatusCode::PAYLOAD_TOO_LARGE, "over 64 KiB\n");
         }
         // Many large bodies at once must not take the memory: together they have a fixed room.
-        let kept = if length > BODY_MOST as u64 { 0 } else { length as usize };
+        let kept = if length > MAX_BODY_BYTES as u64 { 0 } else { length as usize };
         let room = match self.room.ledger.take(Purpose::BodiesRead, kept as u64, guest.as_ref()) {
             Ok(room) => room,
             Err(_) if self.knows(&parts.headers).await => {
@@ -432,9 +432,9 @@
             return closing(status, why);
         }
         let at = Instant::now();
-        let read = match &self.front {
-            Front::Platform { classes } => letter(classes, parts.uri.path(), &parts.headers, body),
-            Front::Routes(effective) => effective.letter(&parts, body),
+        let read = match &self.routing {
+            Routing::Platform { classes } => letter(classes, parts.uri.path(), &parts.headers, body),
+            Routing::Routes(active_config) => active_config.letter(&parts, body),
         };
         let (letter, time_left) = match read {
             Ok(read) => read,
@@ -457,12 +457,12 @@
     }
 }
 
-impl Intake {
+impl HttpServer {
     /// Asks how clients are told apart; None where they are not.
     fn telling<T>(&self, ask: impl FnOnce(&Telling) -> Option<T>) -> Option<T> {
-        match &self.front {
-            Front::Platform { .. } => None,
-            Front::Routes(effective) => ask(&effective.get().1.telling),
+        match &self.routing {
+            Routing::Platform { .. } => None,
+            Routing::Routes(active_config) => ask(&active_config.get().1.telling),
         }
     }
 
@@ -525,13 +525,13 @@
         if seen > BODY_DRAINED {
             break;
         }
-        if seen <= BODY_MOST && seen <= room {
+        if seen <= MAX_BODY_BYTES && seen <= room {
             kept.extend_from_slice(&data);
         } else {
             kept = Vec::new();
         }
     }
-    if seen > BODY_MOST { Err(Unread::Large) } else { Ok(kept.into()) }
+    if seen > MAX_BODY_BYTES { Err(Unread::Large) } else { Ok(kept.into()) }
 }
 
 /// `dest=7`, perhaps among other fields.
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -2,8 +2,8 @@
 //! sessions. What a PUBLISH means is asked of the routes in effect, what becomes of it of the courier.
 
 use crate::clock::unix;
-use crate::ingress::active_config::Effective;
-use crate::ingress::rejection::{Farewells, Speaks, Why};
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
 use crate::ingress::users::Users;
 use crate::news::{COME_AGAIN, Front, News, Offer, Reply, ReplyTo, Store, reason};
 use crate::out::outcomes;
@@ -27,7 +27,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Notes of sessions in the journal: `session/USER/CLIENT`.
-pub const PREFIX: &str = "session/";
+pub const SESSION_KEY_PREFIX: &str = "session/";
 /// Bytes that are read at once, into a buffer that all connections share.
 const READ: usize = 16 * 1024;
 /// A client that lets so many bytes pile up unread is left.
@@ -50,7 +50,7 @@
     wake: Notify,
 }
 
-pub struct Hub {
+pub struct MqttServer {
     machine: RefCell<Server>,
     origin: Instant,
     lines: RefCell<HashMap<u64, Rc<Line>>>,
@@ -61,16 +61,16 @@
     sessions: RefCell<Charge>,
     buffer: RefCell<Vec<u8>>,
     wake: Notify,
-    effective: Effective,
+    active_config: ActiveConfig,
     users: Option<Arc<Users>>,
     checks: Arc<Semaphore>,
     news: Sender<News>,
     connections: usize,
     /// Tells those that there is no room for.
-    farewells: Rc<Farewells>,
+    rejecter: Rc<ConnectionRejecter>,
 }
 
-impl Front for Hub {
+impl Front for MqttServer {
     fn replied(&self, token: u64, reply: Reply) {
         self.judged_no_more(token);
         let refused = |code, why: &str, wait| Answer::Refused { code, why: why.to_owned(), wait };
@@ -121,15 +121,15 @@
     }
 }
 
-impl Hub {
+impl MqttServer {
     /// `records` are the sessions of an earlier life.
     pub fn new(
         limits: Limits,
-        (connections, room, farewells): (usize, Room, Rc<Farewells>),
-        (effective, users): (Effective, Option<Users>),
+        (connections, room, rejecter): (usize, Room, Rc<ConnectionRejecter>),
+        (active_config, users): (ActiveConfig, Option<Users>),
         news: Sender<News>,
         records: Vec<(String, bytes::Bytes)>,
-    ) -> Rc<Hub> {
+    ) -> Rc<MqttServer> {
         let mut machine = Server::new(limits, unix(), rand::random());
         for (owner, record) in records {
             let text = std::str::from_utf8(&record).unwrap_or_default();
@@ -137,7 +137,7 @@
                 eprintln!("mqtt: the session of {owner} cannot be read, and is given up");
             }
         }
-        Rc::new(Hub {
+        Rc::new(MqttServer {
             machine: RefCell::new(machine),
             origin: Instant::now(),
             lines: RefCell::default(),
@@ -146,12 +146,12 @@
             room,
             buffer: RefCell::new(vec![0; READ]),
             wake: Notify::new(),
-            effective,
+            active_config,
             users: users.map(Arc::new),
             checks: Arc::new(Semaphore::new(CHECKS)),
             news,
             connections,
-            farewells,
+            rejecter,
         })
     }
 
@@ -212,7 +212,7 @@
             Effect::Admit { connection, user, password, owner, will } => {
                 let fit = will.as_ref().map_or(Ok(()), |will| {
                     let publish = server::will_message(will);
-                    self.effective.publish(&publish, &owner).map(|_| ())
+                    self.active_config.publish(&publish, &owner).map(|_| ())
                 });
                 let fit = fit.map_err(|unfit| (unfit.code, format!("its will: {}", unfit.why)));
                 let fit = fit.and_then(|()| self.has_room(&owner));
@@ -228,7 +228,7 @@
                 }
             }
             Effect::Store { token, owner, record } => {
-                let key = format!("{PREFIX}{owner}");
+                let key = format!("{SESSION_KEY_PREFIX}{owner}");
                 let store = Store { token, key, value: record.map(bytes::Bytes::from) };
                 let _ = self.news.send(News::Store(store)).await;
             }
@@ -270,14 +270,14 @@
 
     async fn offer(self: Rc<Self>, offer: server::Offer) {
         let server::Offer { token, owner, publish, bounce, .. } = offer;
-        let (letter, time_left) = match self.effective.publish(&publish, &owner) {
+        let (letter, time_left) = match self.active_config.publish(&publish, &owner) {
             Ok(read) => read,
             Err(unfit) => {
                 let answer = Answer::Refused { code: unfit.code, why: unfit.why, wait: None };
                 return self.with(|machine, now| machine.replied(token, answer, now));
             }
         };
-        let guest = Some(self.room.ledger.guest(self.effective.get().1.telling.session(&owner)));
+        let guest = Some(self.room.ledger.guest(self.active_config.get().1.telling.session(&owner)));
         // Many large payloads at once must not take the memory: together they have a fixed room.
         let size = publish.payload.len() as u64;
         let room = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
@@ -313,7 +313,7 @@
             }
             match listener.accept().await {
                 Ok((socket, from)) => {
-                    let client = self.effective.get().1.telling.connection(from.ip());
+                    let client = self.active_config.get().1.telling.connection(from.ip());
                     let guest = client.map(|client| self.room.ledger.guest(client));
                     let room = self.room.ledger.take(Purpose::Clients, LINE_BYTES, guest.as_ref());
                     // One address with its share of the connections is turned away, and others get in.
@@ -324,7 +324,7 @@
                         }
                         Err(refused) => {
                             let why = Why::from(self.room.no(refused));
-                            self.farewells.turn_away(socket, Speaks::Mqtt, why, false);
+                            self.rejecter.turn_away(socket, Speaks::Mqtt, why, false);
                         }
                     }
                     tokio::task::yield_now().await;
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -72,7 +72,7 @@
 }
 
 /// Where connections are handed to that there is no room for.
-pub struct Farewells {
+pub struct ConnectionRejecter {
     room: Room,
     queue: Sender<Leaving>,
     /// By id, how to tell one that its place is another's.
@@ -82,13 +82,13 @@
     _reserve: Reserve,
 }
 
-impl Farewells {
+impl ConnectionRejecter {
     /// Starts the one task that sees them off.
-    pub fn start(room: &Room) -> Rc<Farewells> {
+    pub fn start(room: &Room) -> Rc<ConnectionRejecter> {
         // As many again may stand in the queue whose place is another's by now.
         let (queue, leaving) = channel(2 * MOST);
         let reserve = room.ledger.force_reserve(Purpose::Clients, PLACE_BYTES * MOST as u64 + SCRATCH as u64);
-        let this = Rc::new(Farewells {
+        let this = Rc::new(ConnectionRejecter {
             room: room.clone(),
             queue,
             gone: RefCell::default(),
@@ -182,7 +182,7 @@
     }
 }
 
-impl Farewells {
+impl ConnectionRejecter {
     /// Reads what still comes, up to a bound, and forgets it.
     async fn drain(&self, stream: &TcpStream) -> io::Result<()> {
         let mut all = 0;
--- a/crates/courier/src/ingress/users.rs
+++ b/crates/courier/src/ingress/users.rs
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// The name is none, or the system gives no chance.
-pub fn line(user: &str, password: &str) -> Result<String, Error> {
+pub fn password_line(user: &str, password: &str) -> Result<String, Error> {
     if !is_user(user) {
         return Err(Error::Hash("a user has 1 to 64 letters, digits, - _ . or @".to_owned()));
     }
--- a/crates/courier/src/ingress/users_test.rs
+++ b/crates/courier/src/ingress/users_test.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn only_the_user_with_the_password_is_admitted() {
-    let line = line("van-7", "secret").expect("a line");
+    let line = password_line("van-7", "secret").expect("a line");
     assert!(!line.contains("secret"));
     let users = users(&format!("# vans\n\n{line}\n")).expect("sound");
     assert!(users.admit("van-7", b"secret"));
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_line_that_is_none_is_named() {
-    let good = line("a", "b").expect("a line");
+    let good = password_line("a", "b").expect("a line");
     for (text, at, word) in [
         ("a\n".to_owned(), ":1:", "user:hash"),
         (format!("{good}\na/b:x\n"), ":2:", "letters"),
@@ -31,5 +31,5 @@
         let said = users(&text).expect_err(&text).to_string();
         assert!(said.contains(at) && said.contains(word), "{said}");
     }
-    assert!(line("a:b", "c").is_err());
+    assert!(password_line("a:b", "c").is_err());
 }
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -143,7 +143,7 @@
             let mut password = String::new();
             let read = std::io::stdin().read_line(&mut password).map_err(|e| text(&e));
             let line = read.and_then(|_| {
-                users::line(&user, password.trim_end_matches(['\r', '\n'])).map_err(|e| text(&e))
+                users::password_line(&user, password.trim_end_matches(['\r', '\n'])).map_err(|e| text(&e))
             });
             line.map(|line| println!("{line}"))
         }
--- a/crates/courier/src/owner.rs
+++ b/crates/courier/src/owner.rs
@@ -26,7 +26,7 @@
 mod taking;
 
 use crate::clock::unix;
-use crate::ingress::http::Standing;
+use crate::ingress::http::ServerState;
 use crate::news::{Front, List, News};
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
@@ -52,7 +52,7 @@
     setup: Setup,
     brain: Brain,
     journal: Journal,
-    standing: Rc<Standing>,
+    server_state: Rc<ServerState>,
     news: Sender<News>,
     origin: Instant,
     /// What the module has not heard of yet.
@@ -81,7 +81,7 @@
         journal: Journal,
         calls: Calls,
         outcomes: Outcomes,
-        standing: Rc<Standing>,
+        server_state: Rc<ServerState>,
         news: Sender<News>,
     ) -> Self {
         let taking = Taking::after(journal.last());
@@ -90,7 +90,7 @@
             setup,
             brain,
             journal,
-            standing,
+            server_state,
             news,
             origin: lease::clock_origin(),
             events: Vec::new(),
--- a/crates/courier/src/owner/members.rs
+++ b/crates/courier/src/owner/members.rs
@@ -106,8 +106,8 @@
         for destination in gone {
             self.members.removed.entry(destination).or_insert(wait);
         }
-        if let Some(effective) = &self.setup.effective {
-            effective.set(version, installation.clone());
+        if let Some(active_config) = &self.setup.active_config {
+            active_config.set(version, installation.clone());
         }
         self.memory.configured(installation.weigh());
         self.memory.room.configure(&caps, installation.file.memory.client_share);
--- a/crates/courier/src/owner/records.rs
+++ b/crates/courier/src/owner/records.rs
@@ -208,7 +208,7 @@
             // What a failing disk has kept waiting; else only a sync lets anything go on.
             self.release();
         }
-        self.standing.ready.set(well && self.stopping.since.is_none());
+        self.server_state.ready.set(well && self.stopping.since.is_none());
         well
     }
 
--- a/crates/courier/src/owner/setup.rs
+++ b/crates/courier/src/owner/setup.rs
@@ -1,6 +1,6 @@
 //! What the owner of the decision module is told at its start: by the platform, or by an operator's file.
 
-use crate::ingress::active_config::Effective;
+use crate::ingress::active_config::ActiveConfig;
 use crate::news::List;
 use crate::place::list_age::ListAgeFile;
 use crate::place::watch_status::WatchStatus;
@@ -30,7 +30,7 @@
     /// For an operator's courier: what is in effect.
     pub installation: Option<Arc<Installation>>,
     /// And where the fronts look for it.
-    pub effective: Option<Effective>,
+    pub active_config: Option<ActiveConfig>,
     /// How long messages of a pool that is gone wait for it to come back.
     pub pool_wait: Duration,
     /// Messages that have ended of which something may stay.
--- a/crates/courier/src/owner/stopping.rs
+++ b/crates/courier/src/owner/stopping.rs
@@ -49,7 +49,7 @@
 impl Courier {
     /// SIGTERM has come.
     pub(super) fn stop(&mut self) {
-        self.standing.stop();
+        self.server_state.begin_shutdown();
         if self.stopping.since.is_none() {
             self.stopping.since = Some(Instant::now());
             eprintln!("stopping: {}", self.workload());
@@ -75,7 +75,7 @@
         let told =
             self.notices.queue.is_empty() && self.notices.posts == 0 && self.records.waiting.is_empty();
         let quiet = since >= STOP_LISTENING
-            && self.standing.open.borrow().is_empty()
+            && self.server_state.connections.borrow().is_empty()
             && self.taking.offers.is_empty();
         let calls = self.out.held.values().any(|m| matches!(m.out, Some((_, Some(_)))));
         let idle = self.out.held.is_empty() || since >= STOP_SENDING;
--- a/crates/courier/src/place/control.rs
+++ b/crates/courier/src/place/control.rs
@@ -2,8 +2,8 @@
 //! the serving thread, stored, told to the courier, and only then acknowledged.
 
 use crate::fault::Fault;
-use crate::ingress::active_config::Effective;
-use crate::ingress::http::Intake;
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::http::HttpServer;
 use crate::ingress::listener::listen;
 use crate::news::{Changes, Configured, News};
 use crate::out::link::Link;
@@ -141,7 +141,7 @@
 #[derive(Clone)]
 pub struct View {
     pub status: Rc<Status>,
-    pub effective: Effective,
+    pub active_config: ActiveConfig,
     /// The file and the version over it, as they are in effect.
     pub document: Rc<RefCell<(Document, Option<Version>)>>,
 }
@@ -176,9 +176,9 @@
     store: Store,
     versions: Versions,
     installation: Arc<Installation>,
-    effective: Effective,
+    active_config: ActiveConfig,
     news: Sender<News>,
-    intake: Rc<Intake>,
+    http_server: Rc<HttpServer>,
     accepting: Option<AbortHandle>,
     listening: Option<SocketAddr>,
     status: Rc<Status>,
@@ -195,7 +195,7 @@
     pub fn new(
         (file, document, store): (PathBuf, Document, Store),
         (versions, installation): (Versions, Arc<Installation>),
-        (effective, news, intake): (Effective, Sender<News>, Rc<Intake>),
+        (active_config, news, http_server): (ActiveConfig, Sender<News>, Rc<HttpServer>),
         status: Rc<Status>,
         lookups: Lookups,
     ) -> Self {
@@ -210,7 +210,7 @@
                 node: node.clone(),
                 held: Rc::new(RefCell::new(held.as_ref().map(|v| v.version))),
                 most: control.version_most.0,
-                room: intake.room.clone(),
+                room: http_server.room.clone(),
                 silence: control.heartbeat.0 * 2,
             };
             status.inner.borrow_mut().connected = Some(false);
@@ -223,9 +223,9 @@
             store,
             versions,
             installation,
-            effective,
+            active_config,
             news,
-            intake,
+            http_server,
             accepting: None,
             listening: None,
             status,
@@ -240,8 +240,8 @@
     }
 
     pub fn view(&self) -> View {
-        let (status, effective) = (self.status.clone(), self.effective.clone());
-        View { status, effective, document: self.document.clone() }
+        let (status, active_config) = (self.status.clone(), self.active_config.clone());
+        View { status, active_config, document: self.document.clone() }
     }
 
     /// Where clients are taken in: begins to, if no version has made it begin yet.
@@ -261,8 +261,8 @@
     /// Takes clients from this listener, and from no other any more.
     fn accept(&mut self, listener: TcpListener) {
         self.listening = listener.local_addr().ok();
-        let task = tokio::task::spawn_local(self.intake.clone().run(listener)).abort_handle();
-        self.intake.standing.listens(task.clone());
+        let task = tokio::task::spawn_local(self.http_server.clone().run(listener)).abort_handle();
+        self.http_server.server_state.set_accept_task(task.clone());
         if let Some(old) = self.accepting.replace(task) {
             old.abort();
         }
--- a/crates/courier/src/start/config.rs
+++ b/crates/courier/src/start/config.rs
@@ -72,7 +72,7 @@
             watch_status: Rc::default(),
             list_age: Some(ListAgeFile::new(&self.state)),
             installation: None,
-            effective: None,
+            active_config: None,
             room,
             pool_wait: Duration::ZERO,
             remembered: 0,
--- a/crates/courier/src/start/platform.rs
+++ b/crates/courier/src/start/platform.rs
@@ -4,7 +4,7 @@
 use super::settings::Settings;
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
 use crate::fault::Fault;
-use crate::ingress::http::{Front, Intake, Standing};
+use crate::ingress::http::{HttpServer, Routing, ServerState};
 use crate::ingress::listener::listen;
 use crate::news::News;
 use crate::out::calls::Calls;
@@ -80,24 +80,24 @@
         // Nobody asks for lists that are pushed: the watch is open from the start.
         let _ = news.send(News::Watch).await;
     }
-    let standing = Rc::new(Standing::default());
+    let server_state = Rc::new(ServerState::default());
     let listener = listen(config.listen).map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
     let at = listener.local_addr().map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
     let (name, kept) = (config.name.clone(), journal.len());
-    let intake = Rc::new(Intake {
-        front: Front::Platform { classes: config.classes.clone() },
-        standing: standing.clone(),
+    let http_server = Rc::new(HttpServer {
+        routing: Routing::Platform { classes: config.classes.clone() },
+        server_state: server_state.clone(),
         news: news.clone(),
-        sockets: for_clients,
+        max_connections: for_clients,
         room: room.clone(),
-        farewells: None,
+        rejecter: None,
     });
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
     let outcomes = Outcomes::platform(config.discovery);
     let setup = config.setup(room);
-    let courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
-    standing.ready.set(true);
-    let accepting = tokio::task::spawn_local(intake.run(listener));
+    let courier = Courier::new(setup, brain, journal, calls, outcomes, server_state.clone(), news.clone());
+    server_state.ready.set(true);
+    let accepting = tokio::task::spawn_local(http_server.run(listener));
     tokio::task::spawn_local(async move {
         if terminate.recv().await.is_some() {
             eprintln!("stopping");
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/start/serve.rs
@@ -2,12 +2,12 @@
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
 use crate::fault::Fault;
-use crate::ingress::active_config::Effective;
-use crate::ingress::admin::{self, Pages};
-use crate::ingress::http::{BODY_MOST, Front, Intake, Standing};
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::admin::{self, AdminPages};
+use crate::ingress::http::{HttpServer, MAX_BODY_BYTES, Routing, ServerState};
 use crate::ingress::listener::listen;
-use crate::ingress::mqtt::{self, Hub};
-use crate::ingress::rejection::Farewells;
+use crate::ingress::mqtt::{self, MqttServer};
+use crate::ingress::rejection::ConnectionRejecter;
 use crate::ingress::users::Users;
 use crate::news::News;
 use crate::out::calls::Calls;
@@ -48,20 +48,20 @@
 const CONNECT_TIME: Duration = Duration::from_millis(2500);
 
 /// MQTT clients' side, with the sessions of an earlier life.
-fn hub(
+fn mqtt_server(
     installation: &Installation,
     folder: &Path,
-    effective: &Effective,
+    active_config: &ActiveConfig,
     news: &mpsc::Sender<News>,
-    (courier, room, farewells): (&Courier, &Room, &Rc<Farewells>),
-) -> Result<Rc<Hub>, Fault> {
+    (courier, room, rejecter): (&Courier, &Room, &Rc<ConnectionRejecter>),
+) -> Result<Rc<MqttServer>, Fault> {
     let m = &installation.file.mqtt;
     // Checked when the file was read.
     let seconds = |span: Duration| u32::try_from(span.as_secs()).unwrap_or(u32::MAX - 1);
     let limits = Limits {
         sessions: m.sessions,
-        packet_most: BODY_MOST + PACKET_HEAD,
-        payload_most: BODY_MOST,
+        packet_most: MAX_BODY_BYTES + PACKET_HEAD,
+        payload_most: MAX_BODY_BYTES,
         receive_maximum: m.receive_maximum,
         aliases: m.topic_aliases,
         expiry_most: seconds(m.session_expiry.0),
@@ -72,9 +72,9 @@
     };
     let users = m.users.as_ref().map(|f| Users::read(&folder.join(f))).transpose();
     let users = users.map_err(|e| bad("mqtt.users", e))?;
-    let records = courier.on_record(mqtt::PREFIX);
-    let bounds = (m.connections, room.clone(), farewells.clone());
-    Ok(Hub::new(limits, bounds, (effective.clone(), users), news.clone(), records))
+    let records = courier.on_record(mqtt::SESSION_KEY_PREFIX);
+    let bounds = (m.connections, room.clone(), rejecter.clone());
+    Ok(MqttServer::new(limits, bounds, (active_config.clone(), users), news.clone(), records))
 }
 
 fn bad(what: &'static str, why: impl ToString) -> Fault {
@@ -82,7 +82,12 @@
 }
 
 /// What the owner of the decision module is told at the start.
-fn setup(installation: &Arc<Installation>, effective: &Effective, room: &Room, folder: &Path) -> Setup {
+fn setup(
+    installation: &Arc<Installation>,
+    active_config: &ActiveConfig,
+    room: &Room,
+    folder: &Path,
+) -> Setup {
     let names = installation.classes.iter().map(|c| c.name.clone());
     let classes = match installation.classes.is_empty() {
         // The module has to have a class, also while no version has come.
@@ -100,7 +105,7 @@
         watch_status: Rc::default(),
         list_age: None,
         installation: Some(installation.clone()),
-        effective: Some(effective.clone()),
+        active_config: Some(active_config.clone()),
         room: room.clone(),
         pool_wait: installation.file.limits.pool_wait.0,
         remembered: installation.file.limits.remembered,
@@ -171,24 +176,24 @@
     let for_calls = (limits.connections / 3).max(4);
     let for_clients = limits.connections.saturating_sub(for_calls + SPARE_SOCKETS).max(4);
     let beside = file.parent().unwrap_or(Path::new(".")).to_owned();
-    let effective = Effective::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
+    let active_config = ActiveConfig::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
     let caps = room::caps(&installation).map_err(Fault::Lines)?;
     let room = Room::new(&caps, installation.file.memory.client_share);
-    let mut setup = setup(&installation, &effective, &room, &beside);
+    let mut setup = setup(&installation, &active_config, &room, &beside);
     let calls = Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, for_calls, room.clone());
     setup.settings.keepalive = calls.keep_time();
     let connections = calls.connection_status();
     let brain = Brain::new(setup.settings.clone(), setup.seed).map_err(|e| bad("configuration", e))?;
     let (news, inbox) = mpsc::channel(INBOX);
-    let standing = Rc::new(Standing::default());
-    let farewells = Farewells::start(&room);
-    let intake = Rc::new(Intake {
-        front: Front::Routes(effective.clone()),
-        standing: standing.clone(),
+    let server_state = Rc::new(ServerState::default());
+    let rejecter = ConnectionRejecter::start(&room);
+    let http_server = Rc::new(HttpServer {
+        routing: Routing::Routes(active_config.clone()),
+        server_state: server_state.clone(),
         news: news.clone(),
-        sockets: for_clients,
+        max_connections: for_clients,
         room: room.clone(),
-        farewells: Some(farewells.clone()),
+        rejecter: Some(rejecter.clone()),
     });
     let outcomes = &installation.file.outcomes;
     let unread = state.join("outcomes.ndjson");
@@ -204,20 +209,23 @@
     let kept = journal.len();
     let discovery = installation.discovery.is_some();
     let watch_status = setup.watch_status.clone();
-    let mut courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
-    let hub = match installation.mqtt {
-        Some(_) => Some(hub(&installation, &beside, &effective, &news, (&courier, &room, &farewells))?),
+    let mut courier =
+        Courier::new(setup, brain, journal, calls, outcomes, server_state.clone(), news.clone());
+    let mqtt_server = match installation.mqtt {
+        Some(_) => {
+            Some(mqtt_server(&installation, &beside, &active_config, &news, (&courier, &room, &rejecter))?)
+        }
         None => None,
     };
-    if let Some(hub) = &hub {
-        courier.tells(hub.clone());
-        tokio::task::spawn_local(hub.clone().run());
+    if let Some(mqtt_server) = &mqtt_server {
+        courier.tells(mqtt_server.clone());
+        tokio::task::spawn_local(mqtt_server.clone().run());
     }
     let running = tokio::task::spawn_local(courier.run(inbox));
     let mut configurator = Configurator::new(
         (file, document, store),
         (Versions::new(version), installation),
-        (effective.clone(), news.clone(), intake),
+        (active_config.clone(), news.clone(), http_server),
         status.clone(),
         lookups,
     );
@@ -235,26 +243,26 @@
         let listener = listen(admin).map_err(|e| bad("listen.admin", format!("{admin}: {e}")))?;
         let at = listener.local_addr().map_err(|e| bad("listen.admin", e))?;
         eprintln!("the operator's pages are at {at}");
-        let (view, standing, room) = (configurator.view(), standing.clone(), room.clone());
-        let pages = Pages { view, standing, room, watch: watch_status, connections };
+        let (view, server_state, room) = (configurator.view(), server_state.clone(), room.clone());
+        let pages = AdminPages { view, server_state, room, watch: watch_status, connections };
         tokio::task::spawn_local(admin::run(listener, pages));
     }
     if installation_mqtt.is_none() && topics {
         eprintln!("configuration: there are [topics], and listen.mqtt is not set: none is taken");
     }
     let mut accepting = None;
-    if let Some((hub, address)) = hub.clone().zip(installation_mqtt) {
+    if let Some((mqtt_server, address)) = mqtt_server.clone().zip(installation_mqtt) {
         let listener = listen(address).map_err(|e| bad("listen.mqtt", format!("{address}: {e}")))?;
         let at = listener.local_addr().map_err(|e| bad("listen.mqtt", e))?;
         eprintln!("MQTT clients are served at {at}");
-        accepting = Some(tokio::task::spawn_local(hub.accept(listener)).abort_handle());
+        accepting = Some(tokio::task::spawn_local(mqtt_server.accept(listener)).abort_handle());
     }
     if discovery {
         let _ = news.send(News::Watch).await;
     }
-    standing.ready.set(true);
+    server_state.ready.set(true);
     let configuring = tokio::task::spawn_local(configurator.run(hangup));
-    let stopper = standing.clone();
+    let stopper = server_state.clone();
     tokio::task::spawn_local(async move {
         tokio::select! {
             _ = terminate.recv() => {}
@@ -265,8 +273,8 @@
         if let Some(accepting) = accepting {
             accepting.abort();
         }
-        if let Some(hub) = &hub {
-            hub.shutdown();
+        if let Some(mqtt_server) = &mqtt_server {
+            mqtt_server.shutdown();
             // Wills are handed in before nothing more is taken.
             tokio::time::sleep(WILL_TIME).await;
         }
