--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -26,7 +26,7 @@
 mod acceptance;
 
 use crate::clock::unix_time;
-use crate::front::intake::Standing;
+use crate::ingress::http::ServerState;
 use crate::events::{Frontend, EndpointList, CourierEvent};
 use crate::outbound::endpoint_client::EndpointClient;
 use crate::outbound::outcomes::OutcomeNotifier;
@@ -52,7 +52,7 @@
     setup: Setup,
     scheduler: Scheduler,
     journal: Journal,
-    standing: Rc<Standing>,
+    server_state: Rc<ServerState>,
     news: Sender<CourierEvent>,
     origin: Instant,
     /// What the module has not heard of yet.
@@ -81,7 +81,7 @@
         journal: Journal,
         calls: EndpointClient,
         outcomes: OutcomeNotifier,
-        standing: Rc<Standing>,
+        server_state: Rc<ServerState>,
         news: Sender<CourierEvent>,
     ) -> Self {
         let taking = Taking::after(journal.last());
@@ -90,7 +90,7 @@
             setup,
             scheduler,
             journal,
-            standing,
+            server_state,
             news,
             origin: lease::clock_origin(),
             events: Vec::new(),
--- a/crates/courier/src/start/config.rs
+++ b/crates/courier/src/start/config.rs
@@ -1,11 +1,11 @@
 //! What the platform tells a courier: environment and `LB_CONFIG`, at its start and when it is told to read
 //! the file again.
 
-use crate::dispatcher::setup::Setup;
-use crate::events::EndpointList;
 use crate::fault::Fault;
-use crate::memory_budget::MemoryBudget;
+use crate::events::EndpointList;
+use crate::dispatcher::setup::Setup;
 use crate::place::list_age::ListAgeFile;
+use crate::memory_budget::MemoryBudget;
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
@@ -72,7 +72,7 @@
             watch_status: Rc::default(),
             list_age: Some(ListAgeFile::new(&self.state)),
             installation: None,
-            effective: None,
+            active_config: None,
             memory_budget,
             pool_wait: Duration::ZERO,
             max_remembered: 0,
