--- a/crates/courier/src/place/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -1,16 +1,16 @@
 //! The control service's versions and the operator's file, put into effect one after the other: checked off
 //! the serving thread, stored, told to the courier, and only then acknowledged.
 
-use crate::fault::Fault;
+use crate::discovery::config_file;
+use crate::discovery::configured_hosts::hosts;
+use crate::discovery::dns::Lookups;
 use crate::front::effective::Effective;
 use crate::front::intake::Intake;
 use crate::front::listener::listen;
 use crate::news::{Changes, Configured, News};
 use crate::out::link::Link;
-use crate::place::dns::Lookups;
-use crate::place::file;
-use crate::place::hosts::hosts;
 use crate::room::{self, Room};
+use crate::startup_error::Fault;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
@@ -482,7 +482,7 @@
         let reload = matches!(task, Task::Reload);
         let checked = tokio::task::spawn_blocking(move || {
             let document = match reload {
-                true => file::document(&file).map_err(|e| vec![e.to_string()])?,
+                true => config_file::document(&file).map_err(|e| vec![e.to_string()])?,
                 false => document,
             };
             let installation = document.installation(config.as_deref());
--- a/crates/courier/src/place/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -1,8 +1,8 @@
 //! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where the
 //! answer is cut short.
 
+use crate::discovery::dns_cache::Names;
 use crate::news::{Health, Host, List, News, differences};
-use crate::place::names::Names;
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use stairshed_config::Installation;
--- a/crates/courier/src/place/names.rs
+++ b/crates/courier/src/discovery/dns_cache.rs
@@ -115,5 +115,5 @@
 }
 
 #[cfg(test)]
-#[path = "names_test.rs"]
+#[path = "dns_cache_test.rs"]
 mod tests;
--- a/crates/courier/src/place/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on the list of endpoints. It lasts until its connection ends or falls silent; then it is
 //! asked for again, with backoff.
 
-use super::outage::{CallFailure, OutageDetector};
+use super::outage_detector::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
 use crate::news::{List, News};
 use crate::out::link::{ConnectError, Link, Lost, StreamEnd};
--- a/crates/courier/src/front/admin.rs
+++ b/crates/courier/src/front/admin.rs
@@ -1,10 +1,10 @@
 //! The operator's pages: what configuration is in effect, since when, and what was refused. On an address of
 //! their own, off unless configured, loopback only.
 
+use crate::discovery::control::View;
+use crate::discovery::watch_status::WatchStatus;
 use crate::front::intake::Standing;
 use crate::out::connection_status::ConnectionStatus;
-use crate::place::control::View;
-use crate::place::watch_status::WatchStatus;
 use crate::room::Room;
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/courier/src/journal_tool.rs
+++ b/crates/courier/src/journal_tool.rs
@@ -15,7 +15,7 @@
     #[error("{0}")]
     Journal(#[from] stairshed_journal::Error),
     #[error("{0}")]
-    Settings(#[from] stairshed_courier::file::Error),
+    Settings(#[from] stairshed_courier::config_file::Error),
     #[error("standard output: {0}")]
     Output(#[from] io::Error),
     #[error("{0} parts of the journal cannot be read")]
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -11,20 +11,20 @@
 
 pub mod client;
 mod clock;
-mod fault;
+mod discovery;
 pub mod follow;
 mod front;
 mod news;
 mod out;
 mod owner;
-mod place;
+mod process_memory;
 mod room;
 mod socket;
-mod start;
-mod system;
+mod startup;
+mod startup_error;
 
-pub use fault::Fault;
+pub use discovery::config_file;
 pub use front::effective::host_name;
 pub use front::users;
-pub use place::file;
-pub use start::{dev, run, serve, settings};
+pub use startup::{dev, run, serve, settings};
+pub use startup_error::Fault;
--- a/crates/courier/src/owner.rs
+++ b/crates/courier/src/owner.rs
@@ -26,11 +26,11 @@
 mod taking;
 
 use crate::clock::unix;
+use crate::discovery::configured_hosts::hosts;
 use crate::front::intake::Standing;
 use crate::news::{Front, List, News};
 use crate::out::calls::Calls;
 use crate::out::outcomes::Outcomes;
-use crate::place::hosts::hosts;
 use members::Members;
 use memory::Memory;
 use notices::Notices;
--- a/crates/courier/src/owner/lease.rs
+++ b/crates/courier/src/owner/lease.rs
@@ -2,7 +2,7 @@
 //! start knows of the list's age, what renews the lease, and what the connections and the log learn of it.
 
 use super::Courier;
-use crate::place::list_age::ListAge;
+use crate::discovery::list_age::ListAge;
 use stairshed_decide::interface::Event;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/courier/src/owner/members.rs
+++ b/crates/courier/src/owner/members.rs
@@ -3,8 +3,8 @@
 
 use super::Courier;
 use super::held::Held;
+use crate::discovery::watch::Watch;
 use crate::news::{Changes, Configured, Health, Host, List, differences};
-use crate::place::watch::Watch;
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/courier/src/owner/memory.rs
+++ b/crates/courier/src/owner/memory.rs
@@ -4,8 +4,8 @@
 use super::Courier;
 use super::held::Held;
 use crate::news::{Offer, Reply};
+use crate::process_memory;
 use crate::room::Room;
-use crate::system;
 use stairshed_decide::weigh;
 use stairshed_journal::{Attempt, Kept, Letter, ROW};
 use stairshed_memory::{Charge, Guest, Level, Purpose, Refused, Reserve};
@@ -299,7 +299,7 @@
         }
         let room = &self.memory.room;
         if room.ledger.total().is_some()
-            && let Some(resident) = system::resident()
+            && let Some(resident) = process_memory::resident()
         {
             room.ledger.weighed(resident);
         }
@@ -332,9 +332,9 @@
         ];
         tables.into_iter().for_each(Loose::tighten);
         self.ended.tighten();
-        let free = system::allocator().map_or(0, |a| a.free);
+        let free = process_memory::allocator().map_or(0, |a| a.free);
         if free > FREE_LEAST {
-            system::trim();
+            process_memory::trim();
         }
     }
 }
--- a/crates/courier/src/owner/setup.rs
+++ b/crates/courier/src/owner/setup.rs
@@ -1,9 +1,9 @@
 //! What the owner of the decision module is told at its start: by the platform, or by an operator's file.
 
+use crate::discovery::list_age::ListAgeFile;
+use crate::discovery::watch_status::WatchStatus;
 use crate::front::effective::Effective;
 use crate::news::List;
-use crate::place::list_age::ListAgeFile;
-use crate::place::watch_status::WatchStatus;
 use crate::room::Room;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
--- a/crates/courier/src/start.rs
+++ b/crates/courier/src/startup.rs
@@ -1,13 +1,13 @@
 //! The start: by the platform's environment, or by an operator's file; and what both need for it.
 
-mod config;
 mod dev;
 mod platform;
+mod platform_config;
 mod serve;
 pub mod settings;
 
-use crate::fault::Fault;
-use config::Config;
+use crate::startup_error::Fault;
+use platform_config::Config;
 use settings::Settings;
 use stairshed_journal::{Files, Report};
 use std::future::Future;
--- a/crates/courier/src/start/dev.rs
+++ b/crates/courier/src/startup/dev.rs
@@ -1,7 +1,7 @@
 //! `stairshed dev`: a courier on loopback with a sample installation and a stand-in endpoint, to try it out.
 
 use super::serve;
-use crate::fault::Fault;
+use crate::startup_error::Fault;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
--- a/crates/courier/src/start/platform.rs
+++ b/crates/courier/src/startup/platform.rs
@@ -1,9 +1,8 @@
 //! The platform's courier: told by its environment and `LB_CONFIG`.
 
-use super::config::{self, Config};
+use super::platform_config::{self, Config};
 use super::settings::Settings;
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::fault::Fault;
 use crate::front::intake::{Front, Intake, Standing};
 use crate::front::listener::listen;
 use crate::news::News;
@@ -11,6 +10,7 @@
 use crate::out::outcomes::Outcomes;
 use crate::owner::Courier;
 use crate::room::Room;
+use crate::startup_error::Fault;
 use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::LIST_TERM;
 use stairshed_journal::Journal;
@@ -25,7 +25,7 @@
 /// Reads the configuration again at each SIGHUP. A file that cannot be read changes nothing.
 async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<News>) {
     while hangup.recv().await.is_some() {
-        match config::discovery_again(&file) {
+        match platform_config::discovery_again(&file) {
             Ok(Some(discovery)) => {
                 eprintln!("configuration read again: discovery at {discovery}");
                 let _ = news.send(News::Moved(discovery)).await;
--- a/crates/courier/src/start/config.rs
+++ b/crates/courier/src/startup/platform_config.rs
@@ -1,11 +1,11 @@
 //! What the platform tells a courier: environment and `LB_CONFIG`, at its start and when it is told to read
 //! the file again.
 
-use crate::fault::Fault;
+use crate::discovery::list_age::ListAgeFile;
 use crate::news::List;
 use crate::owner::setup::Setup;
-use crate::place::list_age::ListAgeFile;
 use crate::room::Room;
+use crate::startup_error::Fault;
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/startup/serve.rs
@@ -1,7 +1,10 @@
 //! An operator's courier: started from a file, with versions of a control service over it.
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::fault::Fault;
+use crate::discovery::config_file;
+use crate::discovery::configured_hosts::kinds;
+use crate::discovery::control::{Configurator, Status, Store};
+use crate::discovery::dns;
 use crate::front::admin::{self, Pages};
 use crate::front::effective::Effective;
 use crate::front::farewell::Farewells;
@@ -14,11 +17,8 @@
 use crate::out::outcomes::Outcomes;
 use crate::owner::Courier;
 use crate::owner::setup::Setup;
-use crate::place::control::{Configurator, Status, Store};
-use crate::place::dns;
-use crate::place::file;
-use crate::place::hosts::kinds;
 use crate::room::{self, Room};
+use crate::startup_error::Fault;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
@@ -142,7 +142,7 @@
     let mut terminate = on(SignalKind::terminate(), "SIGTERM")?;
     let mut interrupt = on(SignalKind::interrupt(), "SIGINT")?;
     let hangup = on(SignalKind::hangup(), "SIGHUP")?;
-    let document = file::document(&file).map_err(|e| Fault::Lines(vec![e.to_string()]))?;
+    let document = config_file::document(&file).map_err(|e| Fault::Lines(vec![e.to_string()]))?;
     let own = document.installation(None);
     let own =
         own.map_err(|problems| Fault::Lines(problems.to_string().lines().map(str::to_owned).collect()))?;
--- a/crates/courier/src/start/settings.rs
+++ b/crates/courier/src/startup/settings.rs
@@ -1,6 +1,6 @@
 //! The operator's settings beside the platform's configuration: of the operator's file only `[journal]`.
 
-use crate::place::file::{Error, document};
+use crate::discovery::config_file::{Error, document};
 use stairshed_config::file::Journal;
 use std::path::Path;
 
