--- a/crates/courier/src/discovery/config_file.rs
+++ b/crates/courier/src/discovery/config_file.rs
@@ -7,19 +7,20 @@
 
 /// Why the operator's file cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
+pub enum ConfigFileError {
     #[error("{}: {why}", file.display())]
-    Unread { file: PathBuf, why: std::io::Error },
+    Unreadable { file: PathBuf, why: std::io::Error },
     /// All that is wrong with it, each with its line and key.
     #[error("{0}")]
-    Bad(Problems),
+    Invalid(Problems),
 }
 
 /// Reads an operator's file as it stands on the disk.
 ///
 /// # Errors
 /// It cannot be read, or its syntax is at fault.
-pub fn document(file: &Path) -> Result<Document, Error> {
-    let text = fs::read_to_string(file).map_err(|why| Error::Unread { file: file.to_owned(), why })?;
-    Document::read(&file.display().to_string(), &text).map_err(Error::Bad)
+pub fn read_document(file: &Path) -> Result<Document, ConfigFileError> {
+    let text =
+        fs::read_to_string(file).map_err(|why| ConfigFileError::Unreadable { file: file.to_owned(), why })?;
+    Document::read(&file.display().to_string(), &text).map_err(ConfigFileError::Invalid)
 }
--- a/crates/courier/src/discovery/configured_hosts.rs
+++ b/crates/courier/src/discovery/configured_hosts.rs
@@ -5,7 +5,7 @@
 use stairshed_config::installation::{At, OWN, SHARED};
 
 /// Names of the kinds of endpoint, in the order of their numbers.
-pub fn kinds() -> Vec<String> {
+pub fn endpoint_kinds() -> Vec<String> {
     let mut kinds = vec![String::new(); 2];
     kinds[SHARED] = "shared".to_owned();
     kinds[OWN] = "own".to_owned();
@@ -13,8 +13,8 @@
 }
 
 /// What a configuration changes, as a list tells it, and the limits that it states. Names come from look-ups.
-pub fn hosts(changes: &[Changed]) -> (Vec<Host>, Vec<(String, f64)>) {
-    let (kinds, mut hosts, mut limits) = (kinds(), Vec::new(), Vec::new());
+pub fn changed_hosts(changes: &[Changed]) -> (Vec<Host>, Vec<(String, f64)>) {
+    let (kinds, mut hosts, mut limits) = (endpoint_kinds(), Vec::new(), Vec::new());
     for change in changes {
         let At::Address(address) = change.member.at else { continue };
         hosts.push(Host {
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -2,15 +2,15 @@
 //! the serving thread, stored, told to the courier, and only then acknowledged.
 
 use crate::discovery::config_file;
-use crate::discovery::configured_hosts::hosts;
-use crate::discovery::dns::Lookups;
+use crate::discovery::configured_hosts::changed_hosts;
+use crate::discovery::dns::ResolverHandle;
 use crate::front::effective::Effective;
 use crate::front::intake::Intake;
 use crate::front::listener::listen;
 use crate::news::{Changes, Configured, News};
 use crate::out::link::Link;
 use crate::room::{self, Room};
-use crate::startup_error::Fault;
+use crate::startup_error::StartupError;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
@@ -51,15 +51,15 @@
 
 /// The last good version on the disk.
 #[derive(Clone)]
-pub struct Store(PathBuf);
+pub struct VersionStore(PathBuf);
 
-impl Store {
+impl VersionStore {
     pub fn new(path: PathBuf) -> Self {
-        Store(path)
+        VersionStore(path)
     }
 
     /// # Errors
-    /// The file cannot be read, or is none that [`Store::save`] wrote.
+    /// The file cannot be read, or is none that [`VersionStore::save`] wrote.
     pub fn load(&self) -> Result<Option<Version>, String> {
         match fs::read(&self.0) {
             Ok(bytes) => {
@@ -82,7 +82,7 @@
 }
 
 /// What the operator's pages tell of versions.
-pub struct Status {
+pub struct ConfigStatus {
     file: PathBuf,
     inner: RefCell<Inner>,
 }
@@ -102,16 +102,16 @@
     (at.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as f64) / 1000.0
 }
 
-impl Status {
+impl ConfigStatus {
     pub fn new(file: PathBuf, version: Option<u64>) -> Self {
         let (since, refusal, connected) = (SystemTime::now(), None, None);
-        Status {
+        ConfigStatus {
             file,
             inner: RefCell::new(Inner { version, since, refusal, acknowledged: 0, refused: 0, connected }),
         }
     }
 
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         let inner = self.inner.borrow();
         json!({
             "version": inner.version,
@@ -139,8 +139,8 @@
 
 /// For the operator's pages.
 #[derive(Clone)]
-pub struct View {
-    pub status: Rc<Status>,
+pub struct ConfigView {
+    pub status: Rc<ConfigStatus>,
     pub effective: Effective,
     /// The file and the version over it, as they are in effect.
     pub document: Rc<RefCell<(Document, Option<Version>)>>,
@@ -171,9 +171,9 @@
     listener: Option<TcpListener>,
 }
 
-pub struct Configurator {
+pub struct ConfigUpdater {
     file: PathBuf,
-    store: Store,
+    store: VersionStore,
     versions: Versions,
     installation: Arc<Installation>,
     effective: Effective,
@@ -181,9 +181,9 @@
     intake: Rc<Intake>,
     accepting: Option<AbortHandle>,
     listening: Option<SocketAddr>,
-    status: Rc<Status>,
+    status: Rc<ConfigStatus>,
     document: Rc<RefCell<(Document, Option<Version>)>>,
-    lookups: Lookups,
+    lookups: ResolverHandle,
     heard: Receiver<Heard>,
     answers: Option<Sender<Value>>,
     work: Option<tokio::task::JoinHandle<Done>>,
@@ -191,13 +191,13 @@
     reload: bool,
 }
 
-impl Configurator {
+impl ConfigUpdater {
     pub fn new(
-        (file, document, store): (PathBuf, Document, Store),
+        (file, document, store): (PathBuf, Document, VersionStore),
         (versions, installation): (Versions, Arc<Installation>),
         (effective, news, intake): (Effective, Sender<News>, Rc<Intake>),
-        status: Rc<Status>,
-        lookups: Lookups,
+        status: Rc<ConfigStatus>,
+        lookups: ResolverHandle,
     ) -> Self {
         let (hear, heard) = mpsc::channel(QUEUE);
         let held = versions.held().cloned();
@@ -218,7 +218,7 @@
             tokio::task::spawn_local(stream.run(hear));
             answer
         });
-        Configurator {
+        ConfigUpdater {
             file,
             store,
             versions,
@@ -239,9 +239,9 @@
         }
     }
 
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> ConfigView {
         let (status, effective) = (self.status.clone(), self.effective.clone());
-        View { status, effective, document: self.document.clone() }
+        ConfigView { status, effective, document: self.document.clone() }
     }
 
     /// Where clients are taken in: begins to, if no version has made it begin yet.
@@ -269,7 +269,7 @@
     }
 
     /// Waits for a first version. False if none has come in time.
-    pub async fn first(&mut self, wait: Duration) -> bool {
+    pub async fn wait_for_first_version(&mut self, wait: Duration) -> bool {
         let until = Instant::now() + wait;
         while self.versions.held().is_none() {
             let Ok(more) = tokio::time::timeout_at(until, self.step(None)).await else { return false };
@@ -465,7 +465,7 @@
     file: PathBuf,
     document: (Document, Option<Version>),
     before: Arc<Installation>,
-    store: Store,
+    store: VersionStore,
     news: Sender<News>,
 }
 
@@ -482,7 +482,7 @@
         let reload = matches!(task, Task::Reload);
         let checked = tokio::task::spawn_blocking(move || {
             let document = match reload {
-                true => config_file::document(&file).map_err(|e| vec![e.to_string()])?,
+                true => config_file::read_document(&file).map_err(|e| vec![e.to_string()])?,
                 false => document,
             };
             let installation = document.installation(config.as_deref());
@@ -493,7 +493,7 @@
             let installation = installation.map_err(lines)?;
             let changes = changes(Some(&before), &installation);
             let (gone, there) = destinations(Some(&before), &installation);
-            let (hosts, limits) = hosts(&changes);
+            let (hosts, limits) = changed_hosts(&changes);
             Ok((document, Arc::new(installation), Changes { hosts, limits, gone, there }))
         });
         let checked = checked.await.unwrap_or_else(|e| Err(vec![format!("its check broke off: {e}")]));
@@ -633,8 +633,8 @@
     Some(link.ask(request, Instant::now() + ANSWER).await.ok()?.status)
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for StartupError {
     fn from(e: io::Error) -> Self {
-        Fault::Bad("configuration", e.to_string())
+        StartupError::Invalid("configuration", e.to_string())
     }
 }
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -1,7 +1,7 @@
 //! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where the
 //! answer is cut short.
 
-use crate::discovery::dns_cache::Names;
+use crate::discovery::dns_cache::DnsCache;
 use crate::news::{Health, Host, List, News, differences};
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
@@ -62,9 +62,9 @@
 
 /// Tells the look-ups of another configuration.
 #[derive(Clone)]
-pub struct Lookups(watch::Sender<Vec<Wanted>>);
+pub struct ResolverHandle(watch::Sender<Vec<Wanted>>);
 
-impl Lookups {
+impl ResolverHandle {
     pub fn set(&self, installation: &Installation) {
         // A later configuration holds all that an earlier one told.
         self.0.send_replace(wanted(installation));
@@ -72,9 +72,9 @@
 }
 
 /// Ends the look-ups when dropped.
-pub struct Resolver(AbortHandle);
+pub struct ResolverTask(AbortHandle);
 
-impl Drop for Resolver {
+impl Drop for ResolverTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -88,25 +88,25 @@
 }
 
 /// Begins to look up the names of an installation and of those that follow it.
-pub fn start(installation: &Installation, news: Sender<News>) -> (Lookups, Resolver) {
+pub fn spawn_resolver(installation: &Installation, news: Sender<News>) -> (ResolverHandle, ResolverTask) {
     let (tell, told) = watch::channel(Vec::new());
     let dns = &installation.file.dns;
     let task = Task {
         server: installation.resolver,
-        names: Names::new(dns.refresh_least.0, dns.refresh_most.0),
+        names: DnsCache::new(dns.refresh_least.0, dns.refresh_most.0),
         wanted: Vec::new(),
         listed: BTreeMap::new(),
         origin: Instant::now(),
         news,
     };
-    let lookups = Lookups(tell);
+    let lookups = ResolverHandle(tell);
     lookups.set(installation);
-    (lookups, Resolver(tokio::task::spawn_local(task.run(told)).abort_handle()))
+    (lookups, ResolverTask(tokio::task::spawn_local(task.run(told)).abort_handle()))
 }
 
 struct Task {
     server: Option<SocketAddr>,
-    names: Names,
+    names: DnsCache,
     wanted: Vec<Wanted>,
     /// What the courier was told, by the endpoint's name.
     listed: BTreeMap<String, Host>,
@@ -163,7 +163,7 @@
         match found {
             Ok((addresses, ttl)) => {
                 if let Some(change) = self.names.answered(name, &addresses, ttl, now) {
-                    let (come, gone) = (change.come.len(), change.gone.len());
+                    let (come, gone) = (change.added.len(), change.removed.len());
                     eprintln!(
                         "dns: {name} stands for {} addresses, {come} new, {gone} gone",
                         addresses.len()
--- a/crates/courier/src/discovery/dns_cache.rs
+++ b/crates/courier/src/discovery/dns_cache.rs
@@ -11,7 +11,7 @@
 
 /// Times are since an origin of the caller's.
 #[derive(Debug)]
-pub struct Names {
+pub struct DnsCache {
     least: Duration,
     most: Duration,
     names: BTreeMap<String, Name>,
@@ -28,34 +28,34 @@
 
 /// What a look-up changed.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct AddressChange {
     pub name: String,
-    pub come: Vec<IpAddr>,
-    pub gone: Vec<IpAddr>,
+    pub added: Vec<IpAddr>,
+    pub removed: Vec<IpAddr>,
 }
 
 /// A look-up that failed: the first time in a row it is worth a line in the log.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Failure {
+pub struct LookupFailure {
     pub first: bool,
     /// Age of the answer that still holds; None if there never was one.
     pub age: Option<Duration>,
 }
 
-impl Names {
+impl DnsCache {
     /// Answers are asked for again after their time to live, no sooner than `least` and no later than `most`.
     pub fn new(least: Duration, most: Duration) -> Self {
-        Names { least, most, names: BTreeMap::new() }
+        DnsCache { least, most, names: BTreeMap::new() }
     }
 
     /// The names that are used from now on. What is known of the others is dropped; theirs is returned.
-    pub fn set(&mut self, names: &BTreeSet<String>, now: Duration) -> Vec<Change> {
+    pub fn set(&mut self, names: &BTreeSet<String>, now: Duration) -> Vec<AddressChange> {
         let mut dropped = Vec::new();
         self.names.retain(|name, entry| {
             let kept = names.contains(name);
             if !kept {
-                let gone = entry.addresses.iter().copied().collect();
-                dropped.push(Change { name: name.clone(), come: Vec::new(), gone });
+                let removed = entry.addresses.iter().copied().collect();
+                dropped.push(AddressChange { name: name.clone(), added: Vec::new(), removed });
             }
             kept
         });
@@ -65,7 +65,7 @@
         dropped
     }
 
-    /// Names to be asked for now. Each is out until it is answered or has failed.
+    /// DnsCache to be asked for now. Each is out until it is answered or has failed.
     pub fn due(&mut self, now: Duration) -> Vec<String> {
         let due = self.names.iter_mut().filter(|(_, e)| e.due.is_some_and(|at| at <= now));
         due.map(|(name, entry)| {
@@ -92,25 +92,25 @@
         addresses: &[IpAddr],
         ttl: Duration,
         now: Duration,
-    ) -> Option<Change> {
+    ) -> Option<AddressChange> {
         let entry = self.names.get_mut(name)?;
         entry.due = Some(now + ttl.clamp(self.least, self.most));
         (entry.answered, entry.failures) = (Some(now), 0);
         let new: BTreeSet<IpAddr> = addresses.iter().copied().collect();
-        let come: Vec<IpAddr> = new.difference(&entry.addresses).copied().collect();
-        let gone: Vec<IpAddr> = entry.addresses.difference(&new).copied().collect();
+        let added: Vec<IpAddr> = new.difference(&entry.addresses).copied().collect();
+        let removed: Vec<IpAddr> = entry.addresses.difference(&new).copied().collect();
         entry.addresses = new;
-        let changed = !come.is_empty() || !gone.is_empty();
-        changed.then(|| Change { name: name.to_owned(), come, gone })
+        let changed = !added.is_empty() || !removed.is_empty();
+        changed.then(|| AddressChange { name: name.to_owned(), added, removed })
     }
 
     /// No answer came, or one that tells nothing.
-    pub fn failed(&mut self, name: &str, now: Duration) -> Option<Failure> {
+    pub fn failed(&mut self, name: &str, now: Duration) -> Option<LookupFailure> {
         let entry = self.names.get_mut(name)?;
         entry.due = Some(now + (RETRY_FIRST * (1 << entry.failures.min(10))).min(RETRY_MOST));
         entry.failures += 1;
         let age = entry.answered.map(|at| now.saturating_sub(at));
-        Some(Failure { first: entry.failures == 1, age })
+        Some(LookupFailure { first: entry.failures == 1, age })
     }
 }
 
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -91,20 +91,20 @@
 }
 
 /// A watch on discovery, opened again whenever it ends.
-pub struct Watch {
+pub struct DiscoveryWatch {
     pub address: SocketAddr,
     pub seed: u64,
     /// The version that the courier has.
-    pub seq: u64,
+    pub version: u64,
     /// Ask for the whole list: the version is not known to be one of discovery's.
-    pub fresh: bool,
+    pub request_whole: bool,
     /// Time over which the fleet's calls are spread once a watch has ended or was turned away: all may have lost
     /// theirs in the same moment.
-    pub spread: Duration,
+    pub reconnect_spread: Duration,
     pub status: Rc<WatchStatus>,
 }
 
-impl Watch {
+impl DiscoveryWatch {
     /// Watches for good. Ends only when nobody listens any more.
     pub async fn run(mut self, news: Sender<News>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
@@ -117,7 +117,7 @@
             if lines_read > 0 && since.elapsed() > SILENCE_TIMEOUT {
                 backoff = INITIAL_BACKOFF_S;
             }
-            let mut pause = ask_after(backoff, self.spread, &mut rng);
+            let mut pause = ask_after(backoff, self.reconnect_spread, &mut rng);
             if lines_read > 0 {
                 outage.answered();
                 if news.send(News::WatchLost { discovery: self.address }).await.is_err() {
@@ -137,7 +137,7 @@
     }
 
     fn report_end(&self, end: &WatchEnd, after: Duration, lines_read: u64, pause: Duration) {
-        self.status.ended(end.kind(), &end.to_string());
+        self.status.call_ended(end.kind(), &end.to_string());
         let what = if lines_read > 0 { "the watch is lost" } else { "no watch" };
         let (after, pause) = (after.as_secs_f64(), pause.as_secs_f64());
         eprintln!(
@@ -167,14 +167,14 @@
             }
             for line in lines.by_ref() {
                 let list = self.read_line(&line, *lines_read == 0)?;
-                self.status.line_read(self.seq);
+                self.status.line_read(self.version);
                 *lines_read += 1;
                 line_begun = None;
                 if *lines_read == 1 {
                     let after = begun.elapsed().as_secs_f64();
                     eprintln!(
                         "discovery: the watch is open at version {}, {after:.2} s after its call",
-                        self.seq
+                        self.version
                     );
                 }
                 if let Some(list) = list {
@@ -190,9 +190,9 @@
     /// Connects and asks; an answer with a status other than 200 is none.
     async fn call(&self) -> Result<(Link, Response<Incoming>), WatchEnd> {
         self.status.call_started();
-        let path = match self.fresh {
+        let path = match self.request_whole {
             true => "/api/targets?stream=1".to_owned(),
-            false => format!("/api/targets?stream=1&index={}", self.seq),
+            false => format!("/api/targets?stream=1&index={}", self.version),
         };
         eprintln!("discovery: calls {} for {path}", self.address);
         let mut link = Link::open(self.address, CONNECT_TIMEOUT, None).await?;
@@ -211,17 +211,17 @@
     /// it was, which is an answer too.
     fn read_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<List>, WatchEnd> {
         let list = match line.iter().all(u8::is_ascii_whitespace) {
-            true => List { seq: self.seq, ..List::default() },
+            true => List { seq: self.version, ..List::default() },
             false => serde_json::from_slice::<List>(line).inspect_err(|_| {
                 // What it would have told is asked for again, as a whole list.
-                self.fresh = true;
+                self.request_whole = true;
             })?,
         };
         if !list.hosts.is_empty() || list.whole {
-            (self.seq, self.fresh) = (list.seq, false);
+            (self.version, self.request_whole) = (list.seq, false);
             return Ok(Some(list));
         }
-        self.seq = self.seq.max(list.seq);
+        self.version = self.version.max(list.seq);
         Ok(is_first.then_some(list))
     }
 }
--- a/crates/courier/src/discovery/watch_status.rs
+++ b/crates/courier/src/discovery/watch_status.rs
@@ -37,7 +37,7 @@
     }
 
     /// The call or the watch ended; `kind` is counted, `reason` is kept as the latest.
-    pub fn ended(&self, kind: &'static str, reason: &str) {
+    pub fn call_ended(&self, kind: &'static str, reason: &str) {
         let mut inner = self.0.borrow_mut();
         inner.is_open = false;
         *inner.failures.entry(kind).or_default() += 1;
@@ -55,13 +55,13 @@
     }
 
     /// How long ago discovery last wrote a line to this process; None if it never did.
-    pub fn silence(&self) -> Option<Duration> {
+    pub fn last_line_age(&self) -> Option<Duration> {
         self.0.borrow().last_line.map(|at| at.elapsed())
     }
 
     /// The page `/-/discovery`. Times are in seconds.
-    pub fn page(&self) -> Value {
-        let silence = self.silence().map(|s| s.as_secs_f64());
+    pub fn to_json(&self) -> Value {
+        let last_line_age = self.last_line_age().map(|s| s.as_secs_f64());
         let inner = self.0.borrow();
         let lease_left =
             inner.lease_expires.map(|at| at.saturating_duration_since(Instant::now()).as_secs_f64());
@@ -69,7 +69,7 @@
             "list_valid_for_s": lease_left,
             "watch_open": inner.is_open,
             "version": inner.version,
-            "last_line_s_ago": silence,
+            "last_line_s_ago": last_line_age,
             "calls": inner.calls,
             "answered_calls": inner.answered_calls,
             "ended_by": inner.failures,
--- a/crates/courier/src/front/admin.rs
+++ b/crates/courier/src/front/admin.rs
@@ -1,7 +1,7 @@
 //! The operator's pages: what configuration is in effect, since when, and what was refused. On an address of
 //! their own, off unless configured, loopback only.
 
-use crate::discovery::control::View;
+use crate::discovery::control::ConfigView;
 use crate::discovery::watch_status::WatchStatus;
 use crate::front::intake::Standing;
 use crate::out::connection_status::ConnectionStatus;
@@ -32,7 +32,7 @@
 /// What the pages show.
 #[derive(Clone)]
 pub struct Pages {
-    pub view: View,
+    pub view: ConfigView,
     pub standing: Rc<Standing>,
     pub room: Room,
     pub watch: Rc<WatchStatus>,
@@ -63,10 +63,10 @@
 
 async fn answer(request: &Request<Incoming>, pages: &Pages) -> Response<Full<Bytes>> {
     let page = match (request.method(), request.uri().path()) {
-        (&Method::GET, "/-/config") => Some(pages.view.status.json()),
+        (&Method::GET, "/-/config") => Some(pages.view.status.to_json()),
         (&Method::GET, "/-/config/values") => Some(values(&pages.view).await),
         (&Method::GET, "/-/connections") => Some(pages.connections.page()),
-        (&Method::GET, "/-/discovery") => Some(pages.watch.page()),
+        (&Method::GET, "/-/discovery") => Some(pages.watch.to_json()),
         (&Method::GET, "/-/memory") => Some(pages.room.page()),
         (&Method::GET, "/-/ready") => Some(json!({"ready": pages.standing.ready.get()})),
         _ => None,
@@ -87,7 +87,7 @@
 
 /// The effective configuration, each value with its source. Made off the serving thread: a large one takes
 /// tenths of a second.
-async fn values(view: &View) -> Value {
+async fn values(view: &ConfigView) -> Value {
     let (version, installation) = view.effective.get();
     let (document, held) = view.document.borrow().clone();
     let made = tokio::task::spawn_blocking(move || {
--- a/crates/courier/src/journal_tool.rs
+++ b/crates/courier/src/journal_tool.rs
@@ -2,7 +2,7 @@
 //! Only `compact` writes.
 
 use serde_json::{Value, json};
-use stairshed_courier::settings::Settings;
+use stairshed_courier::settings::OperatorSettings;
 use stairshed_journal::{Attempt, Files, Found, Journal, Kept, Live, Options, Record, Verdict};
 use std::io::{self, Write};
 use std::path::Path;
@@ -15,7 +15,7 @@
     #[error("{0}")]
     Journal(#[from] stairshed_journal::Error),
     #[error("{0}")]
-    Settings(#[from] stairshed_courier::config_file::Error),
+    Settings(#[from] stairshed_courier::config_file::ConfigFileError),
     #[error("standard output: {0}")]
     Output(#[from] io::Error),
     #[error("{0} parts of the journal cannot be read")]
@@ -160,7 +160,7 @@
 }
 
 pub fn compact(folder: &Path, settings: Option<&Path>, out: &mut impl Write) -> Result<(), Error> {
-    let settings = Settings::read(settings)?;
+    let settings = OperatorSettings::read(settings)?;
     let files = Arc::new(Files::lock(folder)?);
     let mut options = settings.journal.options(u64::MAX / 4, 6);
     // The smallest: a courier with any room can copy what stands in one.
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -26,5 +26,5 @@
 pub use discovery::config_file;
 pub use front::effective::host_name;
 pub use front::users;
-pub use startup::{dev, run, serve, settings};
-pub use startup_error::Fault;
+pub use startup::{dev, run_platform, serve, settings};
+pub use startup_error::StartupError;
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -122,7 +122,7 @@
     let out = &mut std::io::stdout();
     let text = |e: &dyn std::fmt::Display| e.to_string();
     let done = match cli.command {
-        None => stairshed_courier::run(cli.settings.as_deref()).map_err(|e| text(&e)),
+        None => stairshed_courier::run_platform(cli.settings.as_deref()).map_err(|e| text(&e)),
         Some(Command::Serve { config }) => stairshed_courier::serve(config).map_err(|e| text(&e)),
         Some(Command::Dev { listen }) => stairshed_courier::dev(listen).map_err(|e| text(&e)),
         Some(Command::Check { file, explain }) => {
--- a/crates/courier/src/owner.rs
+++ b/crates/courier/src/owner.rs
@@ -26,7 +26,7 @@
 mod taking;
 
 use crate::clock::unix;
-use crate::discovery::configured_hosts::hosts;
+use crate::discovery::configured_hosts::changed_hosts;
 use crate::front::intake::Standing;
 use crate::news::{Front, List, News};
 use crate::out::calls::Calls;
@@ -115,7 +115,7 @@
             courier.memory.configured(installation.weigh());
             courier.members.listed = true;
             courier.members.destinations.extend(installation.pools.iter().map(|p| p.destination));
-            let (hosts, limits) = hosts(&changes(None, &installation));
+            let (hosts, limits) = changed_hosts(&changes(None, &installation));
             courier.change_members(hosts, limits);
             courier.members.slice = usize::MAX;
             courier.change();
--- a/crates/courier/src/owner/members.rs
+++ b/crates/courier/src/owner/members.rs
@@ -3,7 +3,7 @@
 
 use super::Courier;
 use super::held::Held;
-use crate::discovery::watch::Watch;
+use crate::discovery::watch::DiscoveryWatch;
 use crate::news::{Changes, Configured, Health, Host, List, differences};
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
@@ -306,12 +306,20 @@
         }
     }
 
-    pub(super) fn watch_from(&mut self, seq: u64, fresh: bool) {
+    pub(super) fn watch_from(&mut self, version: u64, request_whole: bool) {
         let Some(address) = self.setup.discovery else { return };
         // An agent that pushes serves its own courier; a service that is asked serves the fleet.
-        let spread = if self.lists_are_pushed() { Duration::ZERO } else { self.setup.settings.ask_spread() };
+        let reconnect_spread =
+            if self.lists_are_pushed() { Duration::ZERO } else { self.setup.settings.ask_spread() };
         let status = self.setup.watch_status.clone();
-        let watch = Watch { address, seed: self.setup.seed, seq, fresh, spread, status };
+        let watch = DiscoveryWatch {
+            address,
+            seed: self.setup.seed,
+            version,
+            request_whole,
+            reconnect_spread,
+            status,
+        };
         let task = tokio::task::spawn_local(watch.run(self.news.clone()));
         self.members.watch = Some(task.abort_handle());
     }
--- a/crates/courier/src/owner/memory.rs
+++ b/crates/courier/src/owner/memory.rs
@@ -299,7 +299,7 @@
         }
         let room = &self.memory.room;
         if room.ledger.total().is_some()
-            && let Some(resident) = process_memory::resident()
+            && let Some(resident) = process_memory::resident_bytes()
         {
             room.ledger.weighed(resident);
         }
@@ -332,9 +332,9 @@
         ];
         tables.into_iter().for_each(Loose::tighten);
         self.ended.tighten();
-        let free = process_memory::allocator().map_or(0, |a| a.free);
+        let free = process_memory::allocator_stats().map_or(0, |a| a.free);
         if free > FREE_LEAST {
-            process_memory::trim();
+            process_memory::release_free();
         }
     }
 }
--- a/crates/courier/src/owner/out.rs
+++ b/crates/courier/src/owner/out.rs
@@ -138,7 +138,7 @@
                     endpoint.0,
                     host.unwrap_or_default(),
                     list.version(),
-                    list.silence()
+                    list.last_line_age()
                 ),
             );
             let letter = m.letter.clone();
--- a/crates/courier/src/room.rs
+++ b/crates/courier/src/room.rs
@@ -51,7 +51,7 @@
     /// What the allocator has given out and no purpose has on its books; below zero where estimates are too high.
     unaccounted: i64,
     #[serde(flatten)]
-    allocator: process_memory::Allocator,
+    allocator: process_memory::AllocatorStats,
 }
 
 /// The caps of a configuration, with what the process was started with where it states no total.
@@ -59,7 +59,7 @@
 /// # Errors
 /// All that is wrong with them, or the configuration itself takes more than it may.
 pub fn caps(installation: &Installation) -> Result<Caps, Vec<String>> {
-    let caps = installation::caps(&installation.file, process_memory::limit());
+    let caps = installation::caps(&installation.file, process_memory::address_space_limit());
     let caps = caps.map_err(|faults| faults.iter().map(|f| format!("memory: {f}")).collect::<Vec<_>>())?;
     let (takes, may) = (installation.weigh(), caps.of[Purpose::Configuration]);
     match takes <= may {
@@ -94,10 +94,13 @@
 
     pub fn page(&self) -> Value {
         let accounted = self.ledger.in_use();
-        let process =
-            process_memory::resident().zip(process_memory::allocator()).map(|(resident, allocator)| {
-                Process { resident, unaccounted: allocator.allocated as i64 - accounted as i64, allocator }
-            });
+        let process = process_memory::resident_bytes().zip(process_memory::allocator_stats()).map(
+            |(resident, allocator)| Process {
+                resident,
+                unaccounted: allocator.allocated as i64 - accounted as i64,
+                allocator,
+            },
+        );
         json!(Page {
             level: self.ledger.worst(),
             total: self.ledger.total(),
--- a/crates/courier/src/startup.rs
+++ b/crates/courier/src/startup.rs
@@ -6,9 +6,9 @@
 mod serve;
 pub mod settings;
 
-use crate::startup_error::Fault;
-use platform_config::Config;
-use settings::Settings;
+use crate::startup_error::StartupError;
+use platform_config::PlatformConfig;
+use settings::OperatorSettings;
 use stairshed_journal::{Files, Report};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -29,9 +29,10 @@
 /// How long the end waits for a sync that is under way.
 const END_TIME: Duration = Duration::from_millis(200);
 /// Reads the configuration, then serves until it is told to stop.
-pub fn run(settings: Option<&Path>) -> Result<(), Fault> {
-    let config = Config::read()?;
-    let settings = Settings::read(settings).map_err(|e| Fault::Bad("--settings", e.to_string()))?;
+pub fn run_platform(settings: Option<&Path>) -> Result<(), StartupError> {
+    let config = PlatformConfig::read()?;
+    let settings =
+        OperatorSettings::read(settings).map_err(|e| StartupError::Invalid("--settings", e.to_string()))?;
     block_on(platform::platform(config, settings))
 }
 
@@ -39,7 +40,7 @@
 ///
 /// # Errors
 /// What kept it from its start.
-pub fn serve(file: PathBuf) -> Result<(), Fault> {
+pub fn serve(file: PathBuf) -> Result<(), StartupError> {
     block_on(serve::serve(file))
 }
 
@@ -47,21 +48,21 @@
 ///
 /// # Errors
 /// What kept it from its start.
-pub fn dev(listen: SocketAddr) -> Result<(), Fault> {
+pub fn dev(listen: SocketAddr) -> Result<(), StartupError> {
     block_on(dev::dev(listen))
 }
 
-fn block_on(work: impl Future<Output = Result<(), Fault>>) -> Result<(), Fault> {
+fn block_on(work: impl Future<Output = Result<(), StartupError>>) -> Result<(), StartupError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| Fault::Bad("runtime", e.to_string()))?;
+    let runtime = runtime.map_err(|e| StartupError::Invalid("runtime", e.to_string()))?;
     let done = LocalSet::new().block_on(&runtime, work);
     // A sync that hangs in the device must not hold up the end: nothing that depends on it was told.
     runtime.shutdown_timeout(END_TIME);
     done
 }
 
-fn on(kind: SignalKind, name: &'static str) -> Result<Signal, Fault> {
-    signal(kind).map_err(|e| Fault::Bad(name, e.to_string()))
+fn on(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
+    signal(kind).map_err(|e| StartupError::Invalid(name, e.to_string()))
 }
 
 /// Takes the state folder, which a tool may be looking at for a moment.
--- a/crates/courier/src/startup/dev.rs
+++ b/crates/courier/src/startup/dev.rs
@@ -1,7 +1,7 @@
 //! `stairshed dev`: a courier on loopback with a sample installation and a stand-in endpoint, to try it out.
 
 use super::serve;
-use crate::startup_error::Fault;
+use crate::startup_error::StartupError;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 /// The address is taken, or the folder cannot be made.
-pub async fn dev(listen: SocketAddr) -> Result<(), Fault> {
+pub async fn dev(listen: SocketAddr) -> Result<(), StartupError> {
     let stand_in = TcpListener::bind("127.0.0.1:0").await?;
     let at = stand_in.local_addr()?;
     let folder = Folder(std::env::temp_dir().join(format!("stairshed-dev-{}", std::process::id())));
--- a/crates/courier/src/startup/platform.rs
+++ b/crates/courier/src/startup/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's courier: told by its environment and `LB_CONFIG`.
 
-use super::platform_config::{self, Config};
-use super::settings::Settings;
+use super::platform_config::{self, PlatformConfig};
+use super::settings::OperatorSettings;
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
 use crate::front::intake::{Front, Intake, Standing};
 use crate::front::listener::listen;
@@ -10,7 +10,7 @@
 use crate::out::outcomes::Outcomes;
 use crate::owner::Courier;
 use crate::room::Room;
-use crate::startup_error::Fault;
+use crate::startup_error::StartupError;
 use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::LIST_TERM;
 use stairshed_journal::Journal;
@@ -25,7 +25,7 @@
 /// Reads the configuration again at each SIGHUP. A file that cannot be read changes nothing.
 async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<News>) {
     while hangup.recv().await.is_some() {
-        match platform_config::discovery_again(&file) {
+        match platform_config::reread_discovery(&file) {
             Ok(Some(discovery)) => {
                 eprintln!("configuration read again: discovery at {discovery}");
                 let _ = news.send(News::Moved(discovery)).await;
@@ -39,7 +39,7 @@
 /// The platform's `memory_mb` is the total. Connections have no cap there: its `sockets` bound them, and to close one
 /// that is kept costs. With a total that no courier could live by only bodies that are read are bounded, by an eighth
 /// of it. All clients come by one address, so none has a share.
-fn room(config: &Config) -> Room {
+fn room(config: &PlatformConfig) -> Room {
     let total = (config.limits.memory_mb * 1e6) as u64;
     let mut caps = Caps::new(Some(total), &ByPurpose::default()).unwrap_or_else(|_| {
         let mut caps = Caps::none();
@@ -55,14 +55,14 @@
 ///
 /// # Errors
 /// What kept it from its start.
-pub async fn platform(mut config: Config, settings: Settings) -> Result<(), Fault> {
+pub async fn platform(mut config: PlatformConfig, settings: OperatorSettings) -> Result<(), StartupError> {
     // First of all: without a handler either signal ends the process at once.
     let mut terminate = on(SignalKind::terminate(), "SIGTERM")?;
     let hangup = on(SignalKind::hangup(), "SIGHUP")?;
     let disk = (config.limits.disk_mb * 1e6) as u64;
     let options = settings.journal.options(disk, u64::from(config.settings.attempt_cap));
     let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
-    let (journal, report) = opened.map_err(|e| Fault::Bad("LB_STATE", e.to_string()))?;
+    let (journal, report) = opened.map_err(|e| StartupError::Invalid("LB_STATE", e.to_string()))?;
     tell(&report);
     let for_calls = (config.limits.sockets / 3).max(16);
     let for_clients = config.limits.sockets.saturating_sub(for_calls + SPARE_SOCKETS).max(8);
@@ -74,15 +74,15 @@
     config.settings.membership_term = Some(LIST_TERM);
     let pushed = !config.settings.must_subscribe;
     let brain = Brain::new(config.settings.clone(), config.seed);
-    let brain = brain.map_err(|e| Fault::Bad("LB_CONFIG", e))?;
+    let brain = brain.map_err(|e| StartupError::Invalid("LB_CONFIG", e))?;
     let (news, inbox) = mpsc::channel(INBOX);
     if pushed {
         // Nobody asks for lists that are pushed: the watch is open from the start.
         let _ = news.send(News::Watch).await;
     }
     let standing = Rc::new(Standing::default());
-    let listener = listen(config.listen).map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
-    let at = listener.local_addr().map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
+    let listener = listen(config.listen).map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
+    let at = listener.local_addr().map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
     let (name, kept) = (config.name.clone(), journal.len());
     let intake = Rc::new(Intake {
         front: Front::Platform { classes: config.classes.clone() },
--- a/crates/courier/src/startup/platform_config.rs
+++ b/crates/courier/src/startup/platform_config.rs
@@ -5,7 +5,7 @@
 use crate::news::List;
 use crate::owner::setup::Setup;
 use crate::room::Room;
-use crate::startup_error::Fault;
+use crate::startup_error::StartupError;
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
@@ -41,7 +41,7 @@
 }
 
 /// All that a courier is told.
-pub struct Config {
+pub struct PlatformConfig {
     pub name: String,
     pub listen: SocketAddr,
     /// The file that `LB_CONFIG` names.
@@ -57,7 +57,7 @@
     pub kinds: Vec<String>,
 }
 
-impl Config {
+impl PlatformConfig {
     /// What the owner of the decision module needs of it.
     pub fn setup(self, room: Room) -> Setup {
         let classes = self.classes.into_iter().zip(self.settings.classes.iter().cloned());
@@ -81,16 +81,16 @@
     }
 }
 
-fn text(name: &'static str) -> Result<String, Fault> {
+fn text(name: &'static str) -> Result<String, StartupError> {
     match env::var(name) {
         Ok(value) if !value.is_empty() => Ok(value),
-        Err(env::VarError::NotUnicode(_)) => Err(Fault::Bad(name, "is not text".to_owned())),
-        _ => Err(Fault::Missing(name)),
+        Err(env::VarError::NotUnicode(_)) => Err(StartupError::Invalid(name, "is not text".to_owned())),
+        _ => Err(StartupError::MissingVariable(name)),
     }
 }
 
-fn address(name: &'static str) -> Result<SocketAddr, Fault> {
-    place(&text(name)?).map_err(|why| Fault::Bad(name, why))
+fn address(name: &'static str) -> Result<SocketAddr, StartupError> {
+    place(&text(name)?).map_err(|why| StartupError::Invalid(name, why))
 }
 
 fn place(text: &str) -> Result<SocketAddr, String> {
@@ -106,8 +106,8 @@
 
 impl Page {
     /// Reads the whole file, or tells what is wrong with it.
-    fn read(path: &Path) -> Result<(Self, Settings, Option<SocketAddr>), Fault> {
-        let bad = |why: String| Fault::Bad("LB_CONFIG", format!("{}: {why}", path.display()));
+    fn read(path: &Path) -> Result<(Self, Settings, Option<SocketAddr>), StartupError> {
+        let bad = |why: String| StartupError::Invalid("LB_CONFIG", format!("{}: {why}", path.display()));
         let page = fs::read(path).map_err(|e| bad(e.to_string()))?;
         let page: Page = serde_json::from_slice(&page).map_err(|e| bad(e.to_string()))?;
         let settings = page.settings.settings().map_err(|e| bad(format!("settings: {e}")))?;
@@ -121,16 +121,16 @@
 }
 
 /// Where the file says that discovery is, as it stands now. An error changes nothing.
-pub fn discovery_again(path: &Path) -> Result<Option<SocketAddr>, Fault> {
+pub fn reread_discovery(path: &Path) -> Result<Option<SocketAddr>, StartupError> {
     Page::read(path).map(|(_, _, discovery)| discovery)
 }
 
-impl Config {
-    pub fn read() -> Result<Self, Fault> {
+impl PlatformConfig {
+    pub fn read() -> Result<Self, StartupError> {
         let (name, listen) = (text("LB_NAME")?, address("LB_LISTEN")?);
         let state = PathBuf::from(text("LB_STATE")?);
         if !state.is_dir() {
-            return Err(Fault::Bad("LB_STATE", format!("{} is no folder", state.display())));
+            return Err(StartupError::Invalid("LB_STATE", format!("{} is no folder", state.display())));
         }
         let file = PathBuf::from(text("LB_CONFIG")?);
         let (page, settings, named) = Page::read(&file)?;
@@ -140,7 +140,7 @@
             Some(discovery) => discovery,
             None => address("LB_DISCOVERY")?,
         };
-        Ok(Config {
+        Ok(PlatformConfig {
             name,
             listen,
             file,
--- a/crates/courier/src/startup/serve.rs
+++ b/crates/courier/src/startup/serve.rs
@@ -2,8 +2,8 @@
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
 use crate::discovery::config_file;
-use crate::discovery::configured_hosts::kinds;
-use crate::discovery::control::{Configurator, Status, Store};
+use crate::discovery::configured_hosts::endpoint_kinds;
+use crate::discovery::control::{ConfigStatus, ConfigUpdater, VersionStore};
 use crate::discovery::dns;
 use crate::front::admin::{self, Pages};
 use crate::front::effective::Effective;
@@ -18,7 +18,7 @@
 use crate::owner::Courier;
 use crate::owner::setup::Setup;
 use crate::room::{self, Room};
-use crate::startup_error::Fault;
+use crate::startup_error::StartupError;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
@@ -54,7 +54,7 @@
     effective: &Effective,
     news: &mpsc::Sender<News>,
     (courier, room, farewells): (&Courier, &Room, &Rc<Farewells>),
-) -> Result<Rc<Hub>, Fault> {
+) -> Result<Rc<Hub>, StartupError> {
     let m = &installation.file.mqtt;
     // Checked when the file was read.
     let seconds = |span: Duration| u32::try_from(span.as_secs()).unwrap_or(u32::MAX - 1);
@@ -77,8 +77,8 @@
     Ok(Hub::new(limits, bounds, (effective.clone(), users), news.clone(), records))
 }
 
-fn bad(what: &'static str, why: impl ToString) -> Fault {
-    Fault::Bad(what, why.to_string())
+fn bad(what: &'static str, why: impl ToString) -> StartupError {
+    StartupError::Invalid(what, why.to_string())
 }
 
 /// What the owner of the decision module is told at the start.
@@ -93,7 +93,7 @@
         settings: Settings { classes: classes.classes(), ..installation.settings.clone() },
         classes,
         zones: Vec::new(),
-        kinds: kinds(),
+        kinds: endpoint_kinds(),
         seed: rand::random(),
         known: None,
         discovery: installation.discovery,
@@ -115,7 +115,11 @@
 }
 
 /// What a start comes up on: the last good version over the file, or the file's own.
-fn start(document: &Document, own: Installation, store: &Store) -> (Option<Version>, Arc<Installation>) {
+fn start(
+    document: &Document,
+    own: Installation,
+    store: &VersionStore,
+) -> (Option<Version>, Arc<Installation>) {
     if own.control.is_none() {
         return (None, Arc::new(own));
     }
@@ -138,19 +142,21 @@
 }
 
 /// Runs an operator's courier until it is told to stop.
-pub async fn serve(file: PathBuf) -> Result<(), Fault> {
+pub async fn serve(file: PathBuf) -> Result<(), StartupError> {
     let mut terminate = on(SignalKind::terminate(), "SIGTERM")?;
     let mut interrupt = on(SignalKind::interrupt(), "SIGINT")?;
     let hangup = on(SignalKind::hangup(), "SIGHUP")?;
-    let document = config_file::document(&file).map_err(|e| Fault::Lines(vec![e.to_string()]))?;
+    let document =
+        config_file::read_document(&file).map_err(|e| StartupError::Problems(vec![e.to_string()]))?;
     let own = document.installation(None);
-    let own =
-        own.map_err(|problems| Fault::Lines(problems.to_string().lines().map(str::to_owned).collect()))?;
+    let own = own.map_err(|problems| {
+        StartupError::Problems(problems.to_string().lines().map(str::to_owned).collect())
+    })?;
     let state = state_folder(&file, &own);
     let folder = state.join("journal");
     std::fs::create_dir_all(&folder).map_err(|e| bad("state", format!("{}: {e}", folder.display())))?;
     let files = lock(&folder).await.map_err(|e| bad("state", e))?;
-    let store = Store::new(state.join("version.json"));
+    let store = VersionStore::new(state.join("version.json"));
     let (version, installation) = start(&document, own, &store);
     let takes_nothing = installation.routes.is_empty() && installation.topics.is_empty();
     if takes_nothing && installation.control.is_none() {
@@ -172,7 +178,7 @@
     let for_clients = limits.connections.saturating_sub(for_calls + SPARE_SOCKETS).max(4);
     let beside = file.parent().unwrap_or(Path::new(".")).to_owned();
     let effective = Effective::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
-    let caps = room::caps(&installation).map_err(Fault::Lines)?;
+    let caps = room::caps(&installation).map_err(StartupError::Problems)?;
     let room = Room::new(&caps, installation.file.memory.client_share);
     let mut setup = setup(&installation, &effective, &room, &beside);
     let calls = Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, for_calls, room.clone());
@@ -195,8 +201,8 @@
     let to = outcomes.file.as_ref().map(|f| state.join(f));
     let to = if installation.outcomes.is_none() { to.or(Some(unread.clone())) } else { to };
     let outcomes = Outcomes::operator(installation.outcomes.as_ref(), to, unread, machine);
-    let (lookups, resolver) = dns::start(&installation, news.clone());
-    let status = Rc::new(Status::new(file.clone(), version.as_ref().map(|v| v.version)));
+    let (lookups, resolver) = dns::spawn_resolver(&installation, news.clone());
+    let status = Rc::new(ConfigStatus::new(file.clone(), version.as_ref().map(|v| v.version)));
     let waits = version.is_none() && takes_nothing;
     let first_wait = installation.file.control.as_ref().map(|c| c.first_wait.0).filter(|_| waits);
     let (admin, installation_mqtt) = (installation.admin, installation.mqtt);
@@ -214,7 +220,7 @@
         tokio::task::spawn_local(hub.clone().run());
     }
     let running = tokio::task::spawn_local(courier.run(inbox));
-    let mut configurator = Configurator::new(
+    let mut config_updater = ConfigUpdater::new(
         (file, document, store),
         (Versions::new(version), installation),
         (effective.clone(), news.clone(), intake),
@@ -223,19 +229,19 @@
     );
     if let Some(wait) = first_wait {
         eprintln!("configuration: no version yet and no routes in the file; waits for one");
-        if !configurator.first(wait).await {
+        if !config_updater.wait_for_first_version(wait).await {
             return Err(bad(
                 "control",
                 "no version came, none is stored, and the file has no routes of its own",
             ));
         }
     }
-    let at = configurator.listen().map_err(|e| bad("listen.http", e))?;
+    let at = config_updater.listen().map_err(|e| bad("listen.http", e))?;
     if let Some(admin) = admin {
         let listener = listen(admin).map_err(|e| bad("listen.admin", format!("{admin}: {e}")))?;
         let at = listener.local_addr().map_err(|e| bad("listen.admin", e))?;
         eprintln!("the operator's pages are at {at}");
-        let (view, standing, room) = (configurator.view(), standing.clone(), room.clone());
+        let (view, standing, room) = (config_updater.view(), standing.clone(), room.clone());
         let pages = Pages { view, standing, room, watch: watch_status, connections };
         tokio::task::spawn_local(admin::run(listener, pages));
     }
@@ -253,7 +259,7 @@
         let _ = news.send(News::Watch).await;
     }
     standing.ready.set(true);
-    let configuring = tokio::task::spawn_local(configurator.run(hangup));
+    let configuring = tokio::task::spawn_local(config_updater.run(hangup));
     let stopper = standing.clone();
     tokio::task::spawn_local(async move {
         tokio::select! {
--- a/crates/courier/src/startup_error.rs
+++ b/crates/courier/src/startup_error.rs
@@ -4,21 +4,21 @@
 
 /// Why a start cannot go on.
 #[derive(Debug)]
-pub enum Fault {
-    Missing(&'static str),
-    Bad(&'static str, String),
+pub enum StartupError {
+    MissingVariable(&'static str),
+    Invalid(&'static str, String),
     /// Each a whole line already.
-    Lines(Vec<String>),
+    Problems(Vec<String>),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StartupError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Missing(name) => write!(f, "{name} is not set"),
-            Fault::Lines(lines) => write!(f, "{}", lines.join("\n")),
-            Fault::Bad(name, why) => write!(f, "{name}: {}", why.replace('\n', " ")),
+            StartupError::MissingVariable(name) => write!(f, "{name} is not set"),
+            StartupError::Problems(lines) => write!(f, "{}", lines.join("\n")),
+            StartupError::Invalid(name, why) => write!(f, "{name}: {}", why.replace('\n', " ")),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for StartupError {}
