--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -30,7 +30,7 @@
 use crate::events::{Frontend, EndpointList, CourierEvent};
 use crate::outbound::endpoint_client::EndpointClient;
 use crate::outbound::outcomes::OutcomeNotifier;
-use crate::place::hosts::hosts;
+use crate::discovery::configured_hosts::changed_hosts;
 use members::Members;
 use memory::Memory;
 use notices::Notices;
@@ -115,7 +115,7 @@
             courier.memory.configured(installation.weigh());
             courier.members.listed = true;
             courier.members.destinations.extend(installation.pools.iter().map(|p| p.destination));
-            let (hosts, limits) = hosts(&changes(None, &installation));
+            let (hosts, limits) = changed_hosts(&changes(None, &installation));
             courier.change_members(hosts, limits);
             courier.members.slice = usize::MAX;
             courier.change();
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -4,7 +4,7 @@
 use super::Dispatcher;
 use super::held_message::Held;
 use crate::events::{MembershipChanges, ConfigurationUpdate, Health, ListedEndpoint, EndpointList, diff_endpoints};
-use crate::place::watch::Watch;
+use crate::discovery::watch::DiscoveryWatch;
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -309,13 +309,20 @@
         }
     }
 
-    pub(super) fn watch_from(&mut self, seq: u64, fresh: bool) {
+    pub(super) fn watch_from(&mut self, version: u64, request_whole: bool) {
         let Some(address) = self.setup.discovery else { return };
         // An agent that pushes serves its own courier; a service that is asked serves the fleet.
-        let spread =
+        let reconnect_spread =
             if self.lists_are_pushed() { Duration::ZERO } else { self.setup.settings.list_retry_spread() };
         let status = self.setup.watch_status.clone();
-        let watch = Watch { address, seed: self.setup.seed, seq, fresh, spread, status };
+        let watch = DiscoveryWatch {
+            address,
+            seed: self.setup.seed,
+            version,
+            request_whole,
+            reconnect_spread,
+            status,
+        };
         let task = tokio::task::spawn_local(watch.run(self.news.clone()));
         self.members.watch = Some(task.abort_handle());
     }
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -5,7 +5,7 @@
 use super::held_message::Held;
 use crate::events::{Submission, Reply};
 use crate::memory_budget::MemoryBudget;
-use crate::system;
+use crate::process_memory;
 use stairshed_decide::memory_usage;
 use stairshed_journal::{Attempt, Kept, Letter, ROW};
 use stairshed_memory::{Charge, Guest, Level, Purpose, Refused, Reserve};
@@ -299,7 +299,7 @@
         }
         let room = &self.memory.room;
         if room.ledger.total().is_some()
-            && let Some(resident) = system::resident()
+            && let Some(resident) = process_memory::resident_bytes()
         {
             room.ledger.weighed(resident);
         }
@@ -332,9 +332,9 @@
         ];
         tables.into_iter().for_each(Loose::tighten);
         self.ended.tighten();
-        let free = system::allocator().map_or(0, |a| a.free);
+        let free = process_memory::allocator_stats().map_or(0, |a| a.free);
         if free > FREE_LEAST {
-            system::trim();
+            process_memory::release_free();
         }
     }
 }
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -2,8 +2,8 @@
 
 use crate::ingress::active_config::ActiveConfig;
 use crate::events::EndpointList;
-use crate::place::list_age::ListAgeFile;
-use crate::place::watch_status::WatchStatus;
+use crate::discovery::list_age::ListAgeFile;
+use crate::discovery::watch_status::WatchStatus;
 use crate::memory_budget::MemoryBudget;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -3,8 +3,8 @@
 
 use crate::ingress::http::ServerState;
 use crate::outbound::connection_status::ConnectionStatus;
-use crate::place::control::View;
-use crate::place::watch_status::WatchStatus;
+use crate::discovery::control::ConfigView;
+use crate::discovery::watch_status::WatchStatus;
 use crate::memory_budget::MemoryBudget;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -32,7 +32,7 @@
 /// What the pages show.
 #[derive(Clone)]
 pub struct AdminPages {
-    pub view: View,
+    pub view: ConfigView,
     pub server_state: Rc<ServerState>,
     pub room: MemoryBudget,
     pub watch: Rc<WatchStatus>,
@@ -63,10 +63,10 @@
 
 async fn answer(request: &Request<Incoming>, pages: &AdminPages) -> Response<Full<Bytes>> {
     let page = match (request.method(), request.uri().path()) {
-        (&Method::GET, "/-/config") => Some(pages.view.status.json()),
+        (&Method::GET, "/-/config") => Some(pages.view.status.to_json()),
         (&Method::GET, "/-/config/values") => Some(values(&pages.view).await),
         (&Method::GET, "/-/connections") => Some(pages.connections.page()),
-        (&Method::GET, "/-/discovery") => Some(pages.watch.page()),
+        (&Method::GET, "/-/discovery") => Some(pages.watch.to_json()),
         (&Method::GET, "/-/memory") => Some(pages.room.page()),
         (&Method::GET, "/-/ready") => Some(json!({"ready": pages.server_state.ready.get()})),
         _ => None,
@@ -87,7 +87,7 @@
 
 /// The effective configuration, each value with its source. Made off the serving thread: a large one takes
 /// tenths of a second.
-async fn values(view: &View) -> Value {
+async fn values(view: &ConfigView) -> Value {
     let (version, installation) = view.active_config.get();
     let (document, held) = view.document.borrow().clone();
     let made = tokio::task::spawn_blocking(move || {
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -11,20 +11,20 @@
 
 pub mod admin_client;
 mod clock;
-mod fault;
+mod startup_error;
 pub mod message_trace;
 mod ingress;
 mod events;
 mod outbound;
 mod dispatcher;
-mod place;
+mod discovery;
 mod memory_budget;
 mod socket;
-mod start;
-mod system;
+mod startup;
+mod process_memory;
 
-pub use fault::Fault;
+pub use startup_error::StartupError;
 pub use ingress::active_config::host_name;
 pub use ingress::users;
-pub use place::file;
-pub use start::{dev, run, serve, settings};
+pub use discovery::config_file;
+pub use startup::{dev, run_platform, serve, settings};
