--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -1,16 +1,16 @@
 //! The control service's versions and the operator's file, put into effect one after the other: checked off
 //! the serving thread, stored, told to the courier, and only then acknowledged.
 
-use crate::startup_error::StartupError;
+use crate::discovery::config_file;
+use crate::discovery::configured_hosts::changed_hosts;
+use crate::discovery::dns::ResolverHandle;
+use crate::events::{ConfigurationUpdate, CourierEvent, MembershipChanges};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::http::HttpServer;
 use crate::ingress::listener::listen;
-use crate::events::{MembershipChanges, ConfigurationUpdate, CourierEvent};
-use crate::outbound::http_connection::HttpConnection;
-use crate::discovery::dns::ResolverHandle;
-use crate::discovery::config_file;
-use crate::discovery::configured_hosts::changed_hosts;
 use crate::memory_budget::{self, MemoryBudget};
+use crate::outbound::http_connection::HttpConnection;
+use crate::startup_error::StartupError;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -1,8 +1,8 @@
 //! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where the
 //! answer is cut short.
 
-use crate::events::{Health, ListedEndpoint, EndpointList, CourierEvent, diff_endpoints};
 use crate::discovery::dns_cache::DnsCache;
+use crate::events::{CourierEvent, EndpointList, Health, ListedEndpoint, diff_endpoints};
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use stairshed_config::Installation;
@@ -88,7 +88,10 @@
 }
 
 /// Begins to look up the names of an installation and of those that follow it.
-pub fn spawn_resolver(installation: &Installation, news: Sender<CourierEvent>) -> (ResolverHandle, ResolverTask) {
+pub fn spawn_resolver(
+    installation: &Installation,
+    news: Sender<CourierEvent>,
+) -> (ResolverHandle, ResolverTask) {
     let (tell, told) = watch::channel(Vec::new());
     let dns = &installation.file.dns;
     let task = Task {
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -3,7 +3,7 @@
 
 use super::outage_detector::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
-use crate::events::{EndpointList, CourierEvent};
+use crate::events::{CourierEvent, EndpointList};
 use crate::outbound::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -11,40 +11,40 @@
 //!   ended     what stays of ended messages  brokers   attempts at MQTT brokers      notes  state by key
 //! ```
 
+mod acceptance;
+mod attempts;
 mod brokers;
 mod ended_messages;
 mod held_message;
 mod lease;
 mod members;
 mod memory;
-mod stored_state;
 mod notices;
-mod attempts;
 mod records;
 pub mod setup;
 mod shutdown;
-mod acceptance;
+mod stored_state;
 
 use crate::clock::unix_time;
+use crate::discovery::configured_hosts::changed_hosts;
+use crate::events::{CourierEvent, EndpointList, Frontend};
 use crate::ingress::http::ServerState;
-use crate::events::{Frontend, EndpointList, CourierEvent};
 use crate::outbound::endpoint_client::EndpointClient;
 use crate::outbound::outcomes::OutcomeNotifier;
-use crate::discovery::configured_hosts::changed_hosts;
+use acceptance::Taking;
+use attempts::{Out, aged};
 use members::Members;
 use memory::Memory;
 use notices::Notices;
-use attempts::{Out, aged};
 use records::{COMPACT_PAUSE, DISK_RETRY, Records};
 use setup::Setup;
+use shutdown::{STOP_LOOK, Stopping};
 use stairshed_config::change::changes;
-use stairshed_decide::scheduler::Scheduler;
 use stairshed_decide::interface::*;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Journal, Verdict};
 use std::collections::HashMap;
 use std::rc::Rc;
-use shutdown::{STOP_LOOK, Stopping};
-use acceptance::Taking;
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::{Instant, sleep_until};
 
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -4,8 +4,8 @@
 use super::held_message::{Held, Waiting};
 use super::memory::Holding;
 use super::{Dispatcher, Verdict};
+use crate::events::{Reply, ReplyTo, Submission};
 use crate::message_trace;
-use crate::events::{Submission, Reply, ReplyTo};
 use stairshed_decide::interface::*;
 use stairshed_journal::{Letter, Refusal};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -3,7 +3,7 @@
 
 use super::Dispatcher;
 use super::held_message::Held;
-use crate::events::{Submission, Reply};
+use crate::events::{Reply, Submission};
 use crate::memory_budget::MemoryBudget;
 use crate::process_memory;
 use stairshed_decide::memory_usage;
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -4,8 +4,8 @@
 use super::Dispatcher;
 use super::held_message::{Held, NOWHERE, Waiting};
 use crate::clock::unix_time;
-use crate::message_trace;
 use crate::events::CourierEvent;
+use crate::message_trace;
 use crate::outbound::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Synced, Verdict};
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -1,9 +1,9 @@
 //! What the owner of the decision module is told at its start: by the platform, or by an operator's file.
 
-use crate::ingress::active_config::ActiveConfig;
-use crate::events::EndpointList;
 use crate::discovery::list_age::ListAgeFile;
 use crate::discovery::watch_status::WatchStatus;
+use crate::events::EndpointList;
+use crate::ingress::active_config::ActiveConfig;
 use crate::memory_budget::MemoryBudget;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -1,11 +1,11 @@
 //! What crosses between the courier's parts: the news that its owner of the decision module hears, and
 //! what they carry. It stands below all of them, so that no part imports the owner.
 
-use crate::outbound::exchange::Exchange;
 use crate::memory_budget::MemoryRefusal;
+use crate::outbound::exchange::Exchange;
 use serde::Deserialize;
 use stairshed_config::Installation;
-use stairshed_decide::interface::{EndpointId, Outcome, LimitReport};
+use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
 use stairshed_journal::{Letter, Refusal, Synced, Verdict};
 use stairshed_memory::{Caps, Charge, Guest};
 use std::cell::Cell;
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -1,11 +1,11 @@
 //! The operator's pages: what configuration is in effect, since when, and what was refused. On an address of
 //! their own, off unless configured, loopback only.
 
-use crate::ingress::http::ServerState;
-use crate::outbound::connection_status::ConnectionStatus;
 use crate::discovery::control::ConfigView;
 use crate::discovery::watch_status::WatchStatus;
+use crate::ingress::http::ServerState;
 use crate::memory_budget::MemoryBudget;
+use crate::outbound::connection_status::ConnectionStatus;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,11 +1,11 @@
 //! The clients' side: takes messages in over HTTP, and tells whether the courier is ready.
 
 use crate::clock::unix_time;
+use crate::events::{CourierEvent, DEFAULT_RETRY_AFTER, Reply, ReplyTo, Submission, refusal_reason};
 use crate::ingress::active_config::ActiveConfig;
-use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
 use crate::ingress::message_headers::{Named, Unfit};
-use crate::events::{DEFAULT_RETRY_AFTER, CourierEvent, Submission, Reply, ReplyTo, refusal_reason};
-use crate::memory_budget::{MemoryRefusal, MemoryBudget};
+use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -2,12 +2,14 @@
 //! sessions. What a PUBLISH means is asked of the routes in effect, what becomes of it of the courier.
 
 use crate::clock::unix_time;
+use crate::events::{
+    CourierEvent, DEFAULT_RETRY_AFTER, Frontend, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
 use crate::ingress::users::Users;
-use crate::events::{DEFAULT_RETRY_AFTER, Frontend, CourierEvent, Submission, Reply, ReplyTo, StateUpdate, refusal_reason};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::outbound::outcomes;
-use crate::memory_budget::{MemoryRefusal, MemoryBudget};
 use crate::socket::is_transient;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -3,7 +3,7 @@
 //! long is decided by [`Partings`]; this owns the sockets meanwhile.
 
 use crate::events::DEFAULT_RETRY_AFTER;
-use crate::memory_budget::{MemoryRefusal, MemoryBudget};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use stairshed_memory::partings::{DRAINED, How, LINGER, LISTEN, MOST};
--- a/crates/courier/src/outbound/attempt_outcome.rs
+++ b/crates/courier/src/outbound/attempt_outcome.rs
@@ -4,10 +4,10 @@
 //! message that is over is not sent again, whatever becomes of the rest of the answer that says so.
 
 use crate::events::{AfterAttempt, CallResult};
-use crate::outbound::http_connection::{HttpResponse, ResponseProgress, RequestError};
+use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
-use stairshed_decide::interface::{Outcome, LimitReport};
+use stairshed_decide::interface::{LimitReport, Outcome};
 use tokio::time::Instant;
 
 /// Forbids what the answer forbids, whether or not it is proof of anything: a message of which an endpoint has said that
--- a/crates/courier/src/outbound/connection_pool.rs
+++ b/crates/courier/src/outbound/connection_pool.rs
@@ -1,10 +1,10 @@
 //! The connections to endpoints that stand idle between two exchanges, and the sockets and the memory for new ones.
 
-use crate::outbound::response_identity::{ResponseHistories, Expectation};
+use crate::memory_budget::MemoryBudget;
 use crate::outbound::break_rate::BreakRates;
 use crate::outbound::connection_status::{CloseReason, ConnectionStatus};
-use crate::outbound::http_connection::{HttpResponse, HttpConnection};
-use crate::memory_budget::MemoryBudget;
+use crate::outbound::http_connection::{HttpConnection, HttpResponse};
+use crate::outbound::response_identity::{Expectation, ResponseHistories};
 use stairshed_decide::interface::EndpointId;
 use stairshed_memory::{Charge, Purpose};
 use std::cell::{Cell, RefCell};
--- a/crates/courier/src/outbound/endpoint_client.rs
+++ b/crates/courier/src/outbound/endpoint_client.rs
@@ -2,19 +2,19 @@
 //! may have run is told apart from what never did.
 
 use crate::events::{CallResult, CourierEvent};
-use crate::outbound::response_identity::ResponseIdentity;
+use crate::memory_budget::MemoryBudget;
 use crate::outbound::attempt_outcome::{ended, restrained, unanswered};
 use crate::outbound::connection_pool::{ConnectionPool, PooledConnection};
 use crate::outbound::connection_status::ConnectionStatus;
 use crate::outbound::exchange::Exchange;
-use crate::outbound::http_connection::{HttpResponse, ResponseProgress, RequestError};
 use crate::outbound::exchange_monitor::{ExchangeMonitor, watched};
-use crate::memory_budget::MemoryBudget;
+use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
+use crate::outbound::response_identity::ResponseIdentity;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HOST;
-use stairshed_decide::interface::{EndpointId, Outcome, LimitGroupId};
+use stairshed_decide::interface::{EndpointId, LimitGroupId, Outcome};
 use stairshed_journal::Letter;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
--- a/crates/courier/src/outbound/exchange_monitor.rs
+++ b/crates/courier/src/outbound/exchange_monitor.rs
@@ -1,7 +1,7 @@
 //! What is heard of an answer while its exchange goes on, and what of it is passed on at once.
 
 use crate::events::CourierEvent;
-use crate::outbound::http_connection::{ResponseProgress, ProgressHandle};
+use crate::outbound::http_connection::{ProgressHandle, ResponseProgress};
 use stairshed_decide::interface::{EndpointId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
--- a/crates/courier/src/startup/platform.rs
+++ b/crates/courier/src/startup/platform.rs
@@ -3,16 +3,16 @@
 use super::platform_config::{self, PlatformConfig};
 use super::settings::OperatorSettings;
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::startup_error::StartupError;
+use crate::dispatcher::Dispatcher;
+use crate::events::CourierEvent;
 use crate::ingress::http::{HttpServer, Routing, ServerState};
 use crate::ingress::listener::listen;
-use crate::events::CourierEvent;
+use crate::memory_budget::MemoryBudget;
 use crate::outbound::endpoint_client::EndpointClient;
 use crate::outbound::outcomes::OutcomeNotifier;
-use crate::dispatcher::Dispatcher;
-use crate::memory_budget::MemoryBudget;
-use stairshed_decide::scheduler::Scheduler;
+use crate::startup_error::StartupError;
 use stairshed_decide::interface::ENDPOINT_LIST_LEASE;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::Journal;
 use stairshed_memory::{ByPurpose, Caps, Purpose};
 use std::path::PathBuf;
@@ -99,7 +99,8 @@
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
     let outcomes = OutcomeNotifier::platform(config.discovery);
     let setup = config.setup(room);
-    let courier = Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
+    let courier =
+        Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
     server_state.ready.set(true);
     let accepting = tokio::task::spawn_local(http_server.run(listener));
     tokio::task::spawn_local(async move {
--- a/crates/courier/src/startup/platform_config.rs
+++ b/crates/courier/src/startup/platform_config.rs
@@ -1,11 +1,11 @@
 //! What the platform tells a courier: environment and `LB_CONFIG`, at its start and when it is told to read
 //! the file again.
 
-use crate::startup_error::StartupError;
-use crate::events::EndpointList;
-use crate::dispatcher::setup::Setup;
 use crate::discovery::list_age::ListAgeFile;
+use crate::dispatcher::setup::Setup;
+use crate::events::EndpointList;
 use crate::memory_budget::MemoryBudget;
+use crate::startup_error::StartupError;
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
--- a/crates/courier/src/startup/serve.rs
+++ b/crates/courier/src/startup/serve.rs
@@ -1,31 +1,31 @@
 //! An operator's courier: started from a file, with versions of a control service over it.
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::startup_error::StartupError;
-use crate::ingress::admin::{self, AdminPages};
+use crate::discovery::config_file;
+use crate::discovery::configured_hosts::endpoint_kinds;
+use crate::discovery::control::{ConfigStatus, ConfigUpdater, VersionStore};
+use crate::discovery::dns;
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::setup::Setup;
+use crate::events::CourierEvent;
 use crate::ingress::active_config::ActiveConfig;
-use crate::ingress::rejection::ConnectionRejecter;
+use crate::ingress::admin::{self, AdminPages};
 use crate::ingress::http::{HttpServer, MAX_BODY_BYTES, Routing, ServerState};
 use crate::ingress::listener::listen;
 use crate::ingress::mqtt::{self, MqttServer};
+use crate::ingress::rejection::ConnectionRejecter;
 use crate::ingress::users::Users;
-use crate::events::CourierEvent;
+use crate::memory_budget::{self, MemoryBudget};
 use crate::outbound::endpoint_client::EndpointClient;
 use crate::outbound::outcomes::OutcomeNotifier;
-use crate::dispatcher::Dispatcher;
-use crate::dispatcher::setup::Setup;
-use crate::discovery::control::{ConfigUpdater, ConfigStatus, VersionStore};
-use crate::discovery::dns;
-use crate::discovery::config_file;
-use crate::discovery::configured_hosts::endpoint_kinds;
-use crate::memory_budget::{self, MemoryBudget};
+use crate::startup_error::StartupError;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
 use stairshed_config::installation::Document;
 use stairshed_config::version::{Version, Versions};
-use stairshed_decide::scheduler::Scheduler;
 use stairshed_decide::interface::Settings;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Durability, Journal};
 use stairshed_mqtt::server::Limits;
 use std::path::{Path, PathBuf};
@@ -221,7 +221,8 @@
     let kept = journal.len();
     let discovery = installation.discovery.is_some();
     let watch_status = setup.watch_status.clone();
-    let mut courier = Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
+    let mut courier =
+        Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
     let mqtt_server = match installation.mqtt {
         Some(_) => {
             Some(mqtt_server(&installation, &beside, &active_config, &news, (&courier, &room, &rejecter))?)
