--- a/crates/courier/src/place/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -1,16 +1,16 @@
 //! The control service's versions and the operator's file, put into effect one after the other: checked off
 //! the serving thread, stored, told to the courier, and only then acknowledged.
 
+use crate::discovery::config_file;
+use crate::discovery::configured_hosts::changed_hosts;
+use crate::discovery::dns::ResolverHandle;
 use crate::events::{ConfigurationUpdate, CourierEvent, MembershipChanges};
-use crate::fault::Fault;
-use crate::front::effective::Effective;
-use crate::front::intake::Intake;
-use crate::front::listener::listen;
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::http::HttpServer;
+use crate::ingress::listener::listen;
 use crate::memory_budget::{self, MemoryBudget};
-use crate::out::link::Link;
-use crate::place::dns::Lookups;
-use crate::place::file;
-use crate::place::hosts::hosts;
+use crate::outbound::http_connection::HttpConnection;
+use crate::startup_error::StartupError;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
@@ -51,15 +51,15 @@
 
 /// The last good version on the disk.
 #[derive(Clone)]
-pub struct Store(PathBuf);
+pub struct VersionStore(PathBuf);
 
-impl Store {
+impl VersionStore {
     pub fn new(path: PathBuf) -> Self {
-        Store(path)
+        VersionStore(path)
     }
 
     /// # Errors
-    /// The file cannot be read, or is none that [`Store::save`] wrote.
+    /// The file cannot be read, or is none that [`VersionStore::save`] wrote.
     pub fn load(&self) -> Result<Option<Version>, String> {
         match fs::read(&self.0) {
             Ok(bytes) => {
@@ -82,7 +82,7 @@
 }
 
 /// What the operator's pages tell of versions.
-pub struct Status {
+pub struct ConfigStatus {
     file: PathBuf,
     inner: RefCell<Inner>,
 }
@@ -102,16 +102,16 @@
     (at.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as f64) / 1000.0
 }
 
-impl Status {
+impl ConfigStatus {
     pub fn new(file: PathBuf, version: Option<u64>) -> Self {
         let (since, refusal, connected) = (SystemTime::now(), None, None);
-        Status {
+        ConfigStatus {
             file,
             inner: RefCell::new(Inner { version, since, refusal, acknowledged: 0, refused: 0, connected }),
         }
     }
 
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         let inner = self.inner.borrow();
         json!({
             "version": inner.version,
@@ -139,9 +139,9 @@
 
 /// For the operator's pages.
 #[derive(Clone)]
-pub struct View {
-    pub status: Rc<Status>,
-    pub effective: Effective,
+pub struct ConfigView {
+    pub status: Rc<ConfigStatus>,
+    pub active_config: ActiveConfig,
     /// The file and the version over it, as they are in effect.
     pub document: Rc<RefCell<(Document, Option<Version>)>>,
 }
@@ -171,19 +171,19 @@
     listener: Option<TcpListener>,
 }
 
-pub struct Configurator {
+pub struct ConfigUpdater {
     file: PathBuf,
-    store: Store,
+    store: VersionStore,
     versions: Versions,
     installation: Arc<Installation>,
-    effective: Effective,
+    active_config: ActiveConfig,
     news: Sender<CourierEvent>,
-    intake: Rc<Intake>,
+    http_server: Rc<HttpServer>,
     accepting: Option<AbortHandle>,
     listening: Option<SocketAddr>,
-    status: Rc<Status>,
+    status: Rc<ConfigStatus>,
     document: Rc<RefCell<(Document, Option<Version>)>>,
-    lookups: Lookups,
+    lookups: ResolverHandle,
     heard: Receiver<Heard>,
     answers: Option<Sender<Value>>,
     work: Option<tokio::task::JoinHandle<Done>>,
@@ -191,13 +191,13 @@
     reload: bool,
 }
 
-impl Configurator {
+impl ConfigUpdater {
     pub fn new(
-        (file, document, store): (PathBuf, Document, Store),
+        (file, document, store): (PathBuf, Document, VersionStore),
         (versions, installation): (Versions, Arc<Installation>),
-        (effective, news, intake): (Effective, Sender<CourierEvent>, Rc<Intake>),
-        status: Rc<Status>,
-        lookups: Lookups,
+        (active_config, news, http_server): (ActiveConfig, Sender<CourierEvent>, Rc<HttpServer>),
+        status: Rc<ConfigStatus>,
+        lookups: ResolverHandle,
     ) -> Self {
         let (hear, heard) = mpsc::channel(QUEUE);
         let held = versions.held().cloned();
@@ -210,7 +210,7 @@
                 node: node.clone(),
                 held: Rc::new(RefCell::new(held.as_ref().map(|v| v.version))),
                 most: control.version_most.0,
-                room: intake.room.clone(),
+                room: http_server.room.clone(),
                 silence: control.heartbeat.0 * 2,
             };
             status.inner.borrow_mut().connected = Some(false);
@@ -218,14 +218,14 @@
             tokio::task::spawn_local(stream.run(hear));
             answer
         });
-        Configurator {
+        ConfigUpdater {
             file,
             store,
             versions,
             installation,
-            effective,
+            active_config,
             news,
-            intake,
+            http_server,
             accepting: None,
             listening: None,
             status,
@@ -239,9 +239,9 @@
         }
     }
 
-    pub fn view(&self) -> View {
-        let (status, effective) = (self.status.clone(), self.effective.clone());
-        View { status, effective, document: self.document.clone() }
+    pub fn view(&self) -> ConfigView {
+        let (status, active_config) = (self.status.clone(), self.active_config.clone());
+        ConfigView { status, active_config, document: self.document.clone() }
     }
 
     /// Where clients are taken in: begins to, if no version has made it begin yet.
@@ -261,15 +261,15 @@
     /// Takes clients from this listener, and from no other any more.
     fn accept(&mut self, listener: TcpListener) {
         self.listening = listener.local_addr().ok();
-        let task = tokio::task::spawn_local(self.intake.clone().run(listener)).abort_handle();
-        self.intake.standing.listens(task.clone());
+        let task = tokio::task::spawn_local(self.http_server.clone().run(listener)).abort_handle();
+        self.http_server.server_state.set_accept_task(task.clone());
         if let Some(old) = self.accepting.replace(task) {
             old.abort();
         }
     }
 
     /// Waits for a first version. False if none has come in time.
-    pub async fn first(&mut self, wait: Duration) -> bool {
+    pub async fn wait_for_first_version(&mut self, wait: Duration) -> bool {
         let until = Instant::now() + wait;
         while self.versions.held().is_none() {
             let Ok(more) = tokio::time::timeout_at(until, self.step(None)).await else { return false };
@@ -465,7 +465,7 @@
     file: PathBuf,
     document: (Document, Option<Version>),
     before: Arc<Installation>,
-    store: Store,
+    store: VersionStore,
     news: Sender<CourierEvent>,
 }
 
@@ -482,7 +482,7 @@
         let reload = matches!(task, Task::Reload);
         let checked = tokio::task::spawn_blocking(move || {
             let document = match reload {
-                true => file::document(&file).map_err(|e| vec![e.to_string()])?,
+                true => config_file::read_document(&file).map_err(|e| vec![e.to_string()])?,
                 false => document,
             };
             let installation = document.installation(config.as_deref());
@@ -493,7 +493,7 @@
             let installation = installation.map_err(lines)?;
             let changes = changes(Some(&before), &installation);
             let (removed_destinations, present_destinations) = destinations(Some(&before), &installation);
-            let (hosts, limits) = hosts(&changes);
+            let (hosts, limits) = changed_hosts(&changes);
             Ok((
                 document,
                 Arc::new(installation),
@@ -576,13 +576,13 @@
 
     /// One connection, to its end, and whether a line came on it; a refusal if it is the sender's fault.
     async fn once(&self, hear: &Sender<Heard>, heard: &mut bool) -> Option<Refusal> {
-        let mut link = Link::open(self.url.address, CONNECT, None).await.ok()?;
+        let mut connection = HttpConnection::connect(self.url.address, CONNECT, None).await.ok()?;
         let held = self.held.borrow().map_or(String::new(), |v| format!("&version={v}"));
         let request = Request::get(format!("{}?node={}{held}", self.url.path, self.node))
             .header(header::HOST, self.url.address.to_string())
             .body(Full::<Bytes>::default())
             .ok()?;
-        let answer = link.watch(request, ANSWER).await.ok()?;
+        let answer = connection.open_stream(request, ANSWER).await.ok()?;
         if answer.status() != StatusCode::OK {
             return None;
         }
@@ -591,7 +591,7 @@
         let (most, key) = (self.most, "control.version_most").min((fits, "as memory.configuration allows"));
         let (mut body, mut lines) = (answer.into_body(), Lines::new(most as usize));
         let mut begun: Option<Instant> = None;
-        while let Ok(piece) = link.piece(&mut body, self.silence).await {
+        while let Ok(piece) = connection.next_chunk(&mut body, self.silence).await {
             if lines.push(&piece).is_err() {
                 let why = format!("longer than {most} bytes ({key})");
                 return Some(Refusal::Unreadable(why));
@@ -631,17 +631,17 @@
 /// Posts one answer to a version, on a connection of its own: on a used one a second copy of the acknowledgement before
 /// could be taken for its own.
 async fn post_answer(url: &Url, answer: &Value) -> Option<StatusCode> {
-    let mut link = Link::open(url.address, CONNECT, None).await.ok()?;
+    let mut connection = HttpConnection::connect(url.address, CONNECT, None).await.ok()?;
     let request = Request::post(format!("{}/answers", url.path.trim_end_matches('/')))
         .header(header::HOST, url.address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(answer.to_string())))
         .ok()?;
-    Some(link.ask(request, Instant::now() + ANSWER).await.ok()?.status)
+    Some(connection.send_request(request, Instant::now() + ANSWER).await.ok()?.status)
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for StartupError {
     fn from(e: io::Error) -> Self {
-        Fault::Bad("configuration", e.to_string())
+        StartupError::Invalid("configuration", e.to_string())
     }
 }
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -28,10 +28,10 @@
 
 use crate::clock::unix_time;
 use crate::events::{CourierEvent, EndpointList, Frontend};
-use crate::front::intake::Standing;
-use crate::out::calls::Calls;
-use crate::out::outcomes::Outcomes;
-use crate::place::hosts::hosts;
+use crate::ingress::http::ServerState;
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
+use crate::discovery::configured_hosts::changed_hosts;
 use acceptance::Acceptance;
 use attempts::{Attempts, less_elapsed};
 use members::Members;
@@ -41,7 +41,7 @@
 use setup::Setup;
 use shutdown::{SHUTDOWN_CHECK_INTERVAL, Shutdown};
 use stairshed_config::change::changes;
-use stairshed_decide::brain::Brain;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Journal, Verdict};
 use std::collections::HashMap;
@@ -52,9 +52,9 @@
 /// The dispatcher of one courier.
 pub struct Dispatcher {
     setup: Setup,
-    brain: Brain,
+    scheduler: Scheduler,
     journal: Journal,
-    standing: Rc<Standing>,
+    server_state: Rc<ServerState>,
     event_tx: Sender<CourierEvent>,
     clock_origin: Instant,
     /// Events for the module's next batch.
@@ -80,20 +80,20 @@
     /// Resumes what the journal holds from the previous process.
     pub fn new(
         setup: Setup,
-        brain: Brain,
+        scheduler: Scheduler,
         journal: Journal,
-        calls: Calls,
-        outcomes: Outcomes,
-        standing: Rc<Standing>,
+        calls: EndpointClient,
+        outcomes: OutcomeNotifier,
+        server_state: Rc<ServerState>,
         event_tx: Sender<CourierEvent>,
     ) -> Self {
         let acceptance = Acceptance::after(journal.last());
         let memory = Memory::new(setup.memory_budget.clone());
         let mut dispatcher = Dispatcher {
             setup,
-            brain,
+            scheduler,
             journal,
-            standing,
+            server_state,
             event_tx,
             clock_origin: lease::clock_origin(),
             events: Vec::new(),
@@ -118,7 +118,7 @@
             dispatcher.memory.set_configuration_bytes(installation.weigh());
             dispatcher.members.discovery_answered = true;
             dispatcher.members.destinations.extend(installation.pools.iter().map(|p| p.destination));
-            let (hosts, limits) = hosts(&changes(None, &installation));
+            let (hosts, limits) = changed_hosts(&changes(None, &installation));
             dispatcher.queue_membership_changes(hosts, limits);
             dispatcher.members.batch_size = usize::MAX;
             dispatcher.apply_pending_changes();
@@ -141,7 +141,7 @@
     }
 
     fn reconfigure(&mut self) {
-        if let Err(why) = self.brain.reconfigure(self.setup.settings.clone()) {
+        if let Err(why) = self.scheduler.reconfigure(self.setup.settings.clone()) {
             // The settings were checked before; on an error the module keeps the previous ones.
             eprintln!("configuration: {why}");
         }
@@ -233,9 +233,9 @@
                 self.call_ended(message, attempt, endpoint, end)
             }
             CourierEvent::ProbeEnded { endpoint, sent, end } => {
-                let took = end.at.saturating_duration_since(sent);
+                let elapsed = end.at.saturating_duration_since(sent);
                 let outcome = less_elapsed(end.outcome, end.at);
-                self.events.push(Event::Probed { endpoint, outcome, took, report: end.report });
+                self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed, report: end.report });
             }
             CourierEvent::BackoffRequested { endpoint, until } => self.back_off_endpoint(endpoint, until),
             CourierEvent::EndpointsListed(list) => {
@@ -280,13 +280,13 @@
     /// Runs one batch: passes the pending events to the module and carries out its actions.
     fn run_batch(&mut self, now: Instant) {
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
-            self.events.push(Event::Woken { token });
+            self.events.push(Event::TimerFired { token });
         }
         self.drop_abandoned_submissions();
         self.apply_pending_changes();
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
-        self.brain.handle(now.duration_since(self.clock_origin), &events, &mut actions);
+        self.scheduler.handle(now.duration_since(self.clock_origin), &events, &mut actions);
         self.apply_lease(now);
         let (mut sends, mut refused, mut cancels) = (Vec::new(), HashMap::new(), Vec::new());
         for action in actions {
@@ -300,21 +300,21 @@
                 }
                 Action::Cancel { message, .. } => cancels.push((message.0, self.publishing_to(message.0))),
                 Action::Probe { endpoint } => self.probe(endpoint),
-                Action::Close { endpoint } => {
-                    self.attempts.calls.close(endpoint);
+                Action::CloseIdleConnections { endpoint } => {
+                    self.attempts.calls.close_idle(endpoint);
                     self.close_broker(endpoint);
                 }
-                Action::Subscribe { active: true } | Action::Fetch => self.start_watch(),
-                Action::Subscribe { active: false } | Action::Tell { .. } => {}
-                Action::Wake { token, after } => self.wake = Some((now + after, token)),
-                Action::Forget { endpoint } => {
-                    self.attempts.calls.forget(endpoint);
+                Action::Subscribe { active: true } | Action::FetchEndpointList => self.start_watch(),
+                Action::Subscribe { active: false } | Action::SendNote { .. } => {}
+                Action::SetTimer { token, after } => self.wake = Some((now + after, token)),
+                Action::ForgetEndpoint { endpoint } => {
+                    self.attempts.calls.remove_endpoint(endpoint);
                     self.forget_broker(endpoint);
                     if let Some(e) = self.members.endpoints.remove(&endpoint) {
                         self.members.ids_by_host.remove(&e.host);
                     }
                 }
-                Action::Note { text } => eprintln!("decision module: {text}"),
+                Action::Log { text } => eprintln!("decision module: {text}"),
             }
         }
         self.accept_submissions(&mut refused);
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -6,7 +6,7 @@
 use super::memory::MessageMemory;
 use super::{Dispatcher, Verdict};
 use crate::events::{Reply, ReplyTo, Submission};
-use crate::follow;
+use crate::message_trace;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Letter, Refusal};
 use std::collections::{BTreeMap, HashMap};
@@ -65,15 +65,15 @@
         let message = self.acceptance.next;
         self.acceptance.next += 1;
         self.acceptance.ids.insert(submission.letter.id.clone(), message);
-        self.events.push(Event::Taken(Taken {
+        self.events.push(Event::Accepted(Accepted {
             message: MessageId(message),
             class,
             tenant: 0,
             destination: DestinationId(submission.letter.destination),
             key: submission.letter.routed.as_ref().and_then(|r| r.order.clone()),
             time_left: submission.time_left.saturating_sub(submission.at.elapsed()),
-            work: None,
-            past: Past::default(),
+            estimated_work: None,
+            history: Past::default(),
         }));
         self.acceptance.pending.insert(message, PendingSubmission { class, submission, memory });
     }
@@ -100,7 +100,7 @@
                 Reply::Unavailable
             });
         }
-        if self.attempts.held.len() + self.acceptance.pending.len() >= self.setup.settings.max_held {
+        if self.attempts.held.len() + self.acceptance.pending.len() >= self.setup.settings.max_messages {
             return Some(Reply::Refused { wait: None });
         }
         if self.remembers_too_many(letter) {
@@ -123,7 +123,7 @@
             if let Some(PendingSubmission { submission, .. }) = self.acceptance.pending.remove(&message) {
                 self.acceptance.ids.remove(&submission.letter.id);
             }
-            let of = |e: &Event| matches!(e, Event::Taken(t) if t.message.0 == message);
+            let of = |e: &Event| matches!(e, Event::Accepted(t) if t.message.0 == message);
             self.events.retain(|e| !of(e));
         }
     }
@@ -136,7 +136,7 @@
         {
             if let Some(verdict) = refused.remove(&message) {
                 self.acceptance.ids.remove(&submission.letter.id);
-                follow::step(
+                message_trace::log_step(
                     &submission.letter.id,
                     format_args!("refused class={} verdict={verdict:?}", submission.letter.class),
                 );
@@ -155,7 +155,7 @@
                 continue;
             }
             let Submission { letter, reply, .. } = submission;
-            follow::step(
+            message_trace::log_step(
                 &letter.id,
                 format_args!(
                     "accepted number={message} class={} destination={}",
@@ -188,7 +188,7 @@
     pub(super) fn confirm_acceptance(&mut self, message: u64, reply: ReplyTo) {
         if reply.send(Reply::Accepted).is_err() {
             if let Some(m) = self.attempts.held.get(&message) {
-                follow::step(
+                message_trace::log_step(
                     &m.letter.id,
                     format_args!("withdrawn: the client disconnected before the reply"),
                 );
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -5,9 +5,9 @@
 use super::shutdown::ATTEMPT_CUTOFF;
 use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult};
-use crate::follow;
-use crate::out::calls::{Call, Calls, To};
-use crate::out::exchange::Logged;
+use crate::message_trace;
+use crate::outbound::endpoint_client::{Call, EndpointClient, CallTarget};
+use crate::outbound::exchange::ExchangeLog;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Attempt, Verdict};
 use std::collections::BTreeMap;
@@ -18,11 +18,11 @@
 /// Messages held, by number, and the calls to endpoints.
 pub(super) struct Attempts {
     pub(super) held: BTreeMap<u64, HeldMessage>,
-    pub(super) calls: Calls,
+    pub(super) calls: EndpointClient,
 }
 
 impl Attempts {
-    pub(super) fn new(calls: Calls) -> Self {
+    pub(super) fn new(calls: EndpointClient) -> Self {
         Attempts { held: BTreeMap::new(), calls }
     }
 }
@@ -32,7 +32,7 @@
     /// message.
     pub(super) fn back_off_endpoint(&mut self, endpoint: EndpointId, until: Instant) {
         let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
-        self.events.push(Event::Probed { endpoint, outcome, took: Duration::ZERO, report: None });
+        self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed: Duration::ZERO, report: None });
     }
 
     /// Records the result of a call and passes it to the module.
@@ -66,14 +66,14 @@
             } else {
                 "maybe"
             };
-            follow::step(
+            message_trace::log_step(
                 &m.letter.id,
                 format_args!(
                     "attempt={attempt} ended outcome={:?} ran={ran} over={} proof={:?} {}",
                     end.outcome,
                     end.after != AfterAttempt::RetryAllowed,
                     end.proof,
-                    Logged(end.exchange)
+                    ExchangeLog(end.exchange)
                 ),
             );
         }
@@ -81,12 +81,12 @@
         self.close_unless_ready(endpoint);
         let Some(m) = self.attempts.held.get_mut(&message) else { return };
         let Some((sent, _)) = m.in_flight.take() else { return };
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::AttemptEnded(AttemptEnded {
             message: MessageId(message),
             endpoint,
             outcome: less_elapsed(end.outcome, end.at),
-            took: end.at.saturating_duration_since(sent),
-            over: end.after != AfterAttempt::RetryAllowed,
+            elapsed: end.at.saturating_duration_since(sent),
+            is_final: end.after != AfterAttempt::RetryAllowed,
             report: end.report,
         }));
         // The module drops a message with its last outcome, and so does the dispatcher.
@@ -116,12 +116,12 @@
                 // attempt is recorded.
                 continue;
             }
-            let to = match broker {
-                false => Some(To::Http(address)),
-                true => self.reserve_packet_id(endpoint, message).map(To::Broker),
+            let target = match broker {
+                false => Some(CallTarget::Http(address)),
+                true => self.reserve_packet_id(endpoint, message).map(CallTarget::Broker),
             };
             let Some(m) = self.attempts.held.get_mut(&message) else { continue };
-            let Some(to) = to else {
+            let Some(target) = target else {
                 // The limit on messages in flight to the broker is reached.
                 m.in_flight = None;
                 self.events.push(not_sent(message, endpoint, Outcome::Full { wait: None }));
@@ -131,14 +131,14 @@
                 // The attempt's names are longer than the space reserved for them, and the journal has no
                 // more.
                 m.in_flight = None;
-                self.release_packet_id(&to, endpoint);
+                self.release_packet_id(&target, endpoint);
                 self.events.push(not_sent(message, endpoint, Outcome::Moot));
                 continue;
             };
             m.attempts += 1;
             let list = &self.setup.watch_status;
             let host = self.members.endpoints.get(&endpoint).map(|e| e.host.as_str());
-            follow::step(
+            message_trace::log_step(
                 &m.letter.id,
                 format_args!(
                     "attempt={number} decided endpoint={} host={} address={address} \
@@ -146,20 +146,20 @@
                     endpoint.0,
                     host.unwrap_or_default(),
                     list.version(),
-                    list.silence()
+                    list.last_line_age()
                 ),
             );
             let letter = m.letter.clone();
             let once = self.setup.classes.get(m.class).is_some_and(|c| c.effect == Effect::Once);
-            let (until, pool) = (now + timeout, self.brain.pool_id(endpoint));
-            ready.push(Call { message, attempt: number, endpoint, pool, to, letter, until, once });
+            let (deadline, pool) = (now + timeout, self.scheduler.limit_group_id(endpoint));
+            ready.push(Call { message, attempt: number, endpoint, pool, target, letter, deadline, once });
         }
         let seq = self.journal.last_seq();
         // Attempts must be in the journal before their first byte is sent, and verdicts before their notice.
         if !self.flush_journal() {
             for call in ready {
                 self.journal.never_ran(call.message, call.attempt);
-                self.release_packet_id(&call.to, call.endpoint);
+                self.release_packet_id(&call.target, call.endpoint);
                 if let Some(m) = self.attempts.held.get_mut(&call.message) {
                     m.in_flight = None;
                 }
@@ -170,24 +170,24 @@
         for call in ready {
             let (cancel, cancelled) = oneshot::channel();
             if let Some(m) = self.attempts.held.get_mut(&call.message) {
-                m.in_flight = Some((now, matches!(call.to, To::Http(_)).then_some(cancel)));
+                m.in_flight = Some((now, matches!(call.target, CallTarget::Http(_)).then_some(cancel)));
             }
             self.run_when_durable(seq, DeferredAction::StartCall { call, cancelled });
         }
     }
 
     /// Frees the packet id of a message that was not sent after all.
-    pub(super) fn release_packet_id(&mut self, to: &To, endpoint: EndpointId) {
-        if let To::Broker(id) = to {
+    pub(super) fn release_packet_id(&mut self, target: &CallTarget, endpoint: EndpointId) {
+        if let CallTarget::Broker(id) = target {
             self.free_packet_id(endpoint, *id);
         }
     }
 
     /// Starts one call in a task of its own, or publishes the message to its broker.
     pub(super) fn start_call(&self, call: Call, cancelled: oneshot::Receiver<()>) {
-        match call.to {
-            To::Broker(id) => self.publish(call, id),
-            To::Http(address) => {
+        match call.target {
+            CallTarget::Broker(id) => self.publish(call, id),
+            CallTarget::Http(address) => {
                 let call = self.attempts.calls.clone().call(call, address, cancelled, self.event_tx.clone());
                 tokio::task::spawn_local(call);
             }
@@ -219,12 +219,12 @@
 
 /// The event for a call that was not started.
 fn not_sent(message: u64, endpoint: EndpointId, outcome: Outcome) -> Event {
-    Event::Ended(Ended {
+    Event::AttemptEnded(AttemptEnded {
         message: MessageId(message),
         endpoint,
         outcome,
-        took: Duration::ZERO,
-        over: false,
+        elapsed: Duration::ZERO,
+        is_final: false,
         report: None,
     })
 }
--- a/crates/courier/src/dispatcher/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -5,8 +5,8 @@
 use super::held_message::{DeferredAction, HeldMessage};
 use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult};
-use crate::out::broker::Broker;
-use crate::out::calls::{Call, DRAIN_TIME};
+use crate::outbound::broker_connection::BrokerConnection;
+use crate::outbound::endpoint_client::{Call, MAX_WRITE_AFTER_DRAIN};
 use serde::{Deserialize, Serialize};
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Verdict};
@@ -44,7 +44,7 @@
 /// The brokers, and the attempts that a previous process left.
 #[derive(Default)]
 pub struct Brokers {
-    by_endpoint: HashMap<EndpointId, Rc<Broker>>,
+    by_endpoint: HashMap<EndpointId, Rc<BrokerConnection>>,
     /// Endpoints whose broker settings may have changed: checked before the next message, once nothing is in
     /// flight.
     stale: HashSet<EndpointId>,
@@ -107,7 +107,7 @@
     }
 
     /// The broker at an endpoint, started or restarted with the current settings where needed.
-    fn broker_for(&mut self, endpoint: EndpointId) -> Option<Rc<Broker>> {
+    fn broker_for(&mut self, endpoint: EndpointId) -> Option<Rc<BrokerConnection>> {
         let known = self.brokers.by_endpoint.get(&endpoint);
         if let Some(broker) = known.filter(|b| !self.brokers.stale.contains(&endpoint) || b.is_busy()) {
             return Some(broker.clone());
@@ -118,13 +118,13 @@
         let pool = installation.pools.iter().find(|p| p.destination == e.destination);
         let settings = pool.and_then(|p| p.broker.clone()).unwrap_or_default();
         self.brokers.stale.remove(&endpoint);
-        if let Some(broker) = known.filter(|b| b.is(address, &topic, &settings)) {
+        if let Some(broker) = known.filter(|b| b.matches(address, &topic, &settings)) {
             return Some(broker.clone());
         }
         let courier = installation.file.name.clone().unwrap_or_else(|| "stairshed".to_owned());
         let client = settings.client.clone().unwrap_or_else(|| format!("{courier}/{}", e.host));
         let connect = installation.settings.connect_timeout;
-        let broker = Broker::start(
+        let broker = BrokerConnection::start(
             endpoint,
             (address, topic),
             (settings, client, connect),
@@ -138,7 +138,7 @@
     /// Reserves a packet id for a message and records it. None if the limit on messages in flight is reached.
     pub(super) fn reserve_packet_id(&mut self, endpoint: EndpointId, message: u64) -> Option<u16> {
         let broker = self.broker_for(endpoint)?;
-        let id = broker.reserve()?;
+        let id = broker.reserve_packet_id()?;
         let host = self.members.endpoints.get(&endpoint)?.host.clone();
         self.record_packet_id(&host, id, PacketIdRecord { message, released: false });
         Some(id)
@@ -153,7 +153,7 @@
 
     /// The broker that a message is in flight to, if any.
     pub(super) fn publishing_to(&self, message: u64) -> Option<EndpointId> {
-        let of = self.brokers.by_endpoint.iter().find(|(_, broker)| broker.has(message));
+        let of = self.brokers.by_endpoint.iter().find(|(_, broker)| broker.has_message(message));
         of.map(|(endpoint, _)| *endpoint)
     }
 
@@ -201,13 +201,13 @@
 
     pub(super) fn resume_session(&self, endpoint: EndpointId) {
         if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
-            broker.resuming();
+            broker.resume_recorded();
         }
     }
 
     pub(super) fn pubrec_recorded(&self, endpoint: EndpointId, id: u16) {
         if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
-            broker.recorded(id);
+            broker.release_recorded(id);
         }
     }
 
@@ -226,11 +226,11 @@
         let host = e.host.clone();
         if ready {
             if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
-                broker.join();
+                broker.cancel_drain();
             }
             self.resume_attempts_at(endpoint, &host);
         } else if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
-            broker.part(DRAIN_TIME);
+            broker.drain_after(MAX_WRITE_AFTER_DRAIN);
         }
     }
 
@@ -255,7 +255,7 @@
             return;
         }
         let Some(broker) = self.broker_for(endpoint) else { return };
-        blocked.into_iter().for_each(|id| broker.block(id));
+        blocked.into_iter().for_each(|id| broker.block_packet_id(id));
         for message in due {
             let Some(live) = self.journal.get(message) else { continue };
             let attempt = live.attempts.len().saturating_sub(1) as u32;
@@ -290,7 +290,7 @@
         held.in_flight = None;
         let class = held.class;
         let taken = self.resumed_message(message, &live, class);
-        self.events.push(Event::Taken(taken));
+        self.events.push(Event::Accepted(taken));
     }
 
     /// When the next message with an unresolved attempt expires.
@@ -358,7 +358,7 @@
 
     pub(super) fn close_broker(&self, endpoint: EndpointId) {
         if let Some(broker) = self.brokers.by_endpoint.get(&endpoint) {
-            broker.hang_up();
+            broker.disconnect_if_idle();
         }
     }
 
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -6,7 +6,7 @@
 use super::memory::Shrink;
 use crate::clock::unix_time;
 use crate::events::{Reply, ReplyTo, Submission};
-use crate::follow;
+use crate::message_trace;
 use stairshed_journal::{Kept, Letter, Verdict};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -134,7 +134,10 @@
     /// outcome again.
     pub(super) fn reply_to_duplicate(&mut self, letter: &Letter) -> Option<Reply> {
         if letter.routed.is_none() && self.ended_messages.recent_ids.contains(&letter.id) {
-            follow::step(&letter.id, format_args!("submitted again after its end; not sent again"));
+            message_trace::log_step(
+                &letter.id,
+                format_args!("submitted again after its end; not sent again"),
+            );
             return Some(Reply::Accepted);
         }
         let message = *self.ended_messages.by_id.get(&letter.id)?;
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -3,7 +3,7 @@
 //! log.
 
 use super::Dispatcher;
-use crate::place::list_age::ListAge;
+use crate::discovery::list_age::ListAge;
 use stairshed_decide::interface::Event;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -72,7 +72,7 @@
 
     /// Whether discovery pushes changes without being asked, which the platform's settings may state.
     pub(super) fn lists_are_pushed(&self) -> bool {
-        self.setup.installation.is_none() && !self.setup.settings.must_subscribe
+        self.setup.installation.is_none() && !self.setup.settings.subscription_required
     }
 
     /// Renews the lease as of `since`: discovery has been unreachable since then, so it could not report a
@@ -104,7 +104,7 @@
 
     /// Tells the connections, the admin pages and the log when the lease expires.
     pub(super) fn apply_lease(&mut self, now: Instant) {
-        let expires = self.brain.membership_expires_at().map(|at| self.clock_origin + at);
+        let expires = self.scheduler.membership_expires_at().map(|at| self.clock_origin + at);
         self.attempts.calls.set_list_valid_until(expires);
         self.setup.watch_status.set_lease(expires);
         let expired = expires.is_some_and(|at| at <= now);
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -3,10 +3,8 @@
 
 use super::Dispatcher;
 use super::held_message::HeldMessage;
-use crate::events::{
-    ConfigurationUpdate, EndpointList, Health, ListedEndpoint, MembershipChanges, diff_endpoints,
-};
-use crate::place::watch::Watch;
+use crate::events::{ConfigurationUpdate, EndpointList, Health, ListedEndpoint, MembershipChanges, diff_endpoints};
+use crate::discovery::watch::DiscoveryWatch;
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -103,7 +101,7 @@
         self.setup.settings.keepalive = self
             .attempts
             .calls
-            .retime(installation.settings.connect_timeout, installation.settings.keepalive);
+            .set_timeouts(installation.settings.connect_timeout, installation.settings.keepalive);
         self.reconfigure();
         let removal_due = Instant::now() + installation.file.limits.pool_wait.0;
         self.setup.pool_wait = installation.file.limits.pool_wait.0;
@@ -115,8 +113,8 @@
         for destination in removed_destinations {
             self.members.removed_destinations.entry(destination).or_insert(removal_due);
         }
-        if let Some(effective) = &self.setup.effective {
-            effective.set(version, installation.clone());
+        if let Some(active_config) = &self.setup.active_config {
+            active_config.set(version, installation.clone());
         }
         self.memory.set_configuration_bytes(installation.weigh());
         self.memory.budget.set_caps(&caps, installation.file.memory.client_share);
@@ -185,7 +183,7 @@
         for (host, limit) in limits {
             // A new endpoint gets its limit from its list entry.
             if let Some(endpoint) = self.members.ids_by_host.get(&host) {
-                self.brain.relimit(*endpoint, limit);
+                self.scheduler.set_limit(*endpoint, limit);
             }
         }
         self.members.batch_size =
@@ -284,27 +282,27 @@
             let Some(e) = self.members.endpoints.get_mut(&endpoint) else { continue };
             (e.zone, e.destination, e.topic) = (zone, host.block, host.topic.clone());
             e.leased = host.leased;
-            let leased = host.leased;
+            let requires_lease = host.leased;
             let address = host.dial.parse().ok().or(e.address);
             if std::mem::replace(&mut e.address, address) != address {
-                self.attempts.calls.close(endpoint);
+                self.attempts.calls.close_idle(endpoint);
             }
             // Without a valid address nothing can be sent to the endpoint.
-            let standing = match host.health {
-                Health::Ready if e.address.is_some() => interface::Standing::Ready,
-                Health::Gone => interface::Standing::Gone,
-                _ => interface::Standing::Draining,
+            let state = match host.health {
+                Health::Ready if e.address.is_some() => interface::EndpointState::Ready,
+                Health::Gone => interface::EndpointState::Gone,
+                _ => interface::EndpointState::Draining,
             };
-            e.ready = standing == interface::Standing::Ready;
+            e.ready = state == interface::EndpointState::Ready;
             let ready = e.ready;
-            self.attempts.calls.admit(endpoint, ready);
+            self.attempts.calls.set_available(endpoint, ready);
             self.attempts.calls.set_leased(endpoint, host.leased);
             self.broker_state_changed(endpoint, ready);
             self.members.destinations.insert(host.block);
             let (destination, weight) = (DestinationId(host.block), host.share);
-            entries.push(Entry { endpoint, destination, zone, kind, standing, weight, leased });
+            entries.push(EndpointEntry { endpoint, destination, zone, kind, state, weight, requires_lease });
         }
-        self.events.push(Event::Listed { whole: list.whole, entries });
+        self.events.push(Event::EndpointList { complete: list.whole, entries });
         for endpoint in before {
             self.close_unless_ready(endpoint);
         }
@@ -314,7 +312,7 @@
     /// use sockets, and its address may be given to another endpoint.
     pub(super) fn close_unless_ready(&self, endpoint: EndpointId) {
         if !self.members.endpoints.get(&endpoint).is_some_and(|e| e.ready) {
-            self.attempts.calls.close(endpoint);
+            self.attempts.calls.close_idle(endpoint);
         }
     }
 
@@ -328,13 +326,21 @@
     }
 
     /// Spawns a watch that continues from version `seq`.
-    pub(super) fn spawn_watch(&mut self, seq: u64, fresh: bool) {
+    pub(super) fn spawn_watch(&mut self, version: u64, request_whole: bool) {
         let Some(address) = self.setup.discovery else { return };
         // An agent that pushes lists serves one courier, while a service that is asked serves the whole
         // fleet: calls to it are spread out.
-        let spread = if self.lists_are_pushed() { Duration::ZERO } else { self.setup.settings.ask_spread() };
+        let reconnect_spread =
+            if self.lists_are_pushed() { Duration::ZERO } else { self.setup.settings.list_retry_spread() };
         let status = self.setup.watch_status.clone();
-        let watch = Watch { address, seed: self.setup.seed, seq, fresh, spread, status };
+        let watch = DiscoveryWatch {
+            address,
+            seed: self.setup.seed,
+            version,
+            request_whole,
+            reconnect_spread,
+            status,
+        };
         let task = tokio::task::spawn_local(watch.run(self.event_tx.clone()));
         self.members.watch = Some(task.abort_handle());
     }
@@ -346,7 +352,7 @@
         if self.setup.discovery.replace(discovery) == Some(discovery) {
             return;
         }
-        self.notices.outcomes.move_to(discovery);
+        self.notices.outcomes.set_address(discovery);
         self.discovery_address_changed();
         if let Some(watch) = self.members.watch.take() {
             watch.abort();
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -5,8 +5,8 @@
 use super::held_message::HeldMessage;
 use crate::events::{Reply, Submission};
 use crate::memory_budget::MemoryBudget;
-use crate::system;
-use stairshed_decide::weigh;
+use crate::process_memory;
+use stairshed_decide::memory_usage;
 use stairshed_journal::{Attempt, Kept, Letter, ROW};
 use stairshed_memory::{Charge, Guest, Level, Purpose, Refused, Reserve};
 use std::collections::{BTreeMap, HashMap};
@@ -42,7 +42,7 @@
 
 /// Bytes of an accepted message beside its strings: the message, its rows in the journal, the module and the
 /// dispatcher's tables, and the charges for its memory.
-const MESSAGE_BYTES: u64 = weigh::MESSAGE
+const MESSAGE_BYTES: u64 = memory_usage::MESSAGE_BYTES
     + ROW
     + (size_of::<Letter>()
         + 32
@@ -305,7 +305,7 @@
     }
 
     fn sample(&mut self) {
-        let (module, journal) = (self.brain.weigh().endpoints, self.journal.memory());
+        let (module, journal) = (self.scheduler.memory_usage().endpoints, self.journal.memory());
         self.memory.module.set(module);
         self.memory.journal.set(journal);
         if let Some(frontend) = &self.frontend {
@@ -313,7 +313,7 @@
         }
         let budget = &self.memory.budget;
         if budget.ledger.total().is_some()
-            && let Some(resident) = system::resident()
+            && let Some(resident) = process_memory::resident_bytes()
         {
             budget.ledger.weighed(resident);
         }
@@ -322,7 +322,7 @@
         }
         // Idle connections are released first: they are only a cache.
         if budget.ledger.level(Purpose::Endpoints) > Level::Ample || budget.ledger.whole() > Level::Ample {
-            self.attempts.calls.close_half();
+            self.attempts.calls.close_half_of_idle();
         }
         // Free memory in the allocator must not cause refusals. Releasing it takes some milliseconds if it is
         // fragmented, so it is not done at each check.
@@ -346,9 +346,9 @@
         ];
         tables.into_iter().for_each(Shrink::shrink);
         self.ended_messages.shrink_tables();
-        let free = system::allocator().map_or(0, |a| a.free);
+        let free = process_memory::allocator_stats().map_or(0, |a| a.free);
         if free > MIN_FREE_TO_TRIM_BYTES {
-            system::trim();
+            process_memory::release_free();
         }
     }
 }
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -2,8 +2,8 @@
 
 use super::Dispatcher;
 use crate::clock::unix_time;
-use crate::follow;
-use crate::out::outcomes::{Notice, Outcomes};
+use crate::message_trace;
+use crate::outbound::outcomes::{Notice, OutcomeNotifier};
 use stairshed_journal::Verdict;
 use std::collections::VecDeque;
 
@@ -18,11 +18,11 @@
     pub(super) queue: VecDeque<(u64, Notice)>,
     /// Batches in flight.
     pub(super) posts_in_flight: usize,
-    pub(super) outcomes: Outcomes,
+    pub(super) outcomes: OutcomeNotifier,
 }
 
 impl Notices {
-    pub(super) fn new(outcomes: Outcomes) -> Self {
+    pub(super) fn new(outcomes: OutcomeNotifier) -> Self {
         Notices { queue: VecDeque::new(), posts_in_flight: 0, outcomes }
     }
 }
@@ -36,7 +36,7 @@
         }
         let id = m.letter.id.clone();
         let left = m.letter.until.saturating_sub(unix_time());
-        follow::step(
+        message_trace::log_step(
             &id,
             format_args!(
                 "ended verdict={verdict:?} attempts={} in_flight={} left={left:?}",
@@ -70,7 +70,7 @@
             }
             let batch: Vec<_> = self.notices.queue.drain(..kept).map(|(_, notice)| notice).collect();
             self.notices.posts_in_flight += 1;
-            tokio::task::spawn_local(self.notices.outcomes.clone().post(batch, self.event_tx.clone()));
+            tokio::task::spawn_local(self.notices.outcomes.clone().deliver(batch, self.event_tx.clone()));
         }
     }
 }
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -6,8 +6,8 @@
 use super::held_message::{DeferredAction, HeldMessage, UNKNOWN_ZONE};
 use crate::clock::unix_time;
 use crate::events::CourierEvent;
-use crate::follow;
-use crate::out::outcomes::Notice;
+use crate::message_trace;
+use crate::outbound::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Synced, Verdict};
 use std::collections::VecDeque;
@@ -81,11 +81,11 @@
                 continue;
             }
             let taken = self.resumed_message(message, &m, class.unwrap_or_default());
-            follow::step(
+            message_trace::log_step(
                 &letter.id,
-                format_args!("resumed number={message} class={} past={:?}", letter.class, taken.past),
+                format_args!("resumed number={message} class={} past={:?}", letter.class, taken.history),
             );
-            self.events.push(Event::Taken(taken));
+            self.events.push(Event::Accepted(taken));
             let (class, attempts) = (class.unwrap_or_default(), m.attempts.len() as u32);
             self.attempts.held.insert(message, HeldMessage { letter, class, attempts, in_flight: None });
         }
@@ -94,7 +94,7 @@
 
     /// The module's event for a message with earlier attempts: one of a previous process, or one that the
     /// module does not know yet.
-    pub(super) fn resumed_message(&mut self, message: u64, live: &Live, class: usize) -> Taken {
+    pub(super) fn resumed_message(&mut self, message: u64, live: &Live, class: usize) -> Accepted {
         // If the clock has jumped back, a message must not gain time: neither beyond what was left at the
         // latest time on record, nor beyond its class's deadline.
         let now = unix_time().max(self.journal.latest());
@@ -107,15 +107,15 @@
             ago: now.saturating_sub(a.sent),
         });
         let most = self.setup.classes.get(class).map(|c| c.deadline);
-        Taken {
+        Accepted {
             message: MessageId(message),
             class,
             tenant: 0,
             destination: DestinationId(letter.destination),
             key: letter.routed.as_ref().and_then(|r| r.order.clone()),
             time_left: letter.until.saturating_sub(now).min(most.unwrap_or(Duration::MAX)),
-            work: None,
-            past: Past { attempts: live.attempts.len() as u32, ran },
+            estimated_work: None,
+            history: Past { attempts: live.attempts.len() as u32, ran },
         }
     }
 
@@ -216,7 +216,7 @@
             // Runs what waited out a disk failure; otherwise only a sync makes records durable.
             self.run_durable_actions();
         }
-        self.standing.ready.set(disk_works && self.shutdown.since.is_none());
+        self.server_state.ready.set(disk_works && self.shutdown.since.is_none());
         disk_works
     }
 
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -1,10 +1,10 @@
 //! The dispatcher's initial settings, from the platform or from an operator's file.
 
 use crate::events::EndpointList;
-use crate::front::effective::Effective;
+use crate::ingress::active_config::ActiveConfig;
 use crate::memory_budget::MemoryBudget;
-use crate::place::list_age::ListAgeFile;
-use crate::place::watch_status::WatchStatus;
+use crate::discovery::list_age::ListAgeFile;
+use crate::discovery::watch_status::WatchStatus;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
@@ -31,7 +31,7 @@
     /// For an operator's courier: the configuration in effect.
     pub installation: Option<Arc<Installation>>,
     /// The handle through which the frontends read it.
-    pub effective: Option<Effective>,
+    pub active_config: Option<ActiveConfig>,
     /// How long messages of a removed pool are held in case the pool returns.
     pub pool_wait: Duration,
     /// Limit on ended messages of which a record is kept.
--- a/crates/courier/src/dispatcher/shutdown.rs
+++ b/crates/courier/src/dispatcher/shutdown.rs
@@ -52,7 +52,7 @@
 impl Dispatcher {
     /// Begins the shutdown when SIGTERM arrives.
     pub(super) fn begin_shutdown(&mut self) {
-        self.standing.stop();
+        self.server_state.begin_shutdown();
         if self.shutdown.since.is_none() {
             self.shutdown.since = Some(Instant::now());
             eprintln!("stopping: {}", self.workload());
@@ -79,7 +79,7 @@
             && self.notices.posts_in_flight == 0
             && self.records.waiting.is_empty();
         let quiet = since >= MIN_ACCEPT_TIME
-            && self.standing.open.borrow().is_empty()
+            && self.server_state.connections.borrow().is_empty()
             && self.acceptance.pending.is_empty();
         let calls = self.attempts.held.values().any(|m| matches!(m.in_flight, Some((_, Some(_)))));
         let idle = self.attempts.held.is_empty() || since >= ATTEMPT_CUTOFF;
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -2,10 +2,10 @@
 //! this module, so that none of them depends on the dispatcher.
 
 use crate::memory_budget::MemoryRefusal;
-use crate::out::exchange::Exchange;
+use crate::outbound::exchange::Exchange;
 use serde::Deserialize;
 use stairshed_config::Installation;
-use stairshed_decide::interface::{EndpointId, Outcome, Report};
+use stairshed_decide::interface::{EndpointId, Outcome, LimitReport};
 use stairshed_journal::{Letter, Refusal, Synced, Verdict};
 use stairshed_memory::{Caps, Charge, Guest};
 use std::cell::Cell;
@@ -232,7 +232,7 @@
 pub struct CallResult {
     pub outcome: Outcome,
     pub after: AfterAttempt,
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
     pub at: Instant,
     /// The evidence for the outcome, for the message trace (`--follow`).
     pub proof: &'static str,
--- a/crates/courier/src/front/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -5,11 +5,11 @@
 use crate::events::{
     CourierEvent, DEFAULT_RETRY_AFTER, Frontend, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
 };
-use crate::front::effective::Effective;
-use crate::front::farewell::{Farewells, Speaks, Why};
-use crate::front::users::Users;
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
+use crate::ingress::users::Users;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
-use crate::out::outcomes;
+use crate::outbound::outcomes;
 use crate::socket::is_transient;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
@@ -29,7 +29,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Notes of sessions in the journal: `session/USER/CLIENT`.
-pub const PREFIX: &str = "session/";
+pub const SESSION_KEY_PREFIX: &str = "session/";
 /// Bytes that are read at once, into a buffer that all connections share.
 const READ: usize = 16 * 1024;
 /// A client that lets so many bytes pile up unread is left.
@@ -52,7 +52,7 @@
     wake: Notify,
 }
 
-pub struct Hub {
+pub struct MqttServer {
     machine: RefCell<Server>,
     origin: Instant,
     lines: RefCell<HashMap<u64, Rc<Line>>>,
@@ -63,16 +63,16 @@
     sessions: RefCell<Charge>,
     buffer: RefCell<Vec<u8>>,
     wake: Notify,
-    effective: Effective,
+    active_config: ActiveConfig,
     users: Option<Arc<Users>>,
     checks: Arc<Semaphore>,
     news: Sender<CourierEvent>,
     connections: usize,
     /// Tells those that there is no room for.
-    farewells: Rc<Farewells>,
+    rejecter: Rc<ConnectionRejecter>,
 }
 
-impl Frontend for Hub {
+impl Frontend for MqttServer {
     fn on_reply(&self, token: u64, reply: Reply) {
         self.judged_no_more(token);
         let refused = |code, why: &str, wait| Answer::Refused { code, why: why.to_owned(), wait };
@@ -118,20 +118,20 @@
     }
 
     fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
-        let line = outcomes::line(id, verdict);
+        let line = outcomes::outcome_line(id, verdict);
         self.with(|machine, _| machine.outcome(owner, Outcome { message, line }));
     }
 }
 
-impl Hub {
+impl MqttServer {
     /// `records` are the sessions of an earlier life.
     pub fn new(
         limits: Limits,
-        (connections, room, farewells): (usize, MemoryBudget, Rc<Farewells>),
-        (effective, users): (Effective, Option<Users>),
+        (connections, room, rejecter): (usize, MemoryBudget, Rc<ConnectionRejecter>),
+        (active_config, users): (ActiveConfig, Option<Users>),
         news: Sender<CourierEvent>,
         records: Vec<(String, bytes::Bytes)>,
-    ) -> Rc<Hub> {
+    ) -> Rc<MqttServer> {
         let mut machine = Server::new(limits, unix_time(), rand::random());
         for (owner, record) in records {
             let text = std::str::from_utf8(&record).unwrap_or_default();
@@ -139,7 +139,7 @@
                 eprintln!("mqtt: the session of {owner} cannot be read, and is given up");
             }
         }
-        Rc::new(Hub {
+        Rc::new(MqttServer {
             machine: RefCell::new(machine),
             origin: Instant::now(),
             lines: RefCell::default(),
@@ -148,12 +148,12 @@
             room,
             buffer: RefCell::new(vec![0; READ]),
             wake: Notify::new(),
-            effective,
+            active_config,
             users: users.map(Arc::new),
             checks: Arc::new(Semaphore::new(CHECKS)),
             news,
             connections,
-            farewells,
+            rejecter,
         })
     }
 
@@ -214,7 +214,7 @@
             Effect::Admit { connection, user, password, owner, will } => {
                 let fit = will.as_ref().map_or(Ok(()), |will| {
                     let publish = server::will_message(will);
-                    self.effective.publish(&publish, &owner).map(|_| ())
+                    self.active_config.publish(&publish, &owner).map(|_| ())
                 });
                 let fit = fit.map_err(|unfit| (unfit.code, format!("its will: {}", unfit.why)));
                 let fit = fit.and_then(|()| self.has_room(&owner));
@@ -230,7 +230,7 @@
                 }
             }
             Effect::Store { token, owner, record } => {
-                let key = format!("{PREFIX}{owner}");
+                let key = format!("{SESSION_KEY_PREFIX}{owner}");
                 let store = StateUpdate { token, key, value: record.map(bytes::Bytes::from) };
                 let _ = self.news.send(CourierEvent::StoreState(store)).await;
             }
@@ -272,14 +272,14 @@
 
     async fn offer(self: Rc<Self>, offer: server::Offer) {
         let server::Offer { token, owner, publish, bounce, .. } = offer;
-        let (letter, time_left) = match self.effective.publish(&publish, &owner) {
+        let (letter, time_left) = match self.active_config.publish(&publish, &owner) {
             Ok(read) => read,
             Err(unfit) => {
                 let answer = Answer::Refused { code: unfit.code, why: unfit.why, wait: None };
                 return self.with(|machine, now| machine.replied(token, answer, now));
             }
         };
-        let guest = Some(self.room.ledger.guest(self.effective.get().1.telling.session(&owner)));
+        let guest = Some(self.room.ledger.guest(self.active_config.get().1.telling.session(&owner)));
         // Many large payloads at once must not take the memory: together they have a fixed room.
         let size = publish.payload.len() as u64;
         let body_charge = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
@@ -322,7 +322,7 @@
             }
             match listener.accept().await {
                 Ok((socket, from)) => {
-                    let client = self.effective.get().1.telling.connection(from.ip());
+                    let client = self.active_config.get().1.telling.connection(from.ip());
                     let guest = client.map(|client| self.room.ledger.guest(client));
                     let room = self.room.ledger.take(Purpose::Clients, LINE_BYTES, guest.as_ref());
                     // One address with its share of the connections is turned away, and others get in.
@@ -333,7 +333,7 @@
                         }
                         Err(refused) => {
                             let why = Why::from(self.room.refusal(refused));
-                            self.farewells.turn_away(socket, Speaks::Mqtt, why, false);
+                            self.rejecter.turn_away(socket, Speaks::Mqtt, why, false);
                         }
                     }
                     tokio::task::yield_now().await;
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -3,28 +3,28 @@
 //!
 //! ```text
 //!   start   what it is told at its start: by the platform, by an operator's file
-//!   front   clients: HTTP, MQTT, and the operator's pages
+//!   ingress clients: HTTP, MQTT, and the operator's pages
 //!   place   where things are: discovery, names, the control service
 //!   out     calls to endpoints and brokers, notices of outcomes
 //!   dispatcher  the decision module, its batches, and the messages held
 //! ```
 
-pub mod client;
+pub mod admin_client;
 mod clock;
 mod dispatcher;
 mod events;
-mod fault;
-pub mod follow;
-mod front;
+mod startup_error;
+pub mod message_trace;
+mod ingress;
 mod memory_budget;
-mod out;
-mod place;
+mod outbound;
+mod discovery;
 mod socket;
-mod start;
-mod system;
+mod startup;
+mod process_memory;
 
-pub use fault::Fault;
-pub use front::effective::host_name;
-pub use front::users;
-pub use place::file;
-pub use start::{dev, run, serve, settings};
+pub use startup_error::StartupError;
+pub use ingress::active_config::host_name;
+pub use ingress::users;
+pub use discovery::config_file;
+pub use startup::{dev, run_platform, serve, settings};
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -1,7 +1,7 @@
 //! The memory ledger with the courier's clock: all parts reserve memory here, and learn when to retry if
 //! there is none.
 
-use crate::system;
+use crate::process_memory;
 use serde::Serialize;
 use serde_json::{Value, json};
 use stairshed_config::Installation;
@@ -52,7 +52,7 @@
     /// Bytes allocated that no purpose accounts for; negative where estimates are too high.
     unaccounted: i64,
     #[serde(flatten)]
-    allocator: system::Allocator,
+    allocator: process_memory::AllocatorStats,
 }
 
 /// The memory caps of a configuration. Where it states no total, the process's memory limit applies.
@@ -60,7 +60,7 @@
 /// # Errors
 /// Returns all faults in the caps, or that the configuration itself exceeds its cap.
 pub fn caps(installation: &Installation) -> Result<Caps, Vec<String>> {
-    let caps = installation::caps(&installation.file, system::limit());
+    let caps = installation::caps(&installation.file, process_memory::address_space_limit());
     let caps = caps.map_err(|faults| faults.iter().map(|f| format!("memory: {f}")).collect::<Vec<_>>())?;
     let (takes, may) = (installation.weigh(), caps.of[Purpose::Configuration]);
     match takes <= may {
@@ -96,11 +96,13 @@
     /// The content of `/-/memory`.
     pub fn page(&self) -> Value {
         let accounted = self.ledger.in_use();
-        let process = system::resident().zip(system::allocator()).map(|(resident, allocator)| Process {
-            resident,
-            unaccounted: allocator.allocated as i64 - accounted as i64,
-            allocator,
-        });
+        let process = process_memory::resident_bytes().zip(process_memory::allocator_stats()).map(
+            |(resident, allocator)| Process {
+                resident,
+                unaccounted: allocator.allocated as i64 - accounted as i64,
+                allocator,
+            },
+        );
         json!(Page {
             level: self.ledger.worst(),
             total: self.ledger.total(),
