--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -6,7 +6,7 @@
 use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult};
 use crate::message_trace;
-use crate::outbound::endpoint_client::{Call, EndpointClient, CallTarget};
+use crate::outbound::endpoint_client::{Call, CallTarget, EndpointClient};
 use crate::outbound::exchange::ExchangeLog;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Attempt, Verdict};
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -1,10 +1,10 @@
 //! The dispatcher's initial settings, from the platform or from an operator's file.
 
+use crate::discovery::list_age::ListAgeFile;
+use crate::discovery::watch_status::WatchStatus;
 use crate::events::EndpointList;
 use crate::ingress::active_config::ActiveConfig;
 use crate::memory_budget::MemoryBudget;
-use crate::discovery::list_age::ListAgeFile;
-use crate::discovery::watch_status::WatchStatus;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -5,7 +5,7 @@
 use crate::outbound::exchange::Exchange;
 use serde::Deserialize;
 use stairshed_config::Installation;
-use stairshed_decide::interface::{EndpointId, Outcome, LimitReport};
+use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
 use stairshed_journal::{Letter, Refusal, Synced, Verdict};
 use stairshed_memory::{Caps, Charge, Guest};
 use std::cell::Cell;
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -11,20 +11,20 @@
 
 pub mod admin_client;
 mod clock;
+mod discovery;
 mod dispatcher;
 mod events;
-mod startup_error;
-pub mod message_trace;
 mod ingress;
 mod memory_budget;
+pub mod message_trace;
 mod outbound;
-mod discovery;
+mod process_memory;
 mod socket;
 mod startup;
-mod process_memory;
+mod startup_error;
 
-pub use startup_error::StartupError;
+pub use discovery::config_file;
 pub use ingress::active_config::host_name;
 pub use ingress::users;
-pub use discovery::config_file;
 pub use startup::{dev, run_platform, serve, settings};
+pub use startup_error::StartupError;
