--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -314,7 +314,7 @@
                         self.members.ids_by_host.remove(&e.host);
                     }
                 }
-                Action::Log { text } => eprintln!("decision module: {text}"),
+                Action::Log { text } => eprintln!("note: {text}"),
             }
         }
         self.accept_submissions(&mut refused);
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -138,7 +138,7 @@
                 self.acceptance.ids.remove(&submission.letter.id);
                 message_trace::log_step(
                     &submission.letter.id,
-                    format_args!("refused class={} verdict={verdict:?}", submission.letter.class),
+                    format_args!("refused at once class={} verdict={verdict:?}", submission.letter.class),
                 );
                 let reply = match verdict {
                     Verdict::Bounced { wait } => Reply::Refused { wait },
@@ -158,7 +158,7 @@
             message_trace::log_step(
                 &letter.id,
                 format_args!(
-                    "accepted number={message} class={} destination={}",
+                    "taken number={message} class={} destination={}",
                     letter.class, letter.destination
                 ),
             );
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -136,7 +136,7 @@
         if letter.routed.is_none() && self.ended_messages.recent_ids.contains(&letter.id) {
             message_trace::log_step(
                 &letter.id,
-                format_args!("submitted again after its end; not sent again"),
+                format_args!("handed in again after its end: not sent again"),
             );
             return Some(Reply::Accepted);
         }
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -39,7 +39,7 @@
         message_trace::log_step(
             &id,
             format_args!(
-                "ended verdict={verdict:?} attempts={} in_flight={} left={left:?}",
+                "ends verdict={verdict:?} attempts={} out={} left={left:?}",
                 m.attempts,
                 m.in_flight.is_some()
             ),
