--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -4,7 +4,7 @@
 use crate::discovery::config_file;
 use crate::discovery::configured_hosts::changed_hosts;
 use crate::discovery::dns::ResolverHandle;
-use crate::events::{ConfigurationUpdate, CourierEvent, MembershipChanges};
+use crate::events::{ConfigurationUpdate, DispatcherEvent, MembershipChanges};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::http::HttpServer;
 use crate::ingress::listener::listen;
@@ -177,7 +177,7 @@
     versions: Versions,
     installation: Arc<Installation>,
     active_config: ActiveConfig,
-    news: Sender<CourierEvent>,
+    news: Sender<DispatcherEvent>,
     http_server: Rc<HttpServer>,
     accepting: Option<AbortHandle>,
     listening: Option<SocketAddr>,
@@ -195,7 +195,7 @@
     pub fn new(
         (file, document, store): (PathBuf, Document, VersionStore),
         (versions, installation): (Versions, Arc<Installation>),
-        (active_config, news, http_server): (ActiveConfig, Sender<CourierEvent>, Rc<HttpServer>),
+        (active_config, news, http_server): (ActiveConfig, Sender<DispatcherEvent>, Rc<HttpServer>),
         status: Rc<ConfigStatus>,
         lookups: ResolverHandle,
     ) -> Self {
@@ -466,7 +466,7 @@
     document: (Document, Option<Version>),
     before: Arc<Installation>,
     store: VersionStore,
-    news: Sender<CourierEvent>,
+    news: Sender<DispatcherEvent>,
 }
 
 impl Work {
@@ -538,7 +538,7 @@
             ConfigurationUpdate { version: number, installation: installation.clone(), caps, changes, done };
         let stopping = || vec!["the courier is stopping".to_owned()];
         self.news
-            .send(CourierEvent::ConfigurationChanged(Box::new(configured)))
+            .send(DispatcherEvent::ConfigurationChanged(Box::new(configured)))
             .await
             .map_err(|_| stopping())?;
         in_effect.await.map_err(|_| stopping())?;
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -2,7 +2,7 @@
 //! answer is cut short.
 
 use crate::discovery::dns_cache::DnsCache;
-use crate::events::{CourierEvent, EndpointList, Health, ListedEndpoint, diff_endpoints};
+use crate::events::{DispatcherEvent, EndpointList, Health, ListedEndpoint, diff_endpoints};
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use stairshed_config::Installation;
@@ -90,7 +90,7 @@
 /// Begins to look up the names of an installation and of those that follow it.
 pub fn spawn_resolver(
     installation: &Installation,
-    news: Sender<CourierEvent>,
+    news: Sender<DispatcherEvent>,
 ) -> (ResolverHandle, ResolverTask) {
     let (tell, told) = watch::channel(Vec::new());
     let dns = &installation.file.dns;
@@ -114,7 +114,7 @@
     /// What the courier was told, by the endpoint's name.
     listed: BTreeMap<String, ListedEndpoint>,
     origin: Instant,
-    news: Sender<CourierEvent>,
+    news: Sender<DispatcherEvent>,
 }
 
 type Answer = Result<(Vec<IpAddr>, Duration), String>;
@@ -215,7 +215,7 @@
         if !hosts.is_empty() {
             let _ = self
                 .news
-                .send(CourierEvent::NamesResolved(EndpointList { seq: 0, whole: false, hosts }))
+                .send(DispatcherEvent::NamesResolved(EndpointList { seq: 0, whole: false, hosts }))
                 .await;
         }
     }
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -3,7 +3,7 @@
 
 use super::outage_detector::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
-use crate::events::{CourierEvent, EndpointList};
+use crate::events::{DispatcherEvent, EndpointList};
 use crate::outbound::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -106,7 +106,7 @@
 
 impl DiscoveryWatch {
     /// Watches for good. Ends only when nobody listens any more.
-    pub async fn run(mut self, news: Sender<CourierEvent>) {
+    pub async fn run(mut self, news: Sender<DispatcherEvent>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut backoff = INITIAL_BACKOFF_S;
         let mut outage = OutageDetector::default();
@@ -120,12 +120,12 @@
             let mut pause = list_retry_delay(backoff, self.reconnect_spread, &mut rng);
             if lines_read > 0 {
                 outage.answered();
-                if news.send(CourierEvent::WatchEnded { discovery: self.address }).await.is_err() {
+                if news.send(DispatcherEvent::WatchEnded { discovery: self.address }).await.is_err() {
                     return;
                 }
             } else if outage.call_failed(end.failure(), since) {
                 pause = pause.min(MAX_OUTAGE_PAUSE.mul_f64(rng.random_range(0.25..1.0)));
-                let unreachable = CourierEvent::DiscoveryUnreachable { discovery: self.address, since };
+                let unreachable = DispatcherEvent::DiscoveryUnreachable { discovery: self.address, since };
                 if news.send(unreachable).await.is_err() {
                     return;
                 }
@@ -148,7 +148,7 @@
     /// One watch, from its connection to its end, which is its only result.
     async fn watch_once(
         &mut self,
-        news: &Sender<CourierEvent>,
+        news: &Sender<DispatcherEvent>,
         lines_read: &mut u64,
     ) -> Result<Infallible, WatchEnd> {
         let begun = Instant::now();
@@ -178,9 +178,10 @@
                     );
                 }
                 if let Some(list) = list {
-                    news.send(CourierEvent::EndpointsListed(list)).await.map_err(|_| WatchEnd::Closing)?;
+                    news.send(DispatcherEvent::EndpointsListed(list)).await.map_err(|_| WatchEnd::Closing)?;
                 }
-                let heard = CourierEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
+                let heard =
+                    DispatcherEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
                 news.send(heard).await.map_err(|_| WatchEnd::Closing)?;
             }
             line_begun = lines.is_open().then(|| line_begun.unwrap_or_else(Instant::now));
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -28,7 +28,7 @@
 
 use crate::clock::unix_time;
 use crate::discovery::configured_hosts::changed_hosts;
-use crate::events::{CourierEvent, EndpointList, Frontend};
+use crate::events::{DispatcherEvent, EndpointList, Ingress};
 use crate::ingress::http::ServerState;
 use crate::outbound::endpoint_client::EndpointClient;
 use crate::outbound::outcomes::OutcomeNotifier;
@@ -55,7 +55,7 @@
     scheduler: Scheduler,
     journal: Journal,
     server_state: Rc<ServerState>,
-    event_tx: Sender<CourierEvent>,
+    event_tx: Sender<DispatcherEvent>,
     clock_origin: Instant,
     /// Events for the module's next batch.
     events: Vec<Event>,
@@ -68,8 +68,8 @@
     notices: Notices,
     shutdown: Shutdown,
     memory: Memory,
-    /// The frontend whose clients are told the outcomes of their messages.
-    frontend: Option<Rc<dyn Frontend>>,
+    /// The ingress whose clients are told the outcomes of their messages.
+    ingress: Option<Rc<dyn Ingress>>,
     ended_messages: ended_messages::EndedMessages,
     brokers: brokers::Brokers,
     /// Record numbers of stored state in the journal, by key.
@@ -85,7 +85,7 @@
         calls: EndpointClient,
         outcomes: OutcomeNotifier,
         server_state: Rc<ServerState>,
-        event_tx: Sender<CourierEvent>,
+        event_tx: Sender<DispatcherEvent>,
     ) -> Self {
         let acceptance = Acceptance::after(journal.last());
         let memory = Memory::new(setup.memory_budget.clone());
@@ -105,7 +105,7 @@
             notices: Notices::new(outcomes),
             shutdown: Shutdown::default(),
             memory,
-            frontend: None,
+            ingress: None,
             ended_messages: ended_messages::EndedMessages::default(),
             brokers: brokers::Brokers::default(),
             state_numbers: HashMap::new(),
@@ -130,9 +130,9 @@
         dispatcher
     }
 
-    /// Sets the frontend whose clients are told the outcomes of their messages.
-    pub fn set_frontend(&mut self, frontend: Rc<dyn Frontend>) {
-        self.frontend = Some(frontend);
+    /// Sets the ingress whose clients are told the outcomes of their messages.
+    pub fn set_ingress(&mut self, ingress: Rc<dyn Ingress>) {
+        self.ingress = Some(ingress);
     }
 
     /// Stored state under keys with this prefix: keys without the prefix, and values.
@@ -148,7 +148,7 @@
     }
 
     /// Runs until the courier has stopped.
-    pub async fn run(mut self, mut inbox: Receiver<CourierEvent>) {
+    pub async fn run(mut self, mut inbox: Receiver<DispatcherEvent>) {
         let tick = self.setup.settings.tick;
         let mut last_batch: Option<Instant> = None;
         self.resume_ended();
@@ -226,54 +226,56 @@
         }
     }
 
-    fn handle_event(&mut self, event: CourierEvent) {
+    fn handle_event(&mut self, event: DispatcherEvent) {
         match event {
-            CourierEvent::Submitted(submission) => self.submit(submission),
-            CourierEvent::CallEnded { message, attempt, endpoint, end } => {
+            DispatcherEvent::Submitted(submission) => self.submit(submission),
+            DispatcherEvent::CallEnded { message, attempt, endpoint, end } => {
                 self.call_ended(message, attempt, endpoint, end)
             }
-            CourierEvent::ProbeEnded { endpoint, sent, end } => {
+            DispatcherEvent::ProbeEnded { endpoint, sent, end } => {
                 let elapsed = end.at.saturating_duration_since(sent);
                 let outcome = less_elapsed(end.outcome, end.at);
                 self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed, report: end.report });
             }
-            CourierEvent::BackoffRequested { endpoint, until } => self.back_off_endpoint(endpoint, until),
-            CourierEvent::EndpointsListed(list) => {
+            DispatcherEvent::BackoffRequested { endpoint, until } => self.back_off_endpoint(endpoint, until),
+            DispatcherEvent::EndpointsListed(list) => {
                 self.members.discovery_answered = true;
                 match self.setup.installation.is_some() {
                     true => self.apply_discovered_list(list),
                     false => self.apply_endpoint_list(list),
                 }
             }
-            CourierEvent::DiscoveryLineRead { discovery, at } => self.discovery_line_read(discovery, at),
-            CourierEvent::WatchEnded { discovery } => self.watch_ended(discovery),
-            CourierEvent::DiscoveryUnreachable { discovery, since } => {
+            DispatcherEvent::DiscoveryLineRead { discovery, at } => self.discovery_line_read(discovery, at),
+            DispatcherEvent::WatchEnded { discovery } => self.watch_ended(discovery),
+            DispatcherEvent::DiscoveryUnreachable { discovery, since } => {
                 self.discovery_unreachable(discovery, since)
             }
-            CourierEvent::NoticesAcknowledged(messages) => {
+            DispatcherEvent::NoticesAcknowledged(messages) => {
                 self.notices.posts_in_flight -= 1;
                 for message in messages {
                     let verdict = self.journal.get(message).and_then(|m| m.verdict);
                     self.finish_message(message, verdict);
                 }
             }
-            CourierEvent::DiscoveryAddressChanged(discovery) => self.change_discovery_address(discovery),
-            CourierEvent::ConfigurationChanged(update) => self.apply_configuration(*update),
-            CourierEvent::NamesResolved(list) => self.apply_endpoint_list(list),
-            CourierEvent::StartWatch => self.start_watch(),
-            CourierEvent::QueryAccepted { id, reply } => {
+            DispatcherEvent::DiscoveryAddressChanged(discovery) => self.change_discovery_address(discovery),
+            DispatcherEvent::ConfigurationChanged(update) => self.apply_configuration(*update),
+            DispatcherEvent::NamesResolved(list) => self.apply_endpoint_list(list),
+            DispatcherEvent::StartWatch => self.start_watch(),
+            DispatcherEvent::QueryAccepted { id, reply } => {
                 // The receiver may have been dropped.
                 let _ = reply.send(self.is_accepted(&id));
             }
-            CourierEvent::JournalSynced(done) => self.sync_finished(done),
-            CourierEvent::StoreState(update) => self.store_state(update),
-            CourierEvent::OutcomeNotified { message } => self.owner_notified(message),
-            CourierEvent::PubrecReceived { endpoint, id, message } => {
+            DispatcherEvent::JournalSynced(done) => self.sync_finished(done),
+            DispatcherEvent::StoreState(update) => self.store_state(update),
+            DispatcherEvent::OutcomeNotified { message } => self.owner_notified(message),
+            DispatcherEvent::PubrecReceived { endpoint, id, message } => {
                 self.pubrec_received(endpoint, id, message)
             }
-            CourierEvent::SessionResuming { endpoint, pending } => self.session_resuming(endpoint, pending),
-            CourierEvent::PacketIdFreed { endpoint, id } => self.free_packet_id(endpoint, id),
-            CourierEvent::Stop => self.begin_shutdown(),
+            DispatcherEvent::SessionResuming { endpoint, pending } => {
+                self.session_resuming(endpoint, pending)
+            }
+            DispatcherEvent::PacketIdFreed { endpoint, id } => self.free_packet_id(endpoint, id),
+            DispatcherEvent::Stop => self.begin_shutdown(),
         }
     }
 
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -115,10 +115,10 @@
             self.ended_messages.insert(message, &kept);
             self.memory.remember(message, &kept);
             match &kept.owner {
-                Some(owner) if self.frontend.is_some() => {
+                Some(owner) if self.ingress.is_some() => {
                     self.notify_owner(owner, message, &kept.id, kept.verdict)
                 }
-                // The frontend is not configured any more.
+                // The ingress is not configured any more.
                 Some(_) => self.owner_notified(message),
                 None => {}
             }
@@ -154,14 +154,14 @@
 
     /// Whether this client subscribes to outcomes and has room for one more.
     pub(super) fn accepts_outcomes(&self, owner: &str) -> bool {
-        self.frontend.as_ref().is_some_and(|f| f.accepts_outcomes(owner))
+        self.ingress.as_ref().is_some_and(|f| f.accepts_outcomes(owner))
     }
 
     fn notify_owner(&mut self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
-        if let Some(frontend) = &self.frontend
+        if let Some(ingress) = &self.ingress
             && self.ended_messages.notifying.insert(message)
         {
-            frontend.send_outcome(owner, message, id, verdict);
+            ingress.send_outcome(owner, message, id, verdict);
         }
     }
 
--- a/crates/courier/src/dispatcher/held_message.rs
+++ b/crates/courier/src/dispatcher/held_message.rs
@@ -30,7 +30,7 @@
     StartCall { call: Call, cancelled: oneshot::Receiver<()> },
     /// Confirm a message that was accepted and bounced at once.
     ConfirmBounce { message: u64, reply: ReplyTo },
-    /// Tell the frontend that its state is stored.
+    /// Tell the ingress that its state is stored.
     ConfirmState { token: u64 },
     /// Go on after a broker's PUBREC.
     ConfirmPubrec { endpoint: EndpointId, id: u16 },
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -308,8 +308,8 @@
         let (module, journal) = (self.scheduler.memory_usage().endpoints, self.journal.memory());
         self.memory.module.set(module);
         self.memory.journal.set(journal);
-        if let Some(frontend) = &self.frontend {
-            frontend.measure_memory();
+        if let Some(ingress) = &self.ingress {
+            ingress.measure_memory();
         }
         let budget = &self.memory.budget;
         if budget.ledger.total().is_some()
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -5,7 +5,7 @@
 use super::Dispatcher;
 use super::held_message::{DeferredAction, HeldMessage, UNKNOWN_ZONE};
 use crate::clock::unix_time;
-use crate::events::CourierEvent;
+use crate::events::DispatcherEvent;
 use crate::message_trace;
 use crate::outbound::outcomes::Notice;
 use stairshed_decide::interface::*;
@@ -140,7 +140,7 @@
             tokio::task::spawn_local(async move {
                 if let Ok(done) = tokio::task::spawn_blocking(|| job.run()).await {
                     // The receiver is gone once the courier has stopped.
-                    let _ = event_tx.send(CourierEvent::JournalSynced(done)).await;
+                    let _ = event_tx.send(DispatcherEvent::JournalSynced(done)).await;
                 }
             });
         }
@@ -186,8 +186,8 @@
             DeferredAction::StartCall { call, cancelled } => self.start_call(call, cancelled),
             DeferredAction::ConfirmBounce { message, reply } => self.confirm_bounce(reply, message),
             DeferredAction::ConfirmState { token } => {
-                if let Some(frontend) = &self.frontend {
-                    frontend.on_stored(token, Ok(()));
+                if let Some(ingress) = &self.ingress {
+                    ingress.on_stored(token, Ok(()));
                 }
             }
             DeferredAction::ConfirmPubrec { endpoint, id } => self.pubrec_recorded(endpoint, id),
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -30,7 +30,7 @@
     pub list_age: Option<ListAgeFile>,
     /// For an operator's courier: the configuration in effect.
     pub installation: Option<Arc<Installation>>,
-    /// The handle through which the frontends read it.
+    /// The handle through which the ingress modules read it.
     pub active_config: Option<ActiveConfig>,
     /// How long messages of a removed pool are held in case the pool returns.
     pub pool_wait: Duration,
--- a/crates/courier/src/dispatcher/stored_state.rs
+++ b/crates/courier/src/dispatcher/stored_state.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Stores or deletes state of the frontend, and tells it once that is durable.
+    /// Stores or deletes state of the ingress, and tells it once that is durable.
     pub(super) fn store_state(&mut self, update: StateUpdate) {
         let StateUpdate { token, key, value } = update;
         let fits = match &value {
@@ -42,9 +42,9 @@
             Some(value) => self.journal.fits_note((key.len() + value.len()) as u64),
             None => Ok(()),
         };
-        let Some(frontend) = self.frontend.clone() else { return };
+        let Some(ingress) = self.ingress.clone() else { return };
         if let Err(why) = fits {
-            return frontend.on_stored(token, Err(why));
+            return ingress.on_stored(token, Err(why));
         }
         match value {
             Some(value) => self.put_state(&key, value),
@@ -52,7 +52,7 @@
         }
         match self.flush_journal() {
             true => self.run_when_durable(self.journal.last_seq(), DeferredAction::ConfirmState { token }),
-            false => frontend.on_stored(token, Err(Refusal::DiskFails)),
+            false => ingress.on_stored(token, Err(Refusal::DiskFails)),
         }
     }
 }
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 /// An event that a part of the courier sends to the dispatcher.
-pub enum CourierEvent {
+pub enum DispatcherEvent {
     /// A client submits a message.
     Submitted(Submission),
     CallEnded {
@@ -71,7 +71,7 @@
     },
     /// A journal sync has finished or failed.
     JournalSynced(Synced),
-    /// State of a frontend that is to be written to the journal.
+    /// State of an ingress that is to be written to the journal.
     StoreState(StateUpdate),
     /// The outcome of a message has been delivered to its client, or can no longer be.
     OutcomeNotified {
@@ -98,16 +98,16 @@
     Stop,
 }
 
-/// State of a frontend, written to the journal under a key. A `value` of None deletes it.
+/// State of an ingress, written to the journal under a key. A `value` of None deletes it.
 pub struct StateUpdate {
     pub token: u64,
     pub key: String,
     pub value: Option<bytes::Bytes>,
 }
 
-/// A frontend whose clients are told the outcomes of their messages, as the dispatcher uses it. Its methods
+/// An ingress whose clients are told the outcomes of their messages, as the dispatcher uses it. Its methods
 /// neither block nor call back into the dispatcher.
-pub trait Frontend {
+pub trait Ingress {
     /// The reply to a [`Submission`].
     fn on_reply(&self, token: u64, reply: Reply);
     /// The result of a [`StateUpdate`].
@@ -117,16 +117,16 @@
     /// Measures the memory it uses and updates the ledger.
     fn measure_memory(&self);
     /// Sends the outcome of a message to its client; a verdict of None means delivered.
-    /// [`CourierEvent::OutcomeNotified`] follows.
+    /// [`DispatcherEvent::OutcomeNotified`] follows.
     fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>);
 }
 
 /// Where the reply to a submission goes.
 pub enum ReplyTo {
     Single(oneshot::Sender<Reply>),
-    /// A frontend with many submissions pending. `abandoned` is set once nobody waits for this one any more.
-    Frontend {
-        frontend: Rc<dyn Frontend>,
+    /// An ingress with many submissions pending. `abandoned` is set once nobody waits for this one any more.
+    Ingress {
+        ingress: Rc<dyn Ingress>,
         token: u64,
         abandoned: Rc<Cell<bool>>,
     },
@@ -137,7 +137,7 @@
     pub fn is_closed(&self) -> bool {
         match self {
             ReplyTo::Single(to) => to.is_closed(),
-            ReplyTo::Frontend { abandoned, .. } => abandoned.get(),
+            ReplyTo::Ingress { abandoned, .. } => abandoned.get(),
         }
     }
 
@@ -148,9 +148,9 @@
     pub fn send(self, reply: Reply) -> Result<(), Reply> {
         match self {
             ReplyTo::Single(to) => to.send(reply),
-            ReplyTo::Frontend { abandoned, .. } if abandoned.get() => Err(reply),
-            ReplyTo::Frontend { frontend, token, .. } => {
-                frontend.on_reply(token, reply);
+            ReplyTo::Ingress { abandoned, .. } if abandoned.get() => Err(reply),
+            ReplyTo::Ingress { ingress, token, .. } => {
+                ingress.on_reply(token, reply);
                 Ok(())
             }
         }
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,7 +1,7 @@
 //! The clients' side: takes messages in over HTTP, and tells whether the courier is ready.
 
 use crate::clock::unix_time;
-use crate::events::{CourierEvent, DEFAULT_RETRY_AFTER, Reply, ReplyTo, Submission, refusal_reason};
+use crate::events::{DEFAULT_RETRY_AFTER, DispatcherEvent, Reply, ReplyTo, Submission, refusal_reason};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::message_headers::{Named, Unfit};
 use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
@@ -274,7 +274,7 @@
 pub struct HttpServer {
     pub routing: Routing,
     pub server_state: Rc<ServerState>,
-    pub news: Sender<CourierEvent>,
+    pub news: Sender<DispatcherEvent>,
     /// Clients' connections at most.
     pub max_connections: usize,
     pub room: MemoryBudget,
@@ -445,7 +445,7 @@
         let reply = ReplyTo::Single(reply);
         let offer =
             Submission { letter: Rc::new(letter), time_left, at, reply, bounce: false, body_charge, guest };
-        let reply = match timeout(PATIENCE, self.news.send(CourierEvent::Submitted(offer))).await {
+        let reply = match timeout(PATIENCE, self.news.send(DispatcherEvent::Submitted(offer))).await {
             Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
             _ => Reply::Unavailable,
         };
@@ -480,7 +480,7 @@
     async fn knows(&self, headers: &HeaderMap) -> bool {
         let Some(id) = Named::read(headers).ok().and_then(|named| named.id) else { return false };
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply });
+        let asked = self.news.send(DispatcherEvent::QueryAccepted { id: id.to_owned(), reply });
         matches!(timeout(PATIENCE, asked).await, Ok(Ok(()))) && known.await.unwrap_or(false)
     }
 }
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::unix_time;
 use crate::events::{
-    CourierEvent, DEFAULT_RETRY_AFTER, Frontend, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+    DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
 };
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
@@ -66,13 +66,13 @@
     active_config: ActiveConfig,
     users: Option<Arc<Users>>,
     checks: Arc<Semaphore>,
-    news: Sender<CourierEvent>,
+    news: Sender<DispatcherEvent>,
     connections: usize,
     /// Tells those that there is no room for.
     rejecter: Rc<ConnectionRejecter>,
 }
 
-impl Frontend for MqttServer {
+impl Ingress for MqttServer {
     fn on_reply(&self, token: u64, reply: Reply) {
         self.judged_no_more(token);
         let refused = |code, why: &str, wait| Answer::Refused { code, why: why.to_owned(), wait };
@@ -129,7 +129,7 @@
         limits: Limits,
         (connections, room, rejecter): (usize, MemoryBudget, Rc<ConnectionRejecter>),
         (active_config, users): (ActiveConfig, Option<Users>),
-        news: Sender<CourierEvent>,
+        news: Sender<DispatcherEvent>,
         records: Vec<(String, bytes::Bytes)>,
     ) -> Rc<MqttServer> {
         let mut machine = Server::new(limits, unix_time(), rand::random());
@@ -232,10 +232,10 @@
             Effect::Store { token, owner, record } => {
                 let key = format!("{SESSION_KEY_PREFIX}{owner}");
                 let store = StateUpdate { token, key, value: record.map(bytes::Bytes::from) };
-                let _ = self.news.send(CourierEvent::StoreState(store)).await;
+                let _ = self.news.send(DispatcherEvent::StoreState(store)).await;
             }
             Effect::Told { message } | Effect::Untold { message } => {
-                let _ = self.news.send(CourierEvent::OutcomeNotified { message }).await;
+                let _ = self.news.send(DispatcherEvent::OutcomeNotified { message }).await;
             }
             Effect::Log(text) => eprintln!("mqtt: {text}"),
         }
@@ -290,7 +290,7 @@
         };
         let abandoned = Rc::new(Cell::new(false));
         self.judged.borrow_mut().insert(token, abandoned.clone());
-        let reply = ReplyTo::Frontend { frontend: self.clone(), token, abandoned };
+        let reply = ReplyTo::Ingress { ingress: self.clone(), token, abandoned };
         let offer = Submission {
             letter: Rc::new(letter),
             time_left,
@@ -300,13 +300,13 @@
             body_charge,
             guest,
         };
-        let _ = self.news.send(CourierEvent::Submitted(offer)).await;
+        let _ = self.news.send(DispatcherEvent::Submitted(offer)).await;
     }
 
     /// Whether a message of this id is taken on.
     async fn knows(&self, id: &str) -> bool {
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply }).await;
+        let asked = self.news.send(DispatcherEvent::QueryAccepted { id: id.to_owned(), reply }).await;
         asked.is_ok() && known.await.unwrap_or(false)
     }
 
--- a/crates/courier/src/outbound/broker_connection.rs
+++ b/crates/courier/src/outbound/broker_connection.rs
@@ -1,7 +1,7 @@
 //! The connection to one MQTT broker: a socket around the state machine of `stairshed-mqtt`. It decides nothing.
 
 use crate::clock::unix_time;
-use crate::events::{AfterAttempt, CallResult, CourierEvent};
+use crate::events::{AfterAttempt, CallResult, DispatcherEvent};
 use crate::outbound::endpoint_client::Call;
 use crate::socket::is_transient;
 use bytes::Bytes;
@@ -56,7 +56,7 @@
         (address, topic): (SocketAddr, String),
         (settings, client, connect_time): (file::Broker, String, Duration),
         folder: &Path,
-        news: Sender<CourierEvent>,
+        news: Sender<DispatcherEvent>,
     ) -> Rc<BrokerConnection> {
         let password = settings.password_file.as_ref().and_then(|f| match password(folder, f) {
             Ok(password) => Some(password),
@@ -219,7 +219,7 @@
         self.wake.notify_one();
     }
 
-    async fn run(self: Rc<Self>, news: Sender<CourierEvent>) {
+    async fn run(self: Rc<Self>, news: Sender<DispatcherEvent>) {
         let mut socket: Option<TcpStream> = None;
         let mut opening: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
         let mut bytes = vec![0; READ];
@@ -299,16 +299,18 @@
         }
     }
 
-    async fn tell(&self, effect: client::Effect, news: &Sender<CourierEvent>) {
+    async fn tell(&self, effect: client::Effect, news: &Sender<DispatcherEvent>) {
         let endpoint = self.endpoint;
         let told = match effect {
-            client::Effect::Record { id, message } => CourierEvent::PubrecReceived { endpoint, id, message },
-            client::Effect::Resuming => CourierEvent::SessionResuming { endpoint, pending: true },
-            client::Effect::Resumed => CourierEvent::SessionResuming { endpoint, pending: false },
-            client::Effect::Free { id, .. } => CourierEvent::PacketIdFreed { endpoint, id },
+            client::Effect::Record { id, message } => {
+                DispatcherEvent::PubrecReceived { endpoint, id, message }
+            }
+            client::Effect::Resuming => DispatcherEvent::SessionResuming { endpoint, pending: true },
+            client::Effect::Resumed => DispatcherEvent::SessionResuming { endpoint, pending: false },
+            client::Effect::Free { id, .. } => DispatcherEvent::PacketIdFreed { endpoint, id },
             client::Effect::Ended { message, end, .. } => {
                 let Some(attempt) = self.attempts.borrow_mut().remove(&message) else { return };
-                CourierEvent::CallEnded { message, attempt, endpoint, end: ended(end) }
+                DispatcherEvent::CallEnded { message, attempt, endpoint, end: ended(end) }
             }
             client::Effect::Log(text) => {
                 eprintln!("mqtt: {}: {text}", self.address);
--- a/crates/courier/src/outbound/endpoint_client.rs
+++ b/crates/courier/src/outbound/endpoint_client.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints and probes, and the connections kept for them. One call a connection at a time; what
 //! may have run is told apart from what never did.
 
-use crate::events::{CallResult, CourierEvent};
+use crate::events::{CallResult, DispatcherEvent};
 use crate::memory_budget::MemoryBudget;
 use crate::outbound::attempt_outcome::{ended, restrained, unanswered};
 use crate::outbound::connection_pool::{ConnectionPool, PooledConnection};
@@ -238,7 +238,7 @@
         call: Call,
         address: SocketAddr,
         cancel: oneshot::Receiver<()>,
-        news: Sender<CourierEvent>,
+        news: Sender<DispatcherEvent>,
     ) {
         let Call { message, attempt, endpoint, pool, letter, deadline, once, .. } = call;
         let timeout = deadline.saturating_duration_since(Instant::now());
@@ -272,7 +272,7 @@
             Err(_) => unanswered(Outcome::Moot, "no request can be made of it"),
         };
         let outcome = end.outcome;
-        listening.end(CourierEvent::CallEnded { message, attempt, endpoint, end }, outcome).await;
+        listening.end(DispatcherEvent::CallEnded { message, attempt, endpoint, end }, outcome).await;
     }
 
     /// Sends a check and reports its end.
@@ -281,7 +281,7 @@
         endpoint: EndpointId,
         address: SocketAddr,
         timeout: Duration,
-        news: Sender<CourierEvent>,
+        news: Sender<DispatcherEvent>,
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
@@ -294,7 +294,7 @@
         };
         let end = CallResult { exchange, ..ended(answer, listening.heard()) };
         let outcome = end.outcome;
-        listening.end(CourierEvent::ProbeEnded { endpoint, sent, end }, outcome).await;
+        listening.end(DispatcherEvent::ProbeEnded { endpoint, sent, end }, outcome).await;
     }
 }
 
--- a/crates/courier/src/outbound/exchange_monitor.rs
+++ b/crates/courier/src/outbound/exchange_monitor.rs
@@ -1,6 +1,6 @@
 //! What is heard of an answer while its exchange goes on, and what of it is passed on at once.
 
-use crate::events::CourierEvent;
+use crate::events::DispatcherEvent;
 use crate::outbound::http_connection::{ProgressHandle, ResponseProgress};
 use stairshed_decide::interface::{EndpointId, Outcome};
 use std::cell::{Cell, RefCell};
@@ -14,7 +14,7 @@
 /// rest of that has come, which may take longer than a wait may be ignored.
 pub struct ExchangeMonitor {
     endpoint: EndpointId,
-    news: Sender<CourierEvent>,
+    news: Sender<DispatcherEvent>,
     listener: RefCell<Option<ProgressHandle>>,
     /// The dispatcher has been told of the wait.
     wait_told: Cell<bool>,
@@ -22,7 +22,7 @@
 
 impl ExchangeMonitor {
     /// For an exchange with this endpoint; `news` reaches the dispatcher.
-    pub fn new(endpoint: EndpointId, news: Sender<CourierEvent>) -> Self {
+    pub fn new(endpoint: EndpointId, news: Sender<DispatcherEvent>) -> Self {
         ExchangeMonitor { endpoint, news, listener: RefCell::default(), wait_told: Cell::default() }
     }
 
@@ -37,9 +37,9 @@
     }
 
     /// The wait that nobody has been told of yet.
-    fn untold_wait(&self) -> Option<CourierEvent> {
+    fn untold_wait(&self) -> Option<DispatcherEvent> {
         let until = self.heard().blocked_until.filter(|_| !self.wait_told.get())?;
-        Some(CourierEvent::BackoffRequested { endpoint: self.endpoint, until })
+        Some(DispatcherEvent::BackoffRequested { endpoint: self.endpoint, until })
     }
 
     /// Passes a wait on if that can be done at once.
@@ -50,7 +50,7 @@
     }
 
     /// Tells how the exchange has ended, and a wait before it that this does not tell.
-    pub async fn end(self, news: CourierEvent, outcome: Outcome) {
+    pub async fn end(self, news: DispatcherEvent, outcome: Outcome) {
         let tells = matches!(outcome, Outcome::Full { wait: Some(_) });
         if let Some(wait) = self.untold_wait().filter(|_| !tells) {
             // Nobody is left to hear it once the courier has stopped.
--- a/crates/courier/src/outbound/outcomes.rs
+++ b/crates/courier/src/outbound/outcomes.rs
@@ -1,7 +1,7 @@
 //! Notices of what was taken on and is not delivered: to the platform, or where an operator wants them, by
 //! post, in a file, or both. Sent until they are acknowledged, however long that takes.
 
-use crate::events::CourierEvent;
+use crate::events::DispatcherEvent;
 use crate::outbound::http_connection::HttpConnection;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -141,7 +141,7 @@
     }
 
     /// Delivers a batch until it is acknowledged, then reports it.
-    pub async fn deliver(self, batch: Vec<Notice>, news: Sender<CourierEvent>) {
+    pub async fn deliver(self, batch: Vec<Notice>, news: Sender<DispatcherEvent>) {
         if let Some(file) = &self.file {
             append(file, batch.iter().map(Notice::line).collect()).await;
         }
@@ -149,7 +149,7 @@
             Some(post) => post.all(batch, self.unread.as_ref()).await,
             None => batch.iter().map(|n| n.message).collect(),
         };
-        let _ = news.send(CourierEvent::NoticesAcknowledged(told)).await;
+        let _ = news.send(DispatcherEvent::NoticesAcknowledged(told)).await;
     }
 }
 
--- a/crates/courier/src/startup/platform.rs
+++ b/crates/courier/src/startup/platform.rs
@@ -4,7 +4,7 @@
 use super::settings::OperatorSettings;
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
 use crate::dispatcher::Dispatcher;
-use crate::events::CourierEvent;
+use crate::events::DispatcherEvent;
 use crate::ingress::http::{HttpServer, Routing, ServerState};
 use crate::ingress::listener::listen;
 use crate::memory_budget::MemoryBudget;
@@ -23,12 +23,12 @@
 use tokio::sync::mpsc;
 
 /// Reads the configuration again at each SIGHUP. A file that cannot be read changes nothing.
-async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<CourierEvent>) {
+async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<DispatcherEvent>) {
     while hangup.recv().await.is_some() {
         match platform_config::reread_discovery(&file) {
             Ok(Some(discovery)) => {
                 eprintln!("configuration read again: discovery at {discovery}");
-                let _ = news.send(CourierEvent::DiscoveryAddressChanged(discovery)).await;
+                let _ = news.send(DispatcherEvent::DiscoveryAddressChanged(discovery)).await;
             }
             Ok(None) => eprintln!("configuration read again: it names no discovery"),
             Err(fault) => eprintln!("configuration not read again, the old one stays: {fault}"),
@@ -82,7 +82,7 @@
     let (news, inbox) = mpsc::channel(INBOX);
     if pushed {
         // Nobody asks for lists that are pushed: the watch is open from the start.
-        let _ = news.send(CourierEvent::StartWatch).await;
+        let _ = news.send(DispatcherEvent::StartWatch).await;
     }
     let server_state = Rc::new(ServerState::default());
     let listener = listen(config.listen).map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
@@ -106,7 +106,7 @@
     tokio::task::spawn_local(async move {
         if terminate.recv().await.is_some() {
             eprintln!("stopping");
-            let _ = news.send(CourierEvent::Stop).await;
+            let _ = news.send(DispatcherEvent::Stop).await;
             tokio::time::sleep(Duration::from_millis(700)).await;
             accepting.abort();
         }
--- a/crates/courier/src/startup/serve.rs
+++ b/crates/courier/src/startup/serve.rs
@@ -7,7 +7,7 @@
 use crate::discovery::dns;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::setup::Setup;
-use crate::events::CourierEvent;
+use crate::events::DispatcherEvent;
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::admin::{self, AdminPages};
 use crate::ingress::http::{HttpServer, MAX_BODY_BYTES, Routing, ServerState};
@@ -52,7 +52,7 @@
     installation: &Installation,
     folder: &Path,
     active_config: &ActiveConfig,
-    news: &mpsc::Sender<CourierEvent>,
+    news: &mpsc::Sender<DispatcherEvent>,
     (courier, room, rejecter): (&Dispatcher, &MemoryBudget, &Rc<ConnectionRejecter>),
 ) -> Result<Rc<MqttServer>, StartupError> {
     let m = &installation.file.mqtt;
@@ -230,7 +230,7 @@
         None => None,
     };
     if let Some(mqtt_server) = &mqtt_server {
-        courier.set_frontend(mqtt_server.clone());
+        courier.set_ingress(mqtt_server.clone());
         tokio::task::spawn_local(mqtt_server.clone().run());
     }
     let running = tokio::task::spawn_local(courier.run(inbox));
@@ -270,7 +270,7 @@
         accepting = Some(tokio::task::spawn_local(mqtt_server.accept(listener)).abort_handle());
     }
     if discovery {
-        let _ = news.send(CourierEvent::StartWatch).await;
+        let _ = news.send(DispatcherEvent::StartWatch).await;
     }
     server_state.ready.set(true);
     let configuring = tokio::task::spawn_local(config_updater.run(hangup));
@@ -290,7 +290,7 @@
             // Wills are handed in before nothing more is taken.
             tokio::time::sleep(WILL_TIME).await;
         }
-        let _ = news.send(CourierEvent::Stop).await;
+        let _ = news.send(DispatcherEvent::Stop).await;
         tokio::time::sleep(Duration::from_millis(700)).await;
         stopper.close_listener();
     });
