--- a/crates/courier/src/message_trace.rs
+++ b/crates/courier/src/message_trace.rs
@@ -10,9 +10,9 @@
 use std::sync::OnceLock;
 
 /// Lines a second at most: a log must not fill a disk, nor its writing hold up the messages.
-const LINES_MOST: u32 = 2000;
+const MAX_LINES_PER_SECOND: u32 = 2000;
 /// Ids that can be named at once.
-const IDS_MOST: usize = 1024;
+const MAX_IDS: usize = 1024;
 
 /// Which messages are followed.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,11 +27,11 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum TraceFilterError {
     #[error("`1/{0}` names no share: give 1/1 for every message, 1/100 for one in a hundred")]
-    Share(String),
+    InvalidShare(String),
     #[error("no id is named: give ids with commas between them, or a share such as 1/100")]
-    Empty,
-    #[error("{0} ids are too many: {IDS_MOST} can be named, or a share such as 1/100")]
-    Many(usize),
+    NoIds,
+    #[error("{0} ids are too many: {MAX_IDS} can be named, or a share such as 1/100")]
+    TooManyIds(usize),
 }
 
 impl FromStr for TraceFilter {
@@ -40,20 +40,22 @@
     fn from_str(text: &str) -> Result<Self, TraceFilterError> {
         if let Some(share) = text.strip_prefix("1/") {
             let one_in = share.parse().ok().filter(|n| *n > 0);
-            return one_in.map(TraceFilter::OneIn).ok_or_else(|| TraceFilterError::Share(share.to_owned()));
+            return one_in
+                .map(TraceFilter::OneIn)
+                .ok_or_else(|| TraceFilterError::InvalidShare(share.to_owned()));
         }
         let ids: BTreeSet<_> =
             text.split(',').map(str::trim).filter(|id| !id.is_empty()).map(str::to_owned).collect();
         match ids.len() {
-            0 => Err(TraceFilterError::Empty),
-            n if n > IDS_MOST => Err(TraceFilterError::Many(n)),
+            0 => Err(TraceFilterError::NoIds),
+            n if n > MAX_IDS => Err(TraceFilterError::TooManyIds(n)),
             _ => Ok(TraceFilter::Ids(ids)),
         }
     }
 }
 
 impl TraceFilter {
-    fn has(&self, id: &str) -> bool {
+    fn matches(&self, id: &str) -> bool {
         match self {
             TraceFilter::Ids(ids) => ids.contains(id),
             TraceFilter::OneIn(1) => true,
@@ -66,33 +68,33 @@
     }
 }
 
-static FOLLOWED: OnceLock<TraceFilter> = OnceLock::new();
+static FILTER: OnceLock<TraceFilter> = OnceLock::new();
 
 thread_local! {
     /// The second, the lines in it, and those that were not written.
-    static WRITTEN: Cell<(u64, u32, u64)> = const { Cell::new((0, 0, 0)) };
+    static LINE_COUNT: Cell<(u64, u32, u64)> = const { Cell::new((0, 0, 0)) };
 }
 
 /// Follows these from now on, till the process ends. The first call counts.
-pub fn enable_tracing(followed: TraceFilter) {
-    let _ = FOLLOWED.set(followed);
+pub fn enable_tracing(filter: TraceFilter) {
+    let _ = FILTER.set(filter);
 }
 
 /// Whether one more line may be written in this second, and how many were not in the one before.
-fn allowed(second: u64, written: &Cell<(u64, u32, u64)>) -> Option<u64> {
-    let (before, lines, dropped) = written.get();
+fn admit_line(second: u64, line_count: &Cell<(u64, u32, u64)>) -> Option<u64> {
+    let (before, lines, dropped) = line_count.get();
     if before != second {
-        written.set((second, 1, 0));
+        line_count.set((second, 1, 0));
         return Some(dropped);
     }
-    let allowed = lines < LINES_MOST;
-    written.set((second, lines.saturating_add(1), dropped + u64::from(!allowed)));
-    allowed.then_some(0)
+    let admit_line = lines < MAX_LINES_PER_SECOND;
+    line_count.set((second, lines.saturating_add(1), dropped + u64::from(!admit_line)));
+    admit_line.then_some(0)
 }
 
 /// Writes a step of a message, if it is followed: `follow`, Unix time in s, its id, what happened.
 pub fn log_step(id: &str, what: Arguments) {
-    if FOLLOWED.get().is_some_and(|f| f.has(id)) {
+    if FILTER.get().is_some_and(|f| f.matches(id)) {
         write(id, what);
     }
 }
@@ -100,11 +102,11 @@
 #[cold]
 fn write(id: impl Display, what: Arguments) {
     let now = crate::clock::unix();
-    let Some(dropped) = WRITTEN.with(|w| allowed(now.as_secs(), w)) else { return };
+    let Some(dropped) = LINE_COUNT.with(|w| admit_line(now.as_secs(), w)) else { return };
     let mut out = std::io::stderr().lock();
     // A log that cannot be written to is no reason to stop.
     if dropped > 0 {
-        let _ = writeln!(out, "follow: {dropped} lines dropped, more than {LINES_MOST} a second");
+        let _ = writeln!(out, "follow: {dropped} lines dropped, more than {MAX_LINES_PER_SECOND} a second");
     }
     let _ = writeln!(out, "follow {:.3} {id} {what}", now.as_secs_f64());
 }
--- a/crates/courier/src/outbound/attempt_outcome.rs
+++ b/crates/courier/src/outbound/attempt_outcome.rs
@@ -12,9 +12,9 @@
 
 /// Forbids what the answer forbids, whether or not it is proof of anything: a message of which an endpoint has said that
 /// it is over is not sent again.
-pub fn restrained(end: CallEnd, heard: ResponseProgress) -> CallEnd {
+pub fn apply_gone(end: CallEnd, progress: ResponseProgress) -> CallEnd {
     match end.after {
-        AfterAttempt::Open if heard.is_over() => {
+        AfterAttempt::Open if progress.is_gone() => {
             let proof = "an answer of 410 that could not be read to its end";
             CallEnd { after: AfterAttempt::EndOwed, proof, ..end }
         }
@@ -23,19 +23,19 @@
 }
 
 /// The end of a call that has no answer to tell of.
-pub fn unanswered(outcome: Outcome, proof: &'static str) -> CallEnd {
+pub fn without_response(outcome: Outcome, proof: &'static str) -> CallEnd {
     CallEnd { outcome, after: AfterAttempt::Open, report: None, at: Instant::now(), proof, exchange: None }
 }
 
 /// What PROTOCOL says of an answer: what it proves, and what it forbids.
-pub fn ended(answer: Result<HttpResponse, RequestError>, heard: ResponseProgress) -> CallEnd {
-    restrained(proven(answer, heard.blocked_until), heard)
+pub fn classify(response: Result<HttpResponse, RequestError>, progress: ResponseProgress) -> CallEnd {
+    apply_gone(interpret(response, progress.blocked_until), progress)
 }
 
 /// What an answer proves. Only what PROTOCOL calls 'never' counts as not run.
-fn proven(answer: Result<HttpResponse, RequestError>, blocked_until: Option<Instant>) -> CallEnd {
-    let answer = match answer {
-        Ok(answer) => answer,
+fn interpret(response: Result<HttpResponse, RequestError>, blocked_until: Option<Instant>) -> CallEnd {
+    let response = match response {
+        Ok(response) => response,
         Err(lost) => {
             let (outcome, proof) = match lost {
                 RequestError::NotSent => (Outcome::ConnectFailed, "no connection, nothing written"),
@@ -44,22 +44,22 @@
                 RequestError::ConnectionBroken => (Outcome::Reset, "connection broke under it"),
                 RequestError::TimedOut => (Outcome::TimedOut, "no answer in time"),
             };
-            return unanswered(outcome, proof);
+            return without_response(outcome, proof);
         }
     };
     // A spoilt answer proves nothing but a first line with 200: the request has run, or may have.
-    if !answer.whole && answer.status != StatusCode::OK {
-        return CallEnd { at: answer.at, ..unanswered(Outcome::Reset, "spoilt answer") };
+    if !response.complete && response.status != StatusCode::OK {
+        return CallEnd { at: response.received_at, ..without_response(Outcome::Reset, "spoilt answer") };
     }
-    if answer.repeats() {
+    if response.is_repeat() {
         let proof = "the answer repeats an earlier one on its connection";
-        return CallEnd { at: answer.at, ..unanswered(Outcome::Reset, proof) };
+        return CallEnd { at: response.received_at, ..without_response(Outcome::Reset, proof) };
     }
-    let head = |name| answer.headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
-    let outcome = match answer.status {
+    let head = |name| response.headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
+    let outcome = match response.status {
         StatusCode::OK => Outcome::Delivered,
         StatusCode::TOO_MANY_REQUESTS => {
-            let wait = blocked_until.map(|until| until.saturating_duration_since(answer.at));
+            let wait = blocked_until.map(|until| until.saturating_duration_since(response.received_at));
             Outcome::Full { wait }
         }
         StatusCode::SERVICE_UNAVAILABLE if head("Slots-Taken") == Some("1") => Outcome::Moot,
@@ -67,31 +67,31 @@
         // those that are kept serve on. Taken for a limit of the destination it would stop these too. Covers
         // an endpoint that is shutting down as well. Hurts where a destination at its limit closes whatever
         // it turns away: then new connections alone are held back, and its limit is found on kept ones.
-        StatusCode::SERVICE_UNAVAILABLE if closes(&answer.headers) => Outcome::Crowded,
+        StatusCode::SERVICE_UNAVAILABLE if closes_connection(&response.headers) => Outcome::Crowded,
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full { wait: None },
         StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::Moot,
         _ => Outcome::Error,
     };
-    let after = match answer.status {
+    let after = match response.status {
         StatusCode::OK | StatusCode::GONE => AfterAttempt::Settled,
         _ => AfterAttempt::Open,
     };
     let proof = match outcome {
         Outcome::Crowded => "503 and close",
-        _ => answer.status.canonical_reason().unwrap_or("an answer"),
+        _ => response.status.canonical_reason().unwrap_or("an answer"),
     };
-    let report = report(&answer.headers);
-    CallEnd { outcome, after, report, at: answer.at, proof, exchange: None }
+    let report = load_report(&response.headers);
+    CallEnd { outcome, after, report, at: response.received_at, proof, exchange: None }
 }
 
 /// Whether the connection ends with this answer.
-fn closes(headers: &HeaderMap) -> bool {
+fn closes_connection(headers: &HeaderMap) -> bool {
     let all = headers.get_all(CONNECTION).into_iter().filter_map(|v| v.to_str().ok());
     all.flat_map(|v| v.split(',')).any(|v| v.trim().eq_ignore_ascii_case("close"))
 }
 
 /// Reads `X-Server-Load: TEXT x0=0.4, x1=25`.
-fn report(headers: &HeaderMap) -> Option<Report> {
+fn load_report(headers: &HeaderMap) -> Option<Report> {
     let text = headers.get("X-Server-Load")?.to_str().ok()?;
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
     let field = |name: &str| {
--- a/crates/courier/src/outbound/attempt_outcome_test.rs
+++ b/crates/courier/src/outbound/attempt_outcome_test.rs
@@ -3,7 +3,7 @@
 fn read(text: &str) -> Option<(f64, f64)> {
     let mut headers = HeaderMap::new();
     headers.insert("X-Server-Load", text.parse().expect("a header"));
-    report(&headers).map(|r| (r.left, r.limit))
+    load_report(&headers).map(|r| (r.left, r.limit))
 }
 
 #[test]
@@ -12,13 +12,13 @@
         let heads = heads
             .iter()
             .map(|(name, value)| (name.parse().expect("a name"), value.parse().expect("a value")));
-        let (status, at) = (StatusCode::SERVICE_UNAVAILABLE, Instant::now());
-        ended(
+        let (status, received_at) = (StatusCode::SERVICE_UNAVAILABLE, Instant::now());
+        classify(
             Ok(HttpResponse {
                 status,
                 headers: heads.collect(),
-                at,
-                whole: true,
+                received_at,
+                complete: true,
                 reusable: Ok(()),
                 identity: None,
             }),
@@ -30,7 +30,7 @@
     assert_eq!(of(&[]), Outcome::Full { wait: None });
     assert_eq!(of(&[("slots-taken", "1"), ("connection", "close")]), Outcome::Moot);
     assert_eq!(
-        ended(Err(RequestError::NotSent), ResponseProgress::default()).outcome,
+        classify(Err(RequestError::NotSent), ResponseProgress::default()).outcome,
         Outcome::ConnectFailed
     );
 }
@@ -49,15 +49,15 @@
 #[test]
 fn an_attempt_that_has_heard_410_is_the_last_one_however_it_ends() {
     let gone = ResponseProgress { status: Some(410), ..ResponseProgress::default() };
-    let called_off = unanswered(Outcome::Cancelled, "called off");
+    let called_off = without_response(Outcome::Cancelled, "called off");
     for end in [
-        proven(Err(RequestError::ConnectionBroken), None),
-        proven(Err(RequestError::TimedOut), None),
+        interpret(Err(RequestError::ConnectionBroken), None),
+        interpret(Err(RequestError::TimedOut), None),
         called_off,
     ] {
         assert_eq!(end.after, AfterAttempt::Open);
-        assert_eq!(restrained(end, gone).after, AfterAttempt::EndOwed);
+        assert_eq!(apply_gone(end, gone).after, AfterAttempt::EndOwed);
     }
     let other = ResponseProgress { status: Some(503), ..ResponseProgress::default() };
-    assert_eq!(ended(Err(RequestError::ConnectionBroken), other).after, AfterAttempt::Open);
+    assert_eq!(classify(Err(RequestError::ConnectionBroken), other).after, AfterAttempt::Open);
 }
--- a/crates/courier/src/outbound/broker_connection.rs
+++ b/crates/courier/src/outbound/broker_connection.rs
@@ -27,7 +27,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Bytes that are read at once.
-const READ: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// A time that never comes, as long as this program runs.
 const NEVER: Duration = Duration::from_secs(1 << 32);
 
@@ -37,7 +37,7 @@
     topic: String,
     settings: file::Broker,
     origin: Instant,
-    machine: RefCell<Client>,
+    mqtt_client: RefCell<Client>,
     /// Messages that are on their way, with the number of the attempt.
     attempts: RefCell<HashMap<u64, u32>>,
     wake: Notify,
@@ -89,7 +89,7 @@
             topic,
             settings,
             origin: Instant::now(),
-            machine: RefCell::new(Client::new(options)),
+            mqtt_client: RefCell::new(Client::new(options)),
             attempts: RefCell::default(),
             wake: Notify::new(),
             stopped: Cell::new(false),
@@ -114,18 +114,18 @@
     }
 
     /// Lets the machine have something, and its task see to what comes of it.
-    fn with(&self, act: impl FnOnce(&mut Client, Duration)) {
-        self.step(act);
+    fn with_client(&self, act: impl FnOnce(&mut Client, Duration)) {
+        self.update_client(act);
         self.wake.notify_one();
     }
 
     /// The same from its task itself, which would wake itself without an end.
-    fn step(&self, act: impl FnOnce(&mut Client, Duration)) {
-        act(&mut self.machine.borrow_mut(), self.origin.elapsed());
+    fn update_client(&self, act: impl FnOnce(&mut Client, Duration)) {
+        act(&mut self.mqtt_client.borrow_mut(), self.origin.elapsed());
     }
 
     pub fn reserve_packet_id(&self) -> Option<u16> {
-        self.machine.borrow_mut().reserve()
+        self.mqtt_client.borrow_mut().reserve()
     }
 
     /// Sends a message under a reserved id.
@@ -133,7 +133,7 @@
         self.attempts.borrow_mut().insert(call.message, call.attempt);
         let patience = call.deadline.saturating_duration_since(Instant::now());
         let message = self.message(call.message, &call.letter, patience, effect, None);
-        self.with(|machine, now| machine.publish(id, message, now));
+        self.with_client(|mqtt_client, now| mqtt_client.publish(id, message, now));
     }
 
     /// Takes in an attempt of an earlier life: `sent` by Unix time, and whether its PUBREC had come.
@@ -147,7 +147,7 @@
         self.attempts.borrow_mut().insert(number, attempt);
         let patience = letter.until.saturating_sub(unix());
         let message = self.message(number, &letter, patience, effect, Some(sent));
-        self.with(|machine, now| machine.resume(id, message, released, now));
+        self.with_client(|mqtt_client, now| mqtt_client.resume(id, message, released, now));
     }
 
     fn message(
@@ -183,34 +183,34 @@
     }
 
     pub fn block_packet_id(&self, id: u16) {
-        self.with(|machine, now| machine.block(id, now));
+        self.with_client(|mqtt_client, now| mqtt_client.block(id, now));
     }
 
     pub fn release_recorded(&self, id: u16) {
-        self.with(|machine, now| machine.recorded(id, now));
+        self.with_client(|mqtt_client, now| mqtt_client.recorded(id, now));
     }
 
     /// That its session is being resumed is on record.
     pub fn resume_recorded(&self) {
-        self.with(|machine, now| machine.resuming(now));
+        self.with_client(|mqtt_client, now| mqtt_client.resuming(now));
     }
 
     pub fn cancel(&self, message: u64) {
-        self.with(|machine, _| machine.cancel(message));
+        self.with_client(|mqtt_client, _| mqtt_client.cancel(message));
     }
 
     /// Nothing new goes there after `grace`.
     pub fn drain_after(&self, grace: Duration) {
-        self.with(|machine, now| machine.part(now + grace, now));
+        self.with_client(|mqtt_client, now| mqtt_client.part(now + grace, now));
     }
 
     pub fn cancel_drain(&self) {
-        self.with(|machine, _| machine.join());
+        self.with_client(|mqtt_client, _| mqtt_client.join());
     }
 
     /// Ends its connection if nothing is on its way.
     pub fn disconnect_if_idle(&self) {
-        self.with(|machine, _| machine.hang_up());
+        self.with_client(|mqtt_client, _| mqtt_client.hang_up());
     }
 
     /// Its endpoint is known no more.
@@ -221,37 +221,37 @@
 
     async fn run(self: Rc<Self>, news: Sender<News>) {
         let mut socket: Option<TcpStream> = None;
-        let mut opening: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
-        let mut bytes = vec![0; READ];
+        let mut connecting: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
+        let mut bytes = vec![0; READ_BUFFER_BYTES];
         loop {
             loop {
-                let Some(effect) = self.machine.borrow_mut().poll() else { break };
+                let Some(effect) = self.mqtt_client.borrow_mut().poll() else { break };
                 match effect {
                     client::Effect::Open => {
                         socket = None;
-                        opening = Some(Box::pin(TcpStream::connect(self.address)));
+                        connecting = Some(Box::pin(TcpStream::connect(self.address)));
                     }
                     client::Effect::Close { farewell } => {
                         if let Some(socket) = socket.take() {
                             // If it cannot be had at once the broker sees a connection that broke.
                             let _ = socket.try_write(&farewell);
                         }
-                        opening = None;
+                        connecting = None;
                     }
-                    other => self.tell(other, &news).await,
+                    other => self.report(other, &news).await,
                 }
             }
             if self.stopped.get() && !self.is_busy() {
                 return;
             }
-            let due = self.machine.borrow().timeout();
-            let nap = async {
+            let due = self.mqtt_client.borrow().timeout();
+            let timer = async {
                 match due {
                     Some(at) => sleep_until(self.origin + at).await,
                     None => std::future::pending().await,
                 }
             };
-            let wanted = match self.machine.borrow().has_output() {
+            let wanted = match self.mqtt_client.borrow().has_output() {
                 true => Interest::READABLE | Interest::WRITABLE,
                 false => Interest::READABLE,
             };
@@ -262,23 +262,23 @@
                 }
             };
             let opened = async {
-                match &mut opening {
-                    Some(opening) => opening.await,
+                match &mut connecting {
+                    Some(connecting) => connecting.await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                () = self.wake.notified() => self.step(|machine, now| machine.elapsed(now)),
-                () = nap => self.step(|machine, now| machine.elapsed(now)),
+                () = self.wake.notified() => self.update_client(|mqtt_client, now| mqtt_client.elapsed(now)),
+                () = timer => self.update_client(|mqtt_client, now| mqtt_client.elapsed(now)),
                 done = opened => {
-                    opening = None;
+                    connecting = None;
                     match done {
                         Ok(stream) => {
                             let _ = stream.set_nodelay(true);
                             socket = Some(stream);
-                            self.step(|machine, now| machine.opened(now));
+                            self.update_client(|mqtt_client, now| mqtt_client.opened(now));
                         }
-                        Err(_) => self.step(|machine, now| machine.lost(now)),
+                        Err(_) => self.update_client(|mqtt_client, now| mqtt_client.lost(now)),
                     }
                 }
                 ready = ready => {
@@ -292,16 +292,16 @@
                     };
                     if done.is_err() {
                         socket = None;
-                        self.step(|machine, now| machine.lost(now));
+                        self.update_client(|mqtt_client, now| mqtt_client.lost(now));
                     }
                 }
             }
         }
     }
 
-    async fn tell(&self, effect: client::Effect, news: &Sender<News>) {
+    async fn report(&self, effect: client::Effect, news: &Sender<News>) {
         let endpoint = self.endpoint;
-        let told = match effect {
+        let event = match effect {
             client::Effect::Record { id, message } => News::Released { endpoint, id, message },
             client::Effect::Resuming => News::Resuming { endpoint, begins: true },
             client::Effect::Resumed => News::Resuming { endpoint, begins: false },
@@ -317,14 +317,14 @@
             client::Effect::Open | client::Effect::Close { .. } => return,
         };
         // The courier outlives its brokers.
-        let _ = news.send(told).await;
+        let _ = news.send(event).await;
     }
 
     fn write(&self, socket: &TcpStream) -> io::Result<()> {
         let written = {
-            let machine = self.machine.borrow();
+            let mqtt_client = self.mqtt_client.borrow();
             let mut slices = Vec::new();
-            machine.output(&mut slices);
+            mqtt_client.output(&mut slices);
             if slices.is_empty() {
                 return Ok(());
             }
@@ -332,7 +332,7 @@
         };
         match written {
             Ok(n) => {
-                self.machine.borrow_mut().wrote(n, self.origin.elapsed());
+                self.mqtt_client.borrow_mut().wrote(n, self.origin.elapsed());
                 Ok(())
             }
             Err(e) if is_transient(&e) => Ok(()),
@@ -344,7 +344,7 @@
         match socket.try_read(bytes) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(n) => {
-                self.machine.borrow_mut().received(&bytes[..n], self.origin.elapsed());
+                self.mqtt_client.borrow_mut().received(&bytes[..n], self.origin.elapsed());
                 Ok(())
             }
             Err(e) if is_transient(&e) => Ok(()),
--- a/crates/courier/src/outbound/connection_pool.rs
+++ b/crates/courier/src/outbound/connection_pool.rs
@@ -1,7 +1,7 @@
 //! The connections to endpoints that stand idle between two exchanges, and the sockets and the memory for new ones.
 
-use crate::outbound::break_rate::BreakRates;
 use crate::outbound::connection_status::{CloseReason, ConnectionStatus};
+use crate::outbound::failure_rate::FailureRates;
 use crate::outbound::http_connection::{HttpConnection, HttpResponse};
 use crate::outbound::response_identity::{Expectation, ResponseHistories};
 use crate::room::Room;
@@ -21,20 +21,20 @@
 /// How often idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// Share of the endpoints' limit for which a connection may stand idle here.
-const KEEP_SHARE: f64 = 0.75;
+const MAX_IDLE_SHARE: f64 = 0.75;
 /// Largest rate of breaks, beyond that on new connections, at which a kept one is used: for a message that may be sent
 /// again, and for one that may not, since what breaks is lost then.
-const MAX_BREAK_RATE: f64 = 0.1;
-const MAX_BREAK_RATE_ONCE: f64 = 0.03;
+const MAX_FAILURE_RATE: f64 = 0.1;
+const MAX_FAILURE_RATE_ONCE: f64 = 0.03;
 
 /// Exchanges that one connection carries: it remembers each answer.
 const MAX_EXCHANGES: usize = 256;
 
-struct Idle {
-    link: HttpConnection,
+struct IdleConnection {
+    connection: HttpConnection,
     since: Instant,
     /// Whether the next answer on it will differ is not known of this endpoint.
-    presumed: bool,
+    presumed_distinct: bool,
 }
 
 /// Kept connections are held by endpoint, not by address: a new endpoint at the address of one that is gone must not
@@ -43,8 +43,8 @@
     connect_timeout: Cell<Duration>,
     idle_timeout: Cell<Duration>,
     sockets: Arc<Semaphore>,
-    idle: RefCell<HashMap<EndpointId, Vec<Idle>>>,
-    break_rates: RefCell<BreakRates>,
+    idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
+    failure_rates: RefCell<FailureRates>,
     histories: RefCell<ResponseHistories>,
     status: Rc<ConnectionStatus>,
     room: Room,
@@ -52,7 +52,7 @@
 
 /// A connection for one exchange.
 pub struct PooledConnection {
-    pub link: HttpConnection,
+    pub connection: HttpConnection,
     /// How long it stood idle; None for a new one.
     pub idle: Option<Duration>,
 }
@@ -63,10 +63,10 @@
     pub fn start(connect_timeout: Duration, keepalive: Duration, sockets: usize, room: Room) -> Rc<Self> {
         let pool = Rc::new(ConnectionPool {
             connect_timeout: Cell::new(connect_timeout),
-            idle_timeout: Cell::new(keepalive.mul_f64(KEEP_SHARE)),
+            idle_timeout: Cell::new(keepalive.mul_f64(MAX_IDLE_SHARE)),
             sockets: Arc::new(Semaphore::new(sockets)),
             idle: RefCell::default(),
-            break_rates: RefCell::default(),
+            failure_rates: RefCell::default(),
             histories: RefCell::default(),
             status: Rc::default(),
             room,
@@ -90,7 +90,7 @@
     /// Other times from now on; how long connections are kept.
     pub fn set_timeouts(&self, connect_timeout: Duration, keepalive: Duration) -> Duration {
         self.connect_timeout.set(connect_timeout);
-        self.idle_timeout.set(keepalive.mul_f64(KEEP_SHARE));
+        self.idle_timeout.set(keepalive.mul_f64(MAX_IDLE_SHARE));
         self.idle_timeout.get()
     }
 
@@ -108,25 +108,31 @@
     /// Closes what can be used no more.
     fn sweep(&self) {
         self.idle.borrow_mut().retain(|endpoint, idle| {
-            idle.retain_mut(|connection| self.is_usable(*endpoint, connection));
+            idle.retain_mut(|entry| self.is_usable(*endpoint, entry));
             !idle.is_empty()
         });
     }
 
     /// Whether a kept connection can carry another exchange; if not, the reason is counted.
-    fn is_usable(&self, endpoint: EndpointId, connection: &mut Idle) -> bool {
-        let age = connection.since.elapsed();
-        let usable = connection.link.check().and_then(|()| match age < self.idle_timeout.get() {
+    fn is_usable(&self, endpoint: EndpointId, entry: &mut IdleConnection) -> bool {
+        let age = entry.since.elapsed();
+        let usable = entry.connection.check().and_then(|()| match age < self.idle_timeout.get() {
             true => Ok(()),
             false => Err(CloseReason::IdleLimit),
         });
-        usable.inspect_err(|reason| self.note_close(endpoint, &connection.link, age, *reason)).is_ok()
+        usable.inspect_err(|reason| self.record_close(endpoint, &entry.connection, age, *reason)).is_ok()
     }
 
     /// Counts a connection that is closed `idle` after its last answer.
-    fn note_close(&self, endpoint: EndpointId, link: &HttpConnection, idle: Duration, reason: CloseReason) {
+    fn record_close(
+        &self,
+        endpoint: EndpointId,
+        connection: &HttpConnection,
+        idle: Duration,
+        reason: CloseReason,
+    ) {
         match reason {
-            CloseReason::UnsolicitedBytes => self.status.unsolicited(endpoint, link.number(), idle),
+            CloseReason::UnsolicitedBytes => self.status.unsolicited(endpoint, connection.number(), idle),
             reason => self.status.closed(reason, 1),
         }
     }
@@ -134,14 +140,14 @@
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
         let closed = self.idle.borrow_mut().remove(&endpoint);
-        self.status.closed(CloseReason::EndpointLeft, closed.map_or(0, |idle| idle.len()));
+        self.status.closed(CloseReason::EndpointRemoved, closed.map_or(0, |idle| idle.len()));
     }
 
     /// Closes every second idle connection, the older ones of each endpoint: memory is tight.
     pub fn close_half_of_idle(&self) {
         self.idle.borrow_mut().retain(|_, idle| {
             let closed = idle.drain(..idle.len().div_ceil(2)).count();
-            self.status.closed(CloseReason::Pressure, closed);
+            self.status.closed(CloseReason::ResourcePressure, closed);
             !idle.is_empty()
         });
     }
@@ -156,37 +162,37 @@
         if idle.is_empty() {
             all.remove(&endpoint);
         }
-        self.status.closed(CloseReason::Pressure, 1);
+        self.status.closed(CloseReason::ResourcePressure, 1);
         true
     }
 
     /// A kept connection and how long it stood idle. `once`: what it is for must not be sent again if it may have run.
-    fn take(&self, endpoint: EndpointId, once: bool) -> Option<(HttpConnection, Duration)> {
+    fn take_idle(&self, endpoint: EndpointId, once: bool) -> Option<(HttpConnection, Duration)> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&endpoint)?;
-        while let Some(mut connection) = idle.pop() {
+        while let Some(mut entry) = idle.pop() {
             // A request on a connection that the peer has closed, or is about to, would end as a reset and count as one
             // that may have run.
-            if !self.is_usable(endpoint, &mut connection) {
+            if !self.is_usable(endpoint, &mut entry) {
                 continue;
             }
             // An answer like the one before would leave it open whether the message has run.
             // Closed, not left: the endpoint may hold no other beside it.
-            if once && connection.presumed {
-                self.status.closed(CloseReason::AnswersAlike, 1);
+            if once && entry.presumed_distinct {
+                self.status.closed(CloseReason::IdenticalResponses, 1);
                 continue;
             }
             // A request on a connection that has stood for as long as those that broke of late would end as a reset, too.
-            let age = connection.since.elapsed();
-            let excess = self.break_rates.borrow().excess(age);
-            if excess <= if once { MAX_BREAK_RATE_ONCE } else { MAX_BREAK_RATE } {
-                return Some((connection.link, age));
+            let age = entry.since.elapsed();
+            let excess = self.failure_rates.borrow().excess(age);
+            if excess <= if once { MAX_FAILURE_RATE_ONCE } else { MAX_FAILURE_RATE } {
+                return Some((entry.connection, age));
             }
-            if excess <= MAX_BREAK_RATE {
-                idle.push(connection);
+            if excess <= MAX_FAILURE_RATE {
+                idle.push(entry);
                 return None;
             }
-            self.status.closed(CloseReason::BreakRisk, 1);
+            self.status.closed(CloseReason::FailureRisk, 1);
         }
         None
     }
@@ -200,7 +206,7 @@
     }
 
     /// Room for one more socket; an idle connection elsewhere gives way to it.
-    pub async fn permit(&self) -> Option<OwnedSemaphorePermit> {
+    pub async fn acquire_socket(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = self.sockets.clone().try_acquire_owned() {
             return Some(permit);
         }
@@ -216,22 +222,22 @@
         address: SocketAddr,
         once: bool,
     ) -> Option<PooledConnection> {
-        if let Some((link, idle)) = self.take(endpoint, once) {
+        if let Some((connection, idle)) = self.take_idle(endpoint, once) {
             self.status.reused();
-            return Some(PooledConnection { link, idle: Some(idle) });
+            return Some(PooledConnection { connection, idle: Some(idle) });
         }
-        let permit = self.permit().await?;
+        let permit = self.acquire_socket().await?;
         let memory = self.reserve_memory();
-        let link = HttpConnection::connect(address, self.connect_timeout.get(), Some((permit, memory)))
+        let connection = HttpConnection::connect(address, self.connect_timeout.get(), Some((permit, memory)))
             .await
             .ok()?;
         self.status.opened();
-        Some(PooledConnection { link, idle: None })
+        Some(PooledConnection { connection, idle: None })
     }
 
     /// Notes how the exchange on a connection went that had stood idle for so long.
-    pub fn note_exchange(&self, idle: Option<Duration>, broke: bool) {
-        self.break_rates.borrow_mut().note(idle, broke);
+    pub fn record_exchange(&self, idle: Option<Duration>, failed: bool) {
+        self.failure_rates.borrow_mut().record(idle, failed);
     }
 
     /// Counts a connection whose exchange did not end with an answer, or had no time left; dropping it closes it.
@@ -244,36 +250,36 @@
     pub fn release(
         &self,
         endpoint: EndpointId,
-        link: HttpConnection,
-        answer: &HttpResponse,
+        connection: HttpConnection,
+        response: &HttpResponse,
     ) -> Result<(), CloseReason> {
-        let presumed = self
-            .expect_other_answer(endpoint, &link, answer)
-            .inspect_err(|reason| self.note_close(endpoint, &link, Duration::ZERO, *reason))?;
-        let connection = Idle { link, since: Instant::now(), presumed };
-        self.idle.borrow_mut().entry(endpoint).or_default().push(connection);
+        let presumed_distinct = self
+            .expect_distinct_response(endpoint, &connection, response)
+            .inspect_err(|reason| self.record_close(endpoint, &connection, Duration::ZERO, *reason))?;
+        let entry = IdleConnection { connection, since: Instant::now(), presumed_distinct };
+        self.idle.borrow_mut().entry(endpoint).or_default().push(entry);
         Ok(())
     }
 
     /// Whether a connection can carry another exchange after this answer, and if that is only presumed.
-    fn expect_other_answer(
+    fn expect_distinct_response(
         &self,
         endpoint: EndpointId,
-        link: &HttpConnection,
-        answer: &HttpResponse,
+        connection: &HttpConnection,
+        response: &HttpResponse,
     ) -> Result<bool, CloseReason> {
-        let expectation = match answer.identity {
+        let expectation = match response.identity {
             Some(identity) => self.histories.borrow_mut().add(endpoint, identity),
-            None => Expectation::Alike,
+            None => Expectation::Identical,
         };
-        answer.reusable?;
-        if link.answered() >= MAX_EXCHANGES {
+        response.reusable?;
+        if connection.response_count() >= MAX_EXCHANGES {
             return Err(CloseReason::ExchangeLimit);
         }
         match expectation {
-            Expectation::Differs => Ok(false),
-            Expectation::Presumed => Ok(true),
-            Expectation::Alike => Err(CloseReason::AnswersAlike),
+            Expectation::Distinct => Ok(false),
+            Expectation::PresumedDistinct => Ok(true),
+            Expectation::Identical => Err(CloseReason::IdenticalResponses),
         }
     }
 
--- a/crates/courier/src/outbound/connection_status.rs
+++ b/crates/courier/src/outbound/connection_status.rs
@@ -21,19 +21,19 @@
     /// It stood idle for as long as connections are kept.
     IdleLimit,
     /// Connections that stood idle for as long broke of late when they were used.
-    BreakRisk,
+    FailureRisk,
     /// The endpoint drains, is gone or has another address.
-    EndpointLeft,
+    EndpointRemoved,
     /// Its memory or its socket was needed.
-    Pressure,
+    ResourcePressure,
     /// The exchange on it did not end with a whole answer.
     AttemptFailed,
     /// A second copy of its last answer could not be told from the next one.
-    AnswersAlike,
+    IdenticalResponses,
     /// Its last answer may be a second copy of an earlier one.
-    AnswerRepeated,
+    RepeatedResponse,
     /// Its last answer said that a message is over: a second copy of it must not end another one.
-    MessageOver,
+    MessageGone,
     /// It carried as many exchanges as a connection may.
     ExchangeLimit,
 }
@@ -45,13 +45,13 @@
             CloseReason::ClosedByPeer => "closed by the endpoint",
             CloseReason::UnsolicitedBytes => "unsolicited bytes",
             CloseReason::IdleLimit => "idle limit",
-            CloseReason::BreakRisk => "risk of a break",
-            CloseReason::EndpointLeft => "endpoint left",
-            CloseReason::Pressure => "memory or sockets needed",
+            CloseReason::FailureRisk => "risk of a break",
+            CloseReason::EndpointRemoved => "endpoint left",
+            CloseReason::ResourcePressure => "memory or sockets needed",
             CloseReason::AttemptFailed => "attempt failed",
-            CloseReason::AnswersAlike => "answers alike",
-            CloseReason::AnswerRepeated => "answer repeated",
-            CloseReason::MessageOver => "message over",
+            CloseReason::IdenticalResponses => "answers alike",
+            CloseReason::RepeatedResponse => "answer repeated",
+            CloseReason::MessageGone => "message over",
             CloseReason::ExchangeLimit => "exchange limit",
         }
     }
@@ -64,7 +64,7 @@
     reused: Cell<u64>,
     closed: RefCell<BTreeMap<CloseReason, u64>>,
     /// Answers that were not believed, by the status of their first line; None where there was none.
-    disbelieved: RefCell<BTreeMap<Option<u16>, u64>>,
+    rejected_response: RefCell<BTreeMap<Option<u16>, u64>>,
     /// Exchanges that ended with an error of the system.
     failures: RefCell<BTreeMap<SocketFailure, u64>>,
     last_report: Cell<Option<Instant>>,
@@ -89,16 +89,16 @@
     }
 
     /// An exchange ended with an answer that was not believed, or with none though its connection broke.
-    pub fn disbelieved(&self, heard: ResponseProgress) {
-        *self.disbelieved.borrow_mut().entry(heard.status).or_default() += 1;
-        if let Some(failure) = heard.failure {
+    pub fn rejected_response(&self, progress: ResponseProgress) {
+        *self.rejected_response.borrow_mut().entry(progress.status).or_default() += 1;
+        if let Some(failure) = progress.failure {
             *self.failures.borrow_mut().entry(failure).or_default() += 1;
         }
     }
 
     /// An endpoint sent bytes that no request asked for, found `idle` after its last answer. Written to the log, but not
     /// more often than once in 10 s.
-    pub fn unsolicited(&self, endpoint: EndpointId, connection: u64, idle: Duration) {
+    pub fn unsolicited(&self, endpoint: EndpointId, connection_number: u64, idle: Duration) {
         self.closed(CloseReason::UnsolicitedBytes, 1);
         let now = Instant::now();
         if self.last_report.get().is_some_and(|at| now - at < REPORT_INTERVAL) {
@@ -108,7 +108,7 @@
         let number = self.count(CloseReason::UnsolicitedBytes);
         eprintln!(
             "connections: endpoint {} sent bytes that no request asked for, found {:.3} s after its last answer; \
-             connection {connection} is closed ({number} so far)",
+             connection {connection_number} is closed ({number} so far)",
             endpoint.0,
             idle.as_secs_f64()
         );
@@ -123,15 +123,15 @@
         let closed: BTreeMap<_, _> =
             self.closed.borrow().iter().map(|(reason, number)| (reason.name(), *number)).collect();
         let name = |status: &Option<u16>| status.map_or("none".to_owned(), |status| status.to_string());
-        let disbelieved: BTreeMap<_, _> =
-            self.disbelieved.borrow().iter().map(|(status, number)| (name(status), *number)).collect();
+        let rejected_response: BTreeMap<_, _> =
+            self.rejected_response.borrow().iter().map(|(status, number)| (name(status), *number)).collect();
         let failures: BTreeMap<_, _> =
             self.failures.borrow().iter().map(|(failure, number)| (failure.to_string(), *number)).collect();
         json!({
             "opened": self.opened.get(),
             "reused": self.reused.get(),
             "closed": closed,
-            "not_believed": disbelieved,
+            "not_believed": rejected_response,
             "errors": failures,
         })
     }
--- a/crates/courier/src/outbound/endpoint_client.rs
+++ b/crates/courier/src/outbound/endpoint_client.rs
@@ -2,11 +2,11 @@
 //! may have run is told apart from what never did.
 
 use crate::news::{CallEnd, News};
-use crate::outbound::attempt_outcome::{ended, restrained, unanswered};
+use crate::outbound::attempt_outcome::{apply_gone, classify, without_response};
 use crate::outbound::connection_pool::{ConnectionPool, PooledConnection};
 use crate::outbound::connection_status::ConnectionStatus;
 use crate::outbound::exchange::Exchange;
-use crate::outbound::exchange_monitor::{ExchangeMonitor, watched};
+use crate::outbound::exchange_monitor::{ExchangeMonitor, run_monitored};
 use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
 use crate::outbound::response_identity::ResponseIdentity;
 use crate::room::Room;
@@ -27,14 +27,14 @@
 use tokio::time::Instant;
 
 /// Share of a call's time that must be left for its answer when it is written.
-const ANSWER_SHARE: f64 = 0.25;
+const MIN_RESPONSE_TIME_SHARE: f64 = 0.25;
 /// Nothing new goes to an endpoint this long after news that it drains or is gone; a rule says 1 s. The news may be read,
 /// and the request written, up to 0.15 s late each.
 pub const MAX_WRITE_AFTER_DRAIN: Duration = Duration::from_millis(700);
 
 /// An attempt that was decided on a valid list may be written so much later; with the list's term it stays within the
 /// grace that the rule on drains gives.
-const LATE_WRITE: Duration = Duration::from_millis(400);
+const MAX_WRITE_AFTER_LIST_EXPIRY: Duration = Duration::from_millis(400);
 
 /// What an attempt needs to know.
 pub struct Call {
@@ -64,9 +64,9 @@
 pub struct EndpointClient {
     pool: Rc<ConnectionPool>,
     /// Endpoints to which nothing new goes, since when.
-    parted: Rc<RefCell<HashMap<EndpointId, Instant>>>,
+    draining: Rc<RefCell<HashMap<EndpointId, Instant>>>,
     /// Until when nothing may be written to a pool, as it has told.
-    waits: Rc<RefCell<HashMap<PoolId, Instant>>>,
+    blocked_pools: Rc<RefCell<HashMap<PoolId, Instant>>>,
     /// Until when the list of endpoints may be acted on; None for good. Endpoints that it does not bind.
     list_valid_until: Rc<Cell<Option<Instant>>>,
     unleased: Rc<RefCell<HashSet<EndpointId>>>,
@@ -76,9 +76,9 @@
     /// `keepalive` is when endpoints close an idle connection; none is kept for as long here.
     pub fn new(connect: Duration, keepalive: Duration, sockets: usize, room: Room) -> Self {
         let pool = ConnectionPool::start(connect, keepalive, sockets, room);
-        let (parted, waits) = (Rc::default(), Rc::default());
+        let (draining, blocked_pools) = (Rc::default(), Rc::default());
         let (list_valid_until, unleased) = (Rc::default(), Rc::default());
-        EndpointClient { pool, parted, waits, list_valid_until, unleased }
+        EndpointClient { pool, draining, blocked_pools, list_valid_until, unleased }
     }
 
     /// How long connections are kept here: the module reckons with that.
@@ -98,10 +98,10 @@
 
     /// Whether anything new may go to an endpoint.
     pub fn set_available(&self, endpoint: EndpointId, ready: bool) {
-        let mut parted = self.parted.borrow_mut();
+        let mut draining = self.draining.borrow_mut();
         match ready {
-            true => drop(parted.remove(&endpoint)),
-            false => drop(parted.entry(endpoint).or_insert_with(Instant::now)),
+            true => drop(draining.remove(&endpoint)),
+            false => drop(draining.entry(endpoint).or_insert_with(Instant::now)),
         }
     }
 
@@ -121,7 +121,10 @@
 
     /// Whether the list that an endpoint is known by is out of date, later than a call may be written on it.
     fn is_out_of_date(&self, endpoint: EndpointId) -> bool {
-        let expired = self.list_valid_until.get().is_some_and(|until| Instant::now() > until + LATE_WRITE);
+        let expired = self
+            .list_valid_until
+            .get()
+            .is_some_and(|until| Instant::now() > until + MAX_WRITE_AFTER_LIST_EXPIRY);
         expired && !self.unleased.borrow().contains(&endpoint)
     }
 
@@ -129,7 +132,7 @@
     pub fn remove_endpoint(&self, endpoint: EndpointId) {
         self.unleased.borrow_mut().remove(&endpoint);
         self.pool.remove_endpoint(endpoint);
-        self.parted.borrow_mut().remove(&endpoint);
+        self.draining.borrow_mut().remove(&endpoint);
     }
 
     /// Closes the idle connections to an endpoint.
@@ -144,68 +147,79 @@
 
     /// One exchange on a connection to an endpoint, and what the log says of it. `listening` tells of the answer before
     /// this ends.
-    async fn ask(
+    async fn run_exchange(
         &self,
         (endpoint, pool): (EndpointId, Option<PoolId>),
         (to, once): (SocketAddr, bool),
         request: Request<Full<Bytes>>,
         until: Instant,
-        listening: &ExchangeMonitor,
+        monitor: &ExchangeMonitor,
     ) -> (Result<HttpResponse, RequestError>, Option<Exchange>) {
-        let latest = until - until.saturating_duration_since(Instant::now()).mul_f64(ANSWER_SHARE);
+        let write_deadline =
+            until - until.saturating_duration_since(Instant::now()).mul_f64(MIN_RESPONSE_TIME_SHARE);
         // A call whose time is up while it still has no connection was never sent.
         let acquired = tokio::time::timeout_at(until, self.pool.acquire(endpoint, to, once)).await;
-        let Some(PooledConnection { mut link, idle }) = acquired.ok().flatten() else {
+        let Some(PooledConnection { mut connection, idle }) = acquired.ok().flatten() else {
             return (Err(RequestError::NotSent), None);
         };
-        if let Err(lost) = self.may_be_written(endpoint, pool, latest) {
+        if let Err(lost) = self.check_writable(endpoint, pool, write_deadline) {
             self.pool.discard();
             return (Err(lost), None);
         }
-        let (connection, sequence, started) = (link.number(), link.answered() + 1, Instant::now());
-        listening.to(link.listener());
-        let answer = watched(link.send_request(request, until), || {
-            let heard = listening.heard();
-            self.note_wait(pool, heard);
-            listening.try_tell_wait();
+        let (connection_number, sequence, started) =
+            (connection.number(), connection.response_count() + 1, Instant::now());
+        monitor.attach(connection.progress_handle());
+        let response = run_monitored(connection.send_request(request, until), || {
+            let progress = monitor.progress();
+            self.record_wait(pool, progress);
+            monitor.try_report_wait();
             // Put on record at once: the process may be killed while the rest comes.
-            if heard.is_over() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+            if progress.is_gone() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
         })
         .await
         .unwrap_or(Err(RequestError::ConnectionBroken));
-        let (took, heard) = (started.elapsed(), listening.heard());
-        self.note_wait(pool, heard);
-        let digest = answer.as_ref().ok().and_then(|a| a.identity).map(ResponseIdentity::hash);
-        let broke = answer
+        let (duration, progress) = (started.elapsed(), monitor.progress());
+        self.record_wait(pool, progress);
+        let digest = response.as_ref().ok().and_then(|a| a.identity).map(ResponseIdentity::hash);
+        let failed = response
             .as_ref()
-            .map_or_else(|lost| *lost == RequestError::ConnectionBroken, HttpResponse::repeats);
-        self.pool.note_exchange(idle, broke);
-        if broke || answer.as_ref().is_ok_and(|a| !a.whole) {
-            self.pool.status().disbelieved(heard);
+            .map_or_else(|lost| *lost == RequestError::ConnectionBroken, HttpResponse::is_repeat);
+        self.pool.record_exchange(idle, failed);
+        if failed || response.as_ref().is_ok_and(|a| !a.complete) {
+            self.pool.status().rejected_response(progress);
         }
-        let kept = match &answer {
-            Ok(answer) => self.pool.release(endpoint, link, answer),
+        let released = match &response {
+            Ok(response) => self.pool.release(endpoint, connection, response),
             Err(_) => Err(self.pool.discard()),
         };
         let idle = idle.unwrap_or_default();
-        let exchange = Exchange { connection, sequence, idle, took, heard, digest, closed: kept.err() };
-        (answer, Some(exchange))
+        let exchange = Exchange {
+            connection_number,
+            sequence,
+            idle,
+            duration,
+            progress,
+            digest,
+            close_reason: released.err(),
+        };
+        (response, Some(exchange))
     }
 
     /// Whether a request may still be written, now that its connection is there.
-    fn may_be_written(
+    fn check_writable(
         &self,
         endpoint: EndpointId,
         pool: Option<PoolId>,
-        latest: Instant,
+        write_deadline: Instant,
     ) -> Result<(), RequestError> {
         // One that came only now leaves no time for an answer: written all the same, the call would have run, or
         // may have, for nothing. Unwritten it never ran.
-        if Instant::now() >= latest {
+        if Instant::now() >= write_deadline {
             return Err(RequestError::NotSent);
         }
         // Whoever waited long for a connection must not come in after a drain's grace.
-        if self.parted.borrow().get(&endpoint).is_some_and(|since| since.elapsed() > MAX_WRITE_AFTER_DRAIN) {
+        if self.draining.borrow().get(&endpoint).is_some_and(|since| since.elapsed() > MAX_WRITE_AFTER_DRAIN)
+        {
             return Err(RequestError::Withheld("the endpoint drains or is gone"));
         }
         // Nor on a list that ran out of date while it waited.
@@ -214,19 +228,21 @@
         }
         // Nor may it break a wait that was told to another call meanwhile: the module knew of none when it let this
         // one go, and a connection may be a second in coming.
-        if pool.is_some_and(|p| self.waits.borrow().get(&p).is_some_and(|until| Instant::now() < *until)) {
+        if pool
+            .is_some_and(|p| self.blocked_pools.borrow().get(&p).is_some_and(|until| Instant::now() < *until))
+        {
             return Err(RequestError::Withheld("another call was told to wait"));
         }
         Ok(())
     }
 
     /// Keeps the wait that an answer tells, for calls that still have no connection.
-    fn note_wait(&self, pool: Option<PoolId>, heard: ResponseProgress) {
-        if let Some((pool, until)) = pool.zip(heard.blocked_until) {
-            let mut waits = self.waits.borrow_mut();
+    fn record_wait(&self, pool: Option<PoolId>, progress: ResponseProgress) {
+        if let Some((pool, until)) = pool.zip(progress.blocked_until) {
+            let mut blocked_pools = self.blocked_pools.borrow_mut();
             let now = Instant::now();
-            waits.retain(|_, until| *until > now);
-            let kept = waits.entry(pool).or_insert(until);
+            blocked_pools.retain(|_, until| *until > now);
+            let kept = blocked_pools.entry(pool).or_insert(until);
             *kept = (*kept).max(until);
         }
     }
@@ -256,23 +272,23 @@
                 request = request.header(name, value);
             }
         }
-        let listening = ExchangeMonitor::new(endpoint, news);
+        let monitor = ExchangeMonitor::new(endpoint, news);
         let end = match request.body(Full::new(letter.body.clone())) {
             Ok(request) => tokio::select! {
                 biased;
-                (answer, exchange) =
-                    self.ask((endpoint, Some(pool)), (address, once), request, deadline, &listening) =>
+                (response, exchange) =
+                    self.run_exchange((endpoint, Some(pool)), (address, once), request, deadline, &monitor) =>
                 {
-                    CallEnd { exchange, ..ended(answer, listening.heard()) }
+                    CallEnd { exchange, ..classify(response, monitor.progress()) }
                 }
                 _ = cancel => {
-                    restrained(unanswered(Outcome::Cancelled, "called off"), listening.heard())
+                    apply_gone(without_response(Outcome::Cancelled, "called off"), monitor.progress())
                 }
             },
-            Err(_) => unanswered(Outcome::Moot, "no request can be made of it"),
+            Err(_) => without_response(Outcome::Moot, "no request can be made of it"),
         };
         let outcome = end.outcome;
-        listening.end(News::Called { message, attempt, endpoint, end }, outcome).await;
+        monitor.finish(News::Called { message, attempt, endpoint, end }, outcome).await;
     }
 
     /// Sends a check and reports its end.
@@ -285,16 +301,16 @@
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
-        let listening = ExchangeMonitor::new(endpoint, news);
-        let (answer, exchange) = match request {
+        let monitor = ExchangeMonitor::new(endpoint, news);
+        let (response, exchange) = match request {
             Ok(request) => {
-                self.ask((endpoint, None), (address, false), request, sent + timeout, &listening).await
+                self.run_exchange((endpoint, None), (address, false), request, sent + timeout, &monitor).await
             }
             Err(_) => (Err(RequestError::NotSent), None),
         };
-        let end = CallEnd { exchange, ..ended(answer, listening.heard()) };
+        let end = CallEnd { exchange, ..classify(response, monitor.progress()) };
         let outcome = end.outcome;
-        listening.end(News::Probed { endpoint, sent, end }, outcome).await;
+        monitor.finish(News::Probed { endpoint, sent, end }, outcome).await;
     }
 }
 
--- a/crates/courier/src/outbound/endpoint_client_test.rs
+++ b/crates/courier/src/outbound/endpoint_client_test.rs
@@ -11,7 +11,7 @@
 }
 
 /// To whose news nobody listens.
-fn listening() -> ExchangeMonitor {
+fn monitor() -> ExchangeMonitor {
     ExchangeMonitor::new(EndpointId(1), tokio::sync::mpsc::channel(1).0)
 }
 
@@ -21,17 +21,17 @@
         .run_until(async {
             let (_listener, to, calls) = one_socket().await;
             // The only socket is free again when the call has an eighth of its time left.
-            let socket = calls.pool.permit().await.expect("the only one");
+            let socket = calls.pool.acquire_socket().await.expect("the only one");
             let time = Duration::from_millis(800);
             let until = Instant::now() + time;
             let request = Request::get("/").header(HOST, "h").body(Full::default()).expect("a request");
-            let (endpoint, listening) = (EndpointId(1), listening());
-            let ask = calls.ask((endpoint, None), (to, true), request, until, &listening);
+            let (endpoint, monitor) = (EndpointId(1), monitor());
+            let run_exchange = calls.run_exchange((endpoint, None), (to, true), request, until, &monitor);
             let free = async {
                 tokio::time::sleep_until(until - time / 8).await;
                 drop(socket);
             };
-            let ((answer, _), ()) = tokio::join!(ask, free);
+            let ((answer, _), ()) = tokio::join!(run_exchange, free);
             assert_eq!(
                 answer.err(),
                 Some(RequestError::NotSent),
@@ -47,17 +47,18 @@
     tokio::task::LocalSet::new()
         .run_until(async {
             let (_listener, to, calls) = one_socket().await;
-            let socket = calls.pool.permit().await.expect("the only one");
+            let socket = calls.pool.acquire_socket().await.expect("the only one");
             let request = Request::get("/").header(HOST, "h").body(Full::default()).expect("a request");
             calls.set_available(EndpointId(1), false);
             let until = Instant::now() + after + Duration::from_millis(400);
-            let listening = listening();
-            let ask = calls.ask((EndpointId(1), None), (to, true), request, until, &listening);
+            let monitor = monitor();
+            let run_exchange =
+                calls.run_exchange((EndpointId(1), None), (to, true), request, until, &monitor);
             let free = async {
                 tokio::time::sleep(after).await;
                 drop(socket);
             };
-            let ((answer, _), ()) = tokio::join!(ask, free);
+            let ((answer, _), ()) = tokio::join!(run_exchange, free);
             answer.err()
         })
         .await
@@ -84,12 +85,12 @@
             // One socket: the second call has its connection only when the first has its answer.
             let (listener, to, calls) = one_socket().await;
             let until = Instant::now() + Duration::from_secs(20);
-            let listening = listening();
-            let ask = |route: u32| {
+            let monitor = monitor();
+            let run_exchange = |route: u32| {
                 let request = Request::get("/").header(HOST, "h").body(Full::default());
                 let pool = (DestinationId(7), Some(EndpointId(route)));
                 let at = (EndpointId(route), Some(pool));
-                calls.ask(at, (to, true), request.expect("a request"), until, &listening)
+                calls.run_exchange(at, (to, true), request.expect("a request"), until, &monitor)
             };
             let server = tokio::task::spawn_local(async move {
                 let full =
@@ -105,14 +106,14 @@
                     }
                 }
             });
-            let ((first, _), (second, _)) = tokio::join!(ask(1), ask(1));
+            let ((first, _), (second, _)) = tokio::join!(run_exchange(1), run_exchange(1));
             assert_eq!(first.map(|a| a.status).ok(), Some(StatusCode::TOO_MANY_REQUESTS));
             assert_eq!(
                 second.err(),
                 Some(RequestError::Withheld("another call was told to wait")),
                 "the pool has told to wait"
             );
-            let (other, _) = ask(2).await;
+            let (other, _) = run_exchange(2).await;
             assert_eq!(other.map(|a| a.status).ok(), Some(StatusCode::OK), "a route apart is not bound");
             server.await.expect("served");
         })
--- a/crates/courier/src/outbound/exchange.rs
+++ b/crates/courier/src/outbound/exchange.rs
@@ -9,36 +9,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exchange {
     /// The connection's number in this process, from 1.
-    pub connection: u64,
+    pub connection_number: u64,
     /// Which exchange of its connection it is, from 1.
     pub sequence: usize,
     /// How long the connection had stood idle; zero for a new one.
     pub idle: Duration,
     /// From the begin of the request to the end of the answer or of the attempt.
-    pub took: Duration,
+    pub duration: Duration,
     /// The first line of the answer and the system's error, also where the answer was not believed.
-    pub heard: ResponseProgress,
+    pub progress: ResponseProgress,
     /// A hash of status, header fields and body of the answer: equal answers have equal ones.
     pub digest: Option<u64>,
     /// Why the connection was closed after it; None if it is kept.
-    pub closed: Option<CloseReason>,
+    pub close_reason: Option<CloseReason>,
 }
 
 impl fmt::Display for Exchange {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Exchange { connection, sequence, idle, took, heard, digest, closed } = self;
-        write!(f, "connection={connection} exchange={sequence} idle={idle:?} took={took:?}")?;
-        if let Some(status) = heard.status {
+        let Exchange { connection_number, sequence, idle, duration, progress, digest, close_reason } = self;
+        write!(f, "connection={connection_number} exchange={sequence} idle={idle:?} took={duration:?}")?;
+        if let Some(status) = progress.status {
             write!(f, " status={status}")?;
         }
-        if let Some(failure) = heard.failure {
+        if let Some(failure) = progress.failure {
             write!(f, " error={:?}", failure.to_string())?;
         }
         match digest {
             Some(digest) => write!(f, " answer={digest:016x}")?,
             None => write!(f, " answer=none")?,
         }
-        match closed {
+        match close_reason {
             Some(reason) => write!(f, " closed={:?}", reason.name()),
             None => write!(f, " kept"),
         }
--- a/crates/courier/src/outbound/exchange_monitor.rs
+++ b/crates/courier/src/outbound/exchange_monitor.rs
@@ -15,44 +15,44 @@
 pub struct ExchangeMonitor {
     endpoint: EndpointId,
     news: Sender<News>,
-    listener: RefCell<Option<ProgressHandle>>,
+    handle: RefCell<Option<ProgressHandle>>,
     /// The dispatcher has been told of the wait.
-    wait_told: Cell<bool>,
+    wait_reported: Cell<bool>,
 }
 
 impl ExchangeMonitor {
     /// For an exchange with this endpoint; `news` reaches the dispatcher.
     pub fn new(endpoint: EndpointId, news: Sender<News>) -> Self {
-        ExchangeMonitor { endpoint, news, listener: RefCell::default(), wait_told: Cell::default() }
+        ExchangeMonitor { endpoint, news, handle: RefCell::default(), wait_reported: Cell::default() }
     }
 
     /// The exchange has its connection.
-    pub fn to(&self, listener: ProgressHandle) {
-        self.listener.replace(Some(listener));
+    pub fn attach(&self, handle: ProgressHandle) {
+        self.handle.replace(Some(handle));
     }
 
     /// What it has shown so far.
-    pub fn heard(&self) -> ResponseProgress {
-        self.listener.borrow().as_ref().map(ProgressHandle::heard).unwrap_or_default()
+    pub fn progress(&self) -> ResponseProgress {
+        self.handle.borrow().as_ref().map(ProgressHandle::progress).unwrap_or_default()
     }
 
     /// The wait that nobody has been told of yet.
-    fn untold_wait(&self) -> Option<News> {
-        let until = self.heard().blocked_until.filter(|_| !self.wait_told.get())?;
+    fn unreported_wait(&self) -> Option<News> {
+        let until = self.progress().blocked_until.filter(|_| !self.wait_reported.get())?;
         Some(News::ToldToWait { endpoint: self.endpoint, until })
     }
 
     /// Passes a wait on if that can be done at once.
-    pub fn try_tell_wait(&self) {
-        if let Some(wait) = self.untold_wait() {
-            self.wait_told.set(self.news.try_send(wait).is_ok());
+    pub fn try_report_wait(&self) {
+        if let Some(wait) = self.unreported_wait() {
+            self.wait_reported.set(self.news.try_send(wait).is_ok());
         }
     }
 
     /// Tells how the exchange has ended, and a wait before it that this does not tell.
-    pub async fn end(self, news: News, outcome: Outcome) {
-        let tells = matches!(outcome, Outcome::Full { wait: Some(_) });
-        if let Some(wait) = self.untold_wait().filter(|_| !tells) {
+    pub async fn finish(self, news: News, outcome: Outcome) {
+        let reports_wait = matches!(outcome, Outcome::Full { wait: Some(_) });
+        if let Some(wait) = self.unreported_wait().filter(|_| !reports_wait) {
             // Nobody is left to hear it once the courier has stopped.
             let _ = self.news.send(wait).await;
         }
@@ -61,11 +61,11 @@
 }
 
 /// Polls after which nothing of what has been read is left to be passed on: a few pieces of a body.
-const MAX_LAST_POLLS: usize = 16;
+const MAX_FINAL_POLLS: usize = 16;
 
 /// Runs `work` to its end, and `watch` each time that it has gone on but not ended. None once `watch` says that the end
 /// need not be awaited.
-pub async fn watched<F: Future>(work: F, watch: impl Fn() -> ControlFlow<()>) -> Option<F::Output> {
+pub async fn run_monitored<F: Future>(work: F, watch: impl Fn() -> ControlFlow<()>) -> Option<F::Output> {
     let mut work = pin!(work);
     poll_fn(|cx| {
         let mut poll = work.as_mut().poll(cx);
@@ -73,7 +73,7 @@
             return poll.map(Some);
         }
         // All of it may be here: the library passes on a piece of a body with each poll.
-        for _ in 0..MAX_LAST_POLLS {
+        for _ in 0..MAX_FINAL_POLLS {
             if poll.is_ready() {
                 break;
             }
--- a/crates/courier/src/outbound/http_connection.rs
+++ b/crates/courier/src/outbound/http_connection.rs
@@ -31,25 +31,25 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// How long a head may take from its first byte: one without an end must not hold a slot till the time-out.
-const HEAD_TIME: Duration = Duration::from_millis(400);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long the rest of an answer may take once its head is here.
-const BODY_TIME: Duration = Duration::from_millis(200);
-const BODY_MOST: usize = 64 * 1024;
+const BODY_TIMEOUT: Duration = Duration::from_millis(200);
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Bytes that are read of an answer once its connection has failed.
-const MAX_LATE_HEAD: usize = 4096;
+const MAX_LATE_HEAD_BYTES: usize = 4096;
 
 impl ResponseProgress {
     /// The answer says that its message is over.
-    pub fn is_over(self) -> bool {
+    pub fn is_gone(self) -> bool {
         self.status == Some(StatusCode::GONE.as_u16())
     }
 }
 
 /// The socket, how much has been written to it, and what has come.
-struct Wire {
+struct Transport {
     stream: TcpStream,
     written: Cell<u64>,
-    progress: Rc<ReceiveState>,
+    received: Rc<ReceiveState>,
 }
 
 /// What the answer of the latest exchange began with, and the last error.
@@ -80,10 +80,10 @@
 
 impl ProgressHandle {
     /// So far.
-    pub fn heard(&self) -> ResponseProgress {
+    pub fn progress(&self) -> ResponseProgress {
         let head = self.0.head.borrow();
         ResponseProgress {
-            status: head.status().or_else(|| head.unended_status()),
+            status: head.status().or_else(|| head.provisional_status()),
             blocked_until: head.blocked_until(),
             failure: self.0.failure.get(),
         }
@@ -101,35 +101,35 @@
 }
 
 #[derive(Clone)]
-struct Tap(Rc<Wire>);
+struct TransportIo(Rc<Transport>);
 
-impl AsyncRead for Tap {
+impl AsyncRead for TransportIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         match ready!(socket::poll_read(&self.0.stream, cx, buf)) {
-            Ok(()) => self.0.progress.head.borrow_mut().hear(&buf.filled()[before..]),
+            Ok(()) => self.0.received.head.borrow_mut().feed(&buf.filled()[before..]),
             Err(e) => return self.0.failed(SocketFailure::Read(e.kind()), e),
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl Wire {
+impl Transport {
     fn failed<T>(&self, failure: SocketFailure, error: io::Error) -> Poll<io::Result<T>> {
-        self.progress.failure.set(Some(failure));
-        self.hear_rest();
+        self.received.failure.set(Some(failure));
+        self.read_remaining_head();
         Poll::Ready(Err(error))
     }
 
     /// Reads the head of an answer that came before the connection failed. Its exchange stays a failed one, but what it
     /// forbids counts.
-    fn hear_rest(&self) {
-        let mut bytes = [0; MAX_LATE_HEAD];
-        let mut left = MAX_LATE_HEAD;
+    fn read_remaining_head(&self) {
+        let mut bytes = [0; MAX_LATE_HEAD_BYTES];
+        let mut left = MAX_LATE_HEAD_BYTES;
         while left > 0 {
             match (&*SockRef::from(&self.stream)).read(&mut bytes[..left]) {
                 Ok(number @ 1..) => {
-                    self.progress.head.borrow_mut().hear(&bytes[..number]);
+                    self.received.head.borrow_mut().feed(&bytes[..number]);
                     left -= number;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -150,7 +150,7 @@
     }
 }
 
-impl Tap {
+impl TransportIo {
     fn write(
         &self,
         cx: &mut Context,
@@ -166,7 +166,7 @@
     }
 }
 
-impl AsyncWrite for Tap {
+impl AsyncWrite for TransportIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.write(cx, |s| s.try_write(buf))
     }
@@ -192,26 +192,26 @@
     }
 }
 
-type Connection = Pin<Box<http1::Connection<TokioIo<Tap>, Full<Bytes>>>>;
+type Connection = Pin<Box<http1::Connection<TokioIo<TransportIo>, Full<Bytes>>>>;
 
 /// What reads and writes the connection while its holder waits for something on it.
-enum Driver {
+enum ConnectionDriver {
     Running(Connection),
     Ended(CloseReason),
 }
 
-impl Driver {
+impl ConnectionDriver {
     fn poll(&mut self, cx: &mut Context) {
-        if let Driver::Running(connection) = self
-            && let Poll::Ready(end) = connection.as_mut().poll(cx)
+        if let ConnectionDriver::Running(io) = self
+            && let Poll::Ready(end) = io.as_mut().poll(cx)
         {
-            *self = Driver::Ended(end_of(&end));
+            *self = ConnectionDriver::Ended(close_reason_of(&end));
         }
     }
 }
 
 /// Why a connection ended: hyper names no source for bytes that come out of turn.
-fn end_of(end: &Result<(), hyper::Error>) -> CloseReason {
+fn close_reason_of(end: &Result<(), hyper::Error>) -> CloseReason {
     match end {
         Err(e) if e.source().is_none() && !e.is_closed() && !e.is_incomplete_message() => {
             CloseReason::UnsolicitedBytes
@@ -224,13 +224,13 @@
 static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
 pub struct HttpConnection {
-    wire: Rc<Wire>,
+    transport: Rc<Transport>,
     sender: SendRequest<Full<Bytes>>,
-    driver: Driver,
+    driver: ConnectionDriver,
     number: u64,
     /// The answers that were read on it.
-    answers: Vec<ResponseIdentity>,
-    _room: Option<(OwnedSemaphorePermit, Charge)>,
+    responses: Vec<ResponseIdentity>,
+    _reservation: Option<(OwnedSemaphorePermit, Charge)>,
 }
 
 /// Why there is no connection.
@@ -276,9 +276,9 @@
     pub status: StatusCode,
     pub headers: HeaderMap,
     /// When its head arrived.
-    pub at: Instant,
+    pub received_at: Instant,
     /// All of it came as its head says. One that did not is spoilt, whatever its status.
-    pub whole: bool,
+    pub complete: bool,
     /// Whether the link can carry another request, or why not.
     pub reusable: Result<(), CloseReason>,
     /// What tells it from other answers; None where not all of it came.
@@ -287,28 +287,29 @@
 
 impl HttpResponse {
     /// It equals an earlier one on its connection, and may be a second copy of that: it proves nothing of its request.
-    pub fn repeats(&self) -> bool {
-        self.reusable == Err(CloseReason::AnswerRepeated)
+    pub fn is_repeat(&self) -> bool {
+        self.reusable == Err(CloseReason::RepeatedResponse)
     }
 
     /// Its first line says 200, and the rest cannot be read.
-    fn spoilt(at: Instant) -> Self {
+    fn unreadable_ok(received_at: Instant) -> Self {
         let (status, headers) = (StatusCode::OK, HeaderMap::new());
         let reusable = Err(CloseReason::AttemptFailed);
-        HttpResponse { status, headers, at, whole: false, reusable, identity: None }
+        HttpResponse { status, headers, received_at, complete: false, reusable, identity: None }
     }
 }
 
 /// Waits for the head of an answer: till `until`, or a short while from its first byte.
-async fn in_time<F: Future>(wire: &Wire, until: Instant, work: F) -> Option<F::Output> {
+async fn head_within<F: Future>(transport: &Transport, until: Instant, work: F) -> Option<F::Output> {
     let (mut work, mut end) = (pin!(work), pin!(sleep_until(until)));
     poll_fn(|cx| {
         if let Poll::Ready(out) = work.as_mut().poll(cx) {
             return Poll::Ready(Some(out));
         }
-        let at = wire.progress.head.borrow().begun().map_or(until, |at| until.min(at + HEAD_TIME));
-        if end.deadline() != at {
-            end.as_mut().reset(at);
+        let end_at =
+            transport.received.head.borrow().started_at().map_or(until, |at| until.min(at + HEAD_TIMEOUT));
+        if end.deadline() != end_at {
+            end.as_mut().reset(end_at);
         }
         end.as_mut().poll(cx).map(|()| None)
     })
@@ -316,7 +317,7 @@
 }
 
 /// Polls a future together with the connection it needs.
-async fn drive<F: Future>(driver: &mut Driver, work: F) -> F::Output {
+async fn drive_connection<F: Future>(driver: &mut ConnectionDriver, work: F) -> F::Output {
     let mut work = pin!(work);
     poll_fn(|cx| {
         driver.poll(cx);
@@ -330,22 +331,22 @@
     pub async fn connect(
         to: SocketAddr,
         within: Duration,
-        room: Option<(OwnedSemaphorePermit, Charge)>,
+        reservation: Option<(OwnedSemaphorePermit, Charge)>,
     ) -> Result<Self, ConnectError> {
         let connected = timeout(within, TcpStream::connect(to)).await;
         let stream = connected.map_err(|_| ConnectError::TimedOut(within))??;
         stream.set_nodelay(true)?;
-        let wire = Rc::new(Wire { stream, written: Cell::new(0), progress: Rc::default() });
-        let io = TokioIo::new(Tap(wire.clone()));
-        let (sender, driver) = http1::Builder::new().max_buf_size(BODY_MOST).handshake(io).await?;
+        let transport = Rc::new(Transport { stream, written: Cell::new(0), received: Rc::default() });
+        let io = TokioIo::new(TransportIo(transport.clone()));
+        let (sender, driver) = http1::Builder::new().max_buf_size(MAX_BODY_BYTES).handshake(io).await?;
         let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         Ok(HttpConnection {
-            wire,
+            transport,
             sender,
-            driver: Driver::Running(Box::pin(driver)),
+            driver: ConnectionDriver::Running(Box::pin(driver)),
             number,
-            answers: Vec::new(),
-            _room: room,
+            responses: Vec::new(),
+            _reservation: reservation,
         })
     }
 
@@ -355,13 +356,13 @@
     }
 
     /// Answers that were read whole on it.
-    pub fn answered(&self) -> usize {
-        self.answers.len()
+    pub fn response_count(&self) -> usize {
+        self.responses.len()
     }
 
     /// What the latest exchange has shown; it can be asked while that goes on.
-    pub fn listener(&self) -> ProgressHandle {
-        ProgressHandle(self.wire.progress.clone())
+    pub fn progress_handle(&self) -> ProgressHandle {
+        ProgressHandle(self.transport.received.clone())
     }
 
     /// Whether the peer has left it open and said nothing out of turn. Asks the kernel: the runtime may not
@@ -373,24 +374,27 @@
     /// Why it cannot be used.
     pub fn check(&mut self) -> Result<(), CloseReason> {
         self.driver.poll(&mut Context::from_waker(Waker::noop()));
-        if let Driver::Ended(reason) = self.driver {
+        if let ConnectionDriver::Ended(reason) = self.driver {
             return Err(reason);
         }
-        match self.wire.peek() {
+        match self.transport.peek() {
             Ok(1..) => Err(CloseReason::UnsolicitedBytes),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock && !self.sender.is_closed() => Ok(()),
             _ => Err(CloseReason::ClosedByPeer),
         }
     }
 
-    async fn start(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, RequestError> {
-        let before = self.wire.written.get();
-        if drive(&mut self.driver, self.sender.ready()).await.is_err() {
+    async fn send_and_await_head(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, RequestError> {
+        let before = self.transport.written.get();
+        if drive_connection(&mut self.driver, self.sender.ready()).await.is_err() {
             return Err(RequestError::NotSent);
         }
-        let answer = self.sender.try_send_request(request);
-        drive(&mut self.driver, answer).await.map_err(|e| {
-            let unsent = e.message().is_some() || self.wire.written.get() == before;
+        let response = self.sender.try_send_request(request);
+        drive_connection(&mut self.driver, response).await.map_err(|e| {
+            let unsent = e.message().is_some() || self.transport.written.get() == before;
             if unsent { RequestError::NotSent } else { RequestError::ConnectionBroken }
         })
     }
@@ -401,58 +405,65 @@
         request: Request<Full<Bytes>>,
         until: Instant,
     ) -> Result<HttpResponse, RequestError> {
-        let (before, wire) = (self.wire.written.get(), self.wire.clone());
-        *wire.progress.head.borrow_mut() = ResponseHead::default();
-        let started = in_time(&wire, until, self.start(request)).await;
-        let at = Instant::now();
+        let (before, transport) = (self.transport.written.get(), self.transport.clone());
+        *transport.received.head.borrow_mut() = ResponseHead::default();
+        let started = head_within(&transport, until, self.send_and_await_head(request)).await;
+        let received_at = Instant::now();
         let (parts, body) = match started {
             // Another protocol: nobody asked for it, and nothing more is read as an answer.
-            Some(Ok(answer)) if !answer.status().is_informational() => answer.into_parts(),
+            Some(Ok(response)) if !response.status().is_informational() => response.into_parts(),
             lost => {
-                let head = wire.progress.head.borrow();
+                let head = transport.received.head.borrow();
                 // What cannot be read further has still delivered if it began so: taken for a reset, a
                 // message that must not run twice would be reported dead.
                 return match lost {
                     Some(Err(RequestError::NotSent)) => Err(RequestError::NotSent),
                     // On a used connection it may be what is left of a second copy of an earlier answer.
-                    _ if head.status() == Some(200) && self.answers.is_empty() => {
-                        Ok(HttpResponse::spoilt(at))
+                    _ if head.status() == Some(200) && self.responses.is_empty() => {
+                        Ok(HttpResponse::unreadable_ok(received_at))
                     }
                     Some(Err(lost)) => Err(lost),
-                    None if wire.written.get() == before => Err(RequestError::NotSent),
-                    None if head.begun().is_none() => Err(RequestError::TimedOut),
+                    None if transport.written.get() == before => Err(RequestError::NotSent),
+                    None if head.started_at().is_none() => Err(RequestError::TimedOut),
                     _ => Err(RequestError::ConnectionBroken),
                 };
             }
         };
         // Of a body that does not end, or not as its head says, no more than this is read.
-        let body = http_body_util::Limited::new(body, BODY_MOST).collect();
-        let body = timeout(BODY_TIME, drive(&mut self.driver, body)).await;
+        let body = http_body_util::Limited::new(body, MAX_BODY_BYTES).collect();
+        let body = timeout(BODY_TIMEOUT, drive_connection(&mut self.driver, body)).await;
         let body = body.ok().and_then(Result::ok).map(|b| b.to_bytes());
         let (status, headers) = (parts.status, parts.headers);
         let Some(body) = body else {
             let reusable = Err(CloseReason::AttemptFailed);
             // On a used connection it may be what is left of a second copy, too.
-            if !self.answers.is_empty() {
+            if !self.responses.is_empty() {
                 return Err(RequestError::ConnectionBroken);
             }
-            return Ok(HttpResponse { status, headers, at, whole: false, reusable, identity: None });
+            return Ok(HttpResponse {
+                status,
+                headers,
+                received_at,
+                complete: false,
+                reusable,
+                identity: None,
+            });
         };
         let identity = ResponseIdentity::of(status, &headers, &body);
-        let reusable = match self.answers.contains(&identity) {
-            true => Err(CloseReason::AnswerRepeated),
-            false if status == StatusCode::GONE => Err(CloseReason::MessageOver),
-            false => self.settle().await,
+        let reusable = match self.responses.contains(&identity) {
+            true => Err(CloseReason::RepeatedResponse),
+            false if status == StatusCode::GONE => Err(CloseReason::MessageGone),
+            false => self.await_reusable().await,
         };
-        self.answers.push(identity);
-        Ok(HttpResponse { status, headers, at, whole: true, reusable, identity: Some(identity) })
+        self.responses.push(identity);
+        Ok(HttpResponse { status, headers, received_at, complete: true, reusable, identity: Some(identity) })
     }
 
     /// Whether the link can carry another request, once an answer has been read whole.
-    async fn settle(&mut self) -> Result<(), CloseReason> {
-        let ready = drive(&mut self.driver, self.sender.ready());
+    async fn await_reusable(&mut self) -> Result<(), CloseReason> {
+        let ready = drive_connection(&mut self.driver, self.sender.ready());
         // The check names the reason where the wait ended with an error.
-        timeout(BODY_TIME, ready).await.map_err(|_| CloseReason::AttemptFailed)?.ok();
+        timeout(BODY_TIMEOUT, ready).await.map_err(|_| CloseReason::AttemptFailed)?.ok();
         self.check()
     }
 
@@ -462,7 +473,7 @@
         request: Request<Full<Bytes>>,
         within: Duration,
     ) -> Result<Response<Incoming>, RequestError> {
-        timeout(within, self.start(request)).await.unwrap_or(Err(RequestError::TimedOut))
+        timeout(within, self.send_and_await_head(request)).await.unwrap_or(Err(RequestError::TimedOut))
     }
 
     /// The next piece of a body.
@@ -471,7 +482,7 @@
     /// It ended, broke, or nothing came `within` this time.
     pub async fn next_chunk(&mut self, body: &mut Incoming, within: Duration) -> Result<Bytes, StreamEnd> {
         loop {
-            let frame = timeout(within, drive(&mut self.driver, body.frame())).await;
+            let frame = timeout(within, drive_connection(&mut self.driver, body.frame())).await;
             let frame = frame.map_err(|_| StreamEnd::IdleTimeout(within))?.ok_or(StreamEnd::Ended)?;
             if let Ok(data) = frame.map_err(StreamEnd::Broken)?.into_data() {
                 return Ok(data);
--- a/crates/courier/src/outbound/outcomes.rs
+++ b/crates/courier/src/outbound/outcomes.rs
@@ -20,10 +20,10 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{Instant, sleep};
 
-const CONNECT: Duration = Duration::from_millis(500);
-const ANSWER: Duration = Duration::from_millis(1000);
-const BACKOFF_FIRST: Duration = Duration::from_millis(20);
-const BACKOFF_MOST: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// One message that has ended undelivered.
 #[derive(Clone, Debug)]
@@ -61,76 +61,77 @@
 
 #[derive(Clone)]
 pub struct OutcomeNotifier {
-    post: Option<Post>,
-    file: Option<Arc<Mutex<Sink>>>,
+    post: Option<HttpTarget>,
+    file: Option<Arc<Mutex<NoticeFile>>>,
     /// Where notices go that the other side cannot read.
-    unread: Option<Arc<Mutex<Sink>>>,
+    rejected: Option<Arc<Mutex<NoticeFile>>>,
 }
 
 /// Where notices are posted.
 #[derive(Clone)]
-struct Post {
+struct HttpTarget {
     /// Shared by all batches on their way: it moves at a reload.
     address: Rc<Cell<SocketAddr>>,
     path: Rc<str>,
 }
 
 /// A file that lines are appended to.
-struct Sink {
+struct NoticeFile {
     path: PathBuf,
     /// Kept on the device before the message counts as ended.
     sync: bool,
 }
 
-impl Sink {
+impl NoticeFile {
     /// All or nothing, as far as it can be told: a line that was cut short is ended by the next try.
     fn append(&self, text: &str) -> std::io::Result<()> {
         let mut file = OpenOptions::new().create(true).append(true).open(&self.path)?;
         let before = file.metadata()?.len();
-        let done =
+        let result =
             file.write_all(text.as_bytes()).and_then(|()| if self.sync { file.sync_data() } else { Ok(()) });
-        if done.is_err() {
+        if result.is_err() {
             // What is half there would be a line that nobody can read. If this fails, too, it stays.
             let _ = file.set_len(before);
         }
-        done
+        result
     }
 }
 
 /// Appends off the serving thread, again and again until it works.
-async fn append(sink: &Arc<Mutex<Sink>>, text: String) {
-    let mut told = false;
+async fn append(notice_file: &Arc<Mutex<NoticeFile>>, text: String) {
+    let mut delivered = false;
     loop {
-        let (sink, text) = (sink.clone(), text.clone());
-        let done = tokio::task::spawn_blocking(move || {
-            let sink = sink.lock().unwrap_or_else(PoisonError::into_inner);
-            sink.append(&text).map_err(|e| format!("{}: {e}", sink.path.display()))
+        let (notice_file, text) = (notice_file.clone(), text.clone());
+        let result = tokio::task::spawn_blocking(move || {
+            let notice_file = notice_file.lock().unwrap_or_else(PoisonError::into_inner);
+            notice_file.append(&text).map_err(|e| format!("{}: {e}", notice_file.path.display()))
         });
-        match done.await {
+        match result.await {
             Ok(Ok(())) => return,
-            Ok(Err(why)) if !told => {
+            Ok(Err(why)) if !delivered => {
                 eprintln!("outcomes: cannot append, trying on: {why}");
-                told = true;
+                delivered = true;
             }
             _ => {}
         }
-        sleep(BACKOFF_MOST).await;
+        sleep(MAX_BACKOFF).await;
     }
 }
 
 impl OutcomeNotifier {
     /// The platform's.
     pub fn platform(address: SocketAddr) -> Self {
-        let post = Post { address: Rc::new(Cell::new(address)), path: "/v1/outcomes".into() };
-        OutcomeNotifier { post: Some(post), file: None, unread: None }
+        let post = HttpTarget { address: Rc::new(Cell::new(address)), path: "/v1/outcomes".into() };
+        OutcomeNotifier { post: Some(post), file: None, rejected: None }
     }
 
     /// An operator's: posted to `url`, appended to `file`, or both. What the other side cannot read is appended
     /// to `unread`. With `sync` lines are on the device before their messages count as ended.
-    pub fn operator(url: Option<&Url>, file: Option<PathBuf>, unread: PathBuf, sync: bool) -> Self {
-        let post = url.map(|u| Post { address: Rc::new(Cell::new(u.address)), path: u.path.as_str().into() });
-        let sink = |path| Arc::new(Mutex::new(Sink { path, sync }));
-        OutcomeNotifier { post, file: file.map(sink), unread: Some(sink(unread)) }
+    pub fn operator(url: Option<&Url>, file: Option<PathBuf>, rejected: PathBuf, sync: bool) -> Self {
+        let post =
+            url.map(|u| HttpTarget { address: Rc::new(Cell::new(u.address)), path: u.path.as_str().into() });
+        let notice_file = |path| Arc::new(Mutex::new(NoticeFile { path, sync }));
+        OutcomeNotifier { post, file: file.map(notice_file), rejected: Some(notice_file(rejected)) }
     }
 
     /// From now on notices go to another address, those that are tried again among them.
@@ -145,55 +146,59 @@
         if let Some(file) = &self.file {
             append(file, batch.iter().map(Notice::line).collect()).await;
         }
-        let told = match &self.post {
-            Some(post) => post.all(batch, self.unread.as_ref()).await,
+        let delivered = match &self.post {
+            Some(post) => post.deliver_all(batch, self.rejected.as_ref()).await,
             None => batch.iter().map(|n| n.message).collect(),
         };
-        let _ = news.send(News::Told(told)).await;
+        let _ = news.send(News::Told(delivered)).await;
     }
 }
 
-impl Post {
+impl HttpTarget {
     /// Posts all; their messages' numbers.
-    async fn all(&self, mut batch: Vec<Notice>, unread: Option<&Arc<Mutex<Sink>>>) -> Vec<u64> {
-        let mut backoff = BACKOFF_FIRST;
-        let (mut told, mut most) = (Vec::new(), batch.len());
+    async fn deliver_all(
+        &self,
+        mut batch: Vec<Notice>,
+        rejected: Option<&Arc<Mutex<NoticeFile>>>,
+    ) -> Vec<u64> {
+        let mut backoff = INITIAL_BACKOFF;
+        let (mut delivered, mut batch_limit) = (Vec::new(), batch.len());
         while !batch.is_empty() {
-            let part = most.min(batch.len());
-            match self.once(&batch[..part]).await {
+            let count = batch_limit.min(batch.len());
+            match self.post_once(&batch[..count]).await {
                 Some(status) if status.is_success() => {
-                    told.extend(batch.drain(..part).map(|n| n.message));
+                    delivered.extend(batch.drain(..count).map(|n| n.message));
                 }
                 // One line that cannot be read must not hold back the others: each by itself.
-                Some(StatusCode::BAD_REQUEST) if part > 1 => most = 1,
+                Some(StatusCode::BAD_REQUEST) if count > 1 => batch_limit = 1,
                 Some(StatusCode::BAD_REQUEST) => {
                     eprintln!("outcomes: the other side cannot read the notice for {:?}", batch[0].id);
-                    if let Some(unread) = unread {
-                        append(unread, batch[0].line()).await;
+                    if let Some(rejected) = rejected {
+                        append(rejected, batch[0].line()).await;
                     }
-                    told.extend(batch.drain(..part).map(|n| n.message));
+                    delivered.extend(batch.drain(..count).map(|n| n.message));
                 }
                 _ => {
                     sleep(backoff).await;
-                    backoff = (backoff * 2).min(BACKOFF_MOST);
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
-        told
+        delivered
     }
 
     /// Posts once, on a connection of its own: an answer names no request, and on a used connection it could be a second
     /// copy of the one before.
-    async fn once(&self, batch: &[Notice]) -> Option<StatusCode> {
+    async fn post_once(&self, batch: &[Notice]) -> Option<StatusCode> {
         let to = self.address.get();
-        let mut link = HttpConnection::connect(to, CONNECT, None).await.ok()?;
+        let mut connection = HttpConnection::connect(to, CONNECT_TIMEOUT, None).await.ok()?;
         let text: String = batch.iter().map(Notice::line).collect();
         let request = Request::post(&*self.path)
             .header(header::HOST, to.to_string())
             .header(header::CONTENT_TYPE, "application/x-ndjson")
             .body(Full::new(Bytes::from(text)))
             .ok()?;
-        let answer = link.send_request(request, Instant::now() + ANSWER).await.ok()?;
-        Some(answer.status)
+        let response = connection.send_request(request, Instant::now() + RESPONSE_TIMEOUT).await.ok()?;
+        Some(response.status)
     }
 }
--- a/crates/courier/src/outbound/response_head.rs
+++ b/crates/courier/src/outbound/response_head.rs
@@ -7,7 +7,7 @@
 /// `HTTP/1.1 200` and what ends the number.
 const STATUS_END: usize = 13;
 /// Longest header field that is looked at; the one that is looked for is shorter.
-const MAX_FIELD: usize = 64;
+const MAX_FIELD_BYTES: usize = 64;
 /// The field that tells for how many milliseconds nothing more may be sent.
 const WAIT_FIELD: &str = "Wait-Ms";
 /// The status of an answer that may tell to wait.
@@ -18,16 +18,16 @@
 /// Reads the head of an answer, past 1xx answers ahead.
 #[derive(Default)]
 pub struct ResponseHead {
-    part: Part,
+    part: HeadPart,
     line: Vec<u8>,
-    begun: Option<Instant>,
+    started_at: Option<Instant>,
     status: Option<u16>,
     wait: Option<Duration>,
 }
 
 /// What the next byte belongs to.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-enum Part {
+enum HeadPart {
     #[default]
     FirstLine,
     /// The rest of a 1xx answer.
@@ -44,45 +44,45 @@
     }
 
     /// The status of a first line that has ended with it, so far: enough for what it forbids, not for what it proves.
-    pub fn unended_status(&self) -> Option<u16> {
+    pub fn provisional_status(&self) -> Option<u16> {
         let line = [&self.line, b" ".as_slice()].concat();
-        status(&line).filter(|_| self.part == Part::FirstLine && line.len() == STATUS_END)
+        status(&line).filter(|_| self.part == HeadPart::FirstLine && line.len() == STATUS_END)
     }
 
     /// When the first byte of the answer came, or of a 1xx ahead that has not ended.
-    pub fn begun(&self) -> Option<Instant> {
-        self.begun
+    pub fn started_at(&self) -> Option<Instant> {
+        self.started_at
     }
 
     /// Until when the answer forbids to send more, as far as it is read: counted from its first byte.
     pub fn blocked_until(&self) -> Option<Instant> {
-        Some(self.begun? + self.wait?)
+        Some(self.started_at? + self.wait?)
     }
 
     /// Takes the next bytes of the connection.
-    pub fn hear(&mut self, bytes: &[u8]) {
+    pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
-            if self.part == Part::Rest {
+            if self.part == HeadPart::Rest {
                 return;
             }
-            self.byte(*byte);
+            self.push_byte(*byte);
         }
     }
 
-    fn byte(&mut self, byte: u8) {
-        if self.part == Part::FirstLine && self.is_blank() && matches!(byte, b'\r' | b'\n') {
+    fn push_byte(&mut self, byte: u8) {
+        if self.part == HeadPart::FirstLine && self.is_blank() && matches!(byte, b'\r' | b'\n') {
             return;
         }
-        self.begun.get_or_insert_with(Instant::now);
+        self.started_at.get_or_insert_with(Instant::now);
         match self.part {
-            Part::FirstLine => self.first_line(byte),
-            Part::Informational if byte == b'\n' && self.is_blank() => *self = ResponseHead::default(),
-            Part::Fields if byte == b'\n' && self.is_blank() => self.part = Part::Rest,
-            Part::Informational | Part::Fields if byte == b'\n' => self.end_field(),
-            Part::Informational | Part::Fields => {
-                self.line.extend((self.line.len() < MAX_FIELD).then_some(byte))
+            HeadPart::FirstLine => self.first_line(byte),
+            HeadPart::Informational if byte == b'\n' && self.is_blank() => *self = ResponseHead::default(),
+            HeadPart::Fields if byte == b'\n' && self.is_blank() => self.part = HeadPart::Rest,
+            HeadPart::Informational | HeadPart::Fields if byte == b'\n' => self.end_field(),
+            HeadPart::Informational | HeadPart::Fields => {
+                self.line.extend((self.line.len() < MAX_FIELD_BYTES).then_some(byte))
             }
-            Part::Rest => {}
+            HeadPart::Rest => {}
         }
     }
 
@@ -97,19 +97,19 @@
         }
         let status = status(&self.line);
         self.part = match status {
-            Some(100..=199) => Part::Informational,
-            Some(_) => Part::Fields,
-            None => Part::Rest,
+            Some(100..=199) => HeadPart::Informational,
+            Some(_) => HeadPart::Fields,
+            None => HeadPart::Rest,
         };
-        self.status = status.filter(|_| self.part == Part::Fields);
+        self.status = status.filter(|_| self.part == HeadPart::Fields);
         // Not blank, and no field: what is left of the line counts as neither.
         self.line = if byte == b'\n' { Vec::new() } else { vec![b' '] };
     }
 
     fn end_field(&mut self) {
         let line = std::mem::take(&mut self.line);
-        if self.part == Part::Fields && self.status == Some(TOO_MANY_REQUESTS) {
-            self.wait = self.wait.max(told_wait(&line));
+        if self.part == HeadPart::Fields && self.status == Some(TOO_MANY_REQUESTS) {
+            self.wait = self.wait.max(wait_of_field(&line));
         }
     }
 }
@@ -123,9 +123,9 @@
 }
 
 /// The wait that a header field tells.
-fn told_wait(field: &[u8]) -> Option<Duration> {
+fn wait_of_field(field: &[u8]) -> Option<Duration> {
     let (name, value) = std::str::from_utf8(field).ok()?.split_once(':')?;
-    let told = name.eq_ignore_ascii_case(WAIT_FIELD) && field.len() < MAX_FIELD;
+    let told = name.eq_ignore_ascii_case(WAIT_FIELD) && field.len() < MAX_FIELD_BYTES;
     let ms = value.trim().parse::<f64>().ok().filter(|_| told)?;
     (ms > 0.0 && ms < WAIT_LIMIT_MS).then(|| Duration::from_secs_f64(ms / 1000.0))
 }
--- a/crates/courier/src/outbound/response_head_test.rs
+++ b/crates/courier/src/outbound/response_head_test.rs
@@ -17,13 +17,13 @@
     ] {
         for size in [1, 3, 1000] {
             let mut first = ResponseHead::default();
-            text.as_bytes().chunks(size).for_each(|piece| first.hear(piece));
+            text.as_bytes().chunks(size).for_each(|piece| first.feed(piece));
             assert_eq!(first.status, status, "{text:?} in pieces of {size}");
         }
     }
     let mut first = ResponseHead::default();
-    first.hear(b"HTTP/1.1 100 Continue\r\n\r\n");
-    assert!(first.begun.is_none(), "the answer itself may still take its time");
+    first.feed(b"HTTP/1.1 100 Continue\r\n\r\n");
+    assert!(first.started_at.is_none(), "the answer itself may still take its time");
 }
 
 #[test]
@@ -36,8 +36,8 @@
         ("noise of 410", None, None),
     ] {
         let mut head = ResponseHead::default();
-        head.hear(text.as_bytes());
-        assert_eq!((head.unended_status(), head.status()), (unended, status), "{text:?}");
+        head.feed(text.as_bytes());
+        assert_eq!((head.provisional_status(), head.status()), (unended, status), "{text:?}");
     }
 }
 
@@ -45,8 +45,10 @@
 fn a_wait_is_heard_as_soon_as_its_field_is_here_whatever_follows() {
     let wait = |text: &str, size| {
         let mut head = ResponseHead::default();
-        text.as_bytes().chunks(size).for_each(|piece| head.hear(piece));
-        head.blocked_until().zip(head.begun()).map(|(until, begun)| (until - begun).as_millis())
+        text.as_bytes().chunks(size).for_each(|piece| head.feed(piece));
+        head.blocked_until()
+            .zip(head.started_at())
+            .map(|(until, started_at)| (until - started_at).as_millis())
     };
     for (text, told) in [
         ("HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 900\r\n", Some(900)),
--- a/crates/courier/src/outbound/response_identity.rs
+++ b/crates/courier/src/outbound/response_identity.rs
@@ -10,7 +10,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Answers that are remembered of each status, of each endpoint and of all, to see whether they differ.
-const HISTORY: usize = 16;
+const MAX_HISTORY: usize = 16;
 /// Statuses that are remembered. Of further ones nothing is known.
 const MAX_STATUSES: usize = 8;
 /// Where the endpoint may name the request that it answers.
@@ -47,11 +47,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expectation {
     /// The endpoint's answers of this status differ.
-    Differs,
+    Distinct,
     /// Nothing is known of this endpoint's; those of the others differ.
-    Presumed,
+    PresumedDistinct,
     /// Answers are alike, or nothing is known of any.
-    Alike,
+    Identical,
 }
 
 /// The latest answers, on whatever connection: of each endpoint, and of all together.
@@ -63,13 +63,13 @@
 
 impl ResponseHistories {
     /// Adds an answer of an endpoint; what can be expected of the next one there.
-    pub fn add(&mut self, endpoint: EndpointId, answer: ResponseIdentity) -> Expectation {
-        let own = self.by_endpoint.entry(endpoint).or_default().add(answer);
-        let all = self.all.add(answer);
+    pub fn add(&mut self, endpoint: EndpointId, response: ResponseIdentity) -> Expectation {
+        let own = self.by_endpoint.entry(endpoint).or_default().add(response);
+        let all = self.all.add(response);
         match own {
-            Some(true) => Expectation::Differs,
-            None if all == Some(true) => Expectation::Presumed,
-            _ => Expectation::Alike,
+            Some(true) => Expectation::Distinct,
+            None if all == Some(true) => Expectation::PresumedDistinct,
+            _ => Expectation::Identical,
         }
     }
 
@@ -85,19 +85,19 @@
 
 impl ResponseHistory {
     /// Adds an answer. Whether it differs from the others of its status; None if there is none.
-    fn add(&mut self, answer: ResponseIdentity) -> Option<bool> {
-        let Some((_, hashes)) = self.0.iter_mut().find(|(status, _)| *status == answer.status) else {
+    fn add(&mut self, response: ResponseIdentity) -> Option<bool> {
+        let Some((_, hashes)) = self.0.iter_mut().find(|(status, _)| *status == response.status) else {
             if self.0.len() < MAX_STATUSES {
-                self.0.push((answer.status, VecDeque::from([answer.hash])));
+                self.0.push((response.status, VecDeque::from([response.hash])));
             }
             return None;
         };
-        let differs = !hashes.contains(&answer.hash);
-        if hashes.len() == HISTORY {
+        let is_distinct = !hashes.contains(&response.hash);
+        if hashes.len() == MAX_HISTORY {
             hashes.pop_front();
         }
-        hashes.push_back(answer.hash);
-        Some(differs)
+        hashes.push_back(response.hash);
+        Some(is_distinct)
     }
 }
 
--- a/crates/courier/src/outbound/response_identity_test.rs
+++ b/crates/courier/src/outbound/response_identity_test.rs
@@ -10,12 +10,12 @@
 
 #[test]
 fn copy_of_an_answer_has_its_identity_also_with_another_date() {
-    let answer = identity(200, &[("Date", "Fri, 04 Dec 2026 05:00:00 GMT")], "receipt 17");
-    assert_eq!(answer, identity(200, &[("Date", "Fri, 04 Dec 2026 05:00:01 GMT")], "receipt 17"));
+    let response = identity(200, &[("Date", "Fri, 04 Dec 2026 05:00:00 GMT")], "receipt 17");
+    assert_eq!(response, identity(200, &[("Date", "Fri, 04 Dec 2026 05:00:01 GMT")], "receipt 17"));
     let bare = identity(204, &[("Date", "Fri, 04 Dec 2026 05:00:00 GMT")], "");
     assert_eq!(bare, identity(204, &[("Date", "Fri, 04 Dec 2026 05:00:01 GMT")], ""));
-    assert_ne!(answer, identity(200, &[], "receipt 18"));
-    assert_ne!(answer, identity(500, &[], "receipt 17"));
+    assert_ne!(response, identity(200, &[], "receipt 18"));
+    assert_ne!(response, identity(500, &[], "receipt 17"));
     let refusal = identity(503, &[("X-Server-Load", "TEXT x0=0.4, x1=25")], "");
     assert_ne!(refusal, identity(503, &[("X-Server-Load", "TEXT x0=0.3, x1=25")], ""));
 }
@@ -36,23 +36,23 @@
 #[test]
 fn answers_are_expected_to_differ_only_where_another_of_their_status_did() {
     let mut histories = ResponseHistories::default();
-    assert_eq!(histories.add(FIRST, body("a")), Expectation::Alike, "nothing is known yet");
-    assert_eq!(histories.add(FIRST, body("b")), Expectation::Differs);
+    assert_eq!(histories.add(FIRST, body("a")), Expectation::Identical, "nothing is known yet");
+    assert_eq!(histories.add(FIRST, body("b")), Expectation::Distinct);
     let refusal = identity(503, &[], "");
-    assert_eq!(histories.add(FIRST, refusal), Expectation::Alike, "nothing is known of refusals");
-    assert_eq!(histories.add(FIRST, refusal), Expectation::Alike, "refusals are alike");
-    assert_eq!(histories.add(FIRST, body("c")), Expectation::Differs);
-    assert_eq!(histories.add(FIRST, body("b")), Expectation::Alike);
+    assert_eq!(histories.add(FIRST, refusal), Expectation::Identical, "nothing is known of refusals");
+    assert_eq!(histories.add(FIRST, refusal), Expectation::Identical, "refusals are alike");
+    assert_eq!(histories.add(FIRST, body("c")), Expectation::Distinct);
+    assert_eq!(histories.add(FIRST, body("b")), Expectation::Identical);
 }
 
 #[test]
 fn first_answer_of_an_endpoint_is_presumed_to_differ_where_those_of_others_do() {
     let mut histories = ResponseHistories::default();
     histories.add(FIRST, body("a"));
-    assert_eq!(histories.add(SECOND, body("b")), Expectation::Presumed);
+    assert_eq!(histories.add(SECOND, body("b")), Expectation::PresumedDistinct);
     histories.forget(SECOND);
-    assert_eq!(histories.add(SECOND, body("b")), Expectation::Alike, "the same answer from anyone");
-    assert_eq!(histories.add(SECOND, body("b")), Expectation::Alike, "its own answers are alike");
+    assert_eq!(histories.add(SECOND, body("b")), Expectation::Identical, "the same answer from anyone");
+    assert_eq!(histories.add(SECOND, body("b")), Expectation::Identical, "its own answers are alike");
 }
 
 #[test]
@@ -60,12 +60,12 @@
     let mut histories = ResponseHistories::default();
     histories.add(FIRST, body("first"));
     histories.add(FIRST, identity(503, &[], "full"));
-    for n in 0..HISTORY {
+    for n in 0..MAX_HISTORY {
         histories.add(FIRST, body(&n.to_string()));
     }
-    assert_eq!(histories.add(FIRST, body("first")), Expectation::Differs);
-    assert_eq!(histories.add(FIRST, identity(503, &[], "full")), Expectation::Alike);
-    assert_eq!(histories.add(FIRST, identity(503, &[], "shut")), Expectation::Differs);
+    assert_eq!(histories.add(FIRST, body("first")), Expectation::Distinct);
+    assert_eq!(histories.add(FIRST, identity(503, &[], "full")), Expectation::Identical);
+    assert_eq!(histories.add(FIRST, identity(503, &[], "shut")), Expectation::Distinct);
 }
 
 #[test]
@@ -75,7 +75,7 @@
         histories.add(FIRST, identity(status, &[], "a"));
     }
     for text in ["a", "b", "c"] {
-        assert_eq!(histories.add(FIRST, identity(599, &[], text)), Expectation::Alike);
+        assert_eq!(histories.add(FIRST, identity(599, &[], text)), Expectation::Identical);
     }
-    assert_eq!(histories.add(FIRST, body("b")), Expectation::Differs);
+    assert_eq!(histories.add(FIRST, body("b")), Expectation::Distinct);
 }
