--- a/crates/courier/src/outbound.rs
+++ b/crates/courier/src/outbound.rs
@@ -1,4 +1,4 @@
-//! What goes out: calls to endpoints, the connections kept for them, brokers, and notices of outcomes.
+//! Outbound traffic: HTTP calls to endpoints and their connection pool, MQTT broker connections, and outcome notices.
 
 pub mod attempt_outcome;
 pub mod broker_connection;
--- a/crates/courier/src/outbound/attempt_outcome.rs
+++ b/crates/courier/src/outbound/attempt_outcome.rs
@@ -1,7 +1,8 @@
-//! What the end of an exchange means for its message: what the answer proves, and what it forbids.
+//! Classifies how an attempt ended: what the response proves about the message, and what it forbids.
 //!
-//! An answer that is not believed proves nothing, and the message may have run. What it forbids holds all the same: a
-//! message that is over is not sent again, whatever becomes of the rest of the answer that says so.
+//! A response that is rejected as incomplete or repeated proves nothing, and the message may have run. Its
+//! restrictions still apply: after a 410 a message is not sent again, even if the rest of the response could
+//! not be read.
 
 use crate::news::{AfterAttempt, CallEnd};
 use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
@@ -10,8 +11,8 @@
 use stairshed_decide::interface::{Outcome, Report};
 use tokio::time::Instant;
 
-/// Forbids what the answer forbids, whether or not it is proof of anything: a message of which an endpoint has said that
-/// it is over is not sent again.
+/// Forbids another attempt after a status of 410, even if the response proves nothing: the endpoint has
+/// reported that the message is over.
 pub fn apply_gone(end: CallEnd, progress: ResponseProgress) -> CallEnd {
     match end.after {
         AfterAttempt::Open if progress.is_gone() => {
@@ -22,24 +23,25 @@
     }
 }
 
-/// The end of a call that has no answer to tell of.
+/// The end of a call without a usable response.
 pub fn without_response(outcome: Outcome, proof: &'static str) -> CallEnd {
     CallEnd { outcome, after: AfterAttempt::Open, report: None, at: Instant::now(), proof, exchange: None }
 }
 
-/// What PROTOCOL says of an answer: what it proves, and what it forbids.
+/// Classifies a response, or the lack of one, by the rules of the PROTOCOL document: what it proves and what
+/// it forbids.
 pub fn classify(response: Result<HttpResponse, RequestError>, progress: ResponseProgress) -> CallEnd {
     apply_gone(interpret(response, progress.blocked_until), progress)
 }
 
-/// What an answer proves. Only what PROTOCOL calls 'never' counts as not run.
+/// What a response proves. Only what the PROTOCOL document calls 'never' counts as not run.
 fn interpret(response: Result<HttpResponse, RequestError>, blocked_until: Option<Instant>) -> CallEnd {
     let response = match response {
         Ok(response) => response,
-        Err(lost) => {
-            let (outcome, proof) = match lost {
+        Err(error) => {
+            let (outcome, proof) = match error {
                 RequestError::NotSent => (Outcome::ConnectFailed, "no connection, nothing written"),
-                // It says nothing of the endpoint, which has not been asked.
+                // The request was not sent, so this says nothing about the endpoint.
                 RequestError::Withheld(why) => (Outcome::Moot, why),
                 RequestError::ConnectionBroken => (Outcome::Reset, "connection broke under it"),
                 RequestError::TimedOut => (Outcome::TimedOut, "no answer in time"),
@@ -47,7 +49,8 @@
             return without_response(outcome, proof);
         }
     };
-    // A spoilt answer proves nothing but a first line with 200: the request has run, or may have.
+    // An incomplete response proves nothing, except that one with status 200 proves delivery: the request has
+    // run, or may have.
     if !response.complete && response.status != StatusCode::OK {
         return CallEnd { at: response.received_at, ..without_response(Outcome::Reset, "spoilt answer") };
     }
@@ -55,18 +58,19 @@
         let proof = "the answer repeats an earlier one on its connection";
         return CallEnd { at: response.received_at, ..without_response(Outcome::Reset, proof) };
     }
-    let head = |name| response.headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
+    let header = |name| response.headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
     let outcome = match response.status {
         StatusCode::OK => Outcome::Delivered,
         StatusCode::TOO_MANY_REQUESTS => {
             let wait = blocked_until.map(|until| until.saturating_duration_since(response.received_at));
             Outcome::Full { wait }
         }
-        StatusCode::SERVICE_UNAVAILABLE if head("Slots-Taken") == Some("1") => Outcome::Moot,
-        // It is the connection that is turned away, not the call: the endpoint holds as many as it will, and
-        // those that are kept serve on. Taken for a limit of the destination it would stop these too. Covers
-        // an endpoint that is shutting down as well. Hurts where a destination at its limit closes whatever
-        // it turns away: then new connections alone are held back, and its limit is found on kept ones.
+        StatusCode::SERVICE_UNAVAILABLE if header("Slots-Taken") == Some("1") => Outcome::Moot,
+        // The endpoint refuses the connection, not the call: it holds as many connections as it accepts, and
+        // the kept ones continue to serve. Treated as the destination's limit, the response would stop those
+        // too. This also covers an endpoint that is shutting down. The drawback: if a destination at its
+        // limit closes every connection that it refuses, only new connections are held back, and the limit is
+        // found on kept ones.
         StatusCode::SERVICE_UNAVAILABLE if closes_connection(&response.headers) => Outcome::Crowded,
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full { wait: None },
         StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::Moot,
@@ -84,13 +88,13 @@
     CallEnd { outcome, after, report, at: response.received_at, proof, exchange: None }
 }
 
-/// Whether the connection ends with this answer.
+/// Whether the response has `Connection: close`.
 fn closes_connection(headers: &HeaderMap) -> bool {
     let all = headers.get_all(CONNECTION).into_iter().filter_map(|v| v.to_str().ok());
     all.flat_map(|v| v.split(',')).any(|v| v.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Reads `X-Server-Load: TEXT x0=0.4, x1=25`.
+/// Parses `X-Server-Load: TEXT x0=0.4, x1=25`. None if a value is missing or not a finite number.
 fn load_report(headers: &HeaderMap) -> Option<Report> {
     let text = headers.get("X-Server-Load")?.to_str().ok()?;
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
--- a/crates/courier/src/outbound/attempt_outcome_test.rs
+++ b/crates/courier/src/outbound/attempt_outcome_test.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_connection_that_is_turned_away_is_told_apart_from_a_limit_and_from_an_endpoint_out_of_reach() {
+fn refused_connection_is_distinguished_from_a_limit_and_from_an_unreachable_endpoint() {
     let of = |heads: &[(&'static str, &'static str)]| {
         let heads = heads
             .iter()
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn reports_are_read_and_nonsense_is_none() {
+fn valid_load_reports_are_parsed_and_malformed_ones_are_ignored() {
     assert_eq!(read("TEXT x0=0.4, x1=25"), Some((0.4, 25.0)));
     assert_eq!(read("TEXT  x1=2.5 ,x0=0"), Some((0.0, 2.5)));
     for bad in ["", "TEXT", "TEXT x0=0.4", "TEXT x0=a, x1=2", "TEXT x0=NaN, x1=2", "x0 x1"] {
@@ -44,10 +44,10 @@
     }
 }
 
-// Guards against a message that is sent again although its 410 was half read when its attempt timed out, broke or was
-// called off (incident 9421da).
+// Guards against resending a message whose 410 was only partly read when the attempt timed out, failed or was
+// cancelled (incident 9421da).
 #[test]
-fn an_attempt_that_has_heard_410_is_the_last_one_however_it_ends() {
+fn attempt_that_received_410_is_the_last_one_however_it_ends() {
     let gone = ResponseProgress { status: Some(410), ..ResponseProgress::default() };
     let called_off = without_response(Outcome::Cancelled, "called off");
     for end in [
--- a/crates/courier/src/outbound/broker_connection.rs
+++ b/crates/courier/src/outbound/broker_connection.rs
@@ -1,4 +1,5 @@
-//! The connection to one MQTT broker: a socket around the state machine of `stairshed-mqtt`. It decides nothing.
+//! The connection to one MQTT broker: a socket around the state machine of `stairshed-mqtt`. It decides
+//! nothing.
 
 use crate::clock::unix;
 use crate::news::{AfterAttempt, CallEnd, News};
--- a/crates/courier/src/outbound/connection_pool.rs
+++ b/crates/courier/src/outbound/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to endpoints that stand idle between two exchanges, and the sockets and the memory for new ones.
+//! Pool of idle connections to endpoints, with the socket and memory limits for new ones.
 
 use crate::outbound::connection_status::{CloseReason, ConnectionStatus};
 use crate::outbound::failure_rate::FailureRates;
@@ -16,29 +16,30 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Memory of a connection with the call on it: hyper's buffers, the driver, the task.
+/// Memory accounted for a connection and the call on it: hyper's buffers, the driver, the task.
 const CONNECTION_BYTES: u64 = 28_000;
-/// How often idle connections are checked.
+/// Interval between checks of the idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Share of the endpoints' limit for which a connection may stand idle here.
+/// How long a connection may be idle here, as a share of the endpoints' keep-alive time-out.
 const MAX_IDLE_SHARE: f64 = 0.75;
-/// Largest rate of breaks, beyond that on new connections, at which a kept one is used: for a message that may be sent
-/// again, and for one that may not, since what breaks is lost then.
+/// Maximum excess failure rate over new connections at which an idle connection is reused.
 const MAX_FAILURE_RATE: f64 = 0.1;
+/// The same for a message that must not be sent again if it may have run: a failure loses it.
 const MAX_FAILURE_RATE_ONCE: f64 = 0.03;
 
-/// Exchanges that one connection carries: it remembers each answer.
+/// Maximum number of exchanges on a connection, which bounds the responses that it remembers.
 const MAX_EXCHANGES: usize = 256;
 
+/// A connection that waits for its next exchange.
 struct IdleConnection {
     connection: HttpConnection,
     since: Instant,
-    /// Whether the next answer on it will differ is not known of this endpoint.
+    /// That the next response will differ is only presumed, from the responses of other endpoints.
     presumed_distinct: bool,
 }
 
-/// Kept connections are held by endpoint, not by address: a new endpoint at the address of one that is gone must not
-/// inherit connections to that one.
+/// Connection pool. Idle connections are keyed by endpoint, not by address: a new endpoint at the address of
+/// a removed one must not inherit its connections.
 pub struct ConnectionPool {
     connect_timeout: Cell<Duration>,
     idle_timeout: Cell<Duration>,
@@ -53,13 +54,13 @@
 /// A connection for one exchange.
 pub struct PooledConnection {
     pub connection: HttpConnection,
-    /// How long it stood idle; None for a new one.
+    /// How long it was idle; None for a new connection.
     pub idle: Option<Duration>,
 }
 
 impl ConnectionPool {
-    /// A pool that closes what has stood idle for too long, as long as anybody holds it. `keepalive` is when endpoints
-    /// close an idle connection.
+    /// Creates a pool and a task that closes expired connections for as long as the pool exists. `keepalive`
+    /// is the time after which endpoints close an idle connection.
     pub fn start(connect_timeout: Duration, keepalive: Duration, sockets: usize, room: Room) -> Rc<Self> {
         let pool = Rc::new(ConnectionPool {
             connect_timeout: Cell::new(connect_timeout),
@@ -82,30 +83,30 @@
         pool
     }
 
-    /// How long connections are kept.
+    /// How long idle connections are kept.
     pub fn idle_timeout(&self) -> Duration {
         self.idle_timeout.get()
     }
 
-    /// Other times from now on; how long connections are kept.
+    /// Changes the time-outs. Returns how long idle connections are kept now.
     pub fn set_timeouts(&self, connect_timeout: Duration, keepalive: Duration) -> Duration {
         self.connect_timeout.set(connect_timeout);
         self.idle_timeout.set(keepalive.mul_f64(MAX_IDLE_SHARE));
         self.idle_timeout.get()
     }
 
-    /// Its counters.
+    /// Counters of the pool.
     pub fn status(&self) -> Rc<ConnectionStatus> {
         self.status.clone()
     }
 
-    /// Connections to an endpoint that stand idle.
+    /// Number of idle connections to an endpoint.
     #[cfg(test)]
     pub fn idle_count(&self, endpoint: EndpointId) -> usize {
         self.idle.borrow().get(&endpoint).map_or(0, Vec::len)
     }
 
-    /// Closes what can be used no more.
+    /// Closes idle connections that can no longer be used.
     fn sweep(&self) {
         self.idle.borrow_mut().retain(|endpoint, idle| {
             idle.retain_mut(|entry| self.is_usable(*endpoint, entry));
@@ -113,7 +114,7 @@
         });
     }
 
-    /// Whether a kept connection can carry another exchange; if not, the reason is counted.
+    /// Whether an idle connection can carry another exchange. If not, the reason is counted.
     fn is_usable(&self, endpoint: EndpointId, entry: &mut IdleConnection) -> bool {
         let age = entry.since.elapsed();
         let usable = entry.connection.check().and_then(|()| match age < self.idle_timeout.get() {
@@ -123,7 +124,7 @@
         usable.inspect_err(|reason| self.record_close(endpoint, &entry.connection, age, *reason)).is_ok()
     }
 
-    /// Counts a connection that is closed `idle` after its last answer.
+    /// Counts a connection that is closed after it was idle for `idle`.
     fn record_close(
         &self,
         endpoint: EndpointId,
@@ -143,7 +144,7 @@
         self.status.closed(CloseReason::EndpointRemoved, closed.map_or(0, |idle| idle.len()));
     }
 
-    /// Closes every second idle connection, the older ones of each endpoint: memory is tight.
+    /// Closes the older half of each endpoint's idle connections, to free memory.
     pub fn close_half_of_idle(&self) {
         self.idle.borrow_mut().retain(|_, idle| {
             let closed = idle.drain(..idle.len().div_ceil(2)).count();
@@ -152,7 +153,7 @@
         });
     }
 
-    /// Closes the connection that has been idle for longest. False if there is none.
+    /// Closes the connection that has been idle longest. Returns false if there is none.
     fn close_oldest(&self) -> bool {
         let mut all = self.idle.borrow_mut();
         let oldest = all.iter().filter_map(|(endpoint, idle)| Some((idle.first()?.since, *endpoint))).min();
@@ -166,23 +167,26 @@
         true
     }
 
-    /// A kept connection and how long it stood idle. `once`: what it is for must not be sent again if it may have run.
+    /// Takes an idle connection and returns it with its idle time. `once`: the message must not be sent again
+    /// if it may have run.
     fn take_idle(&self, endpoint: EndpointId, once: bool) -> Option<(HttpConnection, Duration)> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&endpoint)?;
         while let Some(mut entry) = idle.pop() {
-            // A request on a connection that the peer has closed, or is about to, would end as a reset and count as one
-            // that may have run.
+            // A request on a connection that the peer has closed, or is about to close, would end as a reset
+            // and count as one that may have run.
             if !self.is_usable(endpoint, &mut entry) {
                 continue;
             }
-            // An answer like the one before would leave it open whether the message has run.
-            // Closed, not left: the endpoint may hold no other beside it.
+            // If the response equalled an earlier one, it would be unknown whether the message has run. The
+            // connection is closed rather than left idle, since the endpoint may accept no other connection
+            // beside it.
             if once && entry.presumed_distinct {
                 self.status.closed(CloseReason::IdenticalResponses, 1);
                 continue;
             }
-            // A request on a connection that has stood for as long as those that broke of late would end as a reset, too.
+            // Connections that were idle for as long have failed recently; a request on this one may end as a
+            // reset, too.
             let age = entry.since.elapsed();
             let excess = self.failure_rates.borrow().excess(age);
             if excess <= if once { MAX_FAILURE_RATE_ONCE } else { MAX_FAILURE_RATE } {
@@ -197,15 +201,17 @@
         None
     }
 
-    /// Memory for one more connection. Kept ones give way to it; a call on behalf of an accepted message is made all the
-    /// same where none can, since what is accepted is not failed for memory. Calls are few: slots bound them.
+    /// Reserves memory for a new connection, closing idle ones if needed. If that does not free enough, the
+    /// reservation exceeds the cap: an accepted message must not fail for lack of memory, and endpoint slots
+    /// bound the number of calls.
     fn reserve_memory(&self) -> Charge {
         let ledger = &self.room.ledger;
         while ledger.room(Purpose::Endpoints) < CONNECTION_BYTES && self.close_oldest() {}
         ledger.force(Purpose::Endpoints, CONNECTION_BYTES)
     }
 
-    /// Room for one more socket; an idle connection elsewhere gives way to it.
+    /// Acquires a permit for one more socket. If none is left, closes the oldest idle connection and waits
+    /// for at most the connect time-out.
     pub async fn acquire_socket(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = self.sockets.clone().try_acquire_owned() {
             return Some(permit);
@@ -214,8 +220,8 @@
         timeout(self.connect_timeout.get(), self.sockets.clone().acquire_owned()).await.ok()?.ok()
     }
 
-    /// A connection for one exchange: a kept one, or a new one within the connect time. `once`: what it is for must not
-    /// be sent again if it may have run.
+    /// Returns an idle connection, or a new one within the connect time-out. `once`: the message must not be
+    /// sent again if it may have run.
     pub async fn acquire(
         &self,
         endpoint: EndpointId,
@@ -235,18 +241,23 @@
         Some(PooledConnection { connection, idle: None })
     }
 
-    /// Notes how the exchange on a connection went that had stood idle for so long.
+    /// Records whether an exchange failed on a connection that was idle for `idle` before; None for a new
+    /// connection.
     pub fn record_exchange(&self, idle: Option<Duration>, failed: bool) {
         self.failure_rates.borrow_mut().record(idle, failed);
     }
 
-    /// Counts a connection whose exchange did not end with an answer, or had no time left; dropping it closes it.
+    /// Counts a connection whose exchange ended without a response or had no time left. The caller drops the
+    /// connection, which closes it.
     pub fn discard(&self) -> CloseReason {
         self.status.closed(CloseReason::AttemptFailed, 1);
         CloseReason::AttemptFailed
     }
 
-    /// Takes a connection back whose exchange has ended with this answer; why it is closed, if it cannot carry another.
+    /// Returns a connection to the pool after an exchange with this response.
+    ///
+    /// # Errors
+    /// Why the connection is closed instead.
     pub fn release(
         &self,
         endpoint: EndpointId,
@@ -261,7 +272,11 @@
         Ok(())
     }
 
-    /// Whether a connection can carry another exchange after this answer, and if that is only presumed.
+    /// Whether the next response on a connection can be expected to differ from this one; true if that is
+    /// only presumed.
+    ///
+    /// # Errors
+    /// Why the connection cannot carry another exchange.
     fn expect_distinct_response(
         &self,
         endpoint: EndpointId,
@@ -283,7 +298,7 @@
         }
     }
 
-    /// Nothing goes to this endpoint any more.
+    /// Closes the idle connections to an endpoint and drops its response history.
     pub fn remove_endpoint(&self, endpoint: EndpointId) {
         self.close_idle(endpoint);
         self.histories.borrow_mut().forget(endpoint);
--- a/crates/courier/src/outbound/connection_status.rs
+++ b/crates/courier/src/outbound/connection_status.rs
@@ -1,4 +1,5 @@
-//! Counters of the connections to endpoints and of why they were closed, for the log and the page `/-/connections`.
+//! Counters of the connections to endpoints and of why they were closed, for the log and the page
+//! `/-/connections`.
 
 use crate::outbound::http_connection::{ResponseProgress, SocketFailure};
 use serde_json::{Value, json};
@@ -96,8 +97,8 @@
         }
     }
 
-    /// An endpoint sent bytes that no request asked for, found `idle` after its last answer. Written to the log, but not
-    /// more often than once in 10 s.
+    /// An endpoint sent bytes that no request asked for, found `idle` after its last answer. Written to the
+    /// log, but not more often than once in 10 s.
     pub fn unsolicited(&self, endpoint: EndpointId, connection_number: u64, idle: Duration) {
         self.closed(CloseReason::UnsolicitedBytes, 1);
         let now = Instant::now();
--- a/crates/courier/src/outbound/endpoint_client.rs
+++ b/crates/courier/src/outbound/endpoint_client.rs
@@ -1,5 +1,5 @@
-//! Calls to endpoints and probes, and the connections kept for them. One call a connection at a time; what
-//! may have run is told apart from what never did.
+//! HTTP client for endpoints: calls and probes over pooled connections, one exchange per connection at a
+//! time. It tells a request that may have run from one that was never sent.
 
 use crate::news::{CallEnd, News};
 use crate::outbound::attempt_outcome::{apply_gone, classify, without_response};
@@ -26,54 +26,57 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Share of a call's time that must be left for its answer when it is written.
+/// Minimum share of a call's time that must remain for the response when the request is written.
 const MIN_RESPONSE_TIME_SHARE: f64 = 0.25;
-/// Nothing new goes to an endpoint this long after news that it drains or is gone; a rule says 1 s. The news may be read,
-/// and the request written, up to 0.15 s late each.
+/// No request is written to an endpoint later than this after the report that it drains or is gone. The
+/// protocol allows 1 s; reading the report and writing the request may each be up to 0.15 s late.
 pub const MAX_WRITE_AFTER_DRAIN: Duration = Duration::from_millis(700);
 
-/// An attempt that was decided on a valid list may be written so much later; with the list's term it stays within the
-/// grace that the rule on drains gives.
+/// An attempt that was decided on while the endpoint list was valid may be written this long after the list
+/// has expired. Together with the validity period of the list this stays within the grace period of a drain.
 const MAX_WRITE_AFTER_LIST_EXPIRY: Duration = Duration::from_millis(400);
 
-/// What an attempt needs to know.
+/// One attempt to deliver a message.
 pub struct Call {
     pub message: u64,
     pub attempt: u32,
     pub endpoint: EndpointId,
-    /// Who shares its limit: a wait that is told holds for all of it.
+    /// The endpoints that share a limit: a wait requested by one of them applies to the whole pool.
     pub pool: PoolId,
     pub target: CallTarget,
     pub letter: Rc<Letter>,
-    /// Nothing of it is written from then on: reckoned from when it was decided, so that neither a slow disk nor a
-    /// wait for a connection adds to what the module allowed.
+    /// Nothing is written after this time. It counts from the decision to send, so neither a slow disk nor a
+    /// wait for a connection extends the time that the decision module allowed.
     pub deadline: Instant,
-    /// It must not be sent again if it may have run.
+    /// The message must not be sent again if it may have run.
     pub once: bool,
 }
 
-/// Where an attempt goes.
+/// Where a call is sent.
 #[derive(Clone, Copy, Debug)]
 pub enum CallTarget {
     Http(SocketAddr),
-    /// A broker, under this packet id.
+    /// An MQTT broker, with this packet id.
     Broker(u16),
 }
 
+/// Sends calls and probes to endpoints. Clones share all state.
 #[derive(Clone)]
 pub struct EndpointClient {
     pool: Rc<ConnectionPool>,
-    /// Endpoints to which nothing new goes, since when.
+    /// Endpoints that take no new requests, and since when.
     draining: Rc<RefCell<HashMap<EndpointId, Instant>>>,
-    /// Until when nothing may be written to a pool, as it has told.
+    /// Pools that requested a wait, and until when nothing may be written to them.
     blocked_pools: Rc<RefCell<HashMap<PoolId, Instant>>>,
-    /// Until when the list of endpoints may be acted on; None for good. Endpoints that it does not bind.
+    /// Until when the endpoint list is valid; None if it does not expire.
     list_valid_until: Rc<Cell<Option<Instant>>>,
+    /// Endpoints that may be used even when the list has expired.
     unleased: Rc<RefCell<HashSet<EndpointId>>>,
 }
 
 impl EndpointClient {
-    /// `keepalive` is when endpoints close an idle connection; none is kept for as long here.
+    /// `connect` is the connect time-out, `sockets` the maximum number of connections. `keepalive` is the
+    /// time after which endpoints close an idle connection; connections are closed here before that.
     pub fn new(connect: Duration, keepalive: Duration, sockets: usize, room: Room) -> Self {
         let pool = ConnectionPool::start(connect, keepalive, sockets, room);
         let (draining, blocked_pools) = (Rc::default(), Rc::default());
@@ -81,22 +84,22 @@
         EndpointClient { pool, draining, blocked_pools, list_valid_until, unleased }
     }
 
-    /// How long connections are kept here: the module reckons with that.
+    /// How long idle connections are kept; the decision module takes this into account.
     pub fn idle_timeout(&self) -> Duration {
         self.pool.idle_timeout()
     }
 
-    /// Other times from now on; how long connections are kept.
+    /// Changes the time-outs, see [`EndpointClient::new`]. Returns how long idle connections are kept now.
     pub fn set_timeouts(&self, connect: Duration, keepalive: Duration) -> Duration {
         self.pool.set_timeouts(connect, keepalive)
     }
 
-    /// Counters of the connections, for the operator's pages.
+    /// Connection counters for the admin pages.
     pub fn connection_status(&self) -> Rc<ConnectionStatus> {
         self.pool.status()
     }
 
-    /// Whether anything new may go to an endpoint.
+    /// Sets whether new requests may be sent to an endpoint.
     pub fn set_available(&self, endpoint: EndpointId, ready: bool) {
         let mut draining = self.draining.borrow_mut();
         match ready {
@@ -105,12 +108,12 @@
         }
     }
 
-    /// Until when the list of endpoints may be acted on; None for good.
+    /// Sets until when the endpoint list is valid; None if it does not expire.
     pub fn set_list_valid_until(&self, until: Option<Instant>) {
         self.list_valid_until.set(until);
     }
 
-    /// Whether an endpoint is written to only while the list may be acted on.
+    /// Sets whether requests to an endpoint require a valid list.
     pub fn set_leased(&self, endpoint: EndpointId, leased: bool) {
         let mut unleased = self.unleased.borrow_mut();
         match leased {
@@ -119,7 +122,8 @@
         };
     }
 
-    /// Whether the list that an endpoint is known by is out of date, later than a call may be written on it.
+    /// Whether the endpoint requires a valid list and the list expired more than
+    /// [`MAX_WRITE_AFTER_LIST_EXPIRY`] ago.
     fn is_out_of_date(&self, endpoint: EndpointId) -> bool {
         let expired = self
             .list_valid_until
@@ -128,7 +132,7 @@
         expired && !self.unleased.borrow().contains(&endpoint)
     }
 
-    /// The endpoint is known no more.
+    /// Drops all state of an endpoint and closes its idle connections.
     pub fn remove_endpoint(&self, endpoint: EndpointId) {
         self.unleased.borrow_mut().remove(&endpoint);
         self.pool.remove_endpoint(endpoint);
@@ -140,13 +144,13 @@
         self.pool.close_idle(endpoint);
     }
 
-    /// Closes every second idle connection, the older ones of each endpoint: memory is tight.
+    /// Closes the older half of each endpoint's idle connections, to free memory.
     pub fn close_half_of_idle(&self) {
         self.pool.close_half_of_idle();
     }
 
-    /// One exchange on a connection to an endpoint, and what the log says of it. `listening` tells of the answer before
-    /// this ends.
+    /// Runs one exchange with an endpoint; returns the response and the record of the exchange for the log.
+    /// `monitor` reports on the response while the exchange runs.
     async fn run_exchange(
         &self,
         (endpoint, pool): (EndpointId, Option<PoolId>),
@@ -157,14 +161,14 @@
     ) -> (Result<HttpResponse, RequestError>, Option<Exchange>) {
         let write_deadline =
             until - until.saturating_duration_since(Instant::now()).mul_f64(MIN_RESPONSE_TIME_SHARE);
-        // A call whose time is up while it still has no connection was never sent.
+        // If the deadline passes before there is a connection, the request was never sent.
         let acquired = tokio::time::timeout_at(until, self.pool.acquire(endpoint, to, once)).await;
         let Some(PooledConnection { mut connection, idle }) = acquired.ok().flatten() else {
             return (Err(RequestError::NotSent), None);
         };
-        if let Err(lost) = self.check_writable(endpoint, pool, write_deadline) {
+        if let Err(error) = self.check_writable(endpoint, pool, write_deadline) {
             self.pool.discard();
-            return (Err(lost), None);
+            return (Err(error), None);
         }
         let (connection_number, sequence, started) =
             (connection.number(), connection.response_count() + 1, Instant::now());
@@ -173,19 +177,19 @@
             let progress = monitor.progress();
             self.record_wait(pool, progress);
             monitor.try_report_wait();
-            // Put on record at once: the process may be killed while the rest comes.
+            // A 410 ends the exchange at once, so that it is recorded before the process can be killed.
             if progress.is_gone() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
         })
         .await
         .unwrap_or(Err(RequestError::ConnectionBroken));
         let (duration, progress) = (started.elapsed(), monitor.progress());
         self.record_wait(pool, progress);
-        let digest = response.as_ref().ok().and_then(|a| a.identity).map(ResponseIdentity::hash);
+        let digest = response.as_ref().ok().and_then(|r| r.identity).map(ResponseIdentity::hash);
         let failed = response
             .as_ref()
-            .map_or_else(|lost| *lost == RequestError::ConnectionBroken, HttpResponse::is_repeat);
+            .map_or_else(|error| *error == RequestError::ConnectionBroken, HttpResponse::is_repeat);
         self.pool.record_exchange(idle, failed);
-        if failed || response.as_ref().is_ok_and(|a| !a.complete) {
+        if failed || response.as_ref().is_ok_and(|r| !r.complete) {
             self.pool.status().rejected_response(progress);
         }
         let released = match &response {
@@ -212,22 +216,22 @@
         pool: Option<PoolId>,
         write_deadline: Instant,
     ) -> Result<(), RequestError> {
-        // One that came only now leaves no time for an answer: written all the same, the call would have run, or
-        // may have, for nothing. Unwritten it never ran.
+        // The connection came too late to leave time for a response. Written now, the request may run with no
+        // response read in time; not written, it never ran.
         if Instant::now() >= write_deadline {
             return Err(RequestError::NotSent);
         }
-        // Whoever waited long for a connection must not come in after a drain's grace.
+        // After a long wait for a connection, the grace period of a drain may be over.
         if self.draining.borrow().get(&endpoint).is_some_and(|since| since.elapsed() > MAX_WRITE_AFTER_DRAIN)
         {
             return Err(RequestError::Withheld("the endpoint drains or is gone"));
         }
-        // Nor on a list that ran out of date while it waited.
+        // The endpoint list may have expired during the wait.
         if self.is_out_of_date(endpoint) {
             return Err(RequestError::Withheld("the list of endpoints may be out of date"));
         }
-        // Nor may it break a wait that was told to another call meanwhile: the module knew of none when it let this
-        // one go, and a connection may be a second in coming.
+        // The pool may have asked another call to wait. The decision module did not know that when it
+        // released this call, and getting a connection may take a second.
         if pool
             .is_some_and(|p| self.blocked_pools.borrow().get(&p).is_some_and(|until| Instant::now() < *until))
         {
@@ -236,19 +240,19 @@
         Ok(())
     }
 
-    /// Keeps the wait that an answer tells, for calls that still have no connection.
+    /// Records the wait that a response requests, for calls that still wait for a connection.
     fn record_wait(&self, pool: Option<PoolId>, progress: ResponseProgress) {
         if let Some((pool, until)) = pool.zip(progress.blocked_until) {
             let mut blocked_pools = self.blocked_pools.borrow_mut();
             let now = Instant::now();
             blocked_pools.retain(|_, until| *until > now);
-            let kept = blocked_pools.entry(pool).or_insert(until);
-            *kept = (*kept).max(until);
+            let blocked_until = blocked_pools.entry(pool).or_insert(until);
+            *blocked_until = (*blocked_until).max(until);
         }
     }
 
-    /// Makes one attempt and reports its end. The connection is closed before a time-out or a cancel is
-    /// told: else the next call would find this one's slot still taken.
+    /// Makes one attempt and reports how it ended. On a time-out or a cancellation the connection is closed
+    /// before the report; otherwise the next call could find the slot of this one still occupied.
     pub async fn call(
         self,
         call: Call,
@@ -285,13 +289,13 @@
                     apply_gone(without_response(Outcome::Cancelled, "called off"), monitor.progress())
                 }
             },
-            Err(_) => without_response(Outcome::Moot, "no request can be made of it"),
+            Err(_) => without_response(Outcome::Moot, "the message does not form a valid HTTP request"),
         };
         let outcome = end.outcome;
         monitor.finish(News::Called { message, attempt, endpoint, end }, outcome).await;
     }
 
-    /// Sends a check and reports its end.
+    /// Sends a probe (`GET /-/load`) and reports how it ended.
     pub async fn probe(
         self,
         endpoint: EndpointId,
--- a/crates/courier/src/outbound/endpoint_client_test.rs
+++ b/crates/courier/src/outbound/endpoint_client_test.rs
@@ -64,8 +64,8 @@
         .await
 }
 
-// Guards against a request that is written to a draining endpoint at the very end of the grace: the line was read up to
-// 0.15 s after it was written, and the write may be held up for as long.
+// Guards against a request that is written to a draining endpoint at the very end of the grace: the line was
+// read up to 0.15 s after it was written, and the write may be held up for as long.
 #[tokio::test]
 async fn a_connection_that_comes_late_in_the_grace_is_not_written_to_a_draining_endpoint() {
     let withheld = Some(RequestError::Withheld("the endpoint drains or is gone"));
--- a/crates/courier/src/outbound/exchange.rs
+++ b/crates/courier/src/outbound/exchange.rs
@@ -1,26 +1,28 @@
-//! What the log says of one exchange: a request on a connection to an endpoint, and the answer that was read for it.
+//! The log record of one exchange: a request on a connection to an endpoint, and the response read for it.
 
 use crate::outbound::connection_status::CloseReason;
 use crate::outbound::http_connection::ResponseProgress;
 use std::fmt;
 use std::time::Duration;
 
-/// One exchange, as far as it came.
+/// One exchange, whether or not it was completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exchange {
-    /// The connection's number in this process, from 1.
+    /// The number of the connection in this process, counted from 1.
     pub connection_number: u64,
-    /// Which exchange of its connection it is, from 1.
+    /// The number of the exchange on its connection, counted from 1.
     pub sequence: usize,
-    /// How long the connection had stood idle; zero for a new one.
+    /// How long the connection was idle before; zero for a new one.
     pub idle: Duration,
-    /// From the begin of the request to the end of the answer or of the attempt.
+    /// Time from the start of the request to the end of the response or of the attempt.
     pub duration: Duration,
-    /// The first line of the answer and the system's error, also where the answer was not believed.
+    /// Status and socket error, also of a response that was rejected.
     pub progress: ResponseProgress,
-    /// A hash of status, header fields and body of the answer: equal answers have equal ones.
+    /// A hash of the response, see
+    /// [`ResponseIdentity::hash`](super::response_identity::ResponseIdentity::hash); equal responses have
+    /// equal hashes.
     pub digest: Option<u64>,
-    /// Why the connection was closed after it; None if it is kept.
+    /// Why the connection was closed after the exchange; None if it is kept.
     pub close_reason: Option<CloseReason>,
 }
 
@@ -45,7 +47,7 @@
     }
 }
 
-/// The exchange of an attempt, which may have had none, as the log has it.
+/// Formats the exchange of an attempt for the log; None if the attempt had none.
 pub struct ExchangeLog(pub Option<Exchange>);
 
 impl fmt::Display for ExchangeLog {
--- a/crates/courier/src/outbound/exchange_monitor.rs
+++ b/crates/courier/src/outbound/exchange_monitor.rs
@@ -1,4 +1,5 @@
-//! What is heard of an answer while its exchange goes on, and what of it is passed on at once.
+//! Monitors a response while it is being received, and reports a requested wait before the response is
+//! complete.
 
 use crate::news::News;
 use crate::outbound::http_connection::{ProgressHandle, ResponseProgress};
@@ -10,61 +11,62 @@
 use std::task::Poll;
 use tokio::sync::mpsc::Sender;
 
-/// What is heard on the connection of one exchange, once it has one. A wait that its answer tells is passed on before the
-/// rest of that has come, which may take longer than a wait may be ignored.
+/// Monitors one exchange once it has a connection. A wait that the response requests is reported before the
+/// rest of the response has arrived, which may take longer than the courier may ignore a wait.
 pub struct ExchangeMonitor {
     endpoint: EndpointId,
     news: Sender<News>,
     handle: RefCell<Option<ProgressHandle>>,
-    /// The dispatcher has been told of the wait.
+    /// Whether the wait has been reported to the dispatcher.
     wait_reported: Cell<bool>,
 }
 
 impl ExchangeMonitor {
-    /// For an exchange with this endpoint; `news` reaches the dispatcher.
+    /// A monitor for an exchange with this endpoint. Reports go to the dispatcher through `news`.
     pub fn new(endpoint: EndpointId, news: Sender<News>) -> Self {
         ExchangeMonitor { endpoint, news, handle: RefCell::default(), wait_reported: Cell::default() }
     }
 
-    /// The exchange has its connection.
+    /// Starts monitoring the connection of the exchange.
     pub fn attach(&self, handle: ProgressHandle) {
         self.handle.replace(Some(handle));
     }
 
-    /// What it has shown so far.
+    /// What has been received so far; empty before there is a connection.
     pub fn progress(&self) -> ResponseProgress {
         self.handle.borrow().as_ref().map(ProgressHandle::progress).unwrap_or_default()
     }
 
-    /// The wait that nobody has been told of yet.
+    /// The requested wait, if it has not been reported yet.
     fn unreported_wait(&self) -> Option<News> {
         let until = self.progress().blocked_until.filter(|_| !self.wait_reported.get())?;
         Some(News::ToldToWait { endpoint: self.endpoint, until })
     }
 
-    /// Passes a wait on if that can be done at once.
+    /// Reports a requested wait if the channel has room.
     pub fn try_report_wait(&self) {
         if let Some(wait) = self.unreported_wait() {
             self.wait_reported.set(self.news.try_send(wait).is_ok());
         }
     }
 
-    /// Tells how the exchange has ended, and a wait before it that this does not tell.
+    /// Reports how the exchange ended, preceded by an unreported wait unless `outcome` includes it.
     pub async fn finish(self, news: News, outcome: Outcome) {
         let reports_wait = matches!(outcome, Outcome::Full { wait: Some(_) });
         if let Some(wait) = self.unreported_wait().filter(|_| !reports_wait) {
-            // Nobody is left to hear it once the courier has stopped.
+            // The receiver is gone once the courier has stopped.
             let _ = self.news.send(wait).await;
         }
         let _ = self.news.send(news).await;
     }
 }
 
-/// Polls after which nothing of what has been read is left to be passed on: a few pieces of a body.
+/// Number of polls after which all received data has been processed: hyper yields one body chunk per poll,
+/// and a body has few chunks.
 const MAX_FINAL_POLLS: usize = 16;
 
-/// Runs `work` to its end, and `watch` each time that it has gone on but not ended. None once `watch` says that the end
-/// need not be awaited.
+/// Polls `work` to completion and calls `watch` after each poll that leaves it pending. Returns None if
+/// `watch` breaks and `work` cannot complete with the data that has already arrived.
 pub async fn run_monitored<F: Future>(work: F, watch: impl Fn() -> ControlFlow<()>) -> Option<F::Output> {
     let mut work = pin!(work);
     poll_fn(|cx| {
@@ -72,7 +74,7 @@
         if poll.is_ready() || watch().is_continue() {
             return poll.map(Some);
         }
-        // All of it may be here: the library passes on a piece of a body with each poll.
+        // The whole response may have arrived: hyper yields one body chunk per poll.
         for _ in 0..MAX_FINAL_POLLS {
             if poll.is_ready() {
                 break;
--- a/crates/courier/src/outbound/failure_rate.rs
+++ b/crates/courier/src/outbound/failure_rate.rs
@@ -1,19 +1,20 @@
-//! How often connections break under a request, by the time for which they stood idle before it: some endpoints, or what
-//! lies between, drop them long before the limit and say so only to the next request, which then may have run.
+//! Failure rate of exchanges by the idle time of their connection. Some endpoints, or middleboxes on the way,
+//! drop idle connections long before the keep-alive time-out, which shows only as a reset of the next
+//! request, which may have run.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Weight of one exchange in the smoothed rate.
+/// Weight of one exchange in the exponentially weighted moving average.
 const SMOOTHING_GAIN: f64 = 0.05;
-/// An old rate loses half its weight in this time, s: what is shunned is tried again.
+/// Half-life of a rate without new samples, in seconds, so that avoided connections are tried again.
 const HALF_LIFE_SECONDS: f64 = 10.0;
-/// Rows of idle time; each spans twice the time of the one before.
+/// Number of idle-time buckets; each spans twice the time of the one before.
 const IDLE_BUCKETS: usize = 8;
-/// Half of the idle time that the first row spans, ms.
+/// Half of the idle time that the first bucket spans, in milliseconds.
 const FIRST_BUCKET_MS: u64 = 25;
 
-/// The smoothed share of exchanges that broke, as it was when last noted.
+/// Moving average of the share of failed exchanges, as of the latest sample.
 #[derive(Clone, Copy, Default)]
 struct Rate {
     share: f64,
@@ -33,7 +34,7 @@
     }
 }
 
-/// Break rates of new connections and of kept ones by idle time.
+/// Failure rates of new connections, and of reused ones by idle time.
 #[derive(Default)]
 pub struct FailureRates {
     new_connections: Rate,
@@ -45,7 +46,7 @@
         ((idle.as_millis() as u64 / FIRST_BUCKET_MS).max(1).ilog2() as usize).min(IDLE_BUCKETS - 1)
     }
 
-    /// An exchange ended; `idle` is None on a new connection.
+    /// Records an exchange; `idle` is None for a new connection.
     pub fn record(&mut self, idle: Option<Duration>, failed: bool) {
         match idle {
             Some(idle) => self.idle[Self::bucket(idle)].record(failed),
@@ -53,8 +54,9 @@
         }
     }
 
-    /// Breaks beyond those on new connections. What has been dropped after a time is not there after a longer one
-    /// either; only a close right behind an answer, the first row, says nothing of later.
+    /// Failure rate at this idle time in excess of the rate on new connections. A connection that is dropped
+    /// after some time is not there later either, so shorter idle times count, too. The exception is the
+    /// first bucket: a close directly after a response says nothing about later ones.
     pub fn excess(&self, idle: Duration) -> f64 {
         let bucket = Self::bucket(idle);
         let buckets = self.idle[bucket.min(1)..=bucket].iter();
--- a/crates/courier/src/outbound/http_connection.rs
+++ b/crates/courier/src/outbound/http_connection.rs
@@ -1,5 +1,5 @@
-//! One connection to another machine, driven by whoever holds it. There is no task behind it: dropping a
-//! link closes its socket at once, and what became of a request is known.
+//! An HTTP/1.1 client connection that is polled by its owner instead of a background task. Dropping it closes
+//! the socket at once, and whether any byte of a request was written is always known.
 
 use crate::outbound::connection_status::CloseReason;
 use crate::outbound::response_head::ResponseHead;
@@ -30,36 +30,38 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// How long a head may take from its first byte: one without an end must not hold a slot till the time-out.
+/// Maximum time from the first byte of a response head to its end. Without it, a head that never ends would
+/// occupy a slot of the endpoint until the call's deadline.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the rest of an answer may take once its head is here.
+/// Maximum time to read the body of a response after its head.
 const BODY_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum size of a response body.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Bytes that are read of an answer once its connection has failed.
+/// Maximum number of response bytes read from a connection after it has failed.
 const MAX_LATE_HEAD_BYTES: usize = 4096;
 
 impl ResponseProgress {
-    /// The answer says that its message is over.
+    /// Whether the status is 410: the endpoint reports that the message is over and must not be sent again.
     pub fn is_gone(self) -> bool {
         self.status == Some(StatusCode::GONE.as_u16())
     }
 }
 
-/// The socket, how much has been written to it, and what has come.
+/// The socket, the number of bytes written to it, and what has been received.
 struct Transport {
     stream: TcpStream,
     written: Cell<u64>,
     received: Rc<ReceiveState>,
 }
 
-/// What the answer of the latest exchange began with, and the last error.
+/// The response head of the latest exchange, and the latest socket error.
 #[derive(Default)]
 struct ReceiveState {
     head: RefCell<ResponseHead>,
     failure: Cell<Option<SocketFailure>>,
 }
 
-/// A read or a write that the system has failed.
+/// A read or write on a socket that failed with a system error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SocketFailure {
     Read(io::ErrorKind),
@@ -75,11 +77,12 @@
     }
 }
 
-/// Tells what an exchange has shown, also to those who do not drive its connection. It does not keep that open.
+/// Reports the progress of an exchange to code that does not own the connection. It does not keep the
+/// connection open.
 pub struct ProgressHandle(Rc<ReceiveState>);
 
 impl ProgressHandle {
-    /// So far.
+    /// What has been received so far.
     pub fn progress(&self) -> ResponseProgress {
         let head = self.0.head.borrow();
         ResponseProgress {
@@ -90,16 +93,18 @@
     }
 }
 
-/// What an exchange has shown so far, whether or not its answer could be read to its end.
+/// What has been received of a response so far, whether or not it could be read to its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseProgress {
-    /// The status in the first line of the answer.
+    /// The status code in the status line.
     pub status: Option<u16>,
-    /// Until when the answer forbids to send more.
+    /// Until when the response forbids sending more.
     pub blocked_until: Option<Instant>,
+    /// The latest socket error.
     pub failure: Option<SocketFailure>,
 }
 
+/// Adapts [`Transport`] to tokio's I/O traits and records what is read and written.
 #[derive(Clone)]
 struct TransportIo(Rc<Transport>);
 
@@ -115,14 +120,15 @@
 }
 
 impl Transport {
+    /// Records a socket error, after reading what the peer sent before it.
     fn failed<T>(&self, failure: SocketFailure, error: io::Error) -> Poll<io::Result<T>> {
         self.received.failure.set(Some(failure));
         self.read_remaining_head();
         Poll::Ready(Err(error))
     }
 
-    /// Reads the head of an answer that came before the connection failed. Its exchange stays a failed one, but what it
-    /// forbids counts.
+    /// Reads the response head that arrived before the connection failed. The exchange still counts as
+    /// failed, but restrictions in the head (a wait, a 410) apply.
     fn read_remaining_head(&self) {
         let mut bytes = [0; MAX_LATE_HEAD_BYTES];
         let mut left = MAX_LATE_HEAD_BYTES;
@@ -138,7 +144,7 @@
         }
     }
 
-    /// How many bytes can be read at least, one at most; none if the peer has closed its side.
+    /// Peeks at one byte without blocking: 1 if there is data, 0 if the peer has closed its side.
     fn peek(&self) -> io::Result<usize> {
         let mut byte = [MaybeUninit::uninit()];
         loop {
@@ -194,7 +200,7 @@
 
 type Connection = Pin<Box<http1::Connection<TokioIo<TransportIo>, Full<Bytes>>>>;
 
-/// What reads and writes the connection while its holder waits for something on it.
+/// hyper's connection future, which does the I/O while the owner waits for a request or a body.
 enum ConnectionDriver {
     Running(Connection),
     Ended(CloseReason),
@@ -210,7 +216,7 @@
     }
 }
 
-/// Why a connection ended: hyper names no source for bytes that come out of turn.
+/// Why a connection ended. hyper reports unsolicited bytes as an error without a source.
 fn close_reason_of(end: &Result<(), hyper::Error>) -> CloseReason {
     match end {
         Err(e) if e.source().is_none() && !e.is_closed() && !e.is_incomplete_message() => {
@@ -220,23 +226,24 @@
     }
 }
 
-/// Numbers the connections of this process.
+/// The number of the next connection of this process.
 static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
+/// A client connection that carries one exchange at a time.
 pub struct HttpConnection {
     transport: Rc<Transport>,
     sender: SendRequest<Full<Bytes>>,
     driver: ConnectionDriver,
     number: u64,
-    /// The answers that were read on it.
+    /// The complete responses read on this connection, to detect a second copy of one.
     responses: Vec<ResponseIdentity>,
     _reservation: Option<(OwnedSemaphorePermit, Charge)>,
 }
 
-/// Why there is no connection.
+/// Why a connection could not be established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    #[error("it did not come up within {0:?}")]
+    #[error("connection not established within {0:?}")]
     TimedOut(Duration),
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -244,54 +251,57 @@
     Http(#[from] hyper::Error),
 }
 
-/// Why there is no answer.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// No byte of the request left.
+    /// No byte of the request was written.
     #[error("no byte of the request was written")]
     NotSent,
-    /// Its connection came, and it must not be written any more: why.
+    /// A connection was available, but the request may no longer be written, for this reason.
     #[error("{0}")]
     Withheld(&'static str),
-    /// The connection broke with the request out, or part of it.
-    #[error("the connection broke with the request out")]
+    /// The connection failed after all or part of the request was written.
+    #[error("the connection failed after the request was written, at least in part")]
     ConnectionBroken,
-    /// Time was up with the request out.
+    /// The deadline passed after all or part of the request was written.
     #[error("no answer in time")]
     TimedOut,
 }
 
-/// Why a body without an end has no next piece.
+/// Why a streamed response body has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamEnd {
     #[error("silent for {0:?}")]
     IdleTimeout(Duration),
-    #[error("ended by the other side")]
+    #[error("closed by the peer")]
     Ended,
     #[error("broken: {0}")]
     Broken(hyper::Error),
 }
 
+/// A response, possibly one that could not be read to its end.
 pub struct HttpResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// When its head arrived.
+    /// When the head was complete.
     pub received_at: Instant,
-    /// All of it came as its head says. One that did not is spoilt, whatever its status.
+    /// Whether head and body are well-formed and complete. An incomplete response is invalid, whatever its
+    /// status.
     pub complete: bool,
-    /// Whether the link can carry another request, or why not.
+    /// Whether the connection can carry another request, or why not.
     pub reusable: Result<(), CloseReason>,
-    /// What tells it from other answers; None where not all of it came.
+    /// Distinguishes it from other responses; None if it is incomplete.
     pub identity: Option<ResponseIdentity>,
 }
 
 impl HttpResponse {
-    /// It equals an earlier one on its connection, and may be a second copy of that: it proves nothing of its request.
+    /// Whether it equals an earlier response on its connection. It may be a second copy of that one, so it
+    /// proves nothing about its own request.
     pub fn is_repeat(&self) -> bool {
         self.reusable == Err(CloseReason::RepeatedResponse)
     }
 
-    /// Its first line says 200, and the rest cannot be read.
+    /// A response whose status line has 200 and whose remainder cannot be read.
     fn unreadable_ok(received_at: Instant) -> Self {
         let (status, headers) = (StatusCode::OK, HeaderMap::new());
         let reusable = Err(CloseReason::AttemptFailed);
@@ -299,7 +309,8 @@
     }
 }
 
-/// Waits for the head of an answer: till `until`, or a short while from its first byte.
+/// Waits for a response head until `until`, or until [`HEAD_TIMEOUT`] after its first byte if that is
+/// earlier. None on a time-out.
 async fn head_within<F: Future>(transport: &Transport, until: Instant, work: F) -> Option<F::Output> {
     let (mut work, mut end) = (pin!(work), pin!(sleep_until(until)));
     poll_fn(|cx| {
@@ -316,7 +327,7 @@
     .await
 }
 
-/// Polls a future together with the connection it needs.
+/// Polls a future together with the connection that it depends on.
 async fn drive_connection<F: Future>(driver: &mut ConnectionDriver, work: F) -> F::Output {
     let mut work = pin!(work);
     poll_fn(|cx| {
@@ -327,7 +338,11 @@
 }
 
 impl HttpConnection {
-    /// Connects within the time given. `room` is its socket and its memory; None where they are counted elsewhere.
+    /// Connects, with `within` as the time-out. `reservation` holds the socket permit and the memory of the
+    /// connection; None if they are accounted for elsewhere.
+    ///
+    /// # Errors
+    /// The connection was not established in time, or the system or hyper reported an error.
     pub async fn connect(
         to: SocketAddr,
         within: Duration,
@@ -350,28 +365,28 @@
         })
     }
 
-    /// Its number in this process, from 1.
+    /// The number of the connection in this process, counted from 1.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Answers that were read whole on it.
+    /// Number of complete responses read on this connection.
     pub fn response_count(&self) -> usize {
         self.responses.len()
     }
 
-    /// What the latest exchange has shown; it can be asked while that goes on.
+    /// A handle on the progress of the latest exchange, usable while the exchange runs.
     pub fn progress_handle(&self) -> ProgressHandle {
         ProgressHandle(self.transport.received.clone())
     }
 
-    /// Whether the peer has left it open and said nothing out of turn. Asks the kernel: the runtime may not
-    /// have heard of a close yet, and a request written then would count as one that may have run. The driver
-    /// is asked too: it ends if bytes are left that it has read already, a second copy of an answer, say,
-    /// which the next call would take for its own.
+    /// Checks that the peer has neither closed the connection nor sent unsolicited bytes. It asks the kernel,
+    /// since the runtime may not have seen a close yet, and a request written then would count as one that
+    /// may have run. It also polls the driver, which ends if it has already read surplus bytes, such as a
+    /// second copy of a response, that the next call would take for its own response.
     ///
     /// # Errors
-    /// Why it cannot be used.
+    /// Why the connection cannot be used again.
     pub fn check(&mut self) -> Result<(), CloseReason> {
         self.driver.poll(&mut Context::from_waker(Waker::noop()));
         if let ConnectionDriver::Ended(reason) = self.driver {
@@ -384,6 +399,7 @@
         }
     }
 
+    /// Sends a request and waits for the head of its response, without a time limit.
     async fn send_and_await_head(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -399,7 +415,10 @@
         })
     }
 
-    /// Sends a request and waits for the answer until then. After an error the link is of no more use.
+    /// Sends a request and waits for the complete response until `until`.
+    ///
+    /// # Errors
+    /// There is no response. The connection must not be used again after an error.
     pub async fn send_request(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -410,33 +429,33 @@
         let started = head_within(&transport, until, self.send_and_await_head(request)).await;
         let received_at = Instant::now();
         let (parts, body) = match started {
-            // Another protocol: nobody asked for it, and nothing more is read as an answer.
+            // An informational status here is 101: no upgrade was requested, and what follows is not HTTP.
             Some(Ok(response)) if !response.status().is_informational() => response.into_parts(),
-            lost => {
+            failed => {
                 let head = transport.received.head.borrow();
-                // What cannot be read further has still delivered if it began so: taken for a reset, a
-                // message that must not run twice would be reported dead.
-                return match lost {
+                // A response that begins with 200 proves delivery even if the rest cannot be read. Treated as
+                // a reset, it would get a message that must not run twice reported as dead.
+                return match failed {
                     Some(Err(RequestError::NotSent)) => Err(RequestError::NotSent),
-                    // On a used connection it may be what is left of a second copy of an earlier answer.
+                    // On a reused connection it may be the remainder of a second copy of an earlier response.
                     _ if head.status() == Some(200) && self.responses.is_empty() => {
                         Ok(HttpResponse::unreadable_ok(received_at))
                     }
-                    Some(Err(lost)) => Err(lost),
+                    Some(Err(error)) => Err(error),
                     None if transport.written.get() == before => Err(RequestError::NotSent),
                     None if head.started_at().is_none() => Err(RequestError::TimedOut),
                     _ => Err(RequestError::ConnectionBroken),
                 };
             }
         };
-        // Of a body that does not end, or not as its head says, no more than this is read.
+        // Limits what is read of a body that does not end, or not where its head says.
         let body = http_body_util::Limited::new(body, MAX_BODY_BYTES).collect();
         let body = timeout(BODY_TIMEOUT, drive_connection(&mut self.driver, body)).await;
         let body = body.ok().and_then(Result::ok).map(|b| b.to_bytes());
         let (status, headers) = (parts.status, parts.headers);
         let Some(body) = body else {
             let reusable = Err(CloseReason::AttemptFailed);
-            // On a used connection it may be what is left of a second copy, too.
+            // On a reused connection this, too, may be the remainder of a second copy.
             if !self.responses.is_empty() {
                 return Err(RequestError::ConnectionBroken);
             }
@@ -459,15 +478,19 @@
         Ok(HttpResponse { status, headers, received_at, complete: true, reusable, identity: Some(identity) })
     }
 
-    /// Whether the link can carry another request, once an answer has been read whole.
+    /// Whether the connection can carry another request after a complete response.
     async fn await_reusable(&mut self) -> Result<(), CloseReason> {
         let ready = drive_connection(&mut self.driver, self.sender.ready());
-        // The check names the reason where the wait ended with an error.
+        // If the wait ended with an error, `check` returns the reason.
         timeout(BODY_TIMEOUT, ready).await.map_err(|_| CloseReason::AttemptFailed)?.ok();
         self.check()
     }
 
-    /// Sends a request whose answer has no end; its pieces come from [`HttpConnection::next_chunk`].
+    /// Sends a request with a streamed response and waits `within` for its head. The body is read with
+    /// [`HttpConnection::next_chunk`].
+    ///
+    /// # Errors
+    /// There is no response head in time.
     pub async fn open_stream(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -476,10 +499,10 @@
         timeout(within, self.send_and_await_head(request)).await.unwrap_or(Err(RequestError::TimedOut))
     }
 
-    /// The next piece of a body.
+    /// The next chunk of a body.
     ///
     /// # Errors
-    /// It ended, broke, or nothing came `within` this time.
+    /// The body ended, the connection failed, or nothing arrived `within` this time.
     pub async fn next_chunk(&mut self, body: &mut Incoming, within: Duration) -> Result<Bytes, StreamEnd> {
         loop {
             let frame = timeout(within, drive_connection(&mut self.driver, body.frame())).await;
--- a/crates/courier/src/outbound/outcomes.rs
+++ b/crates/courier/src/outbound/outcomes.rs
@@ -125,8 +125,8 @@
         OutcomeNotifier { post: Some(post), file: None, rejected: None }
     }
 
-    /// An operator's: posted to `url`, appended to `file`, or both. What the other side cannot read is appended
-    /// to `unread`. With `sync` lines are on the device before their messages count as ended.
+    /// An operator's: posted to `url`, appended to `file`, or both. What the other side cannot read is
+    /// appended to `unread`. With `sync` lines are on the device before their messages count as ended.
     pub fn operator(url: Option<&Url>, file: Option<PathBuf>, rejected: PathBuf, sync: bool) -> Self {
         let post =
             url.map(|u| HttpTarget { address: Rc::new(Cell::new(u.address)), path: u.path.as_str().into() });
@@ -187,8 +187,8 @@
         delivered
     }
 
-    /// Posts once, on a connection of its own: an answer names no request, and on a used connection it could be a second
-    /// copy of the one before.
+    /// Posts once, on a connection of its own: an answer names no request, and on a used connection it could
+    /// be a second copy of the one before.
     async fn post_once(&self, batch: &[Notice]) -> Option<StatusCode> {
         let to = self.address.get();
         let mut connection = HttpConnection::connect(to, CONNECT_TIMEOUT, None).await.ok()?;
--- a/crates/courier/src/outbound/response_head.rs
+++ b/crates/courier/src/outbound/response_head.rs
@@ -1,5 +1,5 @@
-//! The head of an answer, read as its bytes arrive and beside the HTTP library: its status, and what it forbids, are known
-//! also where the rest cannot be read.
+//! The head of an answer, read as its bytes arrive and beside the HTTP library: its status, and what it
+//! forbids, are known also where the rest cannot be read.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -43,7 +43,8 @@
         self.status
     }
 
-    /// The status of a first line that has ended with it, so far: enough for what it forbids, not for what it proves.
+    /// The status of a first line that has ended with it, so far: enough for what it forbids, not for what it
+    /// proves.
     pub fn provisional_status(&self) -> Option<u16> {
         let line = [&self.line, b" ".as_slice()].concat();
         status(&line).filter(|_| self.part == HeadPart::FirstLine && line.len() == STATUS_END)
--- a/crates/courier/src/outbound/response_identity.rs
+++ b/crates/courier/src/outbound/response_identity.rs
@@ -1,7 +1,8 @@
-//! Whether an answer can be told from earlier ones of the same endpoint. HTTP/1.1 ties an answer to its request by
-//! nothing but the order on the connection, so a second copy of an earlier answer looks like the answer to the request
-//! that is out. A copy equals what it is a copy of: on a used connection only an answer that differs from all before it
-//! is taken for the answer, and a connection is used again only where answers differ.
+//! Whether an answer can be told from earlier ones of the same endpoint. HTTP/1.1 ties an answer to its
+//! request by nothing but the order on the connection, so a second copy of an earlier answer looks like the
+//! answer to the request that is out. A copy equals what it is a copy of: on a used connection only an answer
+//! that differs from all before it is taken for the answer, and a connection is used again only where answers
+//! differ.
 
 use hyper::header::DATE;
 use hyper::{HeaderMap, StatusCode};
@@ -16,8 +17,9 @@
 /// Where the endpoint may name the request that it answers.
 const REQUEST_ID: &str = "X-Request-ID";
 
-/// What tells one answer from another: status, `X-Request-ID` and body; without a body the header fields but `Date`, since
-/// nothing else could differ. With a body they do not count: a copy may have been given other fields on its way.
+/// What tells one answer from another: status, `X-Request-ID` and body; without a body the header fields but
+/// `Date`, since nothing else could differ. With a body they do not count: a copy may have been given other
+/// fields on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseIdentity {
     status: StatusCode,
