--- a/crates/courier/src/message_trace.rs
+++ b/crates/courier/src/message_trace.rs
@@ -1,5 +1,6 @@
-//! Follows messages by the ids that their clients gave them: a line on standard error for each step of one. Off unless
-//! asked for, and then bounded by the second. It lies below all other parts and decides nothing.
+//! Traces messages selected by their client-assigned ids: writes a line to standard error for each step. Off
+//! by default and limited in lines per second. It depends on no other part of the courier and changes no
+//! decision.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -9,28 +10,28 @@
 use std::str::FromStr;
 use std::sync::OnceLock;
 
-/// Lines a second at most: a log must not fill a disk, nor its writing hold up the messages.
+/// Maximum number of lines per second: the trace must not fill the disk or delay messages.
 const MAX_LINES_PER_SECOND: u32 = 2000;
-/// Ids that can be named at once.
+/// Maximum number of ids in a filter.
 const MAX_IDS: usize = 1024;
 
-/// Which messages are followed.
+/// Selects the messages to trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TraceFilter {
-    /// Those with these ids.
+    /// Messages with these ids.
     Ids(BTreeSet<String>),
-    /// One in so many, drawn by the id: the same ones at every courier.
+    /// One message in this many, selected by a hash of the id, so that all couriers select the same ones.
     OneIn(u64),
 }
 
-/// What cannot be followed.
+/// Why a text is not a valid filter.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum TraceFilterError {
-    #[error("`1/{0}` names no share: give 1/1 for every message, 1/100 for one in a hundred")]
+    #[error("`1/{0}` is not a valid share: use 1/1 for every message, 1/100 for one in a hundred")]
     InvalidShare(String),
-    #[error("no id is named: give ids with commas between them, or a share such as 1/100")]
+    #[error("no ids given: use ids separated by commas, or a share such as 1/100")]
     NoIds,
-    #[error("{0} ids are too many: {MAX_IDS} can be named, or a share such as 1/100")]
+    #[error("{0} ids are too many: use at most {MAX_IDS}, or a share such as 1/100")]
     TooManyIds(usize),
 }
 
@@ -71,30 +72,32 @@
 static FILTER: OnceLock<TraceFilter> = OnceLock::new();
 
 thread_local! {
-    /// The second, the lines in it, and those that were not written.
+    /// The current second, the lines in it, and the number of those that were dropped.
     static LINE_COUNT: Cell<(u64, u32, u64)> = const { Cell::new((0, 0, 0)) };
 }
 
-/// Follows these from now on, till the process ends. The first call counts.
+/// Traces the selected messages until the process ends. Calls after the first have no effect.
 pub fn enable_tracing(filter: TraceFilter) {
     let _ = FILTER.set(filter);
 }
 
-/// Whether one more line may be written in this second, and how many were not in the one before.
+/// Counts a line. Returns None if it exceeds the limit of this second; otherwise the number of lines dropped
+/// in the previous counted second, if this line is the first of a new one, or 0.
 fn admit_line(second: u64, line_count: &Cell<(u64, u32, u64)>) -> Option<u64> {
     let (before, lines, dropped) = line_count.get();
     if before != second {
         line_count.set((second, 1, 0));
         return Some(dropped);
     }
-    let admit_line = lines < MAX_LINES_PER_SECOND;
-    line_count.set((second, lines.saturating_add(1), dropped + u64::from(!admit_line)));
-    admit_line.then_some(0)
+    let admitted = lines < MAX_LINES_PER_SECOND;
+    line_count.set((second, lines.saturating_add(1), dropped + u64::from(!admitted)));
+    admitted.then_some(0)
 }
 
-/// Writes a step of a message, if it is followed: `follow`, Unix time in s, its id, what happened.
+/// Writes a step of a message if the message is traced: `follow`, Unix time in seconds, its id, what
+/// happened.
 pub fn log_step(id: &str, what: Arguments) {
-    if FILTER.get().is_some_and(|f| f.matches(id)) {
+    if FILTER.get().is_some_and(|filter| filter.matches(id)) {
         write(id, what);
     }
 }
@@ -102,9 +105,9 @@
 #[cold]
 fn write(id: impl Display, what: Arguments) {
     let now = crate::clock::unix();
-    let Some(dropped) = LINE_COUNT.with(|w| admit_line(now.as_secs(), w)) else { return };
+    let Some(dropped) = LINE_COUNT.with(|count| admit_line(now.as_secs(), count)) else { return };
     let mut out = std::io::stderr().lock();
-    // A log that cannot be written to is no reason to stop.
+    // Write errors are ignored: the trace must not stop the courier.
     if dropped > 0 {
         let _ = writeln!(out, "follow: {dropped} lines dropped, more than {MAX_LINES_PER_SECOND} a second");
     }
--- a/crates/courier/src/outbound/broker_connection.rs
+++ b/crates/courier/src/outbound/broker_connection.rs
@@ -1,5 +1,4 @@
-//! The connection to one MQTT broker: a socket around the state machine of `stairshed-mqtt`. It decides
-//! nothing.
+//! Connection to one MQTT broker: the socket I/O for the protocol state machine of `stairshed-mqtt`.
 
 use crate::clock::unix;
 use crate::news::{AfterAttempt, CallEnd, News};
@@ -27,11 +26,12 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes that are read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// A time that never comes, as long as this program runs.
+/// Longer than this process runs.
 const NEVER: Duration = Duration::from_secs(1 << 32);
 
+/// The connection to one broker, served by a task of its own.
 pub struct BrokerConnection {
     endpoint: EndpointId,
     address: SocketAddr,
@@ -39,19 +39,21 @@
     settings: file::Broker,
     origin: Instant,
     mqtt_client: RefCell<Client>,
-    /// Messages that are on their way, with the number of the attempt.
+    /// Messages in flight, with the number of the attempt.
     attempts: RefCell<HashMap<u64, u32>>,
     wake: Notify,
     stopped: Cell<bool>,
 }
 
-/// The password in the first line of a file.
+/// Reads the password from the first line of a file.
 fn password(folder: &Path, file: &Path) -> io::Result<Bytes> {
     let text = std::fs::read_to_string(folder.join(file))?;
     Ok(Bytes::from(text.lines().next().unwrap_or_default().to_owned()))
 }
 
 impl BrokerConnection {
+    /// Creates the connection and starts its task. Without a readable password file it connects without a
+    /// password.
     pub fn start(
         endpoint: EndpointId,
         (address, topic): (SocketAddr, String),
@@ -63,7 +65,7 @@
             Ok(password) => Some(password),
             Err(e) => {
                 eprintln!(
-                    "mqtt: {address}: its password cannot be read, and none is sent: {}: {e}",
+                    "mqtt: {address}: cannot read the password file, connecting without a password: {}: {e}",
                     f.display()
                 );
                 None
@@ -78,7 +80,7 @@
             user: settings.user.clone(),
             password,
             topic: topic.clone(),
-            // Checked when the configuration was read.
+            // The configuration check ensures that these values fit.
             keep_alive: u16::try_from(settings.keep_alive.0.as_secs()).unwrap_or(u16::MAX),
             expiry: u32::try_from(settings.session_expiry.0.as_secs()).unwrap_or(u32::MAX - 1),
             connect_time,
@@ -99,37 +101,39 @@
         broker
     }
 
-    /// Whether it is the one that is configured so.
+    /// Whether the connection has this configuration.
     pub fn matches(&self, address: SocketAddr, topic: &str, settings: &file::Broker) -> bool {
         self.address == address && self.topic == topic && self.settings == *settings
     }
 
-    /// Whether anything is on its way to it.
+    /// Whether any message is in flight to the broker.
     pub fn is_busy(&self) -> bool {
         !self.attempts.borrow().is_empty()
     }
 
-    /// Whether a message is on its way to it.
+    /// Whether this message is in flight to the broker.
     pub fn has_message(&self, message: u64) -> bool {
         self.attempts.borrow().contains_key(&message)
     }
 
-    /// Lets the machine have something, and its task see to what comes of it.
-    fn with_client(&self, act: impl FnOnce(&mut Client, Duration)) {
-        self.update_client(act);
+    /// Updates the state machine and wakes the task to handle its effects.
+    fn with_client(&self, update: impl FnOnce(&mut Client, Duration)) {
+        self.update_client(update);
         self.wake.notify_one();
     }
 
-    /// The same from its task itself, which would wake itself without an end.
-    fn update_client(&self, act: impl FnOnce(&mut Client, Duration)) {
-        act(&mut self.mqtt_client.borrow_mut(), self.origin.elapsed());
+    /// Updates the state machine without a wake-up, for the task itself, which would otherwise wake itself
+    /// endlessly.
+    fn update_client(&self, update: impl FnOnce(&mut Client, Duration)) {
+        update(&mut self.mqtt_client.borrow_mut(), self.origin.elapsed());
     }
 
+    /// Reserves a packet id; None if the in-flight limit is reached.
     pub fn reserve_packet_id(&self) -> Option<u16> {
         self.mqtt_client.borrow_mut().reserve()
     }
 
-    /// Sends a message under a reserved id.
+    /// Publishes a message with a reserved packet id.
     pub fn publish(&self, id: u16, call: Call, effect: Effect) {
         self.attempts.borrow_mut().insert(call.message, call.attempt);
         let patience = call.deadline.saturating_duration_since(Instant::now());
@@ -137,7 +141,8 @@
         self.with_client(|mqtt_client, now| mqtt_client.publish(id, message, now));
     }
 
-    /// Takes in an attempt of an earlier life: `sent` by Unix time, and whether its PUBREC had come.
+    /// Restores an attempt from before a restart. `sent` is Unix time; `released` is whether its PUBREC had
+    /// arrived.
     pub fn resume(
         &self,
         id: u16,
@@ -151,6 +156,7 @@
         self.with_client(|mqtt_client, now| mqtt_client.resume(id, message, released, now));
     }
 
+    /// The MQTT message for a delivery. `sent` is the Unix time of the attempt; None for a new one.
     fn message(
         &self,
         number: u64,
@@ -161,7 +167,8 @@
     ) -> Message {
         let (unix, now) = (unix(), self.origin.elapsed());
         let left = letter.until.saturating_sub(unix);
-        // At QoS 1 a broker takes what goes again for another message: what must not run twice goes at QoS 2.
+        // At QoS 1 a broker treats a retransmission as a new message, so messages that must not run twice use
+        // QoS 2.
         let qos = if effect == Effect::Once || self.settings.qos == 2 {
             Qos::ExactlyOnce
         } else {
@@ -183,43 +190,48 @@
         Message { number, publish, patience, until: now + left, repeat_until }
     }
 
+    /// Excludes a packet id from use while the session lasts.
     pub fn block_packet_id(&self, id: u16) {
         self.with_client(|mqtt_client, now| mqtt_client.block(id, now));
     }
 
+    /// Confirms that the PUBREC of a packet id is in the journal, so that PUBREL may be sent.
     pub fn release_recorded(&self, id: u16) {
         self.with_client(|mqtt_client, now| mqtt_client.recorded(id, now));
     }
 
-    /// That its session is being resumed is on record.
+    /// Confirms that the resumption of the session is in the journal.
     pub fn resume_recorded(&self) {
         self.with_client(|mqtt_client, now| mqtt_client.resuming(now));
     }
 
+    /// Cancels a message if nothing of it has been written; otherwise its delivery goes on.
     pub fn cancel(&self, message: u64) {
         self.with_client(|mqtt_client, _| mqtt_client.cancel(message));
     }
 
-    /// Nothing new goes there after `grace`.
+    /// Stops sending new messages after `grace`. Messages in flight are completed.
     pub fn drain_after(&self, grace: Duration) {
         self.with_client(|mqtt_client, now| mqtt_client.part(now + grace, now));
     }
 
+    /// Resumes sending new messages.
     pub fn cancel_drain(&self) {
         self.with_client(|mqtt_client, _| mqtt_client.join());
     }
 
-    /// Ends its connection if nothing is on its way.
+    /// Disconnects if nothing is in flight. The broker keeps the session as configured.
     pub fn disconnect_if_idle(&self) {
         self.with_client(|mqtt_client, _| mqtt_client.hang_up());
     }
 
-    /// Its endpoint is known no more.
+    /// Ends the task once nothing is in flight; the endpoint has been removed.
     pub fn stop(&self) {
         self.stopped.set(true);
         self.wake.notify_one();
     }
 
+    /// Serves the connection until it is stopped.
     async fn run(self: Rc<Self>, news: Sender<News>) {
         let mut socket: Option<TcpStream> = None;
         let mut connecting: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
@@ -234,7 +246,7 @@
                     }
                     client::Effect::Close { farewell } => {
                         if let Some(socket) = socket.take() {
-                            // If it cannot be had at once the broker sees a connection that broke.
+                            // If the socket cannot take it at once, the broker sees an unclean disconnect.
                             let _ = socket.try_write(&farewell);
                         }
                         connecting = None;
@@ -245,24 +257,24 @@
             if self.stopped.get() && !self.is_busy() {
                 return;
             }
-            let due = self.mqtt_client.borrow().timeout();
+            let next_timeout = self.mqtt_client.borrow().timeout();
             let timer = async {
-                match due {
+                match next_timeout {
                     Some(at) => sleep_until(self.origin + at).await,
                     None => std::future::pending().await,
                 }
             };
-            let wanted = match self.mqtt_client.borrow().has_output() {
+            let interest = match self.mqtt_client.borrow().has_output() {
                 true => Interest::READABLE | Interest::WRITABLE,
                 false => Interest::READABLE,
             };
             let ready = async {
                 match &socket {
-                    Some(socket) => socket.ready(wanted).await,
+                    Some(socket) => socket.ready(interest).await,
                     None => std::future::pending().await,
                 }
             };
-            let opened = async {
+            let connected = async {
                 match &mut connecting {
                     Some(connecting) => connecting.await,
                     None => std::future::pending().await,
@@ -271,9 +283,9 @@
             tokio::select! {
                 () = self.wake.notified() => self.update_client(|mqtt_client, now| mqtt_client.elapsed(now)),
                 () = timer => self.update_client(|mqtt_client, now| mqtt_client.elapsed(now)),
-                done = opened => {
+                result = connected => {
                     connecting = None;
-                    match done {
+                    match result {
                         Ok(stream) => {
                             let _ = stream.set_nodelay(true);
                             socket = Some(stream);
@@ -283,7 +295,7 @@
                     }
                 }
                 ready = ready => {
-                    let done = match (&socket, ready) {
+                    let result = match (&socket, ready) {
                         (Some(socket), Ok(ready)) => {
                             let read = if ready.is_readable() { self.read(socket, &mut bytes) } else { Ok(()) };
                             read.and_then(|()| if ready.is_writable() { self.write(socket) } else { Ok(()) })
@@ -291,7 +303,7 @@
                         (_, Err(e)) => Err(e),
                         (None, _) => Ok(()),
                     };
-                    if done.is_err() {
+                    if result.is_err() {
                         socket = None;
                         self.update_client(|mqtt_client, now| mqtt_client.lost(now));
                     }
@@ -300,6 +312,7 @@
         }
     }
 
+    /// Reports an effect of the state machine to the owner, or logs it.
     async fn report(&self, effect: client::Effect, news: &Sender<News>) {
         let endpoint = self.endpoint;
         let event = match effect {
@@ -309,7 +322,7 @@
             client::Effect::Free { id, .. } => News::Freed { endpoint, id },
             client::Effect::Ended { message, end, .. } => {
                 let Some(attempt) = self.attempts.borrow_mut().remove(&message) else { return };
-                News::Called { message, attempt, endpoint, end: ended(end) }
+                News::Called { message, attempt, endpoint, end: call_end_of(end) }
             }
             client::Effect::Log(text) => {
                 eprintln!("mqtt: {}: {text}", self.address);
@@ -317,10 +330,11 @@
             }
             client::Effect::Open | client::Effect::Close { .. } => return,
         };
-        // The courier outlives its brokers.
+        // The receiver outlives the broker connections.
         let _ = news.send(event).await;
     }
 
+    /// Writes pending output.
     fn write(&self, socket: &TcpStream) -> io::Result<()> {
         let written = {
             let mqtt_client = self.mqtt_client.borrow();
@@ -341,6 +355,7 @@
         }
     }
 
+    /// Passes received bytes to the state machine.
     fn read(&self, socket: &TcpStream, bytes: &mut [u8]) -> io::Result<()> {
         match socket.try_read(bytes) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -354,8 +369,8 @@
     }
 }
 
-/// What an attempt's end means to the decision module: the table of docs/mqtt.md.
-fn ended(end: End) -> CallEnd {
+/// Maps the end of an MQTT delivery to an outcome of the decision module, by the table in docs/mqtt.md.
+fn call_end_of(end: End) -> CallEnd {
     let outcome = match end {
         End::Delivered => Outcome::Delivered,
         End::Error => Outcome::Error,
--- a/crates/courier/src/outbound/connection_status.rs
+++ b/crates/courier/src/outbound/connection_status.rs
@@ -1,4 +1,4 @@
-//! Counters of the connections to endpoints and of why they were closed, for the log and the page
+//! Counters of connections to endpoints and of the reasons they were closed, for the log and the admin page
 //! `/-/connections`.
 
 use crate::outbound::http_connection::{ResponseProgress, SocketFailure};
@@ -9,38 +9,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Between two log lines on unsolicited bytes.
+/// Minimum interval between two log lines about unsolicited bytes.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why a connection that could have been kept was closed.
+/// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The endpoint closed it, reset it, or its answer said that it would.
+    /// The endpoint closed or reset it, or announced that in its response.
     ClosedByPeer,
-    /// The endpoint sent bytes that no request asked for.
+    /// The endpoint sent bytes that belong to no request.
     UnsolicitedBytes,
-    /// It stood idle for as long as connections are kept.
+    /// It reached the idle time-out.
     IdleLimit,
-    /// Connections that stood idle for as long broke of late when they were used.
+    /// Connections with the same idle time have recently failed when they were reused.
     FailureRisk,
-    /// The endpoint drains, is gone or has another address.
+    /// The endpoint drains, is gone or has a new address.
     EndpointRemoved,
-    /// Its memory or its socket was needed.
+    /// Its memory or its socket was needed for something else.
     ResourcePressure,
-    /// The exchange on it did not end with a whole answer.
+    /// Its exchange ended without a complete response.
     AttemptFailed,
-    /// A second copy of its last answer could not be told from the next one.
+    /// A second copy of its last response could not be distinguished from the next response.
     IdenticalResponses,
-    /// Its last answer may be a second copy of an earlier one.
+    /// Its last response may be a second copy of an earlier one.
     RepeatedResponse,
-    /// Its last answer said that a message is over: a second copy of it must not end another one.
+    /// Its last response reported that the message is over (410). A second copy of it must not end another
+    /// message.
     MessageGone,
-    /// It carried as many exchanges as a connection may.
+    /// It reached the maximum number of exchanges.
     ExchangeLimit,
 }
 
 impl CloseReason {
-    /// As the page has it.
+    /// The name on the admin page.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClosedByPeer => "closed by the endpoint",
@@ -58,38 +59,38 @@
     }
 }
 
-/// Shared by all calls.
+/// Counters shared by all calls.
 #[derive(Default)]
 pub struct ConnectionStatus {
     opened: Cell<u64>,
     reused: Cell<u64>,
     closed: RefCell<BTreeMap<CloseReason, u64>>,
-    /// Answers that were not believed, by the status of their first line; None where there was none.
+    /// Rejected responses by status code; None if there was no status line.
     rejected_response: RefCell<BTreeMap<Option<u16>, u64>>,
-    /// Exchanges that ended with an error of the system.
+    /// Exchanges that ended with a socket error.
     failures: RefCell<BTreeMap<SocketFailure, u64>>,
     last_report: Cell<Option<Instant>>,
 }
 
 impl ConnectionStatus {
-    /// A new connection carries its first exchange.
+    /// Counts a new connection.
     pub fn opened(&self) {
         self.opened.set(self.opened.get() + 1);
     }
 
-    /// A kept connection carries another exchange.
+    /// Counts the reuse of an idle connection.
     pub fn reused(&self) {
         self.reused.set(self.reused.get() + 1);
     }
 
-    /// `number` connections were closed.
+    /// Counts `number` closed connections.
     pub fn closed(&self, reason: CloseReason, number: usize) {
         if number > 0 {
             *self.closed.borrow_mut().entry(reason).or_default() += number as u64;
         }
     }
 
-    /// An exchange ended with an answer that was not believed, or with none though its connection broke.
+    /// Counts an exchange whose response was rejected, or whose connection failed before a response.
     pub fn rejected_response(&self, progress: ResponseProgress) {
         *self.rejected_response.borrow_mut().entry(progress.status).or_default() += 1;
         if let Some(failure) = progress.failure {
@@ -97,8 +98,7 @@
         }
     }
 
-    /// An endpoint sent bytes that no request asked for, found `idle` after its last answer. Written to the
-    /// log, but not more often than once in 10 s.
+    /// Counts and logs unsolicited bytes, found `idle` after the last response. Logs at most once in 10 s.
     pub fn unsolicited(&self, endpoint: EndpointId, connection_number: u64, idle: Duration) {
         self.closed(CloseReason::UnsolicitedBytes, 1);
         let now = Instant::now();
@@ -108,8 +108,8 @@
         self.last_report.set(Some(now));
         let number = self.count(CloseReason::UnsolicitedBytes);
         eprintln!(
-            "connections: endpoint {} sent bytes that no request asked for, found {:.3} s after its last answer; \
-             connection {connection_number} is closed ({number} so far)",
+            "connections: endpoint {} sent unsolicited bytes, found {:.3} s after its last response; \
+             closed connection {connection_number} ({number} so far)",
             endpoint.0,
             idle.as_secs_f64()
         );
@@ -119,7 +119,7 @@
         self.closed.borrow().get(&reason).copied().unwrap_or(0)
     }
 
-    /// The page `/-/connections`.
+    /// The content of the admin page `/-/connections`.
     pub fn page(&self) -> Value {
         let closed: BTreeMap<_, _> =
             self.closed.borrow().iter().map(|(reason, number)| (reason.name(), *number)).collect();
--- a/crates/courier/src/outbound/endpoint_client_test.rs
+++ b/crates/courier/src/outbound/endpoint_client_test.rs
@@ -2,90 +2,91 @@
 use hyper::StatusCode;
 use stairshed_decide::interface::DestinationId;
 
-/// A listener, its address, and calls that have one socket between them.
-async fn one_socket() -> (tokio::net::TcpListener, SocketAddr, EndpointClient) {
+/// A listener, its address, and a client that may have only one connection at a time.
+async fn client_with_one_socket() -> (tokio::net::TcpListener, SocketAddr, EndpointClient) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let to = listener.local_addr().expect("its address");
     let room = Room::new(&stairshed_memory::Caps::none(), 1.0);
     (listener, to, EndpointClient::new(Duration::from_secs(5), Duration::from_secs(10), 1, room))
 }
 
-/// To whose news nobody listens.
-fn monitor() -> ExchangeMonitor {
+/// A monitor whose reports are dropped.
+fn unread_monitor() -> ExchangeMonitor {
     ExchangeMonitor::new(EndpointId(1), tokio::sync::mpsc::channel(1).0)
 }
 
 #[tokio::test]
-async fn a_call_whose_connection_comes_too_late_is_not_written() {
+async fn call_is_not_sent_if_its_connection_comes_too_late() {
     tokio::task::LocalSet::new()
         .run_until(async {
-            let (_listener, to, calls) = one_socket().await;
-            // The only socket is free again when the call has an eighth of its time left.
+            let (_listener, to, calls) = client_with_one_socket().await;
+            // The only socket becomes free when the call has an eighth of its time left.
             let socket = calls.pool.acquire_socket().await.expect("the only one");
             let time = Duration::from_millis(800);
             let until = Instant::now() + time;
             let request = Request::get("/").header(HOST, "h").body(Full::default()).expect("a request");
-            let (endpoint, monitor) = (EndpointId(1), monitor());
+            let (endpoint, monitor) = (EndpointId(1), unread_monitor());
             let run_exchange = calls.run_exchange((endpoint, None), (to, true), request, until, &monitor);
             let free = async {
                 tokio::time::sleep_until(until - time / 8).await;
                 drop(socket);
             };
-            let ((answer, _), ()) = tokio::join!(run_exchange, free);
+            let ((response, _), ()) = tokio::join!(run_exchange, free);
             assert_eq!(
-                answer.err(),
+                response.err(),
                 Some(RequestError::NotSent),
-                "written, it would count as one that may have run"
+                "a written request would count as one that may have run"
             );
             assert_eq!(calls.pool.idle_count(endpoint), 0);
         })
         .await;
 }
 
-/// What becomes of a call whose connection comes `after` this time, its endpoint draining from the start.
+/// The result of a call to an endpoint that drains from the start, if its connection becomes available
+/// `after` this time.
 async fn drained_call(after: Duration) -> Option<RequestError> {
     tokio::task::LocalSet::new()
         .run_until(async {
-            let (_listener, to, calls) = one_socket().await;
+            let (_listener, to, calls) = client_with_one_socket().await;
             let socket = calls.pool.acquire_socket().await.expect("the only one");
             let request = Request::get("/").header(HOST, "h").body(Full::default()).expect("a request");
             calls.set_available(EndpointId(1), false);
             let until = Instant::now() + after + Duration::from_millis(400);
-            let monitor = monitor();
+            let monitor = unread_monitor();
             let run_exchange =
                 calls.run_exchange((EndpointId(1), None), (to, true), request, until, &monitor);
             let free = async {
                 tokio::time::sleep(after).await;
                 drop(socket);
             };
-            let ((answer, _), ()) = tokio::join!(run_exchange, free);
-            answer.err()
+            let ((response, _), ()) = tokio::join!(run_exchange, free);
+            response.err()
         })
         .await
 }
 
-// Guards against a request that is written to a draining endpoint at the very end of the grace: the line was
-// read up to 0.15 s after it was written, and the write may be held up for as long.
+// Guards against writing a request to a draining endpoint at the very end of the grace period: the drain report
+// may have been read up to 0.15 s late, and the write may be delayed by as much.
 #[tokio::test]
-async fn a_connection_that_comes_late_in_the_grace_is_not_written_to_a_draining_endpoint() {
-    let withheld = Some(RequestError::Withheld("the endpoint drains or is gone"));
-    assert_eq!(drained_call(Duration::from_millis(760)).await, withheld);
+async fn request_to_a_draining_endpoint_is_not_sent_late_in_the_grace_period() {
+    let expected = Some(RequestError::Withheld("the endpoint drains or is gone"));
+    assert_eq!(drained_call(Duration::from_millis(760)).await, expected);
     assert_eq!(
         drained_call(Duration::from_millis(300)).await,
         Some(RequestError::TimedOut),
-        "early in it, it is written"
+        "early in the grace period the request is written"
     );
 }
 
 #[tokio::test]
-async fn a_wait_that_is_told_holds_for_a_call_that_still_has_no_connection() {
+async fn requested_wait_applies_to_a_call_that_still_waits_for_a_connection() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     tokio::task::LocalSet::new()
         .run_until(async {
-            // One socket: the second call has its connection only when the first has its answer.
-            let (listener, to, calls) = one_socket().await;
+            // With one socket, the second call gets a connection only after the response to the first.
+            let (listener, to, calls) = client_with_one_socket().await;
             let until = Instant::now() + Duration::from_secs(20);
-            let monitor = monitor();
+            let monitor = unread_monitor();
             let run_exchange = |route: u32| {
                 let request = Request::get("/").header(HOST, "h").body(Full::default());
                 let pool = (DestinationId(7), Some(EndpointId(route)));
@@ -93,14 +94,14 @@
                 calls.run_exchange(at, (to, true), request.expect("a request"), until, &monitor)
             };
             let server = tokio::task::spawn_local(async move {
-                let full =
+                let limit_reached =
                     "HTTP/1.1 429 No\r\nWait-Ms: 9000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-                for answer in [full, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
+                for response in [limit_reached, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
                     loop {
                         let (mut stream, _) = listener.accept().await.expect("a connection");
-                        // One that is closed unwritten is of no call.
+                        // A connection closed without a request belongs to no call.
                         if stream.read(&mut [0; 500]).await.is_ok_and(|n| n > 0) {
-                            stream.write_all(answer.as_bytes()).await.expect("written");
+                            stream.write_all(response.as_bytes()).await.expect("written");
                             break;
                         }
                     }
@@ -111,10 +112,10 @@
             assert_eq!(
                 second.err(),
                 Some(RequestError::Withheld("another call was told to wait")),
-                "the pool has told to wait"
+                "the pool requested a wait"
             );
             let (other, _) = run_exchange(2).await;
-            assert_eq!(other.map(|a| a.status).ok(), Some(StatusCode::OK), "a route apart is not bound");
+            assert_eq!(other.map(|a| a.status).ok(), Some(StatusCode::OK), "another pool is not affected");
             server.await.expect("served");
         })
         .await;
--- a/crates/courier/src/outbound/outcomes.rs
+++ b/crates/courier/src/outbound/outcomes.rs
@@ -1,5 +1,5 @@
-//! Notices of what was taken on and is not delivered: to the platform, or where an operator wants them, by
-//! post, in a file, or both. Sent until they are acknowledged, however long that takes.
+//! Notices of accepted messages that were not delivered, sent to the platform or to the operator's HTTP URL,
+//! file, or both. They are retried until they are acknowledged, without a time limit.
 
 use crate::news::News;
 use crate::outbound::http_connection::HttpConnection;
@@ -20,12 +20,16 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{Instant, sleep};
 
+/// Time-out for connecting to the receiver of notices.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time-out for the response to a batch of notices.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Delay before the first retry; it doubles with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Maximum delay between retries.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// One message that has ended undelivered.
+/// Reports one message that ended undelivered.
 #[derive(Clone, Debug)]
 pub struct Notice {
     pub message: u64,
@@ -33,6 +37,7 @@
     pub verdict: Verdict,
 }
 
+/// A notice as it is written out.
 #[derive(Serialize)]
 struct Line<'a> {
     #[serde(rename = "ref")]
@@ -42,7 +47,7 @@
     wait_ms: Option<u64>,
 }
 
-/// How a message ended, as a line of JSON without its end: None for one that was delivered.
+/// The outcome of a message as JSON without a line feed. A `verdict` of None means delivered.
 pub fn outcome_line(id: &str, verdict: Option<Verdict>) -> String {
     let (result, wait) = match verdict {
         None => ("delivered", None),
@@ -59,18 +64,19 @@
     }
 }
 
+/// Delivers notices to their receivers.
 #[derive(Clone)]
 pub struct OutcomeNotifier {
-    post: Option<HttpTarget>,
+    http: Option<HttpTarget>,
     file: Option<Arc<Mutex<NoticeFile>>>,
-    /// Where notices go that the other side cannot read.
+    /// File for notices that the receiver rejects as unreadable.
     rejected: Option<Arc<Mutex<NoticeFile>>>,
 }
 
-/// Where notices are posted.
+/// The HTTP receiver of notices.
 #[derive(Clone)]
 struct HttpTarget {
-    /// Shared by all batches on their way: it moves at a reload.
+    /// Shared with batches in flight, since a reload may change it.
     address: Rc<Cell<SocketAddr>>,
     path: Rc<str>,
 }
@@ -78,28 +84,31 @@
 /// A file that lines are appended to.
 struct NoticeFile {
     path: PathBuf,
-    /// Kept on the device before the message counts as ended.
+    /// Whether lines are synced to the device before their messages count as ended.
     sync: bool,
 }
 
 impl NoticeFile {
-    /// All or nothing, as far as it can be told: a line that was cut short is ended by the next try.
+    /// Appends all of the text or, as far as possible, nothing.
+    ///
+    /// # Errors
+    /// The file could not be opened, written or synced.
     fn append(&self, text: &str) -> std::io::Result<()> {
         let mut file = OpenOptions::new().create(true).append(true).open(&self.path)?;
         let before = file.metadata()?.len();
         let result =
             file.write_all(text.as_bytes()).and_then(|()| if self.sync { file.sync_data() } else { Ok(()) });
         if result.is_err() {
-            // What is half there would be a line that nobody can read. If this fails, too, it stays.
+            // Removes a partial line, which nobody could read. If this fails, too, the partial line stays.
             let _ = file.set_len(before);
         }
         result
     }
 }
 
-/// Appends off the serving thread, again and again until it works.
+/// Appends on a blocking thread and retries until it succeeds.
 async fn append(notice_file: &Arc<Mutex<NoticeFile>>, text: String) {
-    let mut delivered = false;
+    let mut logged = false;
     loop {
         let (notice_file, text) = (notice_file.clone(), text.clone());
         let result = tokio::task::spawn_blocking(move || {
@@ -108,9 +117,9 @@
         });
         match result.await {
             Ok(Ok(())) => return,
-            Ok(Err(why)) if !delivered => {
+            Ok(Err(why)) if !logged => {
                 eprintln!("outcomes: cannot append, trying on: {why}");
-                delivered = true;
+                logged = true;
             }
             _ => {}
         }
@@ -119,35 +128,36 @@
 }
 
 impl OutcomeNotifier {
-    /// The platform's.
+    /// Notices that are posted to the platform.
     pub fn platform(address: SocketAddr) -> Self {
-        let post = HttpTarget { address: Rc::new(Cell::new(address)), path: "/v1/outcomes".into() };
-        OutcomeNotifier { post: Some(post), file: None, rejected: None }
+        let http = HttpTarget { address: Rc::new(Cell::new(address)), path: "/v1/outcomes".into() };
+        OutcomeNotifier { http: Some(http), file: None, rejected: None }
     }
 
-    /// An operator's: posted to `url`, appended to `file`, or both. What the other side cannot read is
-    /// appended to `unread`. With `sync` lines are on the device before their messages count as ended.
+    /// Notices that are posted to the operator's `url`, appended to `file`, or both. Those that the receiver
+    /// rejects as unreadable are appended to `rejected`. With `sync`, lines are synced to the device before
+    /// their messages count as ended.
     pub fn operator(url: Option<&Url>, file: Option<PathBuf>, rejected: PathBuf, sync: bool) -> Self {
-        let post =
+        let http =
             url.map(|u| HttpTarget { address: Rc::new(Cell::new(u.address)), path: u.path.as_str().into() });
         let notice_file = |path| Arc::new(Mutex::new(NoticeFile { path, sync }));
-        OutcomeNotifier { post, file: file.map(notice_file), rejected: Some(notice_file(rejected)) }
+        OutcomeNotifier { http, file: file.map(notice_file), rejected: Some(notice_file(rejected)) }
     }
 
-    /// From now on notices go to another address, those that are tried again among them.
+    /// Changes the address of the receiver, also for retries of batches in flight.
     pub fn set_address(&self, address: SocketAddr) {
-        if let Some(post) = &self.post {
-            post.address.set(address);
+        if let Some(target) = &self.http {
+            target.address.set(address);
         }
     }
 
-    /// Delivers a batch until it is acknowledged, then reports it.
+    /// Delivers a batch, with retries until it is acknowledged, and then reports it as [`News::Told`].
     pub async fn deliver(self, batch: Vec<Notice>, news: Sender<News>) {
         if let Some(file) = &self.file {
             append(file, batch.iter().map(Notice::line).collect()).await;
         }
-        let delivered = match &self.post {
-            Some(post) => post.deliver_all(batch, self.rejected.as_ref()).await,
+        let delivered = match &self.http {
+            Some(target) => target.deliver_all(batch, self.rejected.as_ref()).await,
             None => batch.iter().map(|n| n.message).collect(),
         };
         let _ = news.send(News::Told(delivered)).await;
@@ -155,7 +165,7 @@
 }
 
 impl HttpTarget {
-    /// Posts all; their messages' numbers.
+    /// Posts all notices with retries and returns the numbers of their messages.
     async fn deliver_all(
         &self,
         mut batch: Vec<Notice>,
@@ -169,7 +179,7 @@
                 Some(status) if status.is_success() => {
                     delivered.extend(batch.drain(..count).map(|n| n.message));
                 }
-                // One line that cannot be read must not hold back the others: each by itself.
+                // One unreadable line must not hold back the others, so each is sent by itself from now on.
                 Some(StatusCode::BAD_REQUEST) if count > 1 => batch_limit = 1,
                 Some(StatusCode::BAD_REQUEST) => {
                     eprintln!("outcomes: the other side cannot read the notice for {:?}", batch[0].id);
@@ -187,8 +197,8 @@
         delivered
     }
 
-    /// Posts once, on a connection of its own: an answer names no request, and on a used connection it could
-    /// be a second copy of the one before.
+    /// Posts a batch once on a new connection. A response does not identify its request, and on a reused
+    /// connection it could be a second copy of the previous one.
     async fn post_once(&self, batch: &[Notice]) -> Option<StatusCode> {
         let to = self.address.get();
         let mut connection = HttpConnection::connect(to, CONNECT_TIMEOUT, None).await.ok()?;
--- a/crates/courier/src/outbound/response_head.rs
+++ b/crates/courier/src/outbound/response_head.rs
@@ -1,21 +1,21 @@
-//! The head of an answer, read as its bytes arrive and beside the HTTP library: its status, and what it
-//! forbids, are known also where the rest cannot be read.
+//! Incremental parser of response heads that runs beside hyper. It makes the status code and a requested wait
+//! available even if the rest of the response cannot be read.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// `HTTP/1.1 200` and what ends the number.
+/// Length of `HTTP/1.1 200` and the byte that ends the status code.
 const STATUS_END: usize = 13;
-/// Longest header field that is looked at; the one that is looked for is shorter.
+/// Maximum length of a header field that is parsed; the wait field is shorter.
 const MAX_FIELD_BYTES: usize = 64;
-/// The field that tells for how many milliseconds nothing more may be sent.
+/// The header field with the number of milliseconds for which nothing more may be sent.
 const WAIT_FIELD: &str = "Wait-Ms";
-/// The status of an answer that may tell to wait.
+/// The status code of a response that may request a wait.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// A wait of so many milliseconds or more is none.
+/// A wait of this many milliseconds or more is ignored.
 const WAIT_LIMIT_MS: f64 = 1e9;
 
-/// Reads the head of an answer, past 1xx answers ahead.
+/// Parses the head of a response and skips preceding 1xx responses.
 #[derive(Default)]
 pub struct ResponseHead {
     part: HeadPart,
@@ -25,42 +25,44 @@
     wait: Option<Duration>,
 }
 
-/// What the next byte belongs to.
+/// The part of the head that the next byte belongs to.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum HeadPart {
     #[default]
     FirstLine,
-    /// The rest of a 1xx answer.
+    /// The header fields of a 1xx response.
     Informational,
     Fields,
-    /// What follows the head, or what cannot be read as one.
+    /// What follows the head, or an invalid status line.
     Rest,
 }
 
 impl ResponseHead {
-    /// The status of the answer, past 1xx ones; None until its first line is here, or if that has none.
+    /// The status code of the final response; None until it has been received, or if the status line is
+    /// invalid.
     pub fn status(&self) -> Option<u16> {
         self.status
     }
 
-    /// The status of a first line that has ended with it, so far: enough for what it forbids, not for what it
-    /// proves.
+    /// The status code at the end of a status line that has been received only that far. It is enough to
+    /// apply a restriction, but it proves nothing.
     pub fn provisional_status(&self) -> Option<u16> {
         let line = [&self.line, b" ".as_slice()].concat();
         status(&line).filter(|_| self.part == HeadPart::FirstLine && line.len() == STATUS_END)
     }
 
-    /// When the first byte of the answer came, or of a 1xx ahead that has not ended.
+    /// When the first byte of the final response arrived, or of a preceding 1xx response that is still
+    /// incomplete.
     pub fn started_at(&self) -> Option<Instant> {
         self.started_at
     }
 
-    /// Until when the answer forbids to send more, as far as it is read: counted from its first byte.
+    /// Until when the response received so far forbids sending more. The wait counts from its first byte.
     pub fn blocked_until(&self) -> Option<Instant> {
         Some(self.started_at? + self.wait?)
     }
 
-    /// Takes the next bytes of the connection.
+    /// Parses the next bytes received on the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
             if self.part == HeadPart::Rest {
@@ -103,7 +105,7 @@
             None => HeadPart::Rest,
         };
         self.status = status.filter(|_| self.part == HeadPart::Fields);
-        // Not blank, and no field: what is left of the line counts as neither.
+        // The rest of the status line must count neither as a blank line nor as a header field.
         self.line = if byte == b'\n' { Vec::new() } else { vec![b' '] };
     }
 
@@ -115,6 +117,7 @@
     }
 }
 
+/// The status code of a status line, which may be cut off after the byte behind the code.
 fn status(line: &[u8]) -> Option<u16> {
     let (version, rest) = line.strip_prefix(b"HTTP/1.")?.split_at_checked(1)?;
     let number = rest.strip_prefix(b" ")?.get(..3)?;
@@ -123,11 +126,11 @@
     (ends && digits).then(|| number.iter().fold(0, |n, d| n * 10 + u16::from(d - b'0')))
 }
 
-/// The wait that a header field tells.
+/// The wait requested by a header field; None for another field or an invalid value.
 fn wait_of_field(field: &[u8]) -> Option<Duration> {
     let (name, value) = std::str::from_utf8(field).ok()?.split_once(':')?;
-    let told = name.eq_ignore_ascii_case(WAIT_FIELD) && field.len() < MAX_FIELD_BYTES;
-    let ms = value.trim().parse::<f64>().ok().filter(|_| told)?;
+    let is_wait = name.eq_ignore_ascii_case(WAIT_FIELD) && field.len() < MAX_FIELD_BYTES;
+    let ms = value.trim().parse::<f64>().ok().filter(|_| is_wait)?;
     (ms > 0.0 && ms < WAIT_LIMIT_MS).then(|| Duration::from_secs_f64(ms / 1000.0))
 }
 
--- a/crates/courier/src/outbound/response_head_test.rs
+++ b/crates/courier/src/outbound/response_head_test.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_first_line_tells_the_status_also_of_what_cannot_be_read() {
+fn status_is_known_from_the_status_line_even_if_the_rest_is_malformed() {
     for (text, status) in [
         ("HTTP/1.1 200 OK\r\n", Some(200)),
         ("HTTP/1.1 200 O", Some(200)),
@@ -23,11 +23,11 @@
     }
     let mut first = ResponseHead::default();
     first.feed(b"HTTP/1.1 100 Continue\r\n\r\n");
-    assert!(first.started_at.is_none(), "the answer itself may still take its time");
+    assert!(first.started_at.is_none(), "the time limit of the final response has not started");
 }
 
 #[test]
-fn a_first_line_that_ends_with_its_status_tells_it_apart_from_one_that_is_whole() {
+fn status_at_the_end_of_a_partial_status_line_is_only_provisional() {
     for (text, unended, status) in [
         ("HTTP/1.1 410", Some(410), None),
         ("HTTP/1.1 410 ", None, Some(410)),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_wait_is_heard_as_soon_as_its_field_is_here_whatever_follows() {
+fn wait_is_known_as_soon_as_its_field_is_complete_whatever_follows() {
     let wait = |text: &str, size| {
         let mut head = ResponseHead::default();
         text.as_bytes().chunks(size).for_each(|piece| head.feed(piece));
--- a/crates/courier/src/outbound/response_identity.rs
+++ b/crates/courier/src/outbound/response_identity.rs
@@ -1,7 +1,7 @@
-//! Whether an answer can be told from earlier ones of the same endpoint. HTTP/1.1 ties an answer to its
-//! request by nothing but the order on the connection, so a second copy of an earlier answer looks like the
-//! answer to the request that is out. A copy equals what it is a copy of: on a used connection only an answer
-//! that differs from all before it is taken for the answer, and a connection is used again only where answers
+//! Detects responses that may be second copies of earlier ones. HTTP/1.1 matches responses to requests only
+//! by their order on the connection, so a duplicate of an earlier response looks like the response to the
+//! pending request. A duplicate equals its original. Therefore a response on a reused connection counts only
+//! if it differs from all earlier ones there, and a connection is reused only if the endpoint's responses
 //! differ.
 
 use hyper::header::DATE;
@@ -10,16 +10,17 @@
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Answers that are remembered of each status, of each endpoint and of all, to see whether they differ.
+/// Maximum number of responses remembered by status, both for each endpoint and for all of them, to see
+/// whether they differ.
 const MAX_HISTORY: usize = 16;
-/// Statuses that are remembered. Of further ones nothing is known.
+/// Maximum number of status codes remembered. Responses with other status codes have no history.
 const MAX_STATUSES: usize = 8;
-/// Where the endpoint may name the request that it answers.
+/// The header field in which an endpoint may return the id of the request.
 const REQUEST_ID: &str = "X-Request-ID";
 
-/// What tells one answer from another: status, `X-Request-ID` and body; without a body the header fields but
-/// `Date`, since nothing else could differ. With a body they do not count: a copy may have been given other
-/// fields on its way.
+/// Distinguishes one response from another by status, `X-Request-ID` and body. Without a body, the header
+/// fields except `Date` count, since nothing else could differ. With a body they do not: an intermediary may
+/// have added other fields to a duplicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseIdentity {
     status: StatusCode,
@@ -27,7 +28,7 @@
 }
 
 impl ResponseIdentity {
-    /// The identity of an answer that came whole.
+    /// The identity of a complete response.
     pub fn of(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Self {
         let mut hasher = DefaultHasher::new();
         headers.get(REQUEST_ID).hash(&mut hasher);
@@ -39,24 +40,24 @@
         ResponseIdentity { status, hash: hasher.finish() }
     }
 
-    /// For the log: the same for equal answers.
+    /// A hash for the log; equal responses have equal hashes.
     pub fn hash(self) -> u64 {
         self.hash
     }
 }
 
-/// Whether the next answer on a connection can be expected to differ from those before it.
+/// Whether the next response on a connection can be expected to differ from earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expectation {
-    /// The endpoint's answers of this status differ.
+    /// The endpoint's responses of this status differ.
     Distinct,
-    /// Nothing is known of this endpoint's; those of the others differ.
+    /// This endpoint has no history for the status, but the responses of the other endpoints differ.
     PresumedDistinct,
-    /// Answers are alike, or nothing is known of any.
+    /// Responses are identical, or there is no history at all.
     Identical,
 }
 
-/// The latest answers, on whatever connection: of each endpoint, and of all together.
+/// The latest responses on all connections, by endpoint and of all endpoints together.
 #[derive(Default)]
 pub struct ResponseHistories {
     by_endpoint: HashMap<EndpointId, ResponseHistory>,
@@ -64,7 +65,7 @@
 }
 
 impl ResponseHistories {
-    /// Adds an answer of an endpoint; what can be expected of the next one there.
+    /// Adds a response and returns what to expect of the endpoint's next one.
     pub fn add(&mut self, endpoint: EndpointId, response: ResponseIdentity) -> Expectation {
         let own = self.by_endpoint.entry(endpoint).or_default().add(response);
         let all = self.all.add(response);
@@ -75,18 +76,19 @@
         }
     }
 
-    /// Drops what is known of an endpoint.
+    /// Drops the history of an endpoint.
     pub fn forget(&mut self, endpoint: EndpointId) {
         self.by_endpoint.remove(&endpoint);
     }
 }
 
-/// The latest answers of each status, so that many of one do not push out the few of another.
+/// The latest responses by status, so that frequent statuses do not displace rare ones.
 #[derive(Default)]
 struct ResponseHistory(Vec<(StatusCode, VecDeque<u64>)>);
 
 impl ResponseHistory {
-    /// Adds an answer. Whether it differs from the others of its status; None if there is none.
+    /// Adds a response and returns whether it differs from the remembered ones of its status; None if there
+    /// is none.
     fn add(&mut self, response: ResponseIdentity) -> Option<bool> {
         let Some((_, hashes)) = self.0.iter_mut().find(|(status, _)| *status == response.status) else {
             if self.0.len() < MAX_STATUSES {
--- a/crates/courier/src/outbound/response_identity_test.rs
+++ b/crates/courier/src/outbound/response_identity_test.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn copy_of_an_answer_has_its_identity_also_with_another_date() {
+fn duplicate_of_a_response_has_the_same_identity_even_with_another_date() {
     let response = identity(200, &[("Date", "Fri, 04 Dec 2026 05:00:00 GMT")], "receipt 17");
     assert_eq!(response, identity(200, &[("Date", "Fri, 04 Dec 2026 05:00:01 GMT")], "receipt 17"));
     let bare = identity(204, &[("Date", "Fri, 04 Dec 2026 05:00:00 GMT")], "");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn answers_that_name_their_request_differ() {
+fn responses_with_different_request_ids_differ() {
     let first = identity(200, &[("X-Request-ID", "m1")], "ok");
     assert_ne!(first, identity(200, &[("X-Request-ID", "m2")], "ok"));
 }
@@ -34,29 +34,33 @@
 const SECOND: EndpointId = EndpointId(2);
 
 #[test]
-fn answers_are_expected_to_differ_only_where_another_of_their_status_did() {
+fn responses_are_expected_to_differ_only_if_others_of_their_status_did() {
     let mut histories = ResponseHistories::default();
-    assert_eq!(histories.add(FIRST, body("a")), Expectation::Identical, "nothing is known yet");
+    assert_eq!(histories.add(FIRST, body("a")), Expectation::Identical, "there is no history yet");
     assert_eq!(histories.add(FIRST, body("b")), Expectation::Distinct);
     let refusal = identity(503, &[], "");
-    assert_eq!(histories.add(FIRST, refusal), Expectation::Identical, "nothing is known of refusals");
-    assert_eq!(histories.add(FIRST, refusal), Expectation::Identical, "refusals are alike");
+    assert_eq!(histories.add(FIRST, refusal), Expectation::Identical, "there is no history of 503");
+    assert_eq!(histories.add(FIRST, refusal), Expectation::Identical, "responses with 503 are identical");
     assert_eq!(histories.add(FIRST, body("c")), Expectation::Distinct);
     assert_eq!(histories.add(FIRST, body("b")), Expectation::Identical);
 }
 
 #[test]
-fn first_answer_of_an_endpoint_is_presumed_to_differ_where_those_of_others_do() {
+fn first_response_of_an_endpoint_is_presumed_to_differ_if_those_of_others_do() {
     let mut histories = ResponseHistories::default();
     histories.add(FIRST, body("a"));
     assert_eq!(histories.add(SECOND, body("b")), Expectation::PresumedDistinct);
     histories.forget(SECOND);
-    assert_eq!(histories.add(SECOND, body("b")), Expectation::Identical, "the same answer from anyone");
-    assert_eq!(histories.add(SECOND, body("b")), Expectation::Identical, "its own answers are alike");
+    assert_eq!(
+        histories.add(SECOND, body("b")),
+        Expectation::Identical,
+        "the same response from any endpoint"
+    );
+    assert_eq!(histories.add(SECOND, body("b")), Expectation::Identical, "its own responses are identical");
 }
 
 #[test]
-fn history_forgets_what_is_old_but_not_for_answers_of_another_status() {
+fn old_responses_are_displaced_only_by_responses_of_the_same_status() {
     let mut histories = ResponseHistories::default();
     histories.add(FIRST, body("first"));
     histories.add(FIRST, identity(503, &[], "full"));
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn nothing_is_expected_of_more_statuses_than_are_remembered() {
+fn responses_of_statuses_beyond_the_limit_are_not_expected_to_differ() {
     let mut histories = ResponseHistories::default();
     for status in 200..200 + MAX_STATUSES as u16 {
         histories.add(FIRST, identity(status, &[], "a"));
--- a/crates/courier/src/socket.rs
+++ b/crates/courier/src/socket.rs
@@ -1,17 +1,21 @@
-//! Reads and writes of a TCP socket. A call that a signal interrupts is made again. A read or a write of a part is no sign
-//! that the socket is empty or full: tokio's own take it for one, and wait for an event that never comes.
+//! Reads and writes on a TCP socket. Calls interrupted by a signal are repeated. Unlike tokio's own methods,
+//! these do not treat a short read or write as a sign that the socket is empty or full; tokio's then wait for
+//! an event that never comes.
 
 use std::io;
 use std::task::{Context, Poll, ready};
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Whether a call is to be made again: the socket was not ready, or a signal came first.
+/// Whether a call must be repeated: the socket was not ready, or a signal interrupted it.
 pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads what is there.
+/// Reads available bytes into the buffer.
+///
+/// # Errors
+/// The socket failed.
 pub fn poll_read(stream: &TcpStream, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
@@ -26,7 +30,10 @@
     }
 }
 
-/// Writes as much as the socket takes, by `write`; how many bytes that were.
+/// Writes as much as the socket accepts, using `write`, and returns the number of bytes.
+///
+/// # Errors
+/// The socket failed.
 pub fn poll_write(
     stream: &TcpStream,
     cx: &mut Context,
