--- a/crates/courier/src/outbound/endpoint_client.rs
+++ b/crates/courier/src/outbound/endpoint_client.rs
@@ -1,5 +1,5 @@
 //! HTTP client for endpoints: calls and probes over pooled connections, one exchange per connection at a
-//! time. It tells a request that may have run from one that was never sent.
+//! time. It distinguishes a request that may have run from one that was never sent.
 
 use crate::news::{CallEnd, News};
 use crate::outbound::attempt_outcome::{apply_gone, classify, without_response};
@@ -29,7 +29,7 @@
 /// Minimum share of a call's time that must remain for the response when the request is written.
 const MIN_RESPONSE_TIME_SHARE: f64 = 0.25;
 /// No request is written to an endpoint later than this after the report that it drains or is gone. The
-/// protocol allows 1 s; reading the report and writing the request may each be up to 0.15 s late.
+/// rule for drains allows 1 s; reading the report and writing the request may each be up to 0.15 s late.
 pub const MAX_WRITE_AFTER_DRAIN: Duration = Duration::from_millis(700);
 
 /// An attempt that was decided on while the endpoint list was valid may be written this long after the list
--- a/crates/courier/src/outbound/http_connection.rs
+++ b/crates/courier/src/outbound/http_connection.rs
@@ -35,7 +35,7 @@
 const HEAD_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum time to read the body of a response after its head.
 const BODY_TIMEOUT: Duration = Duration::from_millis(200);
-/// Maximum size of a response body.
+/// Maximum size of a response body, and of hyper's buffer.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Maximum number of response bytes read from a connection after it has failed.
 const MAX_LATE_HEAD_BYTES: usize = 4096;
--- a/crates/courier/src/outbound/response_head_test.rs
+++ b/crates/courier/src/outbound/response_head_test.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn status_at_the_end_of_a_partial_status_line_is_only_provisional() {
-    for (text, unended, status) in [
+    for (text, provisional, status) in [
         ("HTTP/1.1 410", Some(410), None),
         ("HTTP/1.1 410 ", None, Some(410)),
         ("HTTP/1.1 41", None, None),
@@ -37,7 +37,7 @@
     ] {
         let mut head = ResponseHead::default();
         head.feed(text.as_bytes());
-        assert_eq!((head.provisional_status(), head.status()), (unended, status), "{text:?}");
+        assert_eq!((head.provisional_status(), head.status()), (provisional, status), "{text:?}");
     }
 }
 
@@ -50,7 +50,7 @@
             .zip(head.started_at())
             .map(|(until, started_at)| (until - started_at).as_millis())
     };
-    for (text, told) in [
+    for (text, expected) in [
         ("HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 900\r\n", Some(900)),
         ("HTTP/1.1 429\r\nwait-ms:900\nno head", Some(900)),
         ("HTTP/1.1 429 No\r\nWait-Ms: 7.5\r\nWait-Ms: 900\r\nWait-Ms: x\r\n\r\n", Some(900)),
@@ -61,7 +61,7 @@
         ("HTTP/1.1 503 No\r\nWait-Ms: 900\r\n", None),
     ] {
         for size in [1, 3, 1000] {
-            assert_eq!(wait(text, size), told, "{text:?} in pieces of {size}");
+            assert_eq!(wait(text, size), expected, "{text:?} in pieces of {size}");
         }
     }
 }
