--- a/crates/courier/src/owner/out.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -1,11 +1,11 @@
 //! What is out: the messages that are held, their calls, and how each call ended.
 
-use super::Courier;
-use super::held::{Held, Waiting};
-use super::stopping::STOP_SENDING;
-use crate::clock::unix;
+use super::Dispatcher;
+use super::held_message::{Held, Waiting};
+use super::shutdown::STOP_SENDING;
+use crate::clock::unix_time;
+use crate::events::{AfterAttempt, CallResult};
 use crate::message_trace;
-use crate::news::{AfterAttempt, CallEnd};
 use crate::outbound::endpoint_client::{Call, CallTarget, EndpointClient};
 use crate::outbound::exchange::ExchangeLog;
 use stairshed_decide::interface::*;
@@ -26,14 +26,14 @@
     }
 }
 
-impl Courier {
+impl Dispatcher {
     /// As from a check: it concerns the endpoint, not a message.
     pub(super) fn told_to_wait(&mut self, endpoint: EndpointId, until: Instant) {
         let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
-        self.events.push(Event::Probed { endpoint, outcome, took: Duration::ZERO, report: None });
+        self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed: Duration::ZERO, report: None });
     }
 
-    pub(super) fn called(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallEnd) {
+    pub(super) fn called(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallResult) {
         // What proves that it never ran; all else may have.
         let never = matches!(
             end.outcome,
@@ -43,13 +43,13 @@
             self.journal.never_ran(message, attempt);
         }
         match end.after {
-            AfterAttempt::Open => {}
+            AfterAttempt::RetryAllowed => {}
             AfterAttempt::Settled => {
                 // Told to be over without a delivery: it never ran, and may be handed in again.
                 let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
                 self.finish(message, verdict);
             }
-            AfterAttempt::EndOwed => self.judge(message, Verdict::Dead),
+            AfterAttempt::FailWithoutRetry => self.judge(message, Verdict::Dead),
         }
         if self.resumed(message, &end) {
             return;
@@ -67,7 +67,7 @@
                 format_args!(
                     "attempt={attempt} ended outcome={:?} ran={ran} over={} proof={:?} {}",
                     end.outcome,
-                    end.after != AfterAttempt::Open,
+                    end.after != AfterAttempt::RetryAllowed,
                     end.proof,
                     ExchangeLog(end.exchange)
                 ),
@@ -77,12 +77,12 @@
         self.part(endpoint);
         let Some(m) = self.out.held.get_mut(&message) else { return };
         let Some((sent, _)) = m.out.take() else { return };
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::AttemptEnded(AttemptEnded {
             message: MessageId(message),
             endpoint,
             outcome: aged(end.outcome, end.at),
-            took: end.at.saturating_duration_since(sent),
-            over: end.after != AfterAttempt::Open,
+            elapsed: end.at.saturating_duration_since(sent),
+            is_final: end.after != AfterAttempt::RetryAllowed,
             report: end.report,
         }));
         // The module drops a message with its last outcome, and so does the courier.
@@ -103,7 +103,7 @@
                 continue;
             };
             let zone = self.setup.zones.get(e.zone).cloned().unwrap_or_default();
-            let attempt = Attempt { host: e.host.clone(), zone, sent: unix(), may_have_run: true };
+            let attempt = Attempt { host: e.host.clone(), zone, sent: unix_time(), may_have_run: true };
             let broker = e.topic.is_some();
             m.out = Some((now, None));
             if late {
@@ -138,12 +138,12 @@
                     endpoint.0,
                     host.unwrap_or_default(),
                     list.version(),
-                    list.silence()
+                    list.last_line_age()
                 ),
             );
             let letter = m.letter.clone();
             let once = self.setup.classes.get(m.class).is_some_and(|c| c.effect == Effect::Once);
-            let (deadline, pool) = (now + timeout, self.brain.pool_id(endpoint));
+            let (deadline, pool) = (now + timeout, self.scheduler.limit_group_id(endpoint));
             ready.push(Call { message, attempt: number, endpoint, pool, target, letter, deadline, once });
         }
         let seq = self.journal.last_seq();
@@ -207,12 +207,12 @@
 }
 
 fn never_sent(message: u64, endpoint: EndpointId, outcome: Outcome) -> Event {
-    Event::Ended(Ended {
+    Event::AttemptEnded(AttemptEnded {
         message: MessageId(message),
         endpoint,
         outcome,
-        took: Duration::ZERO,
-        over: false,
+        elapsed: Duration::ZERO,
+        is_final: false,
         report: None,
     })
 }
--- a/crates/courier/src/room.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -1,6 +1,6 @@
 //! The ledger of memory with the courier's clock: where all parts ask for room, and learn when to come back.
 
-use crate::system;
+use crate::process_memory;
 use serde::Serialize;
 use serde_json::{Value, json};
 use stairshed_config::Installation;
@@ -16,7 +16,7 @@
 
 /// Shared by all parts of one courier.
 #[derive(Clone)]
-pub struct Room {
+pub struct MemoryBudget {
     pub ledger: Ledger,
     /// Connections that are turned away.
     pub partings: Rc<RefCell<Partings>>,
@@ -25,7 +25,7 @@
 
 /// There is no room for something new, and when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoRoom {
+pub struct MemoryRefusal {
     pub refused: Refused,
     pub wait: Duration,
 }
@@ -51,7 +51,7 @@
     /// What the allocator has given out and no purpose has on its books; below zero where estimates are too high.
     unaccounted: i64,
     #[serde(flatten)]
-    allocator: system::Allocator,
+    allocator: process_memory::AllocatorStats,
 }
 
 /// The caps of a configuration, with what the process was started with where it states no total.
@@ -59,7 +59,7 @@
 /// # Errors
 /// All that is wrong with them, or the configuration itself takes more than it may.
 pub fn caps(installation: &Installation) -> Result<Caps, Vec<String>> {
-    let caps = installation::caps(&installation.file, system::limit());
+    let caps = installation::caps(&installation.file, process_memory::address_space_limit());
     let caps = caps.map_err(|faults| faults.iter().map(|f| format!("memory: {f}")).collect::<Vec<_>>())?;
     let (takes, may) = (installation.weigh(), caps.of[Purpose::Configuration]);
     match takes <= may {
@@ -72,13 +72,13 @@
     }
 }
 
-impl Room {
-    pub fn new(caps: &Caps, share: f64) -> Room {
-        Room { ledger: Ledger::new(caps, share), partings: Rc::default(), origin: Instant::now() }
+impl MemoryBudget {
+    pub fn new(caps: &Caps, share: f64) -> MemoryBudget {
+        MemoryBudget { ledger: Ledger::new(caps, share), partings: Rc::default(), origin: Instant::now() }
     }
 
     /// Other caps from now on.
-    pub fn configure(&self, caps: &Caps, share: f64) {
+    pub fn set_caps(&self, caps: &Caps, share: f64) {
         self.ledger.set_caps(caps, share);
     }
 
@@ -88,17 +88,19 @@
     }
 
     /// What somebody who was refused is told.
-    pub fn no(&self, refused: Refused) -> NoRoom {
-        NoRoom { refused, wait: self.ledger.wait(&refused, self.now()) }
+    pub fn refusal(&self, refused: Refused) -> MemoryRefusal {
+        MemoryRefusal { refused, wait: self.ledger.wait(&refused, self.now()) }
     }
 
     pub fn page(&self) -> Value {
         let accounted = self.ledger.in_use();
-        let process = system::resident().zip(system::allocator()).map(|(resident, allocator)| Process {
-            resident,
-            unaccounted: allocator.allocated as i64 - accounted as i64,
-            allocator,
-        });
+        let process = process_memory::resident_bytes().zip(process_memory::allocator_stats()).map(
+            |(resident, allocator)| Process {
+                resident,
+                unaccounted: allocator.allocated as i64 - accounted as i64,
+                allocator,
+            },
+        );
         json!(Page {
             level: self.ledger.worst(),
             total: self.ledger.total(),
--- a/crates/courier/src/message_trace.rs
+++ b/crates/courier/src/message_trace.rs
@@ -104,7 +104,7 @@
 
 #[cold]
 fn write(id: impl Display, what: Arguments) {
-    let now = crate::clock::unix();
+    let now = crate::clock::unix_time();
     let Some(dropped) = LINE_COUNT.with(|count| admit_line(now.as_secs(), count)) else { return };
     let mut out = std::io::stderr().lock();
     // Write errors are ignored: the trace must not stop the courier.
--- a/crates/courier/src/outbound/attempt_outcome.rs
+++ b/crates/courier/src/outbound/attempt_outcome.rs
@@ -4,38 +4,45 @@
 //! restrictions still apply: after a 410 a message is not sent again, even if the rest of the response could
 //! not be read.
 
-use crate::news::{AfterAttempt, CallEnd};
+use crate::events::{AfterAttempt, CallResult};
 use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
-use stairshed_decide::interface::{Outcome, Report};
+use stairshed_decide::interface::{Outcome, LimitReport};
 use tokio::time::Instant;
 
 /// Forbids another attempt after a status of 410, even if the response proves nothing: the endpoint has
 /// reported that the message is over.
-pub fn apply_gone(end: CallEnd, progress: ResponseProgress) -> CallEnd {
+pub fn apply_gone(end: CallResult, progress: ResponseProgress) -> CallResult {
     match end.after {
-        AfterAttempt::Open if progress.is_gone() => {
+        AfterAttempt::RetryAllowed if progress.is_gone() => {
             let proof = "an answer of 410 that could not be read to its end";
-            CallEnd { after: AfterAttempt::EndOwed, proof, ..end }
+            CallResult { after: AfterAttempt::FailWithoutRetry, proof, ..end }
         }
         _ => end,
     }
 }
 
 /// The end of a call without a usable response.
-pub fn without_response(outcome: Outcome, proof: &'static str) -> CallEnd {
-    CallEnd { outcome, after: AfterAttempt::Open, report: None, at: Instant::now(), proof, exchange: None }
+pub fn without_response(outcome: Outcome, proof: &'static str) -> CallResult {
+    CallResult {
+        outcome,
+        after: AfterAttempt::RetryAllowed,
+        report: None,
+        at: Instant::now(),
+        proof,
+        exchange: None,
+    }
 }
 
 /// Classifies a response, or the lack of one, by the rules of the PROTOCOL document: what it proves and what
 /// it forbids.
-pub fn classify(response: Result<HttpResponse, RequestError>, progress: ResponseProgress) -> CallEnd {
+pub fn classify(response: Result<HttpResponse, RequestError>, progress: ResponseProgress) -> CallResult {
     apply_gone(interpret(response, progress.blocked_until), progress)
 }
 
 /// What a response proves. Only what the PROTOCOL document calls 'never' counts as not run.
-fn interpret(response: Result<HttpResponse, RequestError>, blocked_until: Option<Instant>) -> CallEnd {
+fn interpret(response: Result<HttpResponse, RequestError>, blocked_until: Option<Instant>) -> CallResult {
     let response = match response {
         Ok(response) => response,
         Err(error) => {
@@ -52,11 +59,11 @@
     // An incomplete response proves nothing, except that one with status 200 proves delivery: the request has
     // run, or may have.
     if !response.complete && response.status != StatusCode::OK {
-        return CallEnd { at: response.received_at, ..without_response(Outcome::Reset, "spoilt answer") };
+        return CallResult { at: response.received_at, ..without_response(Outcome::Reset, "spoilt answer") };
     }
     if response.is_repeat() {
         let proof = "the answer repeats an earlier one on its connection";
-        return CallEnd { at: response.received_at, ..without_response(Outcome::Reset, proof) };
+        return CallResult { at: response.received_at, ..without_response(Outcome::Reset, proof) };
     }
     let header = |name| response.headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
     let outcome = match response.status {
@@ -78,14 +85,14 @@
     };
     let after = match response.status {
         StatusCode::OK | StatusCode::GONE => AfterAttempt::Settled,
-        _ => AfterAttempt::Open,
+        _ => AfterAttempt::RetryAllowed,
     };
     let proof = match outcome {
         Outcome::Crowded => "503 and close",
         _ => response.status.canonical_reason().unwrap_or("an answer"),
     };
     let report = load_report(&response.headers);
-    CallEnd { outcome, after, report, at: response.received_at, proof, exchange: None }
+    CallResult { outcome, after, report, at: response.received_at, proof, exchange: None }
 }
 
 /// Whether the response has `Connection: close`.
@@ -95,7 +102,7 @@
 }
 
 /// Parses `X-Server-Load: TEXT x0=0.4, x1=25`. None if a value is missing or not a finite number.
-fn load_report(headers: &HeaderMap) -> Option<Report> {
+fn load_report(headers: &HeaderMap) -> Option<LimitReport> {
     let text = headers.get("X-Server-Load")?.to_str().ok()?;
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
     let field = |name: &str| {
@@ -103,7 +110,7 @@
         let value = pairs.filter(|(key, _)| key.trim() == name).map(|(_, value)| value.trim()).next()?;
         value.parse::<f64>().ok().filter(|v| v.is_finite())
     };
-    Some(Report { left: field("x0")?, limit: field("x1")? })
+    Some(LimitReport { remaining_share: field("x0")?, limit: field("x1")? })
 }
 
 #[cfg(test)]
--- a/crates/courier/src/outbound/attempt_outcome_test.rs
+++ b/crates/courier/src/outbound/attempt_outcome_test.rs
@@ -3,7 +3,7 @@
 fn read(text: &str) -> Option<(f64, f64)> {
     let mut headers = HeaderMap::new();
     headers.insert("X-Server-Load", text.parse().expect("a header"));
-    load_report(&headers).map(|r| (r.left, r.limit))
+    load_report(&headers).map(|r| (r.remaining_share, r.limit))
 }
 
 #[test]
@@ -55,9 +55,9 @@
         interpret(Err(RequestError::TimedOut), None),
         called_off,
     ] {
-        assert_eq!(end.after, AfterAttempt::Open);
-        assert_eq!(apply_gone(end, gone).after, AfterAttempt::EndOwed);
+        assert_eq!(end.after, AfterAttempt::RetryAllowed);
+        assert_eq!(apply_gone(end, gone).after, AfterAttempt::FailWithoutRetry);
     }
     let other = ResponseProgress { status: Some(503), ..ResponseProgress::default() };
-    assert_eq!(classify(Err(RequestError::ConnectionBroken), other).after, AfterAttempt::Open);
+    assert_eq!(classify(Err(RequestError::ConnectionBroken), other).after, AfterAttempt::RetryAllowed);
 }
--- a/crates/courier/src/outbound/broker_connection.rs
+++ b/crates/courier/src/outbound/broker_connection.rs
@@ -1,7 +1,7 @@
 //! Connection to one MQTT broker: the socket I/O for the protocol state machine of `stairshed-mqtt`.
 
-use crate::clock::unix;
-use crate::news::{AfterAttempt, CallEnd, News};
+use crate::clock::unix_time;
+use crate::events::{AfterAttempt, CallResult, CourierEvent};
 use crate::outbound::endpoint_client::Call;
 use crate::socket::is_transient;
 use bytes::Bytes;
@@ -59,7 +59,7 @@
         (address, topic): (SocketAddr, String),
         (settings, client, connect_time): (file::Broker, String, Duration),
         folder: &Path,
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
     ) -> Rc<BrokerConnection> {
         let password = settings.password_file.as_ref().and_then(|f| match password(folder, f) {
             Ok(password) => Some(password),
@@ -151,7 +151,7 @@
         (sent, released): (Duration, bool),
     ) {
         self.attempts.borrow_mut().insert(number, attempt);
-        let patience = letter.until.saturating_sub(unix());
+        let patience = letter.until.saturating_sub(unix_time());
         let message = self.message(number, &letter, patience, effect, Some(sent));
         self.with_client(|mqtt_client, now| mqtt_client.resume(id, message, released, now));
     }
@@ -165,7 +165,7 @@
         effect: Effect,
         sent: Option<Duration>,
     ) -> Message {
-        let (unix, now) = (unix(), self.origin.elapsed());
+        let (unix, now) = (unix_time(), self.origin.elapsed());
         let left = letter.until.saturating_sub(unix);
         // At QoS 1 a broker treats a retransmission as a new message, so messages that must not run twice use
         // QoS 2.
@@ -232,7 +232,7 @@
     }
 
     /// Serves the connection until it is stopped.
-    async fn run(self: Rc<Self>, news: Sender<News>) {
+    async fn run(self: Rc<Self>, news: Sender<CourierEvent>) {
         let mut socket: Option<TcpStream> = None;
         let mut connecting: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
         let mut bytes = vec![0; READ_BUFFER_BYTES];
@@ -313,16 +313,16 @@
     }
 
     /// Reports an effect of the state machine to the owner, or logs it.
-    async fn report(&self, effect: client::Effect, news: &Sender<News>) {
+    async fn report(&self, effect: client::Effect, news: &Sender<CourierEvent>) {
         let endpoint = self.endpoint;
         let event = match effect {
-            client::Effect::Record { id, message } => News::Released { endpoint, id, message },
-            client::Effect::Resuming => News::Resuming { endpoint, begins: true },
-            client::Effect::Resumed => News::Resuming { endpoint, begins: false },
-            client::Effect::Free { id, .. } => News::Freed { endpoint, id },
+            client::Effect::Record { id, message } => CourierEvent::PubrecReceived { endpoint, id, message },
+            client::Effect::Resuming => CourierEvent::SessionResuming { endpoint, pending: true },
+            client::Effect::Resumed => CourierEvent::SessionResuming { endpoint, pending: false },
+            client::Effect::Free { id, .. } => CourierEvent::PacketIdFreed { endpoint, id },
             client::Effect::Ended { message, end, .. } => {
                 let Some(attempt) = self.attempts.borrow_mut().remove(&message) else { return };
-                News::Called { message, attempt, endpoint, end: call_end_of(end) }
+                CourierEvent::CallEnded { message, attempt, endpoint, end: call_end_of(end) }
             }
             client::Effect::Log(text) => {
                 eprintln!("mqtt: {}: {text}", self.address);
@@ -370,7 +370,7 @@
 }
 
 /// Maps the end of an MQTT delivery to an outcome of the decision module, by the table in docs/mqtt.md.
-fn call_end_of(end: End) -> CallEnd {
+fn call_end_of(end: End) -> CallResult {
     let outcome = match end {
         End::Delivered => Outcome::Delivered,
         End::Error => Outcome::Error,
@@ -380,9 +380,9 @@
         End::Lost => Outcome::Reset,
         End::TimedOut => Outcome::TimedOut,
     };
-    CallEnd {
+    CallResult {
         outcome,
-        after: if end == End::Delivered { AfterAttempt::Settled } else { AfterAttempt::Open },
+        after: if end == End::Delivered { AfterAttempt::Settled } else { AfterAttempt::RetryAllowed },
         report: None,
         at: Instant::now(),
         proof: "the broker's word",
--- a/crates/courier/src/outbound/connection_pool.rs
+++ b/crates/courier/src/outbound/connection_pool.rs
@@ -1,10 +1,10 @@
 //! Pool of idle connections to endpoints, with the socket and memory limits for new ones.
 
-use crate::outbound::connection_status::{CloseReason, ConnectionStatus};
 use crate::outbound::failure_rate::FailureRates;
+use crate::outbound::connection_status::{CloseReason, ConnectionStatus};
 use crate::outbound::http_connection::{HttpConnection, HttpResponse};
 use crate::outbound::response_identity::{Expectation, ResponseHistories};
-use crate::room::Room;
+use crate::memory_budget::MemoryBudget;
 use stairshed_decide::interface::EndpointId;
 use stairshed_memory::{Charge, Purpose};
 use std::cell::{Cell, RefCell};
@@ -48,7 +48,7 @@
     failure_rates: RefCell<FailureRates>,
     histories: RefCell<ResponseHistories>,
     status: Rc<ConnectionStatus>,
-    room: Room,
+    room: MemoryBudget,
 }
 
 /// A connection for one exchange.
@@ -61,7 +61,12 @@
 impl ConnectionPool {
     /// Creates a pool and a task that closes expired connections for as long as the pool exists. `keepalive`
     /// is the time after which endpoints close an idle connection.
-    pub fn start(connect_timeout: Duration, keepalive: Duration, sockets: usize, room: Room) -> Rc<Self> {
+    pub fn start(
+        connect_timeout: Duration,
+        keepalive: Duration,
+        sockets: usize,
+        room: MemoryBudget,
+    ) -> Rc<Self> {
         let pool = Rc::new(ConnectionPool {
             connect_timeout: Cell::new(connect_timeout),
             idle_timeout: Cell::new(keepalive.mul_f64(MAX_IDLE_SHARE)),
--- a/crates/courier/src/outbound/endpoint_client.rs
+++ b/crates/courier/src/outbound/endpoint_client.rs
@@ -1,7 +1,7 @@
 //! HTTP client for endpoints: calls and probes over pooled connections, one exchange per connection at a
 //! time. It distinguishes a request that may have run from one that was never sent.
 
-use crate::news::{CallEnd, News};
+use crate::events::{CallResult, CourierEvent};
 use crate::outbound::attempt_outcome::{apply_gone, classify, without_response};
 use crate::outbound::connection_pool::{ConnectionPool, PooledConnection};
 use crate::outbound::connection_status::ConnectionStatus;
@@ -9,12 +9,12 @@
 use crate::outbound::exchange_monitor::{ExchangeMonitor, run_monitored};
 use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
 use crate::outbound::response_identity::ResponseIdentity;
-use crate::room::Room;
+use crate::memory_budget::MemoryBudget;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HOST;
-use stairshed_decide::interface::{EndpointId, Outcome, PoolId};
+use stairshed_decide::interface::{EndpointId, Outcome, LimitGroupId};
 use stairshed_journal::Letter;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -42,7 +42,7 @@
     pub attempt: u32,
     pub endpoint: EndpointId,
     /// The endpoints that share a limit: a wait requested by one of them applies to the whole pool.
-    pub pool: PoolId,
+    pub pool: LimitGroupId,
     pub target: CallTarget,
     pub letter: Rc<Letter>,
     /// Nothing is written after this time. It counts from the decision to send, so neither a slow disk nor a
@@ -67,7 +67,7 @@
     /// Endpoints that take no new requests, and since when.
     draining: Rc<RefCell<HashMap<EndpointId, Instant>>>,
     /// Pools that requested a wait, and until when nothing may be written to them.
-    blocked_pools: Rc<RefCell<HashMap<PoolId, Instant>>>,
+    blocked_pools: Rc<RefCell<HashMap<LimitGroupId, Instant>>>,
     /// Until when the endpoint list is valid; None if it does not expire.
     list_valid_until: Rc<Cell<Option<Instant>>>,
     /// Endpoints that may be used even when the list has expired.
@@ -77,7 +77,7 @@
 impl EndpointClient {
     /// `connect` is the connect time-out, `sockets` the maximum number of connections. `keepalive` is the
     /// time after which endpoints close an idle connection; connections are closed here before that.
-    pub fn new(connect: Duration, keepalive: Duration, sockets: usize, room: Room) -> Self {
+    pub fn new(connect: Duration, keepalive: Duration, sockets: usize, room: MemoryBudget) -> Self {
         let pool = ConnectionPool::start(connect, keepalive, sockets, room);
         let (draining, blocked_pools) = (Rc::default(), Rc::default());
         let (list_valid_until, unleased) = (Rc::default(), Rc::default());
@@ -153,7 +153,7 @@
     /// `monitor` reports on the response while the exchange runs.
     async fn run_exchange(
         &self,
-        (endpoint, pool): (EndpointId, Option<PoolId>),
+        (endpoint, pool): (EndpointId, Option<LimitGroupId>),
         (to, once): (SocketAddr, bool),
         request: Request<Full<Bytes>>,
         until: Instant,
@@ -213,7 +213,7 @@
     fn check_writable(
         &self,
         endpoint: EndpointId,
-        pool: Option<PoolId>,
+        pool: Option<LimitGroupId>,
         write_deadline: Instant,
     ) -> Result<(), RequestError> {
         // The connection came too late to leave time for a response. Written now, the request may run with no
@@ -241,7 +241,7 @@
     }
 
     /// Records the wait that a response requests, for calls that still wait for a connection.
-    fn record_wait(&self, pool: Option<PoolId>, progress: ResponseProgress) {
+    fn record_wait(&self, pool: Option<LimitGroupId>, progress: ResponseProgress) {
         if let Some((pool, until)) = pool.zip(progress.blocked_until) {
             let mut blocked_pools = self.blocked_pools.borrow_mut();
             let now = Instant::now();
@@ -258,7 +258,7 @@
         call: Call,
         address: SocketAddr,
         cancel: oneshot::Receiver<()>,
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
     ) {
         let Call { message, attempt, endpoint, pool, letter, deadline, once, .. } = call;
         let timeout = deadline.saturating_duration_since(Instant::now());
@@ -283,7 +283,7 @@
                 (response, exchange) =
                     self.run_exchange((endpoint, Some(pool)), (address, once), request, deadline, &monitor) =>
                 {
-                    CallEnd { exchange, ..classify(response, monitor.progress()) }
+                    CallResult { exchange, ..classify(response, monitor.progress()) }
                 }
                 _ = cancel => {
                     apply_gone(without_response(Outcome::Cancelled, "called off"), monitor.progress())
@@ -292,7 +292,7 @@
             Err(_) => without_response(Outcome::Moot, "the message does not form a valid HTTP request"),
         };
         let outcome = end.outcome;
-        monitor.finish(News::Called { message, attempt, endpoint, end }, outcome).await;
+        monitor.finish(CourierEvent::CallEnded { message, attempt, endpoint, end }, outcome).await;
     }
 
     /// Sends a probe (`GET /-/load`) and reports how it ended.
@@ -301,7 +301,7 @@
         endpoint: EndpointId,
         address: SocketAddr,
         timeout: Duration,
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
@@ -312,9 +312,9 @@
             }
             Err(_) => (Err(RequestError::NotSent), None),
         };
-        let end = CallEnd { exchange, ..classify(response, monitor.progress()) };
+        let end = CallResult { exchange, ..classify(response, monitor.progress()) };
         let outcome = end.outcome;
-        monitor.finish(News::Probed { endpoint, sent, end }, outcome).await;
+        monitor.finish(CourierEvent::ProbeEnded { endpoint, sent, end }, outcome).await;
     }
 }
 
--- a/crates/courier/src/outbound/exchange_monitor.rs
+++ b/crates/courier/src/outbound/exchange_monitor.rs
@@ -1,7 +1,7 @@
 //! Monitors a response while it is being received, and reports a requested wait before the response is
 //! complete.
 
-use crate::news::News;
+use crate::events::CourierEvent;
 use crate::outbound::http_connection::{ProgressHandle, ResponseProgress};
 use stairshed_decide::interface::{EndpointId, Outcome};
 use std::cell::{Cell, RefCell};
@@ -15,7 +15,7 @@
 /// rest of the response has arrived, which may take longer than the courier may ignore a wait.
 pub struct ExchangeMonitor {
     endpoint: EndpointId,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
     handle: RefCell<Option<ProgressHandle>>,
     /// Whether the wait has been reported to the dispatcher.
     wait_reported: Cell<bool>,
@@ -23,7 +23,7 @@
 
 impl ExchangeMonitor {
     /// A monitor for an exchange with this endpoint. Reports go to the dispatcher through `news`.
-    pub fn new(endpoint: EndpointId, news: Sender<News>) -> Self {
+    pub fn new(endpoint: EndpointId, news: Sender<CourierEvent>) -> Self {
         ExchangeMonitor { endpoint, news, handle: RefCell::default(), wait_reported: Cell::default() }
     }
 
@@ -38,9 +38,9 @@
     }
 
     /// The requested wait, if it has not been reported yet.
-    fn unreported_wait(&self) -> Option<News> {
+    fn unreported_wait(&self) -> Option<CourierEvent> {
         let until = self.progress().blocked_until.filter(|_| !self.wait_reported.get())?;
-        Some(News::ToldToWait { endpoint: self.endpoint, until })
+        Some(CourierEvent::BackoffRequested { endpoint: self.endpoint, until })
     }
 
     /// Reports a requested wait if the channel has room.
@@ -51,7 +51,7 @@
     }
 
     /// Reports how the exchange ended, preceded by an unreported wait unless `outcome` includes it.
-    pub async fn finish(self, news: News, outcome: Outcome) {
+    pub async fn finish(self, news: CourierEvent, outcome: Outcome) {
         let reports_wait = matches!(outcome, Outcome::Full { wait: Some(_) });
         if let Some(wait) = self.unreported_wait().filter(|_| !reports_wait) {
             // The receiver is gone once the courier has stopped.
--- a/crates/courier/src/outbound/outcomes.rs
+++ b/crates/courier/src/outbound/outcomes.rs
@@ -1,7 +1,7 @@
 //! Notices of accepted messages that were not delivered, sent to the platform or to the operator's HTTP URL,
 //! file, or both. They are retried until they are acknowledged, without a time limit.
 
-use crate::news::News;
+use crate::events::CourierEvent;
 use crate::outbound::http_connection::HttpConnection;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -152,7 +152,7 @@
     }
 
     /// Delivers a batch, with retries until it is acknowledged, and then reports it as [`News::Told`].
-    pub async fn deliver(self, batch: Vec<Notice>, news: Sender<News>) {
+    pub async fn deliver(self, batch: Vec<Notice>, news: Sender<CourierEvent>) {
         if let Some(file) = &self.file {
             append(file, batch.iter().map(Notice::line).collect()).await;
         }
@@ -160,7 +160,7 @@
             Some(target) => target.deliver_all(batch, self.rejected.as_ref()).await,
             None => batch.iter().map(|n| n.message).collect(),
         };
-        let _ = news.send(News::Told(delivered)).await;
+        let _ = news.send(CourierEvent::NoticesAcknowledged(delivered)).await;
     }
 }
 
