--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -4,7 +4,7 @@
 use super::outage_detector::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
 use crate::events::{CourierEvent, EndpointList};
-use crate::outbound::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
+use crate::upstream::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/crates/courier/src/dispatcher/held_message.rs
+++ b/crates/courier/src/dispatcher/held_message.rs
@@ -2,7 +2,7 @@
 //! which nothing is known. Below all of them, and owns nothing itself.
 
 use crate::events::ReplyTo;
-use crate::outbound::endpoint_client::Call;
+use crate::upstream::endpoint_client::Call;
 use stairshed_decide::interface::EndpointId;
 use stairshed_journal::Letter;
 use std::rc::Rc;
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -3,7 +3,7 @@
 use super::Dispatcher;
 use crate::clock::unix_time;
 use crate::message_trace;
-use crate::outbound::outcomes::{Notice, OutcomeNotifier};
+use crate::upstream::outcomes::{Notice, OutcomeNotifier};
 use stairshed_journal::Verdict;
 use std::collections::VecDeque;
 
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -6,7 +6,7 @@
 use crate::clock::unix_time;
 use crate::events::CourierEvent;
 use crate::message_trace;
-use crate::outbound::outcomes::Notice;
+use crate::upstream::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Synced, Verdict};
 use std::collections::VecDeque;
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -2,7 +2,7 @@
 //! what they carry. It stands below all of them, so that no part imports the owner.
 
 use crate::memory_budget::MemoryRefusal;
-use crate::outbound::exchange::Exchange;
+use crate::upstream::exchange::Exchange;
 use serde::Deserialize;
 use stairshed_config::Installation;
 use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -5,7 +5,7 @@
 use crate::discovery::watch_status::WatchStatus;
 use crate::ingress::http::ServerState;
 use crate::memory_budget::MemoryBudget;
-use crate::outbound::connection_status::ConnectionStatus;
+use crate::upstream::connection_status::ConnectionStatus;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -17,11 +17,11 @@
 mod ingress;
 mod memory_budget;
 pub mod message_trace;
-mod outbound;
 mod process_memory;
 mod socket;
 mod startup;
 mod startup_error;
+mod upstream;
 
 pub use discovery::config_file;
 pub use ingress::active_config::host_name;
--- a/crates/courier/src/outbound.rs
+++ b/crates/courier/src/upstream.rs
@@ -1,4 +1,5 @@
-//! Outbound traffic: HTTP calls to endpoints and their connection pool, MQTT broker connections, and outcome notices.
+//! Traffic to upstreams: HTTP calls to endpoints and their connection pool, MQTT broker connections, and
+//! outcome notices.
 
 pub mod attempt_outcome;
 pub mod broker_connection;
--- a/crates/courier/src/outbound/attempt_outcome.rs
+++ b/crates/courier/src/upstream/attempt_outcome.rs
@@ -5,10 +5,10 @@
 //! not be read.
 
 use crate::events::{AfterAttempt, CallResult};
-use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
+use crate::upstream::http_connection::{HttpResponse, RequestError, ResponseProgress};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
-use stairshed_decide::interface::{Outcome, LimitReport};
+use stairshed_decide::interface::{LimitReport, Outcome};
 use tokio::time::Instant;
 
 /// Forbids another attempt after a status of 410, even if the response proves nothing: the endpoint has
--- a/crates/courier/src/outbound/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -2,8 +2,8 @@
 
 use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult, CourierEvent};
-use crate::outbound::endpoint_client::Call;
 use crate::socket::is_transient;
+use crate::upstream::endpoint_client::Call;
 use bytes::Bytes;
 use stairshed_config::file::{self, MqttVersion};
 use stairshed_decide::interface::{Effect, EndpointId, Outcome};
@@ -65,7 +65,7 @@
             Ok(password) => Some(password),
             Err(e) => {
                 eprintln!(
-                    "mqtt: {address}: cannot read the password file, connecting without a password: {}: {e}",
+                    "mqtt: {address}: its password cannot be read, and none is sent: {}: {e}",
                     f.display()
                 );
                 None
--- a/crates/courier/src/outbound/connection_pool.rs
+++ b/crates/courier/src/upstream/connection_pool.rs
@@ -1,10 +1,10 @@
 //! Pool of idle connections to endpoints, with the socket and memory limits for new ones.
 
-use crate::outbound::failure_rate::FailureRates;
-use crate::outbound::connection_status::{CloseReason, ConnectionStatus};
-use crate::outbound::http_connection::{HttpConnection, HttpResponse};
-use crate::outbound::response_identity::{Expectation, ResponseHistories};
 use crate::memory_budget::MemoryBudget;
+use crate::upstream::connection_status::{CloseReason, ConnectionStatus};
+use crate::upstream::failure_rate::FailureRates;
+use crate::upstream::http_connection::{HttpConnection, HttpResponse};
+use crate::upstream::response_identity::{Expectation, ResponseHistories};
 use stairshed_decide::interface::EndpointId;
 use stairshed_memory::{Charge, Purpose};
 use std::cell::{Cell, RefCell};
--- a/crates/courier/src/outbound/connection_status.rs
+++ b/crates/courier/src/upstream/connection_status.rs
@@ -1,7 +1,7 @@
 //! Counters of connections to endpoints and of the reasons they were closed, for the log and the admin page
 //! `/-/connections`.
 
-use crate::outbound::http_connection::{ResponseProgress, SocketFailure};
+use crate::upstream::http_connection::{ResponseProgress, SocketFailure};
 use serde_json::{Value, json};
 use stairshed_decide::interface::EndpointId;
 use std::cell::{Cell, RefCell};
@@ -108,8 +108,8 @@
         self.last_report.set(Some(now));
         let number = self.count(CloseReason::UnsolicitedBytes);
         eprintln!(
-            "connections: endpoint {} sent unsolicited bytes, found {:.3} s after its last response; \
-             closed connection {connection_number} ({number} so far)",
+            "connections: endpoint {} sent bytes that no request asked for, found {:.3} s after its last answer; \
+             connection {connection_number} is closed ({number} so far)",
             endpoint.0,
             idle.as_secs_f64()
         );
--- a/crates/courier/src/outbound/endpoint_client.rs
+++ b/crates/courier/src/upstream/endpoint_client.rs
@@ -2,19 +2,19 @@
 //! time. It distinguishes a request that may have run from one that was never sent.
 
 use crate::events::{CallResult, CourierEvent};
-use crate::outbound::attempt_outcome::{apply_gone, classify, without_response};
-use crate::outbound::connection_pool::{ConnectionPool, PooledConnection};
-use crate::outbound::connection_status::ConnectionStatus;
-use crate::outbound::exchange::Exchange;
-use crate::outbound::exchange_monitor::{ExchangeMonitor, run_monitored};
-use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
-use crate::outbound::response_identity::ResponseIdentity;
 use crate::memory_budget::MemoryBudget;
+use crate::upstream::attempt_outcome::{apply_gone, classify, without_response};
+use crate::upstream::connection_pool::{ConnectionPool, PooledConnection};
+use crate::upstream::connection_status::ConnectionStatus;
+use crate::upstream::exchange::Exchange;
+use crate::upstream::exchange_monitor::{ExchangeMonitor, run_monitored};
+use crate::upstream::http_connection::{HttpResponse, RequestError, ResponseProgress};
+use crate::upstream::response_identity::ResponseIdentity;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HOST;
-use stairshed_decide::interface::{EndpointId, Outcome, LimitGroupId};
+use stairshed_decide::interface::{EndpointId, LimitGroupId, Outcome};
 use stairshed_journal::Letter;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
--- a/crates/courier/src/outbound/exchange.rs
+++ b/crates/courier/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! The log record of one exchange: a request on a connection to an endpoint, and the response read for it.
 
-use crate::outbound::connection_status::CloseReason;
-use crate::outbound::http_connection::ResponseProgress;
+use crate::upstream::connection_status::CloseReason;
+use crate::upstream::http_connection::ResponseProgress;
 use std::fmt;
 use std::time::Duration;
 
--- a/crates/courier/src/outbound/exchange_monitor.rs
+++ b/crates/courier/src/upstream/exchange_monitor.rs
@@ -2,7 +2,7 @@
 //! complete.
 
 use crate::events::CourierEvent;
-use crate::outbound::http_connection::{ProgressHandle, ResponseProgress};
+use crate::upstream::http_connection::{ProgressHandle, ResponseProgress};
 use stairshed_decide::interface::{EndpointId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
--- a/crates/courier/src/outbound/http_connection.rs
+++ b/crates/courier/src/upstream/http_connection.rs
@@ -1,10 +1,10 @@
 //! An HTTP/1.1 client connection that is polled by its owner instead of a background task. Dropping it closes
 //! the socket at once, and whether any byte of a request was written is always known.
 
-use crate::outbound::connection_status::CloseReason;
-use crate::outbound::response_head::ResponseHead;
-use crate::outbound::response_identity::ResponseIdentity;
 use crate::socket;
+use crate::upstream::connection_status::CloseReason;
+use crate::upstream::response_head::ResponseHead;
+use crate::upstream::response_identity::ResponseIdentity;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
--- a/crates/courier/src/outbound/outcomes.rs
+++ b/crates/courier/src/upstream/outcomes.rs
@@ -2,7 +2,7 @@
 //! file, or both. They are retried until they are acknowledged, without a time limit.
 
 use crate::events::CourierEvent;
-use crate::outbound::http_connection::HttpConnection;
+use crate::upstream::http_connection::HttpConnection;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
