--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -59,7 +59,7 @@
         (address, topic): (SocketAddr, String),
         (settings, client, connect_time): (file::Broker, String, Duration),
         folder: &Path,
-        news: Sender<CourierEvent>,
+        events: Sender<CourierEvent>,
     ) -> Rc<BrokerConnection> {
         let password = settings.password_file.as_ref().and_then(|f| match password(folder, f) {
             Ok(password) => Some(password),
@@ -97,7 +97,7 @@
             wake: Notify::new(),
             stopped: Cell::new(false),
         });
-        tokio::task::spawn_local(broker.clone().run(news));
+        tokio::task::spawn_local(broker.clone().run(events));
         broker
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Serves the connection until it is stopped.
-    async fn run(self: Rc<Self>, news: Sender<CourierEvent>) {
+    async fn run(self: Rc<Self>, events: Sender<CourierEvent>) {
         let mut socket: Option<TcpStream> = None;
         let mut connecting: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
         let mut bytes = vec![0; READ_BUFFER_BYTES];
@@ -251,7 +251,7 @@
                         }
                         connecting = None;
                     }
-                    other => self.report(other, &news).await,
+                    other => self.report(other, &events).await,
                 }
             }
             if self.stopped.get() && !self.is_busy() {
@@ -313,7 +313,7 @@
     }
 
     /// Reports an effect of the state machine to the owner, or logs it.
-    async fn report(&self, effect: client::Effect, news: &Sender<CourierEvent>) {
+    async fn report(&self, effect: client::Effect, events: &Sender<CourierEvent>) {
         let endpoint = self.endpoint;
         let event = match effect {
             client::Effect::Record { id, message } => CourierEvent::PubrecReceived { endpoint, id, message },
@@ -331,7 +331,7 @@
             client::Effect::Open | client::Effect::Close { .. } => return,
         };
         // The receiver outlives the broker connections.
-        let _ = news.send(event).await;
+        let _ = events.send(event).await;
     }
 
     /// Writes pending output.
--- a/crates/courier/src/upstream/connection_pool.rs
+++ b/crates/courier/src/upstream/connection_pool.rs
@@ -48,7 +48,7 @@
     failure_rates: RefCell<FailureRates>,
     histories: RefCell<ResponseHistories>,
     status: Rc<ConnectionStatus>,
-    room: MemoryBudget,
+    memory_budget: MemoryBudget,
 }
 
 /// A connection for one exchange.
@@ -65,7 +65,7 @@
         connect_timeout: Duration,
         keepalive: Duration,
         sockets: usize,
-        room: MemoryBudget,
+        memory_budget: MemoryBudget,
     ) -> Rc<Self> {
         let pool = Rc::new(ConnectionPool {
             connect_timeout: Cell::new(connect_timeout),
@@ -75,7 +75,7 @@
             failure_rates: RefCell::default(),
             histories: RefCell::default(),
             status: Rc::default(),
-            room,
+            memory_budget,
         });
         let swept = Rc::downgrade(&pool);
         tokio::task::spawn_local(async move {
@@ -210,7 +210,7 @@
     /// reservation exceeds the cap: an accepted message must not fail for lack of memory, and endpoint slots
     /// bound the number of calls.
     fn reserve_memory(&self) -> Charge {
-        let ledger = &self.room.ledger;
+        let ledger = &self.memory_budget.ledger;
         while ledger.room(Purpose::Endpoints) < CONNECTION_BYTES && self.close_oldest() {}
         ledger.force(Purpose::Endpoints, CONNECTION_BYTES)
     }
--- a/crates/courier/src/upstream/endpoint_client.rs
+++ b/crates/courier/src/upstream/endpoint_client.rs
@@ -77,8 +77,8 @@
 impl EndpointClient {
     /// `connect` is the connect time-out, `sockets` the maximum number of connections. `keepalive` is the
     /// time after which endpoints close an idle connection; connections are closed here before that.
-    pub fn new(connect: Duration, keepalive: Duration, sockets: usize, room: MemoryBudget) -> Self {
-        let pool = ConnectionPool::start(connect, keepalive, sockets, room);
+    pub fn new(connect: Duration, keepalive: Duration, sockets: usize, memory_budget: MemoryBudget) -> Self {
+        let pool = ConnectionPool::start(connect, keepalive, sockets, memory_budget);
         let (draining, blocked_pools) = (Rc::default(), Rc::default());
         let (list_valid_until, unleased) = (Rc::default(), Rc::default());
         EndpointClient { pool, draining, blocked_pools, list_valid_until, unleased }
@@ -258,7 +258,7 @@
         call: Call,
         address: SocketAddr,
         cancel: oneshot::Receiver<()>,
-        news: Sender<CourierEvent>,
+        events: Sender<CourierEvent>,
     ) {
         let Call { message, attempt, endpoint, pool, letter, deadline, once, .. } = call;
         let timeout = deadline.saturating_duration_since(Instant::now());
@@ -276,7 +276,7 @@
                 request = request.header(name, value);
             }
         }
-        let monitor = ExchangeMonitor::new(endpoint, news);
+        let monitor = ExchangeMonitor::new(endpoint, events);
         let end = match request.body(Full::new(letter.body.clone())) {
             Ok(request) => tokio::select! {
                 biased;
@@ -301,11 +301,11 @@
         endpoint: EndpointId,
         address: SocketAddr,
         timeout: Duration,
-        news: Sender<CourierEvent>,
+        events: Sender<CourierEvent>,
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
-        let monitor = ExchangeMonitor::new(endpoint, news);
+        let monitor = ExchangeMonitor::new(endpoint, events);
         let (response, exchange) = match request {
             Ok(request) => {
                 self.run_exchange((endpoint, None), (address, false), request, sent + timeout, &monitor).await
--- a/crates/courier/src/upstream/endpoint_client_test.rs
+++ b/crates/courier/src/upstream/endpoint_client_test.rs
@@ -6,8 +6,8 @@
 async fn client_with_one_socket() -> (tokio::net::TcpListener, SocketAddr, EndpointClient) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let to = listener.local_addr().expect("its address");
-    let room = MemoryBudget::new(&stairshed_memory::Caps::none(), 1.0);
-    (listener, to, EndpointClient::new(Duration::from_secs(5), Duration::from_secs(10), 1, room))
+    let memory_budget = MemoryBudget::new(&stairshed_memory::Caps::none(), 1.0);
+    (listener, to, EndpointClient::new(Duration::from_secs(5), Duration::from_secs(10), 1, memory_budget))
 }
 
 /// A monitor whose reports are dropped.
@@ -65,8 +65,8 @@
         .await
 }
 
-// Guards against writing a request to a draining endpoint at the very end of the grace period: the drain report
-// may have been read up to 0.15 s late, and the write may be delayed by as much.
+// Guards against writing a request to a draining endpoint at the very end of the grace period: the drain
+// report may have been read up to 0.15 s late, and the write may be delayed by as much.
 #[tokio::test]
 async fn request_to_a_draining_endpoint_is_not_sent_late_in_the_grace_period() {
     let expected = Some(RequestError::Withheld("the endpoint drains or is gone"));
--- a/crates/courier/src/upstream/exchange_monitor.rs
+++ b/crates/courier/src/upstream/exchange_monitor.rs
@@ -15,16 +15,16 @@
 /// rest of the response has arrived, which may take longer than the courier may ignore a wait.
 pub struct ExchangeMonitor {
     endpoint: EndpointId,
-    news: Sender<CourierEvent>,
+    events: Sender<CourierEvent>,
     handle: RefCell<Option<ProgressHandle>>,
     /// Whether the wait has been reported to the dispatcher.
     wait_reported: Cell<bool>,
 }
 
 impl ExchangeMonitor {
-    /// A monitor for an exchange with this endpoint. Reports go to the dispatcher through `news`.
-    pub fn new(endpoint: EndpointId, news: Sender<CourierEvent>) -> Self {
-        ExchangeMonitor { endpoint, news, handle: RefCell::default(), wait_reported: Cell::default() }
+    /// A monitor for an exchange with this endpoint. Reports go to the dispatcher through `events`.
+    pub fn new(endpoint: EndpointId, events: Sender<CourierEvent>) -> Self {
+        ExchangeMonitor { endpoint, events, handle: RefCell::default(), wait_reported: Cell::default() }
     }
 
     /// Starts monitoring the connection of the exchange.
@@ -46,18 +46,18 @@
     /// Reports a requested wait if the channel has room.
     pub fn try_report_wait(&self) {
         if let Some(wait) = self.unreported_wait() {
-            self.wait_reported.set(self.news.try_send(wait).is_ok());
+            self.wait_reported.set(self.events.try_send(wait).is_ok());
         }
     }
 
     /// Reports how the exchange ended, preceded by an unreported wait unless `outcome` includes it.
-    pub async fn finish(self, news: CourierEvent, outcome: Outcome) {
+    pub async fn finish(self, event: CourierEvent, outcome: Outcome) {
         let reports_wait = matches!(outcome, Outcome::Full { wait: Some(_) });
         if let Some(wait) = self.unreported_wait().filter(|_| !reports_wait) {
             // The receiver is gone once the courier has stopped.
-            let _ = self.news.send(wait).await;
+            let _ = self.events.send(wait).await;
         }
-        let _ = self.news.send(news).await;
+        let _ = self.events.send(event).await;
     }
 }
 
--- a/crates/courier/src/upstream/outcomes.rs
+++ b/crates/courier/src/upstream/outcomes.rs
@@ -151,8 +151,9 @@
         }
     }
 
-    /// Delivers a batch, with retries until it is acknowledged, and then reports it as [`News::Told`].
-    pub async fn deliver(self, batch: Vec<Notice>, news: Sender<CourierEvent>) {
+    /// Delivers a batch, with retries until it is acknowledged, and then reports it as
+    /// [`CourierEvent::NoticesAcknowledged`].
+    pub async fn deliver(self, batch: Vec<Notice>, events: Sender<CourierEvent>) {
         if let Some(file) = &self.file {
             append(file, batch.iter().map(Notice::line).collect()).await;
         }
@@ -160,7 +161,7 @@
             Some(target) => target.deliver_all(batch, self.rejected.as_ref()).await,
             None => batch.iter().map(|n| n.message).collect(),
         };
-        let _ = news.send(CourierEvent::NoticesAcknowledged(delivered)).await;
+        let _ = events.send(CourierEvent::NoticesAcknowledged(delivered)).await;
     }
 }
 
