--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -9,7 +9,7 @@
 use crate::ingress::http::HttpServer;
 use crate::ingress::listener::listen;
 use crate::memory_budget::{self, MemoryBudget};
-use crate::outbound::http_connection::HttpConnection;
+use crate::upstream::http_connection::HttpConnection;
 use crate::startup_error::StartupError;
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -7,7 +7,7 @@
 use crate::clock::unix_time;
 use crate::events::DispatcherEvent;
 use crate::message_trace;
-use crate::outbound::outcomes::Notice;
+use crate::upstream::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Synced, Verdict};
 use std::collections::VecDeque;
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -2,7 +2,7 @@
 //! this module, so that none of them depends on the dispatcher.
 
 use crate::memory_budget::MemoryRefusal;
-use crate::outbound::exchange::Exchange;
+use crate::upstream::exchange::Exchange;
 use serde::Deserialize;
 use stairshed_config::Installation;
 use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -17,7 +17,7 @@
 mod ingress;
 mod memory_budget;
 pub mod message_trace;
-mod outbound;
+mod upstream;
 mod process_memory;
 mod socket;
 mod startup;
--- /dev/null
+++ b/crates/courier/src/upstream/outcomes.rs
@@ -0,0 +1,215 @@
+//! Notices of accepted messages that were not delivered, sent to the platform or to the operator's HTTP URL,
+//! file, or both. They are retried until they are acknowledged, without a time limit.
+
+use crate::events::DispatcherEvent;
+use crate::upstream::http_connection::HttpConnection;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::{Request, StatusCode, header};
+use serde::Serialize;
+use stairshed_config::installation::Url;
+use stairshed_journal::Verdict;
+use std::cell::Cell;
+use std::fs::OpenOptions;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+use tokio::sync::mpsc::Sender;
+use tokio::time::{Instant, sleep};
+
+/// Time-out for connecting to the receiver of notices.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time-out for the response to a batch of notices.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Delay before the first retry; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Maximum delay between retries.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+
+/// Reports one message that ended undelivered.
+#[derive(Clone, Debug)]
+pub struct Notice {
+    pub message: u64,
+    pub id: String,
+    pub verdict: Verdict,
+}
+
+/// A notice as it is written out.
+#[derive(Serialize)]
+struct Line<'a> {
+    #[serde(rename = "ref")]
+    id: &'a str,
+    result: &'static str,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    wait_ms: Option<u64>,
+}
+
+/// The outcome of a message as JSON without a line feed. A `verdict` of None means delivered.
+pub fn outcome_line(id: &str, verdict: Option<Verdict>) -> String {
+    let (result, wait) = match verdict {
+        None => ("delivered", None),
+        Some(Verdict::Dead) => ("dead", None),
+        Some(Verdict::Bounced { wait }) => ("bounced", wait),
+    };
+    let line = Line { id, result, wait_ms: wait.map(|w| w.as_millis() as u64) };
+    serde_json::to_string(&line).unwrap_or_default()
+}
+
+impl Notice {
+    fn line(&self) -> String {
+        outcome_line(&self.id, Some(self.verdict)) + "\n"
+    }
+}
+
+/// Delivers notices to their receivers.
+#[derive(Clone)]
+pub struct OutcomeNotifier {
+    http: Option<HttpTarget>,
+    file: Option<Arc<Mutex<NoticeFile>>>,
+    /// File for notices that the receiver rejects as unreadable.
+    rejected: Option<Arc<Mutex<NoticeFile>>>,
+}
+
+/// The HTTP receiver of notices.
+#[derive(Clone)]
+struct HttpTarget {
+    /// Shared with batches in flight, since a reload may change it.
+    address: Rc<Cell<SocketAddr>>,
+    path: Rc<str>,
+}
+
+/// A file that lines are appended to.
+struct NoticeFile {
+    path: PathBuf,
+    /// Whether lines are synced to the device before their messages count as ended.
+    sync: bool,
+}
+
+impl NoticeFile {
+    /// Appends all of the text or, as far as possible, nothing.
+    ///
+    /// # Errors
+    /// The file could not be opened, written or synced.
+    fn append(&self, text: &str) -> std::io::Result<()> {
+        let mut file = OpenOptions::new().create(true).append(true).open(&self.path)?;
+        let before = file.metadata()?.len();
+        let result =
+            file.write_all(text.as_bytes()).and_then(|()| if self.sync { file.sync_data() } else { Ok(()) });
+        if result.is_err() {
+            // Removes a partial line, which nobody could read. If this fails, too, the partial line stays.
+            let _ = file.set_len(before);
+        }
+        result
+    }
+}
+
+/// Appends on a blocking thread and retries until it succeeds.
+async fn append(notice_file: &Arc<Mutex<NoticeFile>>, text: String) {
+    let mut logged = false;
+    loop {
+        let (notice_file, text) = (notice_file.clone(), text.clone());
+        let result = tokio::task::spawn_blocking(move || {
+            let notice_file = notice_file.lock().unwrap_or_else(PoisonError::into_inner);
+            notice_file.append(&text).map_err(|e| format!("{}: {e}", notice_file.path.display()))
+        });
+        match result.await {
+            Ok(Ok(())) => return,
+            Ok(Err(why)) if !logged => {
+                eprintln!("outcomes: cannot append, trying on: {why}");
+                logged = true;
+            }
+            _ => {}
+        }
+        sleep(MAX_BACKOFF).await;
+    }
+}
+
+impl OutcomeNotifier {
+    /// Notices that are posted to the platform.
+    pub fn platform(address: SocketAddr) -> Self {
+        let http = HttpTarget { address: Rc::new(Cell::new(address)), path: "/v1/outcomes".into() };
+        OutcomeNotifier { http: Some(http), file: None, rejected: None }
+    }
+
+    /// Notices that are posted to the operator's `url`, appended to `file`, or both. Those that the receiver
+    /// rejects as unreadable are appended to `rejected`. With `sync`, lines are synced to the device before
+    /// their messages count as ended.
+    pub fn operator(url: Option<&Url>, file: Option<PathBuf>, rejected: PathBuf, sync: bool) -> Self {
+        let http =
+            url.map(|u| HttpTarget { address: Rc::new(Cell::new(u.address)), path: u.path.as_str().into() });
+        let notice_file = |path| Arc::new(Mutex::new(NoticeFile { path, sync }));
+        OutcomeNotifier { http, file: file.map(notice_file), rejected: Some(notice_file(rejected)) }
+    }
+
+    /// Changes the address of the receiver, also for retries of batches in flight.
+    pub fn set_address(&self, address: SocketAddr) {
+        if let Some(target) = &self.http {
+            target.address.set(address);
+        }
+    }
+
+    /// Delivers a batch, with retries until it is acknowledged, and then reports it as
+    /// [`CourierEvent::NoticesAcknowledged`].
+    pub async fn deliver(self, batch: Vec<Notice>, events: Sender<DispatcherEvent>) {
+        if let Some(file) = &self.file {
+            append(file, batch.iter().map(Notice::line).collect()).await;
+        }
+        let delivered = match &self.http {
+            Some(target) => target.deliver_all(batch, self.rejected.as_ref()).await,
+            None => batch.iter().map(|n| n.message).collect(),
+        };
+        let _ = events.send(DispatcherEvent::NoticesAcknowledged(delivered)).await;
+    }
+}
+
+impl HttpTarget {
+    /// Posts all notices with retries and returns the numbers of their messages.
+    async fn deliver_all(
+        &self,
+        mut batch: Vec<Notice>,
+        rejected: Option<&Arc<Mutex<NoticeFile>>>,
+    ) -> Vec<u64> {
+        let mut backoff = INITIAL_BACKOFF;
+        let (mut delivered, mut batch_limit) = (Vec::new(), batch.len());
+        while !batch.is_empty() {
+            let count = batch_limit.min(batch.len());
+            match self.post_once(&batch[..count]).await {
+                Some(status) if status.is_success() => {
+                    delivered.extend(batch.drain(..count).map(|n| n.message));
+                }
+                // One unreadable line must not hold back the others, so each is sent by itself from now on.
+                Some(StatusCode::BAD_REQUEST) if count > 1 => batch_limit = 1,
+                Some(StatusCode::BAD_REQUEST) => {
+                    eprintln!("outcomes: the other side cannot read the notice for {:?}", batch[0].id);
+                    if let Some(rejected) = rejected {
+                        append(rejected, batch[0].line()).await;
+                    }
+                    delivered.extend(batch.drain(..count).map(|n| n.message));
+                }
+                _ => {
+                    sleep(backoff).await;
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
+                }
+            }
+        }
+        delivered
+    }
+
+    /// Posts a batch once on a new connection. A response does not identify its request, and on a reused
+    /// connection it could be a second copy of the previous one.
+    async fn post_once(&self, batch: &[Notice]) -> Option<StatusCode> {
+        let to = self.address.get();
+        let mut connection = HttpConnection::connect(to, CONNECT_TIMEOUT, None).await.ok()?;
+        let text: String = batch.iter().map(Notice::line).collect();
+        let request = Request::post(&*self.path)
+            .header(header::HOST, to.to_string())
+            .header(header::CONTENT_TYPE, "application/x-ndjson")
+            .body(Full::new(Bytes::from(text)))
+            .ok()?;
+        let response = connection.send_request(request, Instant::now() + RESPONSE_TIMEOUT).await.ok()?;
+        Some(response.status)
+    }
+}
