--- a/crates/courier/src/config_tool.rs
+++ b/crates/courier/src/config_tool.rs
@@ -1,4 +1,4 @@
-//! `stairshed check` and `stairshed config`: what a configuration says, before and while it is in effect.
+//! `stairshed check` and `stairshed config`: validate, explain, compare and show configurations.
 
 use serde_json::Value;
 use stairshed_config::installation::Pool;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Why a tool did not do its work.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("{0}")]
@@ -24,54 +24,54 @@
     Courier { address: SocketAddr, why: io::Error },
     #[error("{0}")]
     Request(String),
-    #[error("the request takes no route")]
+    #[error("no route matches the request")]
     NoRoute,
-    /// Told in full already.
+    /// The differences have already been printed.
     #[error("they differ")]
     Differ,
 }
 
-fn read(file: &Path) -> Result<Installation, Error> {
+fn read_installation(file: &Path) -> Result<Installation, Error> {
     let text = std::fs::read_to_string(file).map_err(|why| Error::Unread { file: file.to_owned(), why })?;
     Ok(load(&file.display().to_string(), &text)?)
 }
 
-/// Checks a file, and explains what becomes of requests.
+/// Validates a file, and shows how the given requests would be routed.
 pub fn check(file: &Path, explain: &[String], out: &mut impl Write) -> Result<(), Error> {
-    let installation = read(file)?;
+    let installation = read_installation(file)?;
     let (classes, pools, routes) =
         (installation.classes.len(), installation.pools.len(), installation.routes.len());
     let endpoints: usize = installation.pools.iter().map(|p| p.members.len()).sum();
-    writeln!(out, "{}: sound", file.display())?;
+    writeln!(out, "{}: valid", file.display())?;
     writeln!(out, "  {classes} classes, {pools} pools with {endpoints} endpoints, {routes} routes")?;
     for pool in installation.pools.iter().filter(|p| p.members.is_empty() && !p.discovery) {
         writeln!(
             out,
-            "  note: pools.{} has no endpoints: its messages wait until their time is up",
+            "  note: pools.{} has no endpoints: its messages wait until their deadline",
             pool.name
         )?;
     }
-    let used = |n: usize| installation.routes.iter().any(|r| r.pool == n);
-    for (n, pool) in installation.pools.iter().enumerate().filter(|(n, _)| !used(*n)) {
+    let has_route = |n: usize| installation.routes.iter().any(|r| r.pool == n);
+    for (n, pool) in installation.pools.iter().enumerate().filter(|(n, _)| !has_route(*n)) {
         let _ = n;
-        writeln!(out, "  note: no route leads to pools.{}", pool.name)?;
+        writeln!(out, "  note: no route uses pools.{}", pool.name)?;
     }
-    let mut all = true;
+    let mut all_routed = true;
     for request in explain {
-        all &= explain_one(&installation, request, out)?;
+        all_routed &= explain_request(&installation, request, out)?;
     }
-    if all { Ok(()) } else { Err(Error::NoRoute) }
+    if all_routed { Ok(()) } else { Err(Error::NoRoute) }
 }
 
-/// `POST /path [host=NAME] [Header: value, ...]`
-struct Asked {
+/// A request given as `METHOD /path [Header: value, ...]`; its host is the `Host` header.
+struct RequestView {
     method: String,
     host: String,
     path: String,
     headers: Vec<(String, String)>,
 }
 
-impl route::Request for Asked {
+impl route::Request for RequestView {
     fn method(&self) -> &str {
         &self.method
     }
@@ -89,39 +89,42 @@
     }
 }
 
-fn asked(text: &str) -> Result<Asked, Error> {
-    let wrong =
-        || Error::Request(format!("{text:?}: write \"POST /path\", then \"Header: value\" by \", \""));
+fn parse_request(text: &str) -> Result<RequestView, Error> {
+    let syntax_error = || {
+        Error::Request(format!(
+            "{text:?}: expected \"POST /path\", then \"Header: value\" separated by \", \""
+        ))
+    };
     let mut parts = text.trim().splitn(3, ' ');
-    let (method, path) = (parts.next().unwrap_or_default(), parts.next().ok_or_else(wrong)?);
+    let (method, path) = (parts.next().unwrap_or_default(), parts.next().ok_or_else(syntax_error)?);
     let path = path.split('?').next().unwrap_or_default();
-    let path = normal_path(path).ok_or_else(|| Error::Request(format!("{path:?} is no plain path")))?;
+    let path = normal_path(path).ok_or_else(|| Error::Request(format!("{path:?} is not a plain path")))?;
     let (mut headers, mut host) = (Vec::new(), String::new());
     for header in parts.next().into_iter().flat_map(|h| h.split(", ")) {
-        let (name, value) = header.split_once(':').ok_or_else(wrong)?;
+        let (name, value) = header.split_once(':').ok_or_else(syntax_error)?;
         let (name, value) = (name.trim().to_ascii_lowercase(), value.trim().to_owned());
         if name == "host" {
             host = host_name(&value);
         }
         headers.push((name, value));
     }
-    Ok(Asked { method: method.to_ascii_uppercase(), host, path, headers })
+    Ok(RequestView { method: method.to_ascii_uppercase(), host, path, headers })
 }
 
-/// What becomes of `PUBLISH topic`.
+/// Prints how `PUBLISH topic` would be routed. Returns false if it would be rejected.
 fn explain_topic(installation: &Installation, name: &str, out: &mut impl Write) -> Result<bool, Error> {
     writeln!(out, "PUBLISH {name}")?;
     let topic = if topic::is_name(name) { installation.topics.choose(name) } else { None };
     let Some(topic) = topic else {
-        writeln!(out, "  0x90: no entry of [topics] takes this topic")?;
+        writeln!(out, "  0x90: no entry in [topics] matches this topic")?;
         return Ok(false);
     };
     writeln!(out, "  topics.{}", topic.name)?;
     writeln!(out, "  class {}", installation.classes[topic.class].name)?;
-    members(&installation.pools[topic.pool], out)?;
+    print_endpoints(&installation.pools[topic.pool], out)?;
     match topic.path(name) {
         Some(path) => writeln!(out, "  sent as POST {path}, or as PUBLISH where an endpoint is a broker")?,
-        None => writeln!(out, "  0x90: the topic makes no plain path")?,
+        None => writeln!(out, "  0x90: the topic does not map to a plain path")?,
     }
     for (name, value) in &topic.set {
         writeln!(out, "  with {name}: {value}")?;
@@ -129,7 +132,7 @@
     Ok(topic.path(name).is_some())
 }
 
-fn members(pool: &Pool, out: &mut impl Write) -> Result<(), Error> {
+fn print_endpoints(pool: &Pool, out: &mut impl Write) -> Result<(), Error> {
     writeln!(out, "  pools.{}, {} endpoints:", pool.name, pool.members.len())?;
     for member in pool.members.iter().take(10) {
         writeln!(out, "    {}", member.host)?;
@@ -140,48 +143,49 @@
     Ok(())
 }
 
-fn explain_one(installation: &Installation, text: &str, out: &mut impl Write) -> Result<bool, Error> {
+/// Prints how a request would be routed. Returns false if it would be rejected.
+fn explain_request(installation: &Installation, text: &str, out: &mut impl Write) -> Result<bool, Error> {
     if let Some(topic) = text.strip_prefix("PUBLISH ") {
         return explain_topic(installation, topic.trim(), out);
     }
-    let asked = asked(text)?;
-    writeln!(out, "{} {}", asked.method, asked.path)?;
-    let chosen = match installation.choose(&asked) {
-        Ok(chosen) => chosen,
-        Err(none) => {
-            match none {
-                NoRoute::Path => writeln!(out, "  404: no route has this host and path")?,
-                NoRoute::Headers => writeln!(out, "  404: routes of this path ask for other headers")?,
+    let request = parse_request(text)?;
+    writeln!(out, "{} {}", request.method, request.path)?;
+    let matched = match installation.choose(&request) {
+        Ok(matched) => matched,
+        Err(no_route) => {
+            match no_route {
+                NoRoute::Path => writeln!(out, "  404: no route matches this host and path")?,
+                NoRoute::Headers => writeln!(out, "  404: routes for this path require other header fields")?,
                 NoRoute::Method(known) => {
-                    writeln!(out, "  405: the routes of this path take {}", known.join(", "))?;
+                    writeln!(out, "  405: the routes for this path accept {}", known.join(", "))?;
                 }
             }
             return Ok(false);
         }
     };
     let classes = &installation.classes;
-    writeln!(out, "  routes.{}", chosen.route.name)?;
-    let class = &classes[chosen.route.class];
-    let named = asked.headers.iter().find(|(n, _)| n == "x-priority-class").map(|(_, v)| v);
-    match named {
+    writeln!(out, "  routes.{}", matched.route.name)?;
+    let class = &classes[matched.route.class];
+    let client_class = request.headers.iter().find(|(n, _)| n == "x-priority-class").map(|(_, v)| v);
+    match client_class {
         None => writeln!(out, "  class {} (the route's)", class.name)?,
-        Some(name) if chosen.route.classes.iter().any(|c| classes[*c].name == *name) => {
+        Some(name) if matched.route.classes.iter().any(|c| classes[*c].name == *name) => {
             writeln!(out, "  class {name} (the client's)")?;
         }
         Some(name) => {
-            writeln!(out, "  400: the route does not take class {name}")?;
+            writeln!(out, "  400: the route does not accept class {name}")?;
             return Ok(false);
         }
     }
-    members(chosen.pool, out)?;
-    writeln!(out, "  sent as {} {}", asked.method, chosen.path)?;
-    for (name, value) in &chosen.route.set {
+    print_endpoints(matched.pool, out)?;
+    writeln!(out, "  sent as {} {}", request.method, matched.path)?;
+    for (name, value) in &matched.route.set {
         writeln!(out, "  with {name}: {value}")?;
     }
     Ok(true)
 }
 
-/// The effective configuration of a running courier.
+/// Prints the effective configuration of a running courier.
 pub fn show(admin: SocketAddr, json: bool, out: &mut impl Write) -> Result<(), Error> {
     let page = |path| admin_client::get(admin, path).map_err(|why| Error::Courier { address: admin, why });
     let (status, values) = (page("/-/config")?, page("/-/config/values")?);
@@ -191,7 +195,7 @@
     }
     let parse = |text: &str| serde_json::from_str::<Value>(text).map_err(|e| Error::Request(e.to_string()));
     let (status, values) = (parse(&status)?, parse(&values)?);
-    let version = status["version"].as_u64().map_or("none: the file's own".to_owned(), |v| v.to_string());
+    let version = status["version"].as_u64().map_or("none, only the file".to_owned(), |v| v.to_string());
     writeln!(out, "version {version}")?;
     writeln!(out, "file {}", status["file"].as_str().unwrap_or("-"))?;
     if let Some(refusal) = status["last_refusal"].as_object() {
@@ -205,16 +209,19 @@
     Ok(())
 }
 
-/// What differs between two files. [`Error::Differ`] if anything does.
+/// Prints the differences between two files.
+///
+/// # Errors
+/// [`Error::Differ`] if there are any.
 pub fn diff(before: &Path, after: &Path, out: &mut impl Write) -> Result<(), Error> {
-    let all = report::diff(&read(before)?.file, &read(after)?.file);
-    for difference in &all {
+    let differences = report::diff(&read_installation(before)?.file, &read_installation(after)?.file);
+    for difference in &differences {
         writeln!(out, "{difference}")?;
     }
-    if all.is_empty() { Ok(()) } else { Err(Error::Differ) }
+    if differences.is_empty() { Ok(()) } else { Err(Error::Differ) }
 }
 
-/// The JSON schema of the operator's file.
+/// Prints the JSON schema of the configuration file.
 pub fn schema(out: &mut impl Write) -> Result<(), Error> {
     let text = serde_json::to_string_pretty(&report::schema()).unwrap_or_default();
     Ok(writeln!(out, "{text}")?)
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -93,9 +93,10 @@
     let (document, control_version) = view.document.borrow().clone();
     let text = tokio::task::spawn_blocking(move || {
         let overlay = control_version.as_ref().map(|v| (v.version, &*v.config));
-        let values = report::values(&installation.file, &document, overlay).into_iter().map(|(entry, source)| {
-            json!({"key": entry.path.to_string(), "value": entry.value, "source": source.to_string()})
-        });
+        let values =
+            report::values(&installation.file, &document, overlay).into_iter().map(|(entry, source)| {
+                json!({"key": entry.path.to_string(), "value": entry.value, "source": source.to_string()})
+            });
         let page = json!({"version": version, "values": values.collect::<Vec<_>>()});
         serde_json::to_string_pretty(&page).unwrap_or_default()
     });
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -411,9 +411,7 @@
                         let mut buffer = self.buffer.borrow_mut();
                         match socket.try_read(&mut buffer) {
                             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                            Ok(n) => {
-                                self.with_machine(|machine, now| machine.received(connection, &buffer[..n], now))
-                            }
+                            Ok(n) => self.with_machine(|m, now| m.received(connection, &buffer[..n], now)),
                             Err(e) if is_transient(&e) => {}
                             Err(e) => return Err(e),
                         }
--- a/crates/courier/src/journal_tool.rs
+++ b/crates/courier/src/journal_tool.rs
@@ -1,5 +1,4 @@
-//! `stairshed journal`: tools for an operator who wants to know what a courier that does not run has left.
-//! Only `compact` writes.
+//! `stairshed journal`: inspects the journal of a courier that is not running. Only `compact` writes.
 
 use serde_json::{Value, json};
 use stairshed_courier::settings::Settings;
@@ -9,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Why a tool did not do its work.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("{0}")]
@@ -18,24 +17,25 @@
     Settings(#[from] stairshed_courier::file::Error),
     #[error("standard output: {0}")]
     Output(#[from] io::Error),
-    #[error("{0} parts of the journal cannot be read")]
+    #[error("{0} damaged parts of the journal cannot be read")]
     Damaged(usize),
 }
 
-/// A folder is read with the widest bounds: what a courier with other settings wrote is read all the same.
-fn read(folder: &Path, see: &mut dyn FnMut(u64, &Record)) -> Result<Found, Error> {
+/// Reads a journal with the widest limits, so that it can be read whatever settings it was written with.
+fn read(folder: &Path, on_record: &mut dyn FnMut(u64, &Record)) -> Result<Found, Error> {
     let files = Files::read_only(folder)?;
-    Ok(stairshed_journal::read(&files, &Options::new(u64::MAX / 4), see)?)
+    Ok(stairshed_journal::read(&files, &Options::new(u64::MAX / 4), on_record)?)
 }
 
-fn seconds(from: Duration, to: Duration) -> f64 {
+fn seconds_between(from: Duration, to: Duration) -> f64 {
     to.as_secs_f64() - from.as_secs_f64()
 }
 
+/// Lists the live messages, and prints totals.
 pub fn inspect(folder: &Path, out: &mut impl Write) -> Result<(), Error> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let found = read(folder, &mut |_, _| {})?;
-    let (mut bodies, mut names, mut attempts, mut judged, mut may_have_run) = (0, 0, 0, 0, 0);
+    let (mut body_bytes, mut name_bytes, mut attempts, mut with_verdict, mut may_have_run) = (0, 0, 0, 0, 0);
     writeln!(
         out,
         "{:>12} {:>10} {:>10} {:>8} {:>9} {:>8}  class, id",
@@ -43,52 +43,59 @@
     )?;
     for (message, live) in &found.live {
         let letter = &live.letter;
-        bodies += letter.body.len();
-        names += letter.id.len() + letter.class.len() + letter.key.as_ref().map_or(0, String::len);
+        body_bytes += letter.body.len();
+        name_bytes += letter.id.len() + letter.class.len() + letter.key.as_ref().map_or(0, String::len);
         attempts += live.attempts.len();
-        judged += usize::from(live.verdict.is_some());
+        with_verdict += usize::from(live.verdict.is_some());
         may_have_run += usize::from(live.attempts.iter().any(|a| a.may_have_run));
         let verdict = match live.verdict {
             None => "-",
             Some(Verdict::Dead) => "dead",
             Some(Verdict::Bounced { .. }) => "bounced",
         };
-        let left = seconds(now, letter.until);
+        let left = seconds_between(now, letter.until);
         let age = match letter.taken.is_zero() {
             true => "-".to_owned(),
-            false => format!("{:.1}", seconds(letter.taken, now)),
+            false => format!("{:.1}", seconds_between(letter.taken, now)),
         };
-        let (tries, body) = (live.attempts.len(), letter.body.len());
+        let (attempt_count, body) = (live.attempts.len(), letter.body.len());
         writeln!(
             out,
-            "{message:>12} {age:>10} {left:>10.1} {tries:>8} {body:>9} {verdict:>8}  {}, {}",
+            "{message:>12} {age:>10} {left:>10.1} {attempt_count:>8} {body:>9} {verdict:>8}  {}, {}",
             letter.class, letter.id
         )?;
     }
     writeln!(
         out,
-        "messages: {} live, {judged} with a verdict, {may_have_run} that may have run",
+        "messages: {} live, {with_verdict} with a verdict, {may_have_run} that may have run",
         found.live.len()
     )?;
-    let untold = found.kept.values().filter(|k| k.owner.is_some()).count();
-    writeln!(out, "ended: {} remembered, {untold} of them not told to their client", found.kept.len())?;
+    let unacknowledged = found.kept.values().filter(|k| k.owner.is_some()).count();
+    writeln!(
+        out,
+        "ended: {} remembered, {unacknowledged} of them not told to their client",
+        found.kept.len()
+    )?;
     writeln!(out, "notes: {}", found.notes.len())?;
     writeln!(out, "bytes: {} in {} segments", found.bytes, found.segments)?;
-    writeln!(out, "  bodies {bodies}, ids, classes and keys {names}; {attempts} attempts on record")?;
+    writeln!(
+        out,
+        "  bodies {body_bytes}, ids, classes and keys {name_bytes}; {attempts} attempts on record"
+    )?;
     writeln!(
         out,
         "  needed {} with their heads and frames, dead {}",
         found.needed,
         found.bytes - found.needed
     )?;
-    damages(&found, out)
+    print_damages(&found, out)
 }
 
-fn damages(found: &Found, out: &mut impl Write) -> Result<(), Error> {
+fn print_damages(found: &Found, out: &mut impl Write) -> Result<(), Error> {
     if found.cut_bytes > 0 {
         writeln!(
             out,
-            "torn tail: {} bytes, as a crash leaves them; the next start cuts them off",
+            "torn tail: {} bytes, as left by a crash; the next start truncates them",
             found.cut_bytes
         )?;
     }
@@ -96,15 +103,19 @@
         writeln!(out, "DAMAGED {damage}")?;
     }
     for message in &found.lost {
-        writeln!(out, "LOST message {message}: it was accepted, and its id and body cannot be read")?;
+        writeln!(out, "LOST message {message}: it was accepted, but its id and body cannot be read")?;
     }
     Ok(())
 }
 
+/// Reads every segment.
+///
+/// # Errors
+/// A part of the journal is damaged.
 pub fn verify(folder: &Path, out: &mut impl Write) -> Result<(), Error> {
     let mut records = 0u64;
     let found = read(folder, &mut |_, _| records += 1)?;
-    damages(&found, out)?;
+    print_damages(&found, out)?;
     if !found.damages.is_empty() {
         return Err(Error::Damaged(found.damages.len()));
     }
@@ -113,57 +124,59 @@
     Ok(())
 }
 
+/// Prints every record as a line of JSON.
 pub fn dump(folder: &Path, out: &mut impl Write) -> Result<(), Error> {
     let mut failed = None;
     read(folder, &mut |seq, record| {
         if failed.is_none() {
-            failed = writeln!(out, "{}", line(seq, record)).err();
+            failed = writeln!(out, "{}", record_json(seq, record)).err();
         }
     })?;
     failed.map_or(Ok(()), |e| Err(e.into()))
 }
 
-fn line(seq: u64, record: &Record) -> Value {
-    let time = |t: Duration| t.as_micros() as u64;
-    let attempt = |a: &Attempt| json!({"host": a.host, "zone": a.zone, "sent_us": time(a.sent), "may_have_run": a.may_have_run});
+fn record_json(seq: u64, record: &Record) -> Value {
+    let micros = |t: Duration| t.as_micros() as u64;
+    let attempt = |a: &Attempt| json!({"host": a.host, "zone": a.zone, "sent_us": micros(a.sent), "may_have_run": a.may_have_run});
     let verdict = |v: &Verdict| match v {
         Verdict::Dead => json!({"result": "dead"}),
-        Verdict::Bounced { wait } => json!({"result": "bounced", "wait_us": wait.map(time)}),
+        Verdict::Bounced { wait } => json!({"result": "bounced", "wait_us": wait.map(micros)}),
     };
-    let kept = |k: &Kept| {
-        json!({"id": k.id, "owner": k.owner, "until_us": time(k.until),
+    let remembered_json = |k: &Kept| {
+        json!({"id": k.id, "owner": k.owner, "until_us": micros(k.until),
             "verdict": k.verdict.as_ref().map(verdict)})
     };
-    let whole = |live: &Live| {
+    let live_json = |live: &Live| {
         let l = &live.letter;
         json!({"id": l.id, "class": l.class, "destination": l.destination, "key": l.key,
-            "taken_us": time(l.taken), "until_us": time(l.until), "body_bytes": l.body.len(),
+            "taken_us": micros(l.taken), "until_us": micros(l.until), "body_bytes": l.body.len(),
             "attempts": live.attempts.iter().map(attempt).collect::<Vec<_>>(),
             "verdict": live.verdict.as_ref().map(verdict)})
     };
-    let (kind, rest) = match record {
-        Record::Snapshot { live, .. } => ("snapshot", whole(live)),
+    let (kind, data) = match record {
+        Record::Snapshot { live, .. } => ("snapshot", live_json(live)),
         Record::Attempt { index, attempt: a, .. } => {
             ("attempt", json!({"index": index, "attempt": attempt(a)}))
         }
         Record::NeverRan { index, .. } => ("never_ran", json!({"index": index})),
         Record::Judged { verdict: v, .. } => ("judged", verdict(v)),
         Record::Ended { .. } => ("ended", json!({})),
-        Record::Kept { kept: k, .. } => ("kept", kept(k)),
+        Record::Kept { kept: k, .. } => ("kept", remembered_json(k)),
         Record::Note { note, .. } => {
             ("note", json!({"key": note.key, "value": String::from_utf8_lossy(&note.value)}))
         }
         Record::Trim { oldest } => ("trim", json!({"oldest": oldest})),
         Record::Synced { upto } => ("synced", json!({"upto": upto})),
     };
-    json!({"seq": seq, "kind": kind, "message": record.message(), "data": rest})
+    json!({"seq": seq, "kind": kind, "message": record.message(), "data": data})
 }
 
+/// Copies the live messages into new segments and removes the old ones.
 pub fn compact(folder: &Path, settings: Option<&Path>, out: &mut impl Write) -> Result<(), Error> {
     let settings = Settings::read(settings)?;
     let files = Arc::new(Files::lock(folder)?);
     let mut options = settings.journal.options(u64::MAX / 4, 6);
-    // The smallest: a courier with any room can copy what stands in one.
+    // The smallest segment size, so that a courier with any `room` can copy a segment later.
     options.segment = options.segment.or(Some(0));
     let (mut journal, report) = Journal::open(files, options)?;
     for damage in &report.damages {
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -1,4 +1,4 @@
-//! The `stairshed` command: the courier, and tools for its configuration and its journal.
+//! The `stairshed` command: runs the courier, and has tools for its configuration, memory and journal.
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use stairshed_courier::follow::{Followed, follow};
@@ -12,19 +12,22 @@
 mod journal_tool;
 mod memory_tool;
 
-/// A courier: takes messages, delivers each to an endpoint of its destination, or says truthfully that it
-/// did not.
+/// A message courier: accepts messages and delivers each to an endpoint of its destination, or reports
+/// truthfully that it did not.
 ///
-/// Without a command it runs as the platform has it, told by LB_NAME, LB_LISTEN, LB_DISCOVERY, LB_STATE and
-/// LB_CONFIG. For an installation of your own begin with `stairshed dev`, then write a file
-/// (deploy/stairshed.example.toml has every key), `stairshed check` it and `stairshed serve` it.
+/// Without a command it runs on the platform, configured by LB_NAME, LB_LISTEN, LB_DISCOVERY, LB_STATE and
+/// LB_CONFIG. For your own installation start with `stairshed dev`, then write a configuration file
+/// (deploy/stairshed.example.toml has every key), validate it with `stairshed check` and run it with
+/// `stairshed serve`.
 #[derive(Parser)]
 #[command(name = "stairshed", version)]
 struct Cli {
-    /// The operator's settings beside the platform's; without it each has its default.
+    /// Settings file in addition to the platform's configuration. Settings not given there have their
+    /// defaults.
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// Writes each step of these messages to standard error: ids with commas between them, or a share such as 1/100.
+    /// Logs each step of some messages to standard error: ids separated by commas, or a fraction such as
+    /// 1/100.
     #[arg(long, value_name = "IDS", global = true)]
     follow: Option<Followed>,
     #[command(subcommand)]
@@ -33,84 +36,87 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs an installation of your own.
+    /// Runs the courier with a configuration file.
     ///
-    /// SIGHUP reads the file again: it takes effect whole or not at all. SIGTERM ends it within 3.3 s.
+    /// SIGHUP reloads the file: it takes effect as a whole or not at all. SIGTERM ends the courier within 3.3
+    /// s.
     Serve {
-        /// The operator's file.
+        /// The configuration file.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Checks an operator's file: all that is wrong with it, each with line and key. Exit status 1 if anything is.
+    /// Validates a configuration file and reports every error with its line and key. Exit status 1 if there
+    /// is one.
     Check {
         file: PathBuf,
-        /// Says what becomes of a request: "POST /notice Host: a.example, X-Tenant: 7". May come several times.
+        /// Shows how a request would be routed: "POST /notice Host: a.example, X-Tenant: 7". May be repeated.
         #[arg(long, value_name = "REQUEST")]
         explain: Vec<String>,
     },
-    /// Runs a sample installation on loopback with a stand-in endpoint, and prints a request to try.
+    /// Runs a sample installation on loopback with a stand-in endpoint, and prints an example request.
     Dev {
-        /// Address for clients.
+        /// Address that clients connect to.
         #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:8700")]
         listen: SocketAddr,
     },
-    /// What a configuration says.
+    /// Shows and compares configurations.
     #[command(subcommand)]
     Config(Config),
-    /// What a running courier holds in memory, by purpose.
+    /// Shows the memory use of a running courier, by purpose.
     Memory {
-        /// Its listen.admin.
+        /// The courier's listen.admin address.
         #[arg(long, value_name = "ADDRESS")]
         admin: SocketAddr,
-        /// Prints it again every so many seconds.
+        /// Repeats the output at this interval, in seconds (2 if no number is given, at least 0.1, at most
+        /// 3600).
         #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "2")]
         watch: Option<f64>,
         #[arg(long)]
         json: bool,
     },
-    /// Looks at the journal of a courier that does not run.
+    /// Inspects the journal of a courier that is not running.
     #[command(subcommand)]
     Journal(Journal),
-    /// A line for the file of MQTT users: reads the password from standard input.
+    /// Makes a line for the MQTT users file; reads the password from standard input.
     MqttPassword {
         /// The user's name: letters, digits, - _ . @
         user: String,
     },
-    /// Prints completions for a shell.
+    /// Prints a completion script for a shell.
     Completions { shell: clap_complete::Shell },
 }
 
 #[derive(Subcommand)]
 enum Config {
-    /// The effective configuration of a running courier, and where each value comes from.
+    /// Shows the effective configuration of a running courier and the source of each value.
     Show {
-        /// Its listen.admin.
+        /// The courier's listen.admin address.
         #[arg(long, value_name = "ADDRESS")]
         admin: SocketAddr,
         #[arg(long)]
         json: bool,
     },
-    /// What differs between two operator's files. Exit status 1 if anything does.
+    /// Compares two configuration files. Exit status 1 if they differ.
     Diff { before: PathBuf, after: PathBuf },
-    /// The JSON schema of the operator's file, for editors.
+    /// Prints the JSON schema of the configuration file, for editors.
     Schema,
 }
 
 #[derive(Subcommand)]
 enum Journal {
-    /// What lives in it: messages, ages, sizes by purpose.
+    /// Lists the live messages with their ages and sizes, and totals by purpose.
     Inspect(Folder),
-    /// Checks every segment. Exit status 1 if a part cannot be read.
+    /// Reads every segment. Exit status 1 if a part is damaged.
     Verify(Folder),
-    /// Prints every record as a line of JSON, in order.
+    /// Prints every record in order, as one line of JSON each.
     Dump(Folder),
-    /// Copies what lives into fresh segments and removes the others. The only one of these that writes.
+    /// Copies live messages into new segments and removes the old ones. The only subcommand that writes.
     Compact(Folder),
 }
 
 #[derive(Args)]
 struct Folder {
-    /// The folder that holds the segments (LB_STATE, or `journal` in an installation's state folder).
+    /// The folder with the segments: LB_STATE, or `journal` in an installation's state folder.
     folder: PathBuf,
 }
 
@@ -120,30 +126,30 @@
         follow(followed);
     }
     let out = &mut std::io::stdout();
-    let text = |e: &dyn std::fmt::Display| e.to_string();
-    let done = match cli.command {
-        None => stairshed_courier::run(cli.settings.as_deref()).map_err(|e| text(&e)),
-        Some(Command::Serve { config }) => stairshed_courier::serve(config).map_err(|e| text(&e)),
-        Some(Command::Dev { listen }) => stairshed_courier::dev(listen).map_err(|e| text(&e)),
+    let to_text = |e: &dyn std::fmt::Display| e.to_string();
+    let result = match cli.command {
+        None => stairshed_courier::run(cli.settings.as_deref()).map_err(|e| to_text(&e)),
+        Some(Command::Serve { config }) => stairshed_courier::serve(config).map_err(|e| to_text(&e)),
+        Some(Command::Dev { listen }) => stairshed_courier::dev(listen).map_err(|e| to_text(&e)),
         Some(Command::Check { file, explain }) => {
-            config_tool::check(&file, &explain, out).map_err(|e| text(&e))
+            config_tool::check(&file, &explain, out).map_err(|e| to_text(&e))
         }
         Some(Command::Config(command)) => match command {
             Config::Show { admin, json } => config_tool::show(admin, json, out),
             Config::Diff { before, after } => config_tool::diff(&before, &after, out),
             Config::Schema => config_tool::schema(out),
         }
-        .map_err(|e| text(&e)),
+        .map_err(|e| to_text(&e)),
         Some(Command::Memory { admin, watch, json }) => {
-            // Anything else would never come again, or never stop.
-            let span = watch.map(|s| Duration::from_secs_f64(s.clamp(0.1, 3600.0)));
-            memory_tool::memory(admin, span, json, out).map_err(|e| text(&e))
+            // Bounded: a tiny interval would print without pause, a huge one practically never again.
+            let interval = watch.map(|s| Duration::from_secs_f64(s.clamp(0.1, 3600.0)));
+            memory_tool::memory(admin, interval, json, out).map_err(|e| to_text(&e))
         }
         Some(Command::MqttPassword { user }) => {
             let mut password = String::new();
-            let read = std::io::stdin().read_line(&mut password).map_err(|e| text(&e));
+            let read = std::io::stdin().read_line(&mut password).map_err(|e| to_text(&e));
             let line = read.and_then(|_| {
-                users::password_line(&user, password.trim_end_matches(['\r', '\n'])).map_err(|e| text(&e))
+                users::password_line(&user, password.trim_end_matches(['\r', '\n'])).map_err(|e| to_text(&e))
             });
             line.map(|line| println!("{line}"))
         }
@@ -153,19 +159,19 @@
         }
         Some(Command::Journal(command)) => {
             let out = &mut out.lock();
-            let done = match &command {
-                Journal::Inspect(at) => journal_tool::inspect(&at.folder, out),
-                Journal::Verify(at) => journal_tool::verify(&at.folder, out),
-                Journal::Dump(at) => journal_tool::dump(&at.folder, out),
-                Journal::Compact(at) => journal_tool::compact(&at.folder, cli.settings.as_deref(), out),
+            let result = match &command {
+                Journal::Inspect(args) => journal_tool::inspect(&args.folder, out),
+                Journal::Verify(args) => journal_tool::verify(&args.folder, out),
+                Journal::Dump(args) => journal_tool::dump(&args.folder, out),
+                Journal::Compact(args) => journal_tool::compact(&args.folder, cli.settings.as_deref(), out),
             };
-            done.map_err(|e| text(&e))
+            result.map_err(|e| to_text(&e))
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            fault.lines().for_each(|line| eprintln!("stairshed: {line}"));
+        Err(error) => {
+            error.lines().for_each(|line| eprintln!("stairshed: {line}"));
             ExitCode::FAILURE
         }
     }
--- a/crates/courier/src/memory_tool.rs
+++ b/crates/courier/src/memory_tool.rs
@@ -1,4 +1,4 @@
-//! `stairshed memory`: what a running courier holds, by purpose.
+//! `stairshed memory`: memory use of a running courier, by purpose.
 
 use serde_json::Value;
 use stairshed_courier::admin_client;
@@ -8,10 +8,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Prints a courier's memory, again and again if `watch` says so.
+/// Prints a courier's memory use: once, or every `watch` interval until interrupted.
 ///
 /// # Errors
-/// The courier does not answer, or with something else.
+/// The courier does not answer, or its answer is not JSON.
 pub fn memory(
     admin: SocketAddr,
     watch: Option<Duration>,
@@ -26,58 +26,58 @@
             let page: Value = serde_json::from_str(&text).map_err(io::Error::other)?;
             out.write_all(table(&page).as_bytes())?;
         }
-        let Some(span) = watch else { return Ok(()) };
+        let Some(interval) = watch else { return Ok(()) };
         out.flush()?;
-        thread::sleep(span);
+        thread::sleep(interval);
     }
 }
 
-fn bytes(of: &Value) -> String {
-    match (of.as_u64(), of.as_i64()) {
+/// A number of bytes with its unit; `-` if there is none.
+fn format_bytes(value: &Value) -> String {
+    match (value.as_u64(), value.as_i64()) {
         (Some(n), _) => Bytes(n).to_string(),
         (None, Some(n)) => format!("-{}", Bytes(n.unsigned_abs())),
         (None, None) => "-".to_owned(),
     }
 }
 
-/// The page as a table: a line for the process, one for each purpose, and one for each reason for which connections
-/// were turned away.
+/// Renders the page as text: a line for the process, one per purpose, and one per reason for which
+/// connections were rejected.
 fn table(page: &Value) -> String {
     let mut text = format!(
         "{}: resident {} of {}, allocated {}, free in the allocator {}, accounted {}, unaccounted {}; {} clients\n",
         page["level"].as_str().unwrap_or("?"),
-        bytes(&page["resident"]),
-        bytes(&page["total"]),
-        bytes(&page["allocated"]),
-        bytes(&page["free"]),
-        bytes(&page["accounted"]),
-        bytes(&page["unaccounted"]),
+        format_bytes(&page["resident"]),
+        format_bytes(&page["total"]),
+        format_bytes(&page["allocated"]),
+        format_bytes(&page["free"]),
+        format_bytes(&page["accounted"]),
+        format_bytes(&page["unaccounted"]),
         page["clients"],
     );
-    let head =
-        ["purpose", "in use", "reserved", "cap", "most", "empties/s", "level", "refused", "of it by share"];
+    let head = ["purpose", "in use", "reserved", "cap", "most", "empties/s", "level", "refused", "by share"];
     let mut rows = vec![head.map(str::to_owned)];
-    for of in page["purposes"].as_array().into_iter().flatten() {
-        let count = |key: &str| of[key].as_u64().unwrap_or_default();
+    for value in page["purposes"].as_array().into_iter().flatten() {
+        let count = |key: &str| value[key].as_u64().unwrap_or_default();
         rows.push([
-            of["purpose"].as_str().unwrap_or("?").to_owned(),
-            bytes(&of["in_use"]),
-            bytes(&of["reserved"]),
-            bytes(&of["cap"]),
-            bytes(&of["most"]),
-            bytes(&of["empties"]),
-            of["level"].as_str().unwrap_or("?").to_owned(),
+            value["purpose"].as_str().unwrap_or("?").to_owned(),
+            format_bytes(&value["in_use"]),
+            format_bytes(&value["reserved"]),
+            format_bytes(&value["cap"]),
+            format_bytes(&value["most"]),
+            format_bytes(&value["empties"]),
+            value["level"].as_str().unwrap_or("?").to_owned(),
             (count("refused_cap") + count("refused_share") + count("refused_total")).to_string(),
             count("refused_share").to_string(),
         ]);
     }
     for row in rows {
-        let [purpose, rest @ ..] = row;
-        let cells: String = rest.iter().map(|cell| format!(" {cell:>10}")).collect();
+        let [purpose, columns @ ..] = row;
+        let cells: String = columns.iter().map(|cell| format!(" {cell:>10}")).collect();
         text += &format!("{purpose:<15}{cells}\n");
     }
-    for (reason, of) in page["turned_away"].as_object().into_iter().flatten() {
-        let (told, silent, untold) = (&of["told"], &of["silent"], &of["untold"]);
+    for (reason, value) in page["turned_away"].as_object().into_iter().flatten() {
+        let (told, silent, untold) = (&value["told"], &value["silent"], &value["untold"]);
         text +=
             &format!("connections turned away, {reason}: {told} told, {silent} silent, {untold} untold\n");
     }
--- a/crates/courier/src/memory_tool_test.rs
+++ b/crates/courier/src/memory_tool_test.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn every_purpose_has_a_line_with_its_figures() {
+fn each_purpose_has_a_row_with_its_figures() {
     let page = json!({"level": "tight", "resident": 31_000_000, "total": 32_000_000, "allocated": 20_000_000,
         "free": 1_500, "accounted": 20_500_000, "unaccounted": -500_000, "clients": 3,
         "turned_away": {"share-clients": {"told": 12, "silent": 3, "untold": 0}}, "purposes": [
