--- a/crates/courier/src/config_tool.rs
+++ b/crates/courier/src/config_tool.rs
@@ -90,11 +90,8 @@
 }
 
 fn parse_request(text: &str) -> Result<RequestView, Error> {
-    let syntax_error = || {
-        Error::Request(format!(
-            "{text:?}: expected \"POST /path\", then \"Header: value\" separated by \", \""
-        ))
-    };
+    let syntax_error =
+        || Error::Request(format!("{text:?}: expected \"POST /path Header: value, Header: value\""));
     let mut parts = text.trim().splitn(3, ' ');
     let (method, path) = (parts.next().unwrap_or_default(), parts.next().ok_or_else(syntax_error)?);
     let path = path.split('?').next().unwrap_or_default();
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -94,9 +94,9 @@
     since: Cell<Instant>,
     framing: RefCell<RequestFraming>,
     /// Requests a graceful close, after the answer in progress.
-    close: Notify,
+    graceful_close: Notify,
     /// Closes the connection at once, even within a request.
-    drop: Notify,
+    abort: Notify,
     /// The connection's memory; released as soon as it is evicted, so that the next one can have it.
     memory: RefCell<Option<Charge>>,
 }
@@ -107,8 +107,8 @@
             state: Cell::new(ConnectionState::AwaitingFirstByte),
             since: Cell::new(Instant::now()),
             framing: RefCell::default(),
-            close: Notify::new(),
-            drop: Notify::new(),
+            graceful_close: Notify::new(),
+            abort: Notify::new(),
             memory: RefCell::new(Some(memory)),
         }
     }
@@ -261,7 +261,7 @@
     pub fn begin_shutdown(&self) {
         self.ready.set(false);
         self.stopping.set(true);
-        self.connections.borrow().values().for_each(|connection| connection.close.notify_one());
+        self.connections.borrow().values().for_each(|connection| connection.graceful_close.notify_one());
     }
 
     /// Evicts the connection with the lowest rank. Returns false if none may be evicted.
@@ -280,7 +280,7 @@
             .min();
         let connection = lowest.and_then(|(_, _, id)| connections.remove(&id));
         let evicted = connection.inspect(|connection| {
-            connection.drop.notify_one();
+            connection.abort.notify_one();
             connection.memory.take();
         });
         evicted.is_some()
@@ -303,8 +303,8 @@
     /// Limit of open client connections.
     pub max_connections: usize,
     pub room: Room,
-    /// Answers connections that are refused for lack of memory. `None` where clients are not told apart and
-    /// have no memory shares.
+    /// Answers connections that are refused or evicted. `None` where clients are not told apart and have no
+    /// memory shares; such connections are then closed without an answer.
     pub rejecter: Option<Rc<ConnectionRejecter>>,
 }
 
@@ -335,8 +335,8 @@
                         }
                         Err(refused) => {
                             if let Some(rejecter) = rejecter {
-                                let why = Rejection::from(this.room.no(refused));
-                                rejecter.reject(stream, Protocol::Http, why, false);
+                                let rejection = Rejection::from(this.room.no(refused));
+                                rejecter.reject(stream, Protocol::Http, rejection, false);
                             }
                         }
                     }
@@ -380,9 +380,9 @@
         let evicted = loop {
             tokio::select! {
                 biased;
-                () = connection.drop.notified() => break true,
+                () = connection.abort.notified() => break true,
                 _ = &mut http_conn => break false,
-                () = connection.close.notified() => Pin::new(&mut http_conn).graceful_shutdown(),
+                () = connection.graceful_close.notified() => Pin::new(&mut http_conn).graceful_shutdown(),
                 () = read_timer.as_mut() => match connection.read_deadline() {
                     // An incomplete head, or no data at all, must not hold a socket.
                     Some(deadline) if deadline <= Instant::now() => break false,
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -325,8 +325,8 @@
                             tokio::task::spawn_local(self.clone().serve(next, socket, room));
                         }
                         Err(refused) => {
-                            let why = Rejection::from(self.room.no(refused));
-                            self.rejecter.reject(socket, Protocol::Mqtt, why, false);
+                            let rejection = Rejection::from(self.room.no(refused));
+                            self.rejecter.reject(socket, Protocol::Mqtt, rejection, false);
                         }
                     }
                     tokio::task::yield_now().await;
