--- a/crates/courier/src/place/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -1,8 +1,8 @@
 //! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where the
 //! answer is cut short.
 
-use crate::news::{Health, Host, List, News, differences};
-use crate::place::names::Names;
+use crate::discovery::dns_cache::DnsCache;
+use crate::events::{CourierEvent, EndpointList, Health, ListedEndpoint, diff_endpoints};
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use stairshed_config::Installation;
@@ -62,9 +62,9 @@
 
 /// Tells the look-ups of another configuration.
 #[derive(Clone)]
-pub struct Lookups(watch::Sender<Vec<Wanted>>);
+pub struct ResolverHandle(watch::Sender<Vec<Wanted>>);
 
-impl Lookups {
+impl ResolverHandle {
     pub fn set(&self, installation: &Installation) {
         // A later configuration holds all that an earlier one told.
         self.0.send_replace(wanted(installation));
@@ -72,9 +72,9 @@
 }
 
 /// Ends the look-ups when dropped.
-pub struct Resolver(AbortHandle);
+pub struct ResolverTask(AbortHandle);
 
-impl Drop for Resolver {
+impl Drop for ResolverTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -88,30 +88,33 @@
 }
 
 /// Begins to look up the names of an installation and of those that follow it.
-pub fn start(installation: &Installation, news: Sender<News>) -> (Lookups, Resolver) {
+pub fn spawn_resolver(
+    installation: &Installation,
+    news: Sender<CourierEvent>,
+) -> (ResolverHandle, ResolverTask) {
     let (tell, told) = watch::channel(Vec::new());
     let dns = &installation.file.dns;
     let task = Task {
         server: installation.resolver,
-        names: Names::new(dns.refresh_least.0, dns.refresh_most.0),
+        names: DnsCache::new(dns.refresh_least.0, dns.refresh_most.0),
         wanted: Vec::new(),
         listed: BTreeMap::new(),
         origin: Instant::now(),
         news,
     };
-    let lookups = Lookups(tell);
+    let lookups = ResolverHandle(tell);
     lookups.set(installation);
-    (lookups, Resolver(tokio::task::spawn_local(task.run(told)).abort_handle()))
+    (lookups, ResolverTask(tokio::task::spawn_local(task.run(told)).abort_handle()))
 }
 
 struct Task {
     server: Option<SocketAddr>,
-    names: Names,
+    names: DnsCache,
     wanted: Vec<Wanted>,
     /// What the courier was told, by the endpoint's name.
-    listed: BTreeMap<String, Host>,
+    listed: BTreeMap<String, ListedEndpoint>,
     origin: Instant,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
 }
 
 type Answer = Result<(Vec<IpAddr>, Duration), String>;
@@ -163,7 +166,7 @@
         match found {
             Ok((addresses, ttl)) => {
                 if let Some(change) = self.names.answered(name, &addresses, ttl, now) {
-                    let (come, gone) = (change.come.len(), change.gone.len());
+                    let (come, gone) = (change.added.len(), change.removed.len());
                     eprintln!(
                         "dns: {name} stands for {} addresses, {come} new, {gone} gone",
                         addresses.len()
@@ -193,7 +196,7 @@
         for w in &self.wanted {
             for ip in self.names.addresses(&w.name) {
                 let address = SocketAddr::new(ip, w.port);
-                let host = Host {
+                let host = ListedEndpoint {
                     host: format!("{}@{ip}", w.host),
                     dial: address.to_string(),
                     site: w.zone.clone(),
@@ -207,10 +210,13 @@
                 now.insert(host.host.clone(), host);
             }
         }
-        let hosts = differences(&self.listed, &now);
+        let hosts = diff_endpoints(&self.listed, &now);
         self.listed = now;
         if !hosts.is_empty() {
-            let _ = self.news.send(News::Resolved(List { seq: 0, whole: false, hosts })).await;
+            let _ = self
+                .news
+                .send(CourierEvent::NamesResolved(EndpointList { seq: 0, whole: false, hosts }))
+                .await;
         }
     }
 }
--- a/crates/courier/src/owner/taking.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -1,11 +1,11 @@
 //! Taking on: what clients offer, until the module has judged it and they have heard. Owns the offers, the ids of
 //! all that is held, and the next message's number; `turn` calls it with the module's refusals.
 
-use super::held::{Held, Waiting};
+use super::held_message::{Held, Waiting};
 use super::memory::Holding;
-use super::{Courier, Verdict};
-use crate::follow;
-use crate::news::{Offer, Reply, ReplyTo};
+use super::{Dispatcher, Verdict};
+use crate::events::{Reply, ReplyTo, Submission};
+use crate::message_trace;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Letter, Refusal};
 use std::collections::{BTreeMap, HashMap};
@@ -13,7 +13,7 @@
 /// An offer that waits for the module's word.
 pub(super) struct Offered {
     pub(super) class: usize,
-    offer: Offer,
+    offer: Submission,
     /// The memory that it has if it is taken on.
     holding: Holding,
 }
@@ -35,16 +35,16 @@
     }
 }
 
-impl Courier {
-    pub(super) fn offered(&mut self, mut offer: Offer) {
-        let answer = |offer: Offer, reply| {
+impl Dispatcher {
+    pub(super) fn offered(&mut self, mut offer: Submission) {
+        let answer = |offer: Submission, reply| {
             // A client that is gone hears nothing, and nothing was taken.
             let _ = offer.reply.send(reply);
         };
         // Handed in twice under one id: it is taken already, or about to be judged.
         if let Some(message) = self.taking.ids.get(&offer.letter.id) {
             let judged = !self.taking.offers.contains_key(message);
-            return answer(offer, if judged { Reply::Taken } else { Reply::Unavailable });
+            return answer(offer, if judged { Reply::Accepted } else { Reply::Unavailable });
         }
         if let Some(reply) = self.repeat(&offer.letter) {
             return answer(offer, reply);
@@ -61,15 +61,15 @@
         let message = self.taking.next;
         self.taking.next += 1;
         self.taking.ids.insert(offer.letter.id.clone(), message);
-        self.events.push(Event::Taken(Taken {
+        self.events.push(Event::Accepted(Accepted {
             message: MessageId(message),
             class,
             tenant: 0,
             destination: DestinationId(offer.letter.destination),
             key: offer.letter.routed.as_ref().and_then(|r| r.order.clone()),
             time_left: offer.time_left.saturating_sub(offer.at.elapsed()),
-            work: None,
-            past: Past::default(),
+            estimated_work: None,
+            history: Past::default(),
         }));
         self.taking.offers.insert(message, Offered { class, offer, holding });
     }
@@ -83,21 +83,21 @@
     /// Why a message cannot be taken on before the module is asked.
     pub(super) fn no_place(&mut self, letter: &Letter) -> Option<Reply> {
         if self.records.disk_failed.is_some() {
-            return Some(Reply::NoRecord(Refusal::DiskFails));
+            return Some(Reply::JournalRefused(Refusal::DiskFails));
         }
         if self.members.removed.contains_key(&letter.destination) {
             return Some(Reply::Unavailable);
         }
         if !self.members.destinations.contains(&letter.destination) {
-            return Some(if self.members.listed { Reply::NoDestination } else { Reply::Unavailable });
+            return Some(if self.members.listed { Reply::UnknownDestination } else { Reply::Unavailable });
         }
-        if self.out.held.len() + self.taking.offers.len() >= self.setup.settings.max_held {
+        if self.out.held.len() + self.taking.offers.len() >= self.setup.settings.max_messages {
             return Some(Reply::Refused { wait: None });
         }
         if self.is_crowded(letter) {
-            return Some(Reply::Crowded);
+            return Some(Reply::TooManyRemembered);
         }
-        self.journal.fits(letter).err().map(Reply::NoRecord)
+        self.journal.fits(letter).err().map(Reply::JournalRefused)
     }
 
     /// A client that has given up before it was told counts its message as not taken, and may hand it in
@@ -109,7 +109,7 @@
             if let Some(Offered { offer, .. }) = self.taking.offers.remove(&message) {
                 self.taking.ids.remove(&offer.letter.id);
             }
-            let of = |e: &Event| matches!(e, Event::Taken(t) if t.message.0 == message);
+            let of = |e: &Event| matches!(e, Event::Accepted(t) if t.message.0 == message);
             self.events.retain(|e| !of(e));
         }
     }
@@ -120,7 +120,7 @@
         for (message, Offered { class, offer, holding }) in std::mem::take(&mut self.taking.offers) {
             if let Some(verdict) = refused.remove(&message) {
                 self.taking.ids.remove(&offer.letter.id);
-                follow::step(
+                message_trace::log_step(
                     &offer.letter.id,
                     format_args!("refused at once class={} verdict={verdict:?}", offer.letter.class),
                 );
@@ -135,11 +135,11 @@
             if let Err(why) = self.journal.fits(&offer.letter) {
                 self.taking.ids.remove(&offer.letter.id);
                 self.events.push(Event::Withdrawn { message: MessageId(message) });
-                self.turn_away(offer, Reply::NoRecord(why));
+                self.turn_away(offer, Reply::JournalRefused(why));
                 continue;
             }
-            let Offer { letter, reply, .. } = offer;
-            follow::step(
+            let Submission { letter, reply, .. } = offer;
+            message_trace::log_step(
                 &letter.id,
                 format_args!(
                     "taken number={message} class={} destination={}",
@@ -159,7 +159,7 @@
         for (message, reply) in taken {
             if !recorded {
                 // Whether its client hears this or not, it is not taken on.
-                let _ = reply.send(Reply::NoRecord(Refusal::DiskFails));
+                let _ = reply.send(Reply::JournalRefused(Refusal::DiskFails));
                 self.withdraw(message);
             } else {
                 self.when_kept(seq, Waiting::Reply { message, reply });
@@ -169,9 +169,9 @@
 
     /// Tells a client that its message is taken on. One that has left counts it as not taken.
     pub(super) fn taken(&mut self, message: u64, reply: ReplyTo) {
-        if reply.send(Reply::Taken).is_err() {
+        if reply.send(Reply::Accepted).is_err() {
             if let Some(m) = self.out.held.get(&message) {
-                follow::step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
+                message_trace::log_step(&m.letter.id, format_args!("withdrawn: its client left unheard"));
             }
             self.withdraw(message);
         }
--- a/crates/courier/src/owner/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -1,8 +1,8 @@
 //! The lease on the list of endpoints, between the watch that renews it and the decision module that keeps it: what a
 //! start knows of the list's age, what renews the lease, and what the connections and the log learn of it.
 
-use super::Courier;
-use crate::place::list_age::ListAge;
+use super::Dispatcher;
+use crate::discovery::list_age::ListAge;
 use stairshed_decide::interface::Event;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     now.checked_sub(BEFORE_START).unwrap_or(now)
 }
 
-impl Courier {
+impl Dispatcher {
     /// The list that the start was given is as old as discovery's last word to an earlier life. Where that is not
     /// known, messages are held until discovery has answered.
     pub(super) fn resume_lease(&mut self) {
@@ -69,7 +69,7 @@
 
     /// Whether discovery tells of changes without being asked, as the platform's settings may have it.
     pub(super) fn lists_are_pushed(&self) -> bool {
-        self.setup.installation.is_none() && !self.setup.settings.must_subscribe
+        self.setup.installation.is_none() && !self.setup.settings.subscription_required
     }
 
     /// Discovery could not be reached since then, and so could not tell of a change.
@@ -99,7 +99,7 @@
 
     /// Tells the connections, the pages and the log until when the list may be acted on.
     pub(super) fn apply_lease(&mut self, now: Instant) {
-        let expires = self.brain.membership_expires_at().map(|at| self.origin + at);
+        let expires = self.scheduler.membership_expires_at().map(|at| self.origin + at);
         self.out.calls.set_list_valid_until(expires);
         self.setup.watch_status.set_lease(expires);
         let expired = expires.is_some_and(|at| at <= now);
--- a/crates/courier/src/ingress/active_config.rs
+++ b/crates/courier/src/ingress/active_config.rs
@@ -1,6 +1,6 @@
 //! The configuration in effect, by which HTTP requests and MQTT publishes are routed and made into messages.
 
-use crate::clock::unix;
+use crate::clock::unix_time;
 use crate::ingress::message_headers::{MAX_ID_BYTES, MessageHeaders, RequestError};
 use bytes::Bytes;
 use hyper::http::request::Parts;
@@ -192,7 +192,7 @@
         }
         // After the deadline of its class a message has no value, so the client cannot extend it.
         let time_left = fields.time_left.unwrap_or(class_settings.deadline).min(class_settings.deadline);
-        let taken = unix();
+        let taken = unix_time();
         let routed = Routed {
             version,
             route: matched.route.name.clone(),
@@ -295,7 +295,7 @@
         })?;
         let expiry = publish.expiry.map(|s| Duration::from_secs(u64::from(s)));
         let time_left = [expiry, time_out].into_iter().flatten().fold(settings.deadline, Duration::min);
-        let taken = unix();
+        let taken = unix_time();
         // A message with a generated id cannot be recognised as a duplicate, so it need not be remembered.
         let remember = if identity.is_some() { class.remember_mqtt } else { Duration::ZERO };
         let routed = Routed {
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -2,10 +2,10 @@
 //! the last refused one. Served on a separate loopback address, only if configured.
 
 use crate::ingress::http::ServerState;
-use crate::out::connection_status::ConnectionStatus;
-use crate::place::control::View;
-use crate::place::watch_status::WatchStatus;
-use crate::room::Room;
+use crate::outbound::connection_status::ConnectionStatus;
+use crate::discovery::control::ConfigView;
+use crate::discovery::watch_status::WatchStatus;
+use crate::memory_budget::MemoryBudget;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -33,9 +33,9 @@
 /// Sources of the pages' contents.
 #[derive(Clone)]
 pub struct AdminPages {
-    pub view: View,
+    pub view: ConfigView,
     pub server_state: Rc<ServerState>,
-    pub room: Room,
+    pub room: MemoryBudget,
     pub watch: Rc<WatchStatus>,
     pub connections: Rc<ConnectionStatus>,
 }
@@ -64,10 +64,10 @@
 
 async fn answer(request: &Request<Incoming>, pages: &AdminPages) -> Response<Full<Bytes>> {
     let page = match (request.method(), request.uri().path()) {
-        (&Method::GET, "/-/config") => Some(pages.view.status.json()),
+        (&Method::GET, "/-/config") => Some(pages.view.status.to_json()),
         (&Method::GET, "/-/config/values") => Some(effective_values(&pages.view).await),
         (&Method::GET, "/-/connections") => Some(pages.connections.page()),
-        (&Method::GET, "/-/discovery") => Some(pages.watch.page()),
+        (&Method::GET, "/-/discovery") => Some(pages.watch.to_json()),
         (&Method::GET, "/-/memory") => Some(pages.room.page()),
         (&Method::GET, "/-/ready") => Some(json!({"ready": pages.server_state.ready.get()})),
         _ => None,
@@ -88,7 +88,7 @@
 
 /// The effective configuration, each value with its source. Rendered off the serving thread, since a large
 /// one takes tenths of a second.
-async fn effective_values(view: &View) -> Value {
+async fn effective_values(view: &ConfigView) -> Value {
     let (version, installation) = view.active_config.get();
     let (document, control_version) = view.document.borrow().clone();
     let text = tokio::task::spawn_blocking(move || {
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,11 +1,11 @@
 //! HTTP server for clients: accepts messages and answers the readiness check.
 
-use crate::clock::unix;
+use crate::clock::unix_time;
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::message_headers::{MessageHeaders, RequestError};
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
-use crate::news::{COME_AGAIN, News, Offer, Reply, ReplyTo, reason};
-use crate::room::{NoRoom, Room};
+use crate::events::{DEFAULT_RETRY_AFTER, CourierEvent, Submission, Reply, ReplyTo, refusal_reason};
+use crate::memory_budget::{MemoryRefusal, MemoryBudget};
 use crate::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -299,10 +299,10 @@
 pub struct HttpServer {
     pub routing: Routing,
     pub server_state: Rc<ServerState>,
-    pub news: Sender<News>,
+    pub news: Sender<CourierEvent>,
     /// Limit of open client connections.
     pub max_connections: usize,
-    pub room: Room,
+    pub room: MemoryBudget,
     /// Answers connections that are refused or evicted. `None` where clients are not told apart and have no
     /// memory shares; such connections are then closed without an answer.
     pub rejecter: Option<Rc<ConnectionRejecter>>,
@@ -335,7 +335,7 @@
                         }
                         Err(refused) => {
                             if let Some(rejecter) = rejecter {
-                                let rejection = Rejection::from(this.room.no(refused));
+                                let rejection = Rejection::from(this.room.refusal(refused));
                                 rejecter.reject(stream, Protocol::Http, rejection, false);
                             }
                         }
@@ -443,16 +443,16 @@
         }
         // Concurrent large bodies must not exhaust the memory: together they have a fixed budget.
         let kept = if length > MAX_BODY_BYTES as u64 { 0 } else { length as usize };
-        let room = match self.room.ledger.take(Purpose::BodiesRead, kept as u64, guest.as_ref()) {
-            Ok(room) => room,
+        let body_charge = match self.room.ledger.take(Purpose::BodiesRead, kept as u64, guest.as_ref()) {
+            Ok(charge) => charge,
             Err(_) if self.is_duplicate(&parts.headers).await => {
                 // The body of a repeated message is discarded, so it is answered even without memory.
                 return match timeout(BODY_TIMEOUT, read_body(body, 0)).await {
-                    Ok(Err(BodyError::TooLarge) | Ok(_)) => reply_response(Reply::Taken),
+                    Ok(Err(BodyError::TooLarge) | Ok(_)) => reply_response(Reply::Accepted),
                     _ => closing_response(StatusCode::BAD_REQUEST, "the body is incomplete\n"),
                 };
             }
-            Err(refused) => return reply_response(Reply::NoRoom(self.room.no(refused))),
+            Err(refused) => return reply_response(Reply::OutOfMemory(self.room.refusal(refused))),
         };
         // The body is read before the header fields are checked, so that the connection stays usable after an
         // error.
@@ -485,9 +485,10 @@
         };
         let (reply, answered) = oneshot::channel();
         let id = letter.routed.is_some().then(|| letter.id.clone());
-        let reply = ReplyTo::One(reply);
-        let offer = Offer { letter: Rc::new(letter), time_left, at, reply, bounce: false, room, guest };
-        let reply = match timeout(ENQUEUE_TIMEOUT, self.news.send(News::Offered(offer))).await {
+        let reply = ReplyTo::Single(reply);
+        let offer =
+            Submission { letter: Rc::new(letter), time_left, at, reply, bounce: false, body_charge, guest };
+        let reply = match timeout(ENQUEUE_TIMEOUT, self.news.send(CourierEvent::Submitted(offer))).await {
             Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
             _ => Reply::Unavailable,
         };
@@ -522,7 +523,7 @@
     async fn is_duplicate(&self, headers: &HeaderMap) -> bool {
         let Some(id) = MessageHeaders::read(headers).ok().and_then(|h| h.id) else { return false };
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(News::Known { id: id.to_owned(), reply });
+        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply });
         matches!(timeout(ENQUEUE_TIMEOUT, asked).await, Ok(Ok(()))) && known.await.unwrap_or(false)
     }
 }
@@ -548,7 +549,7 @@
     let text = headers.get("Envelope").ok_or("Envelope is missing\n")?;
     let text = text.to_str().map_err(|_| "Envelope is not ASCII text\n")?;
     let destination = envelope_destination(text.trim()).ok_or("Envelope has no valid dest field\n")?;
-    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), message_headers.key, unix());
+    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), message_headers.key, unix_time());
     let until = taken + time_left;
     Ok((Letter { id, class, destination, key, taken, until, body, routed: None }, time_left))
 }
@@ -613,22 +614,22 @@
 fn reply_response(reply: Reply) -> Response<Full<Bytes>> {
     let retry_later = |status, why: Cow<'static, str>, wait: Option<Duration>| {
         let mut answer = text(status, why);
-        let wait = format!("{:.3}", wait.unwrap_or(COME_AGAIN).as_secs_f64());
+        let wait = format!("{:.3}", wait.unwrap_or(DEFAULT_RETRY_AFTER).as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&wait) {
             answer.headers_mut().insert(RETRY_AFTER, value);
         }
         answer
     };
     match reply {
-        Reply::Taken => static_response(StatusCode::ACCEPTED, ""),
+        Reply::Accepted => static_response(StatusCode::ACCEPTED, ""),
         Reply::Refused { wait } => retry_later(StatusCode::TOO_MANY_REQUESTS, "refused\n".into(), wait),
         Reply::Unavailable => retry_later(StatusCode::SERVICE_UNAVAILABLE, "not now\n".into(), None),
         // Names the reason, since the client can do nothing but wait.
-        Reply::NoRecord(why) => {
-            let why = format!("not taken on: {}\n", reason(why));
+        Reply::JournalRefused(why) => {
+            let why = format!("not taken on: {}\n", refusal_reason(why));
             retry_later(StatusCode::SERVICE_UNAVAILABLE, why.into(), None)
         }
-        Reply::NoRoom(NoRoom { refused, wait }) => {
+        Reply::OutOfMemory(MemoryRefusal { refused, wait }) => {
             let mut answer = retry_later(
                 StatusCode::SERVICE_UNAVAILABLE,
                 format!("not taken on: {refused}\n").into(),
@@ -639,12 +640,12 @@
             }
             answer
         }
-        Reply::Crowded => retry_later(
+        Reply::TooManyRemembered => retry_later(
             StatusCode::SERVICE_UNAVAILABLE,
             "not taken on: the limit of remembered messages is reached\n".into(),
             None,
         ),
-        Reply::NoDestination => static_response(StatusCode::NOT_FOUND, "unknown destination\n"),
+        Reply::UnknownDestination => static_response(StatusCode::NOT_FOUND, "unknown destination\n"),
         Reply::Failed => static_response(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
     }
 }
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -2,13 +2,13 @@
 //! and sessions. The active configuration routes each PUBLISH, and the courier accepts or refuses its
 //! message.
 
-use crate::clock::unix;
+use crate::clock::unix_time;
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
 use crate::ingress::users::Users;
-use crate::news::{COME_AGAIN, Front, News, Offer, Reply, ReplyTo, Store, reason};
-use crate::out::outcomes;
-use crate::room::{NoRoom, Room};
+use crate::events::{DEFAULT_RETRY_AFTER, Frontend, CourierEvent, Submission, Reply, ReplyTo, StateUpdate, refusal_reason};
+use crate::outbound::outcomes;
+use crate::memory_budget::{MemoryRefusal, MemoryBudget};
 use crate::socket::is_transient;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
@@ -59,7 +59,7 @@
     outputs: RefCell<HashMap<u64, Rc<ConnectionOutput>>>,
     /// By token, offers that await the courier's reply, with a flag that is set when their client has left.
     pending_offers: RefCell<HashMap<u64, Rc<Cell<bool>>>>,
-    room: Room,
+    room: MemoryBudget,
     /// Memory of the sessions as last measured, plus those admitted since.
     session_memory: RefCell<Charge>,
     buffer: RefCell<Vec<u8>>,
@@ -67,34 +67,34 @@
     active_config: ActiveConfig,
     users: Option<Arc<Users>>,
     password_checks: Arc<Semaphore>,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
     max_connections: usize,
     /// Answers connections for which there is no capacity.
     rejecter: Rc<ConnectionRejecter>,
 }
 
-impl Front for MqttServer {
-    fn replied(&self, token: u64, reply: Reply) {
+impl Frontend for MqttServer {
+    fn on_reply(&self, token: u64, reply: Reply) {
         self.remove_pending_offer(token);
         let refused = |code, why: &str, wait| Answer::Refused { code, why: why.to_owned(), wait };
-        let default_wait = Some(COME_AGAIN);
+        let default_wait = Some(DEFAULT_RETRY_AFTER);
         let answer = match reply {
-            Reply::Taken => Answer::Taken,
+            Reply::Accepted => Answer::Taken,
             Reply::Refused { wait } => {
                 refused(code::QUOTA_EXCEEDED, "refused: try again later", wait.or(default_wait))
             }
             Reply::Unavailable => refused(code::QUOTA_EXCEEDED, "not now", default_wait),
-            Reply::NoRoom(NoRoom { refused: refusal, wait }) => {
+            Reply::OutOfMemory(MemoryRefusal { refused: refusal, wait }) => {
                 refused(code::QUOTA_EXCEEDED, &refusal.to_string(), Some(wait))
             }
-            Reply::Crowded => {
+            Reply::TooManyRemembered => {
                 refused(code::QUOTA_EXCEEDED, "the limit of remembered messages is reached", default_wait)
             }
-            Reply::NoRecord(why @ Refusal::DiskFails) => {
-                refused(code::IMPLEMENTATION_SPECIFIC, reason(why), default_wait)
+            Reply::JournalRefused(why @ Refusal::DiskFails) => {
+                refused(code::IMPLEMENTATION_SPECIFIC, refusal_reason(why), default_wait)
             }
-            Reply::NoRecord(why) => refused(code::QUOTA_EXCEEDED, reason(why), default_wait),
-            Reply::NoDestination => {
+            Reply::JournalRefused(why) => refused(code::QUOTA_EXCEEDED, refusal_reason(why), default_wait),
+            Reply::UnknownDestination => {
                 refused(code::TOPIC_NAME_INVALID, "the topic's pool has no endpoints", None)
             }
             Reply::Failed => refused(code::UNSPECIFIED_ERROR, "failed", None),
@@ -102,22 +102,22 @@
         self.with_machine(|machine, now| machine.replied(token, answer, now));
     }
 
-    fn stored(&self, token: u64, kept: Result<(), Refusal>) {
-        let kept = kept.map_err(|why| reason(why).to_owned());
+    fn on_stored(&self, token: u64, kept: Result<(), Refusal>) {
+        let kept = kept.map_err(|why| refusal_reason(why).to_owned());
         self.with_machine(|machine, now| machine.stored(token, kept, now));
     }
 
-    fn hears(&self, owner: &str) -> bool {
+    fn accepts_outcomes(&self, owner: &str) -> bool {
         self.machine.borrow().hears(owner)
     }
 
-    fn weigh(&self) {
+    fn measure_memory(&self) {
         let bytes = self.machine.borrow().weigh();
         self.session_memory.borrow_mut().set(bytes);
     }
 
-    fn outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
-        let line = outcomes::line(id, verdict);
+    fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
+        let line = outcomes::outcome_line(id, verdict);
         self.with_machine(|machine, _| machine.outcome(owner, Outcome { message, line }));
     }
 }
@@ -126,12 +126,12 @@
     /// `records` are the sessions that a previous run stored in the journal.
     pub fn new(
         limits: Limits,
-        (max_connections, room, rejecter): (usize, Room, Rc<ConnectionRejecter>),
+        (max_connections, room, rejecter): (usize, MemoryBudget, Rc<ConnectionRejecter>),
         (active_config, users): (ActiveConfig, Option<Users>),
-        news: Sender<News>,
+        news: Sender<CourierEvent>,
         records: Vec<(String, bytes::Bytes)>,
     ) -> Rc<MqttServer> {
-        let mut machine = Server::new(limits, unix(), rand::random());
+        let mut machine = Server::new(limits, unix_time(), rand::random());
         for (owner, record) in records {
             let text = std::str::from_utf8(&record).unwrap_or_default();
             if !machine.restore(&owner, text, Duration::ZERO) {
@@ -231,11 +231,11 @@
             }
             Effect::Store { token, owner, record } => {
                 let key = format!("{SESSION_KEY_PREFIX}{owner}");
-                let store = Store { token, key, value: record.map(bytes::Bytes::from) };
-                let _ = self.news.send(News::Store(store)).await;
+                let store = StateUpdate { token, key, value: record.map(bytes::Bytes::from) };
+                let _ = self.news.send(CourierEvent::StoreState(store)).await;
             }
             Effect::Told { message } | Effect::Untold { message } => {
-                let _ = self.news.send(News::OwnerTold { message }).await;
+                let _ = self.news.send(CourierEvent::OutcomeNotified { message }).await;
             }
             Effect::Log(text) => eprintln!("mqtt: {text}"),
         }
@@ -282,24 +282,31 @@
         let guest = Some(self.room.ledger.guest(self.active_config.get().1.telling.session(&owner)));
         // Concurrent large payloads must not exhaust the memory: together they have a fixed budget.
         let size = publish.payload.len() as u64;
-        let room = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
-            Ok(room) => room,
+        let body_charge = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
+            Ok(charge) => charge,
             // A duplicate of an accepted message is acknowledged even without memory.
-            Err(_) if self.is_duplicate(&letter.id).await => return self.replied(token, Reply::Taken),
-            Err(refused) => return self.replied(token, Reply::NoRoom(self.room.no(refused))),
+            Err(_) if self.is_duplicate(&letter.id).await => return self.on_reply(token, Reply::Accepted),
+            Err(refused) => return self.on_reply(token, Reply::OutOfMemory(self.room.refusal(refused))),
         };
-        let left = Rc::new(Cell::new(false));
-        self.pending_offers.borrow_mut().insert(token, left.clone());
-        let reply = ReplyTo::Front { front: self.clone(), token, left };
-        let offer =
-            Offer { letter: Rc::new(letter), time_left, at: Instant::now(), reply, bounce, room, guest };
-        let _ = self.news.send(News::Offered(offer)).await;
+        let abandoned = Rc::new(Cell::new(false));
+        self.pending_offers.borrow_mut().insert(token, abandoned.clone());
+        let reply = ReplyTo::Frontend { frontend: self.clone(), token, abandoned };
+        let offer = Submission {
+            letter: Rc::new(letter),
+            time_left,
+            at: Instant::now(),
+            reply,
+            bounce,
+            body_charge,
+            guest,
+        };
+        let _ = self.news.send(CourierEvent::Submitted(offer)).await;
     }
 
     /// Whether a message with this id is already accepted.
     async fn is_duplicate(&self, id: &str) -> bool {
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(News::Known { id: id.to_owned(), reply }).await;
+        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply }).await;
         asked.is_ok() && known.await.unwrap_or(false)
     }
 
@@ -325,7 +332,7 @@
                             tokio::task::spawn_local(self.clone().serve(next, socket, room));
                         }
                         Err(refused) => {
-                            let rejection = Rejection::from(self.room.no(refused));
+                            let rejection = Rejection::from(self.room.refusal(refused));
                             self.rejecter.reject(socket, Protocol::Mqtt, rejection, false);
                         }
                     }
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -3,8 +3,8 @@
 //! [`Partings`] decides which connections are answered, which are displaced and for how long; this module
 //! owns their sockets.
 
-use crate::news::COME_AGAIN;
-use crate::room::{NoRoom, Room};
+use crate::events::DEFAULT_RETRY_AFTER;
+use crate::memory_budget::{MemoryRefusal, MemoryBudget};
 use crate::socket::is_transient;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use stairshed_memory::partings::{DRAINED, How, LINGER, LISTEN, MOST};
@@ -46,8 +46,8 @@
     wait: Duration,
 }
 
-impl From<NoRoom> for Rejection {
-    fn from(NoRoom { refused, wait }: NoRoom) -> Self {
+impl From<MemoryRefusal> for Rejection {
+    fn from(MemoryRefusal { refused, wait }: MemoryRefusal) -> Self {
         Rejection { reason: refused.reason(), message: refused.to_string(), wait }
     }
 }
@@ -56,7 +56,7 @@
     /// The connection limit is reached, and this connection ranked lowest.
     pub fn connections() -> Self {
         let message = "the limit of client connections is reached".to_owned();
-        Rejection { reason: Reason::Connections, message, wait: COME_AGAIN }
+        Rejection { reason: Reason::Connections, message, wait: DEFAULT_RETRY_AFTER }
     }
 }
 
@@ -74,7 +74,7 @@
 
 /// Rejects connections for which there is no capacity.
 pub struct ConnectionRejecter {
-    room: Room,
+    room: MemoryBudget,
     queue: Sender<RejectedConnection>,
     /// By id, notifies a connection that it lost its slot.
     displaced: RefCell<BTreeMap<u64, Rc<Notify>>>,
@@ -85,7 +85,7 @@
 
 impl ConnectionRejecter {
     /// Starts the task that serves all rejections.
-    pub fn start(room: &Room) -> Rc<ConnectionRejecter> {
+    pub fn start(room: &MemoryBudget) -> Rc<ConnectionRejecter> {
         // The queue may also hold as many connections again that have already lost their slot.
         let (queue, receiver) = channel(2 * MOST);
         let reserve = room
--- a/crates/courier/src/journal_tool.rs
+++ b/crates/courier/src/journal_tool.rs
@@ -1,7 +1,7 @@
 //! `stairshed journal`: inspects the journal of a courier that is not running. Only `compact` writes.
 
 use serde_json::{Value, json};
-use stairshed_courier::settings::Settings;
+use stairshed_courier::settings::OperatorSettings;
 use stairshed_journal::{Attempt, Files, Found, Journal, Kept, Live, Options, Record, Verdict};
 use std::io::{self, Write};
 use std::path::Path;
@@ -14,7 +14,7 @@
     #[error("{0}")]
     Journal(#[from] stairshed_journal::Error),
     #[error("{0}")]
-    Settings(#[from] stairshed_courier::file::Error),
+    Settings(#[from] stairshed_courier::config_file::ConfigFileError),
     #[error("standard output: {0}")]
     Output(#[from] io::Error),
     #[error("{0} damaged parts of the journal cannot be read")]
@@ -173,7 +173,7 @@
 
 /// Copies the live messages into new segments and removes the old ones.
 pub fn compact(folder: &Path, settings: Option<&Path>, out: &mut impl Write) -> Result<(), Error> {
-    let settings = Settings::read(settings)?;
+    let settings = OperatorSettings::read(settings)?;
     let files = Arc::new(Files::lock(folder)?);
     let mut options = settings.journal.options(u64::MAX / 4, 6);
     // The smallest segment size, so that a courier with any `room` can copy a segment later.
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -1,7 +1,7 @@
 //! The `stairshed` command: runs the courier, and has tools for its configuration, memory and journal.
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
-use stairshed_courier::follow::{Followed, follow};
+use stairshed_courier::message_trace::{TraceFilter, enable_tracing};
 use stairshed_courier::users;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -29,7 +29,7 @@
     /// Logs each step of some messages to standard error: ids separated by commas, or a fraction such as
     /// 1/100.
     #[arg(long, value_name = "IDS", global = true)]
-    follow: Option<Followed>,
+    follow: Option<TraceFilter>,
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -123,12 +123,12 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     if let Some(followed) = cli.follow {
-        follow(followed);
+        enable_tracing(followed);
     }
     let out = &mut std::io::stdout();
     let to_text = |e: &dyn std::fmt::Display| e.to_string();
     let result = match cli.command {
-        None => stairshed_courier::run(cli.settings.as_deref()).map_err(|e| to_text(&e)),
+        None => stairshed_courier::run_platform(cli.settings.as_deref()).map_err(|e| to_text(&e)),
         Some(Command::Serve { config }) => stairshed_courier::serve(config).map_err(|e| to_text(&e)),
         Some(Command::Dev { listen }) => stairshed_courier::dev(listen).map_err(|e| to_text(&e)),
         Some(Command::Check { file, explain }) => {
--- a/crates/courier/src/start/config.rs
+++ b/crates/courier/src/startup/platform_config.rs
@@ -1,15 +1,15 @@
 //! What the platform tells a courier: environment and `LB_CONFIG`, at its start and when it is told to read
 //! the file again.
 
-use crate::fault::Fault;
-use crate::news::List;
-use crate::owner::setup::Setup;
-use crate::place::list_age::ListAgeFile;
-use crate::room::Room;
+use crate::discovery::list_age::ListAgeFile;
+use crate::dispatcher::setup::Setup;
+use crate::events::EndpointList;
+use crate::memory_budget::MemoryBudget;
+use crate::startup_error::StartupError;
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
-use stairshed_decide::settings::Conf;
+use stairshed_decide::settings::SettingsDocument;
 use std::env;
 use std::fs;
 use std::net::SocketAddr;
@@ -36,12 +36,12 @@
     seed: String,
     discovery: Option<String>,
     limits: Limits,
-    known: Option<List>,
-    settings: Conf,
+    known: Option<EndpointList>,
+    settings: SettingsDocument,
 }
 
 /// All that a courier is told.
-pub struct Config {
+pub struct PlatformConfig {
     pub name: String,
     pub listen: SocketAddr,
     /// The file that `LB_CONFIG` names.
@@ -50,47 +50,47 @@
     pub state: PathBuf,
     pub seed: u64,
     pub limits: Limits,
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     pub settings: Settings,
     pub classes: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
 }
 
-impl Config {
+impl PlatformConfig {
     /// What the owner of the decision module needs of it.
-    pub fn setup(self, room: Room) -> Setup {
+    pub fn setup(self, memory_budget: MemoryBudget) -> Setup {
         let classes = self.classes.into_iter().zip(self.settings.classes.iter().cloned());
         Setup {
             classes: ClassTable::new(classes),
             settings: self.settings,
             zones: self.zones,
-            kinds: self.kinds,
+            endpoint_kinds: self.kinds,
             seed: self.seed,
-            known: self.known,
+            initial_list: self.known,
             discovery: Some(self.discovery),
             watch_status: Rc::default(),
             list_age: Some(ListAgeFile::new(&self.state)),
             installation: None,
             active_config: None,
-            room,
+            memory_budget,
             pool_wait: Duration::ZERO,
-            remembered: 0,
-            folder: PathBuf::new(),
+            max_remembered: 0,
+            config_folder: PathBuf::new(),
         }
     }
 }
 
-fn text(name: &'static str) -> Result<String, Fault> {
+fn text(name: &'static str) -> Result<String, StartupError> {
     match env::var(name) {
         Ok(value) if !value.is_empty() => Ok(value),
-        Err(env::VarError::NotUnicode(_)) => Err(Fault::Bad(name, "is not text".to_owned())),
-        _ => Err(Fault::Missing(name)),
+        Err(env::VarError::NotUnicode(_)) => Err(StartupError::Invalid(name, "is not text".to_owned())),
+        _ => Err(StartupError::MissingVariable(name)),
     }
 }
 
-fn address(name: &'static str) -> Result<SocketAddr, Fault> {
-    place(&text(name)?).map_err(|why| Fault::Bad(name, why))
+fn address(name: &'static str) -> Result<SocketAddr, StartupError> {
+    place(&text(name)?).map_err(|why| StartupError::Invalid(name, why))
 }
 
 fn place(text: &str) -> Result<SocketAddr, String> {
@@ -106,8 +106,8 @@
 
 impl Page {
     /// Reads the whole file, or tells what is wrong with it.
-    fn read(path: &Path) -> Result<(Self, Settings, Option<SocketAddr>), Fault> {
-        let bad = |why: String| Fault::Bad("LB_CONFIG", format!("{}: {why}", path.display()));
+    fn read(path: &Path) -> Result<(Self, Settings, Option<SocketAddr>), StartupError> {
+        let bad = |why: String| StartupError::Invalid("LB_CONFIG", format!("{}: {why}", path.display()));
         let page = fs::read(path).map_err(|e| bad(e.to_string()))?;
         let page: Page = serde_json::from_slice(&page).map_err(|e| bad(e.to_string()))?;
         let settings = page.settings.settings().map_err(|e| bad(format!("settings: {e}")))?;
@@ -121,16 +121,16 @@
 }
 
 /// Where the file says that discovery is, as it stands now. An error changes nothing.
-pub fn discovery_again(path: &Path) -> Result<Option<SocketAddr>, Fault> {
+pub fn reread_discovery(path: &Path) -> Result<Option<SocketAddr>, StartupError> {
     Page::read(path).map(|(_, _, discovery)| discovery)
 }
 
-impl Config {
-    pub fn read() -> Result<Self, Fault> {
+impl PlatformConfig {
+    pub fn read() -> Result<Self, StartupError> {
         let (name, listen) = (text("LB_NAME")?, address("LB_LISTEN")?);
         let state = PathBuf::from(text("LB_STATE")?);
         if !state.is_dir() {
-            return Err(Fault::Bad("LB_STATE", format!("{} is no folder", state.display())));
+            return Err(StartupError::Invalid("LB_STATE", format!("{} is no folder", state.display())));
         }
         let file = PathBuf::from(text("LB_CONFIG")?);
         let (page, settings, named) = Page::read(&file)?;
@@ -140,7 +140,7 @@
             Some(discovery) => discovery,
             None => address("LB_DISCOVERY")?,
         };
-        Ok(Config {
+        Ok(PlatformConfig {
             name,
             listen,
             file,
--- a/crates/courier/src/start/serve.rs
+++ b/crates/courier/src/startup/serve.rs
@@ -1,7 +1,13 @@
 //! An operator's courier: started from a file, with versions of a control service over it.
 
 use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
-use crate::fault::Fault;
+use crate::discovery::config_file;
+use crate::discovery::configured_hosts::endpoint_kinds;
+use crate::discovery::control::{ConfigStatus, ConfigUpdater, VersionStore};
+use crate::discovery::dns;
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::setup::Setup;
+use crate::events::CourierEvent;
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::admin::{self, AdminPages};
 use crate::ingress::http::{HttpServer, MAX_BODY_BYTES, Routing, ServerState};
@@ -9,23 +15,17 @@
 use crate::ingress::mqtt::{self, MqttServer};
 use crate::ingress::rejection::ConnectionRejecter;
 use crate::ingress::users::Users;
-use crate::news::News;
-use crate::out::calls::Calls;
-use crate::out::outcomes::Outcomes;
-use crate::owner::Courier;
-use crate::owner::setup::Setup;
-use crate::place::control::{Configurator, Status, Store};
-use crate::place::dns;
-use crate::place::file;
-use crate::place::hosts::kinds;
-use crate::room::{self, Room};
+use crate::memory_budget::{self, MemoryBudget};
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
+use crate::startup_error::StartupError;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
 use stairshed_config::installation::Document;
 use stairshed_config::version::{Version, Versions};
-use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::Settings;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Durability, Journal};
 use stairshed_mqtt::server::Limits;
 use std::path::{Path, PathBuf};
@@ -52,9 +52,9 @@
     installation: &Installation,
     folder: &Path,
     active_config: &ActiveConfig,
-    news: &mpsc::Sender<News>,
-    (courier, room, rejecter): (&Courier, &Room, &Rc<ConnectionRejecter>),
-) -> Result<Rc<MqttServer>, Fault> {
+    news: &mpsc::Sender<CourierEvent>,
+    (courier, room, rejecter): (&Dispatcher, &MemoryBudget, &Rc<ConnectionRejecter>),
+) -> Result<Rc<MqttServer>, StartupError> {
     let m = &installation.file.mqtt;
     // Checked when the file was read.
     let seconds = |span: Duration| u32::try_from(span.as_secs()).unwrap_or(u32::MAX - 1);
@@ -72,20 +72,20 @@
     };
     let users = m.users.as_ref().map(|f| Users::read(&folder.join(f))).transpose();
     let users = users.map_err(|e| bad("mqtt.users", e))?;
-    let records = courier.on_record(mqtt::SESSION_KEY_PREFIX);
+    let records = courier.stored_state(mqtt::SESSION_KEY_PREFIX);
     let bounds = (m.connections, room.clone(), rejecter.clone());
     Ok(MqttServer::new(limits, bounds, (active_config.clone(), users), news.clone(), records))
 }
 
-fn bad(what: &'static str, why: impl ToString) -> Fault {
-    Fault::Bad(what, why.to_string())
+fn bad(what: &'static str, why: impl ToString) -> StartupError {
+    StartupError::Invalid(what, why.to_string())
 }
 
 /// What the owner of the decision module is told at the start.
 fn setup(
     installation: &Arc<Installation>,
     active_config: &ActiveConfig,
-    room: &Room,
+    room: &MemoryBudget,
     folder: &Path,
 ) -> Setup {
     let names = installation.classes.iter().map(|c| c.name.clone());
@@ -98,18 +98,18 @@
         settings: Settings { classes: classes.classes(), ..installation.settings.clone() },
         classes,
         zones: Vec::new(),
-        kinds: kinds(),
+        endpoint_kinds: endpoint_kinds(),
         seed: rand::random(),
-        known: None,
+        initial_list: None,
         discovery: installation.discovery,
         watch_status: Rc::default(),
         list_age: None,
         installation: Some(installation.clone()),
         active_config: Some(active_config.clone()),
-        room: room.clone(),
+        memory_budget: room.clone(),
         pool_wait: installation.file.limits.pool_wait.0,
-        remembered: installation.file.limits.remembered,
-        folder: folder.to_owned(),
+        max_remembered: installation.file.limits.remembered,
+        config_folder: folder.to_owned(),
     }
 }
 
@@ -120,7 +120,11 @@
 }
 
 /// What a start comes up on: the last good version over the file, or the file's own.
-fn start(document: &Document, own: Installation, store: &Store) -> (Option<Version>, Arc<Installation>) {
+fn start(
+    document: &Document,
+    own: Installation,
+    store: &VersionStore,
+) -> (Option<Version>, Arc<Installation>) {
     if own.control.is_none() {
         return (None, Arc::new(own));
     }
@@ -143,19 +147,21 @@
 }
 
 /// Runs an operator's courier until it is told to stop.
-pub async fn serve(file: PathBuf) -> Result<(), Fault> {
+pub async fn serve(file: PathBuf) -> Result<(), StartupError> {
     let mut terminate = on(SignalKind::terminate(), "SIGTERM")?;
     let mut interrupt = on(SignalKind::interrupt(), "SIGINT")?;
     let hangup = on(SignalKind::hangup(), "SIGHUP")?;
-    let document = file::document(&file).map_err(|e| Fault::Lines(vec![e.to_string()]))?;
+    let document =
+        config_file::read_document(&file).map_err(|e| StartupError::Problems(vec![e.to_string()]))?;
     let own = document.installation(None);
-    let own =
-        own.map_err(|problems| Fault::Lines(problems.to_string().lines().map(str::to_owned).collect()))?;
+    let own = own.map_err(|problems| {
+        StartupError::Problems(problems.to_string().lines().map(str::to_owned).collect())
+    })?;
     let state = state_folder(&file, &own);
     let folder = state.join("journal");
     std::fs::create_dir_all(&folder).map_err(|e| bad("state", format!("{}: {e}", folder.display())))?;
     let files = lock(&folder).await.map_err(|e| bad("state", e))?;
-    let store = Store::new(state.join("version.json"));
+    let store = VersionStore::new(state.join("version.json"));
     let (version, installation) = start(&document, own, &store);
     let takes_nothing = installation.routes.is_empty() && installation.topics.is_empty();
     if takes_nothing && installation.control.is_none() {
@@ -177,13 +183,19 @@
     let for_clients = limits.connections.saturating_sub(for_calls + SPARE_SOCKETS).max(4);
     let beside = file.parent().unwrap_or(Path::new(".")).to_owned();
     let active_config = ActiveConfig::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
-    let caps = room::caps(&installation).map_err(Fault::Lines)?;
-    let room = Room::new(&caps, installation.file.memory.client_share);
+    let caps = memory_budget::caps(&installation).map_err(StartupError::Problems)?;
+    let room = MemoryBudget::new(&caps, installation.file.memory.client_share);
     let mut setup = setup(&installation, &active_config, &room, &beside);
-    let calls = Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, for_calls, room.clone());
-    setup.settings.keepalive = calls.keep_time();
+    let calls = EndpointClient::new(
+        setup.settings.connect_timeout,
+        setup.settings.keepalive,
+        for_calls,
+        room.clone(),
+    );
+    setup.settings.keepalive = calls.idle_timeout();
     let connections = calls.connection_status();
-    let brain = Brain::new(setup.settings.clone(), setup.seed).map_err(|e| bad("configuration", e))?;
+    let scheduler =
+        Scheduler::new(setup.settings.clone(), setup.seed).map_err(|e| bad("configuration", e))?;
     let (news, inbox) = mpsc::channel(INBOX);
     let server_state = Rc::new(ServerState::default());
     let rejecter = ConnectionRejecter::start(&room);
@@ -199,9 +211,9 @@
     let unread = state.join("outcomes.ndjson");
     let to = outcomes.file.as_ref().map(|f| state.join(f));
     let to = if installation.outcomes.is_none() { to.or(Some(unread.clone())) } else { to };
-    let outcomes = Outcomes::operator(installation.outcomes.as_ref(), to, unread, machine);
-    let (lookups, resolver) = dns::start(&installation, news.clone());
-    let status = Rc::new(Status::new(file.clone(), version.as_ref().map(|v| v.version)));
+    let outcomes = OutcomeNotifier::operator(installation.outcomes.as_ref(), to, unread, machine);
+    let (lookups, resolver) = dns::spawn_resolver(&installation, news.clone());
+    let status = Rc::new(ConfigStatus::new(file.clone(), version.as_ref().map(|v| v.version)));
     let waits = version.is_none() && takes_nothing;
     let first_wait = installation.file.control.as_ref().map(|c| c.first_wait.0).filter(|_| waits);
     let (admin, installation_mqtt) = (installation.admin, installation.mqtt);
@@ -210,7 +222,7 @@
     let discovery = installation.discovery.is_some();
     let watch_status = setup.watch_status.clone();
     let mut courier =
-        Courier::new(setup, brain, journal, calls, outcomes, server_state.clone(), news.clone());
+        Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
     let mqtt_server = match installation.mqtt {
         Some(_) => {
             Some(mqtt_server(&installation, &beside, &active_config, &news, (&courier, &room, &rejecter))?)
@@ -218,11 +230,11 @@
         None => None,
     };
     if let Some(mqtt_server) = &mqtt_server {
-        courier.tells(mqtt_server.clone());
+        courier.set_frontend(mqtt_server.clone());
         tokio::task::spawn_local(mqtt_server.clone().run());
     }
     let running = tokio::task::spawn_local(courier.run(inbox));
-    let mut configurator = Configurator::new(
+    let mut config_updater = ConfigUpdater::new(
         (file, document, store),
         (Versions::new(version), installation),
         (active_config.clone(), news.clone(), http_server),
@@ -231,19 +243,19 @@
     );
     if let Some(wait) = first_wait {
         eprintln!("configuration: no version yet and no routes in the file; waits for one");
-        if !configurator.first(wait).await {
+        if !config_updater.wait_for_first_version(wait).await {
             return Err(bad(
                 "control",
                 "no version came, none is stored, and the file has no routes of its own",
             ));
         }
     }
-    let at = configurator.listen().map_err(|e| bad("listen.http", e))?;
+    let at = config_updater.listen().map_err(|e| bad("listen.http", e))?;
     if let Some(admin) = admin {
         let listener = listen(admin).map_err(|e| bad("listen.admin", format!("{admin}: {e}")))?;
         let at = listener.local_addr().map_err(|e| bad("listen.admin", e))?;
         eprintln!("the operator's pages are at {at}");
-        let (view, server_state, room) = (configurator.view(), server_state.clone(), room.clone());
+        let (view, server_state, room) = (config_updater.view(), server_state.clone(), room.clone());
         let pages = AdminPages { view, server_state, room, watch: watch_status, connections };
         tokio::task::spawn_local(admin::run(listener, pages));
     }
@@ -258,10 +270,10 @@
         accepting = Some(tokio::task::spawn_local(mqtt_server.accept(listener)).abort_handle());
     }
     if discovery {
-        let _ = news.send(News::Watch).await;
+        let _ = news.send(CourierEvent::StartWatch).await;
     }
     server_state.ready.set(true);
-    let configuring = tokio::task::spawn_local(configurator.run(hangup));
+    let configuring = tokio::task::spawn_local(config_updater.run(hangup));
     let stopper = server_state.clone();
     tokio::task::spawn_local(async move {
         tokio::select! {
@@ -278,7 +290,7 @@
             // Wills are handed in before nothing more is taken.
             tokio::time::sleep(WILL_TIME).await;
         }
-        let _ = news.send(News::Stop).await;
+        let _ = news.send(CourierEvent::Stop).await;
         tokio::time::sleep(Duration::from_millis(700)).await;
         stopper.close_listener();
     });
