--- a/crates/courier/src/ingress/active_config.rs
+++ b/crates/courier/src/ingress/active_config.rs
@@ -204,7 +204,7 @@
             owner: None,
             remember: classes[class].remember,
         };
-        let letter = Letter {
+        let message = Letter {
             id,
             class: classes[class].name.clone(),
             destination: matched.pool.destination,
@@ -214,7 +214,7 @@
             body,
             routed: Some(routed),
         };
-        Ok((letter, time_left))
+        Ok((message, time_left))
     }
 
     /// Makes a message of an MQTT publish by the version in effect. Also returns the time left to deliver it.
@@ -309,7 +309,7 @@
             owner: Some(owner.to_owned()),
             remember,
         };
-        let letter = Letter {
+        let message = Letter {
             id,
             class: class.name.clone(),
             destination: installation.pools[topic.pool].destination,
@@ -319,6 +319,6 @@
             body: publish.payload.clone(),
             routed: Some(routed),
         };
-        Ok((letter, time_left))
+        Ok((message, time_left))
     }
 }
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -1,11 +1,11 @@
 //! Admin pages for operators: readiness, memory, connections, discovery, and the configuration in effect with
 //! the last refused one. Served on a separate loopback address, only if configured.
 
-use crate::ingress::http::ServerState;
-use crate::outbound::connection_status::ConnectionStatus;
 use crate::discovery::control::ConfigView;
 use crate::discovery::watch_status::WatchStatus;
+use crate::ingress::http::ServerState;
 use crate::memory_budget::MemoryBudget;
+use crate::outbound::connection_status::ConnectionStatus;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,11 +1,11 @@
 //! HTTP server for clients: accepts messages and answers the readiness check.
 
 use crate::clock::unix_time;
+use crate::events::{CourierEvent, DEFAULT_RETRY_AFTER, Reply, ReplyTo, Submission, refusal_reason};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::message_headers::{MessageHeaders, RequestError};
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
-use crate::events::{DEFAULT_RETRY_AFTER, CourierEvent, Submission, Reply, ReplyTo, refusal_reason};
-use crate::memory_budget::{MemoryRefusal, MemoryBudget};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -326,7 +326,8 @@
                 Ok((stream, from)) => {
                     let rejecter = this.rejecter.as_ref();
                     let from = from.ip();
-                    let client = rejecter.and_then(|_| this.telling(|telling| telling.connection(from)));
+                    let client =
+                        rejecter.and_then(|_| this.with_client_rules(|telling| telling.connection(from)));
                     let guest = client.map(|client| this.room.ledger.guest(client));
                     // A client that has used up its share is rejected; others are still admitted.
                     match this.room.ledger.take(Purpose::Clients, CONNECTION_BYTES, guest.as_ref()) {
@@ -432,7 +433,7 @@
         (from, guest): (IpAddr, Option<Guest>),
     ) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
-        let guest = self.guest(from, &parts.headers).or(guest);
+        let guest = self.proxied_guest(from, &parts.headers).or(guest);
         let length = body.size_hint().exact();
         if let Some((status, why)) = connection.framing.borrow().error(length) {
             return closing_response(status, why);
@@ -479,15 +480,15 @@
             }
             Routing::Routes(active_config) => active_config.message_from_request(&parts, body),
         };
-        let (letter, time_left) = match read {
+        let (message, time_left) = match read {
             Ok(read) => read,
             Err(error) => return text(error.status, error.why),
         };
         let (reply, answered) = oneshot::channel();
-        let id = letter.routed.is_some().then(|| letter.id.clone());
+        let id = message.routed.is_some().then(|| message.id.clone());
         let reply = ReplyTo::Single(reply);
         let offer =
-            Submission { letter: Rc::new(letter), time_left, at, reply, bounce: false, body_charge, guest };
+            Submission { letter: Rc::new(message), time_left, at, reply, bounce: false, body_charge, guest };
         let reply = match timeout(ENQUEUE_TIMEOUT, self.news.send(CourierEvent::Submitted(offer))).await {
             Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
             _ => Reply::Unavailable,
@@ -503,7 +504,7 @@
 
 impl HttpServer {
     /// Calls `ask` with the rules that tell clients apart; `None` where clients are not told apart.
-    fn telling<T>(&self, ask: impl FnOnce(&Telling) -> Option<T>) -> Option<T> {
+    fn with_client_rules<T>(&self, ask: impl FnOnce(&Telling) -> Option<T>) -> Option<T> {
         match &self.routing {
             Routing::Platform { .. } => None,
             Routing::Routes(active_config) => ask(&active_config.get().1.telling),
@@ -511,8 +512,8 @@
     }
 
     /// The client to account a proxied request to; `None` if the peer is not a trusted proxy.
-    fn guest(&self, from: IpAddr, headers: &HeaderMap) -> Option<Guest> {
-        let client = self.telling(|telling| {
+    fn proxied_guest(&self, from: IpAddr, headers: &HeaderMap) -> Option<Guest> {
+        let client = self.with_client_rules(|telling| {
             let header = telling.header.as_deref().filter(|_| telling.trusts(from))?;
             Some(telling.request(from, headers.get_all(header).iter().map(HeaderValue::as_bytes)))
         })?;
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -3,12 +3,14 @@
 //! message.
 
 use crate::clock::unix_time;
+use crate::events::{
+    CourierEvent, DEFAULT_RETRY_AFTER, Frontend, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
 use crate::ingress::users::Users;
-use crate::events::{DEFAULT_RETRY_AFTER, Frontend, CourierEvent, Submission, Reply, ReplyTo, StateUpdate, refusal_reason};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::outbound::outcomes;
-use crate::memory_budget::{MemoryRefusal, MemoryBudget};
 use crate::socket::is_transient;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
@@ -59,7 +61,7 @@
     outputs: RefCell<HashMap<u64, Rc<ConnectionOutput>>>,
     /// By token, offers that await the courier's reply, with a flag that is set when their client has left.
     pending_offers: RefCell<HashMap<u64, Rc<Cell<bool>>>>,
-    room: MemoryBudget,
+    memory_budget: MemoryBudget,
     /// Memory of the sessions as last measured, plus those admitted since.
     session_memory: RefCell<Charge>,
     buffer: RefCell<Vec<u8>>,
@@ -67,7 +69,7 @@
     active_config: ActiveConfig,
     users: Option<Arc<Users>>,
     password_checks: Arc<Semaphore>,
-    news: Sender<CourierEvent>,
+    events: Sender<CourierEvent>,
     max_connections: usize,
     /// Answers connections for which there is no capacity.
     rejecter: Rc<ConnectionRejecter>,
@@ -126,9 +128,9 @@
     /// `records` are the sessions that a previous run stored in the journal.
     pub fn new(
         limits: Limits,
-        (max_connections, room, rejecter): (usize, MemoryBudget, Rc<ConnectionRejecter>),
+        (max_connections, memory_budget, rejecter): (usize, MemoryBudget, Rc<ConnectionRejecter>),
         (active_config, users): (ActiveConfig, Option<Users>),
-        news: Sender<CourierEvent>,
+        events: Sender<CourierEvent>,
         records: Vec<(String, bytes::Bytes)>,
     ) -> Rc<MqttServer> {
         let mut machine = Server::new(limits, unix_time(), rand::random());
@@ -143,14 +145,14 @@
             origin: Instant::now(),
             outputs: RefCell::default(),
             pending_offers: RefCell::default(),
-            session_memory: RefCell::new(room.ledger.force(Purpose::Sessions, 0)),
-            room,
+            session_memory: RefCell::new(memory_budget.ledger.force(Purpose::Sessions, 0)),
+            memory_budget,
             buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             wake: Notify::new(),
             active_config,
             users: users.map(Arc::new),
             password_checks: Arc::new(Semaphore::new(MAX_PASSWORD_CHECKS)),
-            news,
+            events,
             max_connections,
             rejecter,
         })
@@ -232,10 +234,10 @@
             Effect::Store { token, owner, record } => {
                 let key = format!("{SESSION_KEY_PREFIX}{owner}");
                 let store = StateUpdate { token, key, value: record.map(bytes::Bytes::from) };
-                let _ = self.news.send(CourierEvent::StoreState(store)).await;
+                let _ = self.events.send(CourierEvent::StoreState(store)).await;
             }
             Effect::Told { message } | Effect::Untold { message } => {
-                let _ = self.news.send(CourierEvent::OutcomeNotified { message }).await;
+                let _ = self.events.send(CourierEvent::OutcomeNotified { message }).await;
             }
             Effect::Log(text) => eprintln!("mqtt: {text}"),
         }
@@ -272,27 +274,29 @@
 
     async fn submit_offer(self: Rc<Self>, offer: server::Offer) {
         let server::Offer { token, owner, publish, bounce, .. } = offer;
-        let (letter, time_left) = match self.active_config.message_from_publish(&publish, &owner) {
+        let (message, time_left) = match self.active_config.message_from_publish(&publish, &owner) {
             Ok(read) => read,
             Err(error) => {
                 let answer = Answer::Refused { code: error.code, why: error.why, wait: None };
                 return self.with_machine(|machine, now| machine.replied(token, answer, now));
             }
         };
-        let guest = Some(self.room.ledger.guest(self.active_config.get().1.telling.session(&owner)));
+        let guest = Some(self.memory_budget.ledger.guest(self.active_config.get().1.telling.session(&owner)));
         // Concurrent large payloads must not exhaust the memory: together they have a fixed budget.
         let size = publish.payload.len() as u64;
-        let body_charge = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
+        let body_charge = match self.memory_budget.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
             Ok(charge) => charge,
             // A duplicate of an accepted message is acknowledged even without memory.
-            Err(_) if self.is_duplicate(&letter.id).await => return self.on_reply(token, Reply::Accepted),
-            Err(refused) => return self.on_reply(token, Reply::OutOfMemory(self.room.refusal(refused))),
+            Err(_) if self.is_duplicate(&message.id).await => return self.on_reply(token, Reply::Accepted),
+            Err(refused) => {
+                return self.on_reply(token, Reply::OutOfMemory(self.memory_budget.refusal(refused)));
+            }
         };
         let abandoned = Rc::new(Cell::new(false));
         self.pending_offers.borrow_mut().insert(token, abandoned.clone());
         let reply = ReplyTo::Frontend { frontend: self.clone(), token, abandoned };
         let offer = Submission {
-            letter: Rc::new(letter),
+            letter: Rc::new(message),
             time_left,
             at: Instant::now(),
             reply,
@@ -300,13 +304,13 @@
             body_charge,
             guest,
         };
-        let _ = self.news.send(CourierEvent::Submitted(offer)).await;
+        let _ = self.events.send(CourierEvent::Submitted(offer)).await;
     }
 
     /// Whether a message with this id is already accepted.
     async fn is_duplicate(&self, id: &str) -> bool {
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply }).await;
+        let asked = self.events.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply }).await;
         asked.is_ok() && known.await.unwrap_or(false)
     }
 
@@ -315,7 +319,7 @@
         let mut next = 0;
         loop {
             let full = self.outputs.borrow().len() >= self.max_connections
-                || self.room.ledger.room(Purpose::Clients) < CONNECTION_BYTES;
+                || self.memory_budget.ledger.room(Purpose::Clients) < CONNECTION_BYTES;
             if full && !self.evict() {
                 sleep(Duration::from_millis(5)).await;
                 continue;
@@ -323,16 +327,17 @@
             match listener.accept().await {
                 Ok((socket, from)) => {
                     let client = self.active_config.get().1.telling.connection(from.ip());
-                    let guest = client.map(|client| self.room.ledger.guest(client));
-                    let room = self.room.ledger.take(Purpose::Clients, CONNECTION_BYTES, guest.as_ref());
+                    let guest = client.map(|client| self.memory_budget.ledger.guest(client));
+                    let memory =
+                        self.memory_budget.ledger.take(Purpose::Clients, CONNECTION_BYTES, guest.as_ref());
                     // An address that has used up its share is rejected; others are still admitted.
-                    match room {
-                        Ok(room) => {
+                    match memory {
+                        Ok(memory) => {
                             next += 1;
-                            tokio::task::spawn_local(self.clone().serve(next, socket, room));
+                            tokio::task::spawn_local(self.clone().serve(next, socket, memory));
                         }
                         Err(refused) => {
-                            let rejection = Rejection::from(self.room.refusal(refused));
+                            let rejection = Rejection::from(self.memory_budget.refusal(refused));
                             self.rejecter.reject(socket, Protocol::Mqtt, rejection, false);
                         }
                     }
@@ -361,7 +366,7 @@
         old.is_some()
     }
 
-    async fn serve(self: Rc<Self>, connection: u64, socket: TcpStream, room: Charge) {
+    async fn serve(self: Rc<Self>, connection: u64, socket: TcpStream, memory: Charge) {
         let _ = socket.set_nodelay(true);
         let output = Rc::new(ConnectionOutput {
             write_queue: RefCell::default(),
@@ -376,7 +381,7 @@
             self.outputs.borrow_mut().remove(&connection);
             self.with_machine(|machine, now| machine.lost(connection, now));
         }
-        drop(room);
+        drop(memory);
         // Writes the remaining output, if the client reads it in time.
         let _ = timeout(CLOSE_TIMEOUT, async {
             while !output.write_queue.borrow().is_empty() {
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -4,7 +4,7 @@
 //! owns their sockets.
 
 use crate::events::DEFAULT_RETRY_AFTER;
-use crate::memory_budget::{MemoryRefusal, MemoryBudget};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use stairshed_memory::partings::{DRAINED, How, LINGER, LISTEN, MOST};
@@ -74,7 +74,7 @@
 
 /// Rejects connections for which there is no capacity.
 pub struct ConnectionRejecter {
-    room: MemoryBudget,
+    memory_budget: MemoryBudget,
     queue: Sender<RejectedConnection>,
     /// By id, notifies a connection that it lost its slot.
     displaced: RefCell<BTreeMap<u64, Rc<Notify>>>,
@@ -85,14 +85,14 @@
 
 impl ConnectionRejecter {
     /// Starts the task that serves all rejections.
-    pub fn start(room: &MemoryBudget) -> Rc<ConnectionRejecter> {
+    pub fn start(memory_budget: &MemoryBudget) -> Rc<ConnectionRejecter> {
         // The queue may also hold as many connections again that have already lost their slot.
         let (queue, receiver) = channel(2 * MOST);
-        let reserve = room
+        let reserve = memory_budget
             .ledger
             .force_reserve(Purpose::Clients, REJECTION_BYTES * MOST as u64 + DISCARD_BUFFER_BYTES as u64);
         let this = Rc::new(ConnectionRejecter {
-            room: room.clone(),
+            memory_budget: memory_budget.clone(),
             queue,
             displaced: RefCell::default(),
             discard_buffer: RefCell::new(vec![0; DISCARD_BUFFER_BYTES]),
@@ -106,7 +106,7 @@
     /// request was already read from it. At the limit of concurrent rejections the connection is closed
     /// without an answer.
     pub fn reject(&self, stream: TcpStream, protocol: Protocol, rejection: Rejection, request_started: bool) {
-        let mut partings = self.room.partings.borrow_mut();
+        let mut partings = self.memory_budget.partings.borrow_mut();
         let Some(slot) = partings.admit(request_started) else {
             return partings.ended(None, rejection.reason, How::Untold);
         };
@@ -131,9 +131,9 @@
     async fn run(self: Rc<Self>, mut queue: Receiver<RejectedConnection>) {
         let mut rejections = FuturesUnordered::new();
         loop {
-            let now = self.room.now();
+            let now = self.memory_budget.now();
             let (log_line, next_log) = {
-                let mut partings = self.room.partings.borrow_mut();
+                let mut partings = self.memory_budget.partings.borrow_mut();
                 (partings.line(now), partings.log_due())
             };
             if let Some(log_line) = log_line {
@@ -161,7 +161,7 @@
         };
         drop(connection);
         self.displaced.borrow_mut().remove(&id);
-        self.room.partings.borrow_mut().ended(Some(id), reason, outcome);
+        self.memory_budget.partings.borrow_mut().ended(Some(id), reason, outcome);
     }
 
     /// Waits until the client has sent part of a request, then answers. An answer sent before any request
@@ -182,7 +182,7 @@
                 _ => return How::Silent,
             }
         };
-        self.room.partings.borrow_mut().heard(connection.id);
+        self.memory_budget.partings.borrow_mut().heard(connection.id);
         let sent = timeout(LINGER, async {
             stream.write_all(&answer).await?;
             stream.shutdown().await
