--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -38,13 +38,13 @@
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Longest body that is read and discarded; past this length the connection is closed instead.
 const MAX_DISCARDED_BODY_BYTES: usize = 1024 * 1024;
-/// Time from the connection's start to its first byte. Common clients open connections ahead of use and send
-/// a second or two later; closing earlier would fail their request. A client must get an answer or a close
-/// within 3 s of connecting.
+/// Longest time from the connection's start to its first byte. Common clients open connections ahead of use
+/// and send a second or two later; closing earlier would fail their request. A client must get an answer or a
+/// close within 3 s of connecting.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time from the first byte of a head to its end.
+/// Longest time from the first byte of a head to its end.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time from the end of a head to the end of its body.
+/// Longest time from the end of a head to the end of its body.
 const BODY_TIMEOUT: Duration = Duration::from_millis(700);
 /// Idle time after which a connection between requests is preferred for closing when connections or memory
 /// run out.
@@ -474,22 +474,23 @@
             return closing_response(status, why);
         }
         let at = Instant::now();
-        let read = match &self.routing {
+        let parsed = match &self.routing {
             Routing::Platform { classes } => {
                 platform_message(classes, parts.uri.path(), &parts.headers, body)
             }
             Routing::Routes(active_config) => active_config.message_from_request(&parts, body),
         };
-        let (message, time_left) = match read {
-            Ok(read) => read,
-            Err(error) => return text(error.status, error.why),
+        let (message, time_left) = match parsed {
+            Ok(parsed) => parsed,
+            Err(error) => return text_response(error.status, error.why),
         };
         let (reply, answered) = oneshot::channel();
         let id = message.routed.is_some().then(|| message.id.clone());
         let reply = ReplyTo::Single(reply);
-        let offer =
+        let submission =
             Submission { letter: Rc::new(message), time_left, at, reply, bounce: false, body_charge, guest };
-        let reply = match timeout(ENQUEUE_TIMEOUT, self.news.send(CourierEvent::Submitted(offer))).await {
+        let reply = match timeout(ENQUEUE_TIMEOUT, self.news.send(CourierEvent::Submitted(submission))).await
+        {
             Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
             _ => Reply::Unavailable,
         };
@@ -536,21 +537,21 @@
     headers: &HeaderMap,
     body: Bytes,
 ) -> Result<(Letter, Duration), RequestError> {
-    let message_headers = MessageHeaders::read(headers)?;
-    let id = message_headers.id.ok_or("X-Request-ID is missing\n")?;
+    let fields = MessageHeaders::read(headers)?;
+    let id = fields.id.ok_or("X-Request-ID is missing\n")?;
     let path_class = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-    let name = message_headers.class.unwrap_or(path_class);
+    let name = fields.class.unwrap_or(path_class);
     if !classes.iter().any(|c| c == name) {
         return Err("unknown class\n".into());
     }
     if path_class != name {
         return Err("the path and X-Priority-Class name different classes\n".into());
     }
-    let time_left = message_headers.time_left.ok_or("X-Timeout is missing\n")?;
+    let time_left = fields.time_left.ok_or("X-Timeout is missing\n")?;
     let text = headers.get("Envelope").ok_or("Envelope is missing\n")?;
     let text = text.to_str().map_err(|_| "Envelope is not ASCII text\n")?;
     let destination = envelope_destination(text.trim()).ok_or("Envelope has no valid dest field\n")?;
-    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), message_headers.key, unix_time());
+    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), fields.key, unix_time());
     let until = taken + time_left;
     Ok((Letter { id, class, destination, key, taken, until, body, routed: None }, time_left))
 }
@@ -596,7 +597,7 @@
     answer
 }
 
-fn text(status: StatusCode, text: Cow<'static, str>) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: Cow<'static, str>) -> Response<Full<Bytes>> {
     let mut answer = Response::new(match text {
         Cow::Borrowed(text) => Full::from(text),
         Cow::Owned(text) => Full::from(text),
@@ -614,7 +615,7 @@
 
 fn reply_response(reply: Reply) -> Response<Full<Bytes>> {
     let retry_later = |status, why: Cow<'static, str>, wait: Option<Duration>| {
-        let mut answer = text(status, why);
+        let mut answer = text_response(status, why);
         let wait = format!("{:.3}", wait.unwrap_or(DEFAULT_RETRY_AFTER).as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&wait) {
             answer.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/courier/src/ingress/message_headers.rs
+++ b/crates/courier/src/ingress/message_headers.rs
@@ -38,7 +38,7 @@
         // If a field occurred twice, one reader might use the first value and another the last.
         for name in ["X-Request-ID", "X-Priority-Class", "X-Timeout", "Envelope", "Idempotency-Key"] {
             if headers.get_all(name).iter().nth(1).is_some() {
-                return Err("a header field that must occur once occurs twice\n".into());
+                return Err("a header field that may occur only once occurs more than once\n".into());
             }
         }
         let field = |name| headers.get(name).map(|v| v.to_str().map(str::trim));
@@ -66,12 +66,12 @@
         return None;
     }
     let number = number.parse().ok()?;
-    let parse_timeout = match unit {
+    let timeout = match unit {
         "m" => Duration::from_millis(number),
         "u" => Duration::from_micros(number),
         _ => return None,
     };
-    (!parse_timeout.is_zero() && parse_timeout <= MAX_TIMEOUT).then_some(parse_timeout)
+    (!timeout.is_zero() && timeout <= MAX_TIMEOUT).then_some(timeout)
 }
 
 #[cfg(test)]
