--- a/crates/courier/src/discovery.rs
+++ b/crates/courier/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Where things are: endpoints by discovery and by name, configurations from a control service.
+//! Sources of endpoints and configuration: discovery, DNS, the control service and the operator's file.
 
 pub mod config_file;
 pub mod configured_hosts;
--- a/crates/courier/src/discovery/config_file.rs
+++ b/crates/courier/src/discovery/config_file.rs
@@ -1,4 +1,4 @@
-//! The operator's file on the disk.
+//! Reads the operator's configuration file.
 
 use stairshed_config::Problems;
 use stairshed_config::installation::Document;
@@ -10,15 +10,15 @@
 pub enum ConfigFileError {
     #[error("{}: {why}", file.display())]
     Unreadable { file: PathBuf, why: std::io::Error },
-    /// All that is wrong with it, each with its line and key.
+    /// All errors in the file, each with its line and key.
     #[error("{0}")]
     Invalid(Problems),
 }
 
-/// Reads an operator's file as it stands on the disk.
+/// Reads and parses an operator's file.
 ///
 /// # Errors
-/// It cannot be read, or its syntax is at fault.
+/// The file cannot be read, or its syntax is invalid.
 pub fn read_document(file: &Path) -> Result<Document, ConfigFileError> {
     let text =
         fs::read_to_string(file).map_err(|why| ConfigFileError::Unreadable { file: file.to_owned(), why })?;
--- a/crates/courier/src/discovery/configured_hosts.rs
+++ b/crates/courier/src/discovery/configured_hosts.rs
@@ -1,10 +1,10 @@
-//! Endpoints of a configuration, as a list tells them.
+//! Converts the endpoints of a configuration to entries of the endpoint list.
 
 use crate::news::{Health, Host};
 use stairshed_config::change::Changed;
 use stairshed_config::installation::{At, OWN, SHARED};
 
-/// Names of the kinds of endpoint, in the order of their numbers.
+/// Names of the endpoint kinds, indexed by kind.
 pub fn endpoint_kinds() -> Vec<String> {
     let mut kinds = vec![String::new(); 2];
     kinds[SHARED] = "shared".to_owned();
@@ -12,7 +12,8 @@
     kinds
 }
 
-/// What a configuration changes, as a list tells it, and the limits that it states. Names come from look-ups.
+/// Returns the list entries that a configuration changes, and its limits by host. Endpoints given by a DNS
+/// name are left out: the resolver reports them.
 pub fn changed_hosts(changes: &[Changed]) -> (Vec<Host>, Vec<(String, f64)>) {
     let (kinds, mut hosts, mut limits) = (endpoint_kinds(), Vec::new(), Vec::new());
     for change in changes {
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -1,5 +1,7 @@
-//! The control service's versions and the operator's file, put into effect one after the other: checked off
-//! the serving thread, stored, told to the courier, and only then acknowledged.
+//! Applies configuration versions from the control service and reloads of the operator's file, one at a time.
+//!
+//! Each version is validated off the serving thread, stored on disk, applied by the courier, and only then
+//! acknowledged to the control service.
 
 use crate::discovery::config_file;
 use crate::discovery::configured_hosts::changed_hosts;
@@ -36,20 +38,25 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep};
 
-const CONNECT: Duration = Duration::from_secs(1);
-const ANSWER: Duration = Duration::from_secs(3);
-/// A version that is sent byte by byte without an end must not hold the stream for good.
-const LINE_TIME: Duration = Duration::from_secs(30);
-const BACKOFF_FIRST: Duration = Duration::from_millis(100);
-const BACKOFF_MOST: Duration = Duration::from_secs(5);
-/// What is made of a version takes this many times the memory that its text takes.
-const MADE_OF_TEXT: u64 = 40;
-/// Lines that may wait. A full queue stops the reading of the stream.
-const QUEUE: usize = 64;
-/// Answers that may wait for a service that does not take them.
-const ANSWERS: usize = 4096;
-
-/// The last good version on the disk.
+/// Timeout for connecting to the control service.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for a response of the control service.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time in which a started line must be complete. It keeps a version that is sent byte by byte without an end
+/// from blocking the stream forever.
+const LINE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay before the first retry of a connection or an answer.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Upper bound of the retry delay, which doubles with each failure.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Memory that a parsed version takes, as a multiple of the size of its text.
+const MEMORY_PER_TEXT_BYTE: u64 = 40;
+/// Stream events that may be queued. Reading from the stream pauses while the queue is full.
+const MAX_QUEUED_EVENTS: usize = 64;
+/// Answers that may be queued while the control service does not accept them; further ones are dropped.
+const MAX_QUEUED_ANSWERS: usize = 4096;
+
+/// File that stores the last valid version.
 #[derive(Clone)]
 pub struct VersionStore(PathBuf);
 
@@ -58,8 +65,10 @@
         VersionStore(path)
     }
 
+    /// Returns the stored version, or None if there is no file.
+    ///
     /// # Errors
-    /// The file cannot be read, or is none that [`VersionStore::save`] wrote.
+    /// The file cannot be read, or was not written by [`VersionStore::save`].
     pub fn load(&self) -> Result<Option<Version>, String> {
         match fs::read(&self.0) {
             Ok(bytes) => {
@@ -70,7 +79,8 @@
         }
     }
 
-    /// Writes beside the old one, syncs, and puts it in its place: whichever a crash leaves is whole.
+    /// Writes a temporary file, syncs it and renames it over the old one, so that a crash leaves a complete
+    /// file.
     fn save(&self, version: &Version) -> io::Result<()> {
         let next = self.0.with_extension("next");
         let mut file = File::create(&next)?;
@@ -81,24 +91,24 @@
     }
 }
 
-/// What the operator's pages tell of versions.
+/// Status of configuration versions, shown on the admin page `/-/config`.
 pub struct ConfigStatus {
     file: PathBuf,
     inner: RefCell<Inner>,
 }
 
 struct Inner {
-    /// None while the file's own is in effect.
+    /// Version in effect; None while the configuration comes from the file alone.
     version: Option<u64>,
     since: SystemTime,
     refusal: Option<Value>,
     acknowledged: u64,
     refused: u64,
-    /// Whether the stream is open; None without a control service.
+    /// Whether the stream is open; None if no control service is configured.
     connected: Option<bool>,
 }
 
-fn unix(at: SystemTime) -> f64 {
+fn unix_seconds(at: SystemTime) -> f64 {
     (at.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as f64) / 1000.0
 }
 
@@ -117,7 +127,7 @@
             "version": inner.version,
             "source": if inner.version.is_some() { "control" } else { "file" },
             "file": self.file.display().to_string(),
-            "since": unix(inner.since),
+            "since": unix_seconds(inner.since),
             "connected": inner.connected,
             "acknowledged": inner.acknowledged,
             "refused": inner.refused,
@@ -128,7 +138,8 @@
     fn refused(&self, version: Option<u64>, reasons: Vec<String>) {
         let mut inner = self.inner.borrow_mut();
         inner.refused += 1;
-        inner.refusal = Some(json!({"version": version, "reasons": reasons, "at": unix(SystemTime::now())}));
+        inner.refusal =
+            Some(json!({"version": version, "reasons": reasons, "at": unix_seconds(SystemTime::now())}));
     }
 
     fn in_effect(&self, version: Option<u64>) {
@@ -137,40 +148,42 @@
     }
 }
 
-/// For the operator's pages.
+/// Read access to the configuration for the admin pages.
 #[derive(Clone)]
 pub struct ConfigView {
     pub status: Rc<ConfigStatus>,
     pub effective: Effective,
-    /// The file and the version over it, as they are in effect.
+    /// The file and the version applied over it, as they are in effect.
     pub document: Rc<RefCell<(Document, Option<Version>)>>,
 }
 
-/// What comes from the stream.
-enum Heard {
+/// Event on the stream of versions.
+enum StreamEvent {
     Opened,
     Line(Vec<u8>),
-    Lost(Option<Refusal>),
+    Closed(Option<Refusal>),
 }
 
-/// What is being worked on.
-enum Task {
+/// A configuration change to apply.
+enum Change {
     Version(Version),
     Reload,
 }
 
-/// What the work came to.
-struct Done {
-    task: Task,
+/// Outcome of a change: the applied configuration, or the reasons why it was rejected.
+struct FinishedChange {
+    change: Change,
     document: Option<Document>,
-    result: Result<Prepared, Vec<String>>,
+    result: Result<AppliedChange, Vec<String>>,
 }
 
-struct Prepared {
+/// An applied configuration, and the listener to switch to if the address changed.
+struct AppliedChange {
     installation: Arc<Installation>,
     listener: Option<TcpListener>,
 }
 
+/// Applies configuration versions and file reloads, and answers the control service.
 pub struct ConfigUpdater {
     file: PathBuf,
     store: VersionStore,
@@ -179,16 +192,16 @@
     effective: Effective,
     news: Sender<News>,
     intake: Rc<Intake>,
-    accepting: Option<AbortHandle>,
-    listening: Option<SocketAddr>,
+    accept_task: Option<AbortHandle>,
+    listen_address: Option<SocketAddr>,
     status: Rc<ConfigStatus>,
     document: Rc<RefCell<(Document, Option<Version>)>>,
-    lookups: ResolverHandle,
-    heard: Receiver<Heard>,
-    answers: Option<Sender<Value>>,
-    work: Option<tokio::task::JoinHandle<Done>>,
-    next: Option<Version>,
-    reload: bool,
+    resolver: ResolverHandle,
+    stream_events: Receiver<StreamEvent>,
+    answer_queue: Option<Sender<Value>>,
+    running: Option<tokio::task::JoinHandle<FinishedChange>>,
+    pending_version: Option<Version>,
+    reload_pending: bool,
 }
 
 impl ConfigUpdater {
@@ -197,25 +210,25 @@
         (versions, installation): (Versions, Arc<Installation>),
         (effective, news, intake): (Effective, Sender<News>, Rc<Intake>),
         status: Rc<ConfigStatus>,
-        lookups: ResolverHandle,
+        resolver: ResolverHandle,
     ) -> Self {
-        let (hear, heard) = mpsc::channel(QUEUE);
-        let held = versions.held().cloned();
-        let answers = installation.control.as_ref().map(|url| {
-            let (answer, queue) = mpsc::channel(ANSWERS);
+        let (event_sender, stream_events) = mpsc::channel(MAX_QUEUED_EVENTS);
+        let current = versions.held().cloned();
+        let answer_queue = installation.control.as_ref().map(|url| {
+            let (answer, queue) = mpsc::channel(MAX_QUEUED_ANSWERS);
             let control = installation.file.control.clone().unwrap_or_default();
             let node = installation.file.name.clone().unwrap_or_else(|| "stairshed".to_owned());
-            let stream = Stream {
+            let stream = VersionStream {
                 url: url.clone(),
                 node: node.clone(),
-                held: Rc::new(RefCell::new(held.as_ref().map(|v| v.version))),
-                most: control.version_most.0,
+                current: Rc::new(RefCell::new(current.as_ref().map(|v| v.version))),
+                max_bytes: control.version_most.0,
                 room: intake.room.clone(),
-                silence: control.heartbeat.0 * 2,
+                idle_timeout: control.heartbeat.0 * 2,
             };
             status.inner.borrow_mut().connected = Some(false);
-            tokio::task::spawn_local(answering(url.clone(), node, queue, stream.held.clone()));
-            tokio::task::spawn_local(stream.run(hear));
+            tokio::task::spawn_local(post_answers(url.clone(), node, queue, stream.current.clone()));
+            tokio::task::spawn_local(stream.run(event_sender));
             answer
         });
         ConfigUpdater {
@@ -226,16 +239,16 @@
             effective,
             news,
             intake,
-            accepting: None,
-            listening: None,
+            accept_task: None,
+            listen_address: None,
             status,
-            document: Rc::new(RefCell::new((document, held))),
-            lookups,
-            heard,
-            answers,
-            work: None,
-            next: None,
-            reload: false,
+            document: Rc::new(RefCell::new((document, current))),
+            resolver,
+            stream_events,
+            answer_queue,
+            running: None,
+            pending_version: None,
+            reload_pending: false,
         }
     }
 
@@ -244,12 +257,12 @@
         ConfigView { status, effective, document: self.document.clone() }
     }
 
-    /// Where clients are taken in: begins to, if no version has made it begin yet.
+    /// Returns the address on which clients are accepted. Starts listening if no version has done so yet.
     ///
     /// # Errors
-    /// Why it cannot listen there.
+    /// The address cannot be bound.
     pub fn listen(&mut self) -> io::Result<SocketAddr> {
-        if let Some(at) = self.listening {
+        if let Some(at) = self.listen_address {
             return Ok(at);
         }
         let listener = listen(self.installation.http)?;
@@ -258,21 +271,21 @@
         Ok(at)
     }
 
-    /// Takes clients from this listener, and from no other any more.
+    /// Accepts clients on this listener and stops accepting on the previous one.
     fn accept(&mut self, listener: TcpListener) {
-        self.listening = listener.local_addr().ok();
+        self.listen_address = listener.local_addr().ok();
         let task = tokio::task::spawn_local(self.intake.clone().run(listener)).abort_handle();
         self.intake.standing.listens(task.clone());
-        if let Some(old) = self.accepting.replace(task) {
+        if let Some(old) = self.accept_task.replace(task) {
             old.abort();
         }
     }
 
-    /// Waits for a first version. False if none has come in time.
+    /// Waits for the first version. Returns false if none arrives in time.
     pub async fn wait_for_first_version(&mut self, wait: Duration) -> bool {
         let until = Instant::now() + wait;
         while self.versions.held().is_none() {
-            let Ok(more) = tokio::time::timeout_at(until, self.step(None)).await else { return false };
+            let Ok(more) = tokio::time::timeout_at(until, self.handle_one(None)).await else { return false };
             if !more {
                 return false;
             }
@@ -280,21 +293,21 @@
         true
     }
 
-    /// Works for good.
+    /// Handles events until no more can arrive; a SIGHUP reloads the file.
     pub async fn run(mut self, mut hangup: Signal) {
-        while self.step(Some(&mut hangup)).await {}
+        while self.handle_one(Some(&mut hangup)).await {}
     }
 
-    /// One thing that happens. False if nothing can any more.
-    async fn step(&mut self, hangup: Option<&mut Signal>) -> bool {
-        let hup = async {
+    /// Handles one event. Returns false if no more can arrive.
+    async fn handle_one(&mut self, hangup: Option<&mut Signal>) -> bool {
+        let next_hangup = async {
             match hangup {
                 Some(signal) => signal.recv().await,
                 None => std::future::pending().await,
             }
         };
         let work = async {
-            match &mut self.work {
+            match &mut self.running {
                 Some(work) => work.await,
                 None => std::future::pending().await,
             }
@@ -302,129 +315,133 @@
         tokio::select! {
             biased;
             done = work => {
-                self.work = None;
+                self.running = None;
                 match done {
-                    Ok(done) => self.done(done).await,
+                    Ok(done) => self.finish_change(done).await,
                     Err(e) => {
-                        eprintln!("configuration: the check of a version broke off: {e}");
-                        self.machine(|v| v.done(Err(vec!["its check broke off".to_owned()]))).await;
+                        eprintln!("configuration: the validation of a version did not complete: {e}");
+                        self.update_versions(|v| v.done(Err(vec!["its check failed".to_owned()]))).await;
                     }
                 }
             }
-            heard = self.heard.recv(), if self.answers.is_some() => match heard {
-                Some(Heard::Line(line)) => {
-                    self.machine(move |v| v.offer(&line)).await;
+            event = self.stream_events.recv(), if self.answer_queue.is_some() => match event {
+                Some(StreamEvent::Line(line)) => {
+                    self.update_versions(move |v| v.offer(&line)).await;
                 }
-                Some(Heard::Opened) => {
+                Some(StreamEvent::Opened) => {
                     eprintln!("control: the stream is open");
                     self.status.inner.borrow_mut().connected = Some(true);
                 }
-                Some(Heard::Lost(why)) => {
+                Some(StreamEvent::Closed(why)) => {
                     self.versions.disconnected();
                     if self.status.inner.borrow_mut().connected.replace(false) == Some(true) {
-                        eprintln!("control: the stream is lost; what is in effect stays");
+                        eprintln!("control: the stream is closed; the current configuration stays in effect");
                     }
                     if let Some(why) = why {
-                        self.steps(vec![Step::Refuse { version: None, why }]);
+                        self.perform(vec![Step::Refuse { version: None, why }]);
                     }
                 }
                 None => return false,
             },
-            signal = hup => {
+            signal = next_hangup => {
                 if signal.is_none() {
                     return false;
                 }
-                self.reload = true;
+                self.reload_pending = true;
             }
         }
-        self.begin();
+        self.start_next_change();
         true
     }
 
-    /// Lets the state machine have something, off the serving thread: to read, compare or free a large version
-    /// takes milliseconds.
-    async fn machine(&mut self, with: impl FnOnce(&mut Versions) -> Vec<Step> + Send + 'static) {
+    /// Runs a transition of the version state machine off the serving thread, since parsing, comparing or
+    /// freeing a large version takes milliseconds.
+    async fn update_versions(&mut self, run: impl FnOnce(&mut Versions) -> Vec<Step> + Send + 'static) {
         let mut versions = std::mem::take(&mut self.versions);
-        let worked = tokio::task::spawn_blocking(move || {
-            let steps = with(&mut versions);
+        let finished = tokio::task::spawn_blocking(move || {
+            let steps = run(&mut versions);
             (versions, steps)
         });
-        match worked.await {
+        match finished.await {
             Ok((versions, steps)) => {
                 self.versions = versions;
-                self.steps(steps);
+                self.perform(steps);
+            }
+            // The transition is not expected to panic. If it does, the configuration in effect stays, and the
+            // next start loads it from disk.
+            Err(e) => {
+                eprintln!("control: no more versions are applied: {e}")
             }
-            // Nothing in it panics; if it does, what is in effect stays, and the next start finds it stored.
-            Err(e) => eprintln!("control: versions are taken no more: {e}"),
         }
     }
 
-    /// Begins what is due, one at a time.
-    fn begin(&mut self) {
-        if self.work.is_some() {
+    /// Starts the next pending change unless one is in progress. Versions go before reloads.
+    fn start_next_change(&mut self) {
+        if self.running.is_some() {
             return;
         }
-        let task = match (self.next.take(), self.reload) {
-            (Some(version), _) => Task::Version(version),
-            (None, true) => Task::Reload,
+        let change = match (self.pending_version.take(), self.reload_pending) {
+            (Some(version), _) => Change::Version(version),
+            (None, true) => Change::Reload,
             (None, false) => return,
         };
-        if matches!(task, Task::Reload) {
-            self.reload = false;
+        if matches!(change, Change::Reload) {
+            self.reload_pending = false;
         }
-        let work = Work {
+        let work = ChangeJob {
             file: self.file.clone(),
             document: self.document.borrow().clone(),
             before: self.installation.clone(),
             store: self.store.clone(),
             news: self.news.clone(),
         };
-        self.work = Some(tokio::task::spawn_local(work.run(task)));
+        self.running = Some(tokio::task::spawn_local(work.run(change)));
     }
 
-    fn steps(&mut self, steps: Vec<Step>) {
+    fn perform(&mut self, steps: Vec<Step>) {
         for step in steps {
             match step {
-                Step::Work(version) => self.next = Some(version),
+                Step::Work(version) => self.pending_version = Some(version),
                 Step::Acknowledge { version } => {
                     self.status.inner.borrow_mut().acknowledged += 1;
-                    self.answer(json!({"version": version, "accepted": true}));
+                    self.queue_answer(json!({"version": version, "accepted": true}));
                 }
                 Step::Refuse { version, why } => {
                     let reasons = match &why {
                         Refusal::Faults(all) => all.clone(),
                         other => vec![other.to_string()],
                     };
-                    // Nothing is wrong where a newer one came before its turn.
+                    // A superseded version is not an error.
                     if !matches!(why, Refusal::Superseded { .. }) {
                         let number = version.map_or("without a number".to_owned(), |v| v.to_string());
                         eprintln!("control: version {number} is refused: {}", reasons.join("; "));
                         self.status.refused(version, reasons.clone());
                     }
-                    self.answer(json!({"version": version, "accepted": false, "reasons": reasons}));
+                    self.queue_answer(json!({"version": version, "accepted": false, "reasons": reasons}));
                 }
             }
         }
     }
 
-    /// Never waits: a service that takes no answers must not hold up a reload.
-    fn answer(&self, answer: Value) {
-        if let Some(Err(_)) = self.answers.as_ref().map(|to| to.try_send(answer)) {
-            eprintln!("control: the service takes no answers; one is dropped");
+    /// Queues an answer without waiting, since a control service that accepts no answers must not block a
+    /// reload.
+    fn queue_answer(&self, answer: Value) {
+        if let Some(Err(_)) = self.answer_queue.as_ref().map(|to| to.try_send(answer)) {
+            eprintln!("control: an answer is dropped, since the queue of answers is full or closed");
         }
     }
 
-    async fn done(&mut self, done: Done) {
-        let Done { task, document, result } = done;
-        let prepared = match result {
-            Ok(prepared) => prepared,
+    async fn finish_change(&mut self, done: FinishedChange) {
+        let FinishedChange { change, document, result } = done;
+        let applied = match result {
+            Ok(applied) => applied,
             Err(reasons) => {
-                match task {
-                    Task::Version(_) => {
-                        self.machine(|v| v.done(Err(reasons))).await;
+                match change {
+                    Change::Version(_) => {
+                        self.update_versions(|v| v.done(Err(reasons))).await;
                     }
-                    Task::Reload => {
-                        eprintln!("configuration not read again, the old one stays:");
+                    Change::Reload => {
+                        eprintln!("configuration not read again, the previous one stays in effect:");
                         reasons.iter().for_each(|r| eprintln!("{r}"));
                         self.status.refused(None, reasons);
                     }
@@ -432,27 +449,27 @@
                 return;
             }
         };
-        if let Some(listener) = prepared.listener {
-            eprintln!("listen.http: clients are taken at {} now", prepared.installation.http);
+        if let Some(listener) = applied.listener {
+            eprintln!("listen.http: clients are taken at {} now", applied.installation.http);
             self.accept(listener);
         }
-        self.lookups.set(&prepared.installation);
-        let old = std::mem::replace(&mut self.installation, prepared.installation);
+        self.resolver.set(&applied.installation);
+        let old = std::mem::replace(&mut self.installation, applied.installation);
         let before = document.map(|new| std::mem::replace(&mut self.document.borrow_mut().0, new));
-        let mut held = None;
-        if let Task::Version(version) = &task {
-            held = self.document.borrow_mut().1.replace(version.clone());
+        let mut current = None;
+        if let Change::Version(version) = &change {
+            current = self.document.borrow_mut().1.replace(version.clone());
         }
-        // Large ones take a while to be freed, which the serving thread has not.
-        tokio::task::spawn_blocking(move || drop((old, before, held)));
-        match task {
-            Task::Version(version) => {
+        // Freeing a large configuration takes long enough to stall the serving thread.
+        tokio::task::spawn_blocking(move || drop((old, before, current)));
+        match change {
+            Change::Version(version) => {
                 let number = version.version;
                 eprintln!("configuration: version {number} is in effect");
                 self.status.in_effect(Some(number));
-                self.machine(|v| v.done(Ok(()))).await;
+                self.update_versions(|v| v.done(Ok(()))).await;
             }
-            Task::Reload => {
+            Change::Reload => {
                 eprintln!("configuration: the file is read again and in effect");
                 self.status.in_effect(self.versions.held().map(|v| v.version));
             }
@@ -460,8 +477,8 @@
     }
 }
 
-/// What it takes to put one configuration into effect.
-struct Work {
+/// Inputs for validating and applying one configuration.
+struct ChangeJob {
     file: PathBuf,
     document: (Document, Option<Version>),
     before: Arc<Installation>,
@@ -469,24 +486,24 @@
     news: Sender<News>,
 }
 
-impl Work {
-    async fn run(self, task: Task) -> Done {
-        let (number, config) = match &task {
-            Task::Version(version) => (version.version, Some(version.config.clone())),
-            Task::Reload => {
-                let held = self.document.1.as_ref();
-                (held.map_or(0, |v| v.version), held.map(|v| v.config.clone()))
+impl ChangeJob {
+    async fn run(self, change: Change) -> FinishedChange {
+        let (number, config) = match &change {
+            Change::Version(version) => (version.version, Some(version.config.clone())),
+            Change::Reload => {
+                let current = self.document.1.as_ref();
+                (current.map_or(0, |v| v.version), current.map(|v| v.config.clone()))
             }
         };
         let (file, document, before) = (self.file.clone(), self.document.0.clone(), self.before.clone());
-        let reload = matches!(task, Task::Reload);
+        let reload = matches!(change, Change::Reload);
         let checked = tokio::task::spawn_blocking(move || {
             let document = match reload {
                 true => config_file::read_document(&file).map_err(|e| vec![e.to_string()])?,
                 false => document,
             };
             let installation = document.installation(config.as_deref());
-            // A version has no lines that its sender could look at.
+            // Line numbers are meaningful only for the file; a version is reported by key.
             let lines = |p: stairshed_config::Problems| {
                 if reload { p.to_string().lines().map(str::to_owned).collect() } else { p.lines() }
             };
@@ -496,23 +513,25 @@
             let (hosts, limits) = changed_hosts(&changes);
             Ok((document, Arc::new(installation), Changes { hosts, limits, gone, there }))
         });
-        let checked = checked.await.unwrap_or_else(|e| Err(vec![format!("its check broke off: {e}")]));
+        let checked =
+            checked.await.unwrap_or_else(|e| Err(vec![format!("its validation did not complete: {e}")]));
         let (document, installation, changes) = match checked {
             Ok(checked) => checked,
-            Err(reasons) => return Done { task, document: None, result: Err(reasons) },
+            Err(reasons) => return FinishedChange { change, document: None, result: Err(reasons) },
         };
-        let result = self.effect(&task, number, installation, changes).await;
-        Done { task, document: reload.then_some(document).filter(|_| result.is_ok()), result }
+        let result = self.apply(&change, number, installation, changes).await;
+        FinishedChange { change, document: reload.then_some(document).filter(|_| result.is_ok()), result }
     }
 
-    /// Binds, stores, tells the courier: what fails first leaves all as it was.
-    async fn effect(
+    /// Binds the listener, stores the version and passes the configuration to the courier. The first failure
+    /// leaves the configuration in effect unchanged.
+    async fn apply(
         &self,
-        task: &Task,
+        change: &Change,
         number: u64,
         installation: Arc<Installation>,
         changes: Changes,
-    ) -> Result<Prepared, Vec<String>> {
+    ) -> Result<AppliedChange, Vec<String>> {
         let caps = room::caps(&installation)?;
         let listener = match installation.http == self.before.http {
             true => None,
@@ -521,12 +540,12 @@
                 Some(listen(installation.http).map_err(failed)?)
             }
         };
-        if let Task::Version(version) = task {
+        if let Change::Version(version) = change {
             let (store, version) = (self.store.clone(), version.clone());
             let stored = tokio::task::spawn_blocking(move || store.save(&version)).await;
             let stored = stored.map_err(|e| e.to_string()).and_then(|done| done.map_err(|e| e.to_string()));
             stored.map_err(|why| {
-                vec![format!("it cannot be stored, so it would not outlast a restart: {why}")]
+                vec![format!("it cannot be stored, so it would be lost at a restart: {why}")]
             })?;
         }
         let (done, in_effect) = oneshot::channel();
@@ -535,102 +554,108 @@
         let stopping = || vec!["the courier is stopping".to_owned()];
         self.news.send(News::Configured(Box::new(configured))).await.map_err(|_| stopping())?;
         in_effect.await.map_err(|_| stopping())?;
-        Ok(Prepared { installation, listener })
+        Ok(AppliedChange { installation, listener })
     }
 }
 
-/// The stream of versions, opened again whenever it is lost.
-struct Stream {
+/// Stream of versions from the control service, reopened with backoff whenever it ends.
+struct VersionStream {
     url: Url,
     node: String,
-    held: Rc<RefCell<Option<u64>>>,
-    most: u64,
+    current: Rc<RefCell<Option<u64>>>,
+    max_bytes: u64,
     room: Room,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
-impl Stream {
-    async fn run(self, hear: Sender<Heard>) {
-        let mut backoff = BACKOFF_FIRST;
-        while !hear.is_closed() {
-            let mut heard = false;
-            let why = self.once(&hear, &mut heard).await;
-            if hear.send(Heard::Lost(why)).await.is_err() {
+impl VersionStream {
+    async fn run(self, event_sender: Sender<StreamEvent>) {
+        let mut backoff = INITIAL_BACKOFF;
+        while !event_sender.is_closed() {
+            let mut line_received = false;
+            let why = self.run_connection(&event_sender, &mut line_received).await;
+            if event_sender.send(StreamEvent::Closed(why)).await.is_err() {
                 return;
             }
-            if heard {
-                backoff = BACKOFF_FIRST;
+            if line_received {
+                backoff = INITIAL_BACKOFF;
             }
-            // Many couriers that lost one service must not come back to it at once.
+            // Jitter keeps couriers that lost the same service from reconnecting at the same moment.
             sleep(backoff.mul_f64(0.5 + rand::random::<f64>())).await;
-            backoff = (backoff * 2).min(BACKOFF_MOST);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// One connection, to its end, and whether a line came on it; a refusal if it is the sender's fault.
-    async fn once(&self, hear: &Sender<Heard>, heard: &mut bool) -> Option<Refusal> {
-        let mut link = Link::open(self.url.address, CONNECT, None).await.ok()?;
-        let held = self.held.borrow().map_or(String::new(), |v| format!("&version={v}"));
-        let request = Request::get(format!("{}?node={}{held}", self.url.path, self.node))
+    /// Reads one connection until it ends and sets `line_received` once a line has arrived. Returns a refusal
+    /// if the service broke a limit.
+    async fn run_connection(
+        &self,
+        event_sender: &Sender<StreamEvent>,
+        line_received: &mut bool,
+    ) -> Option<Refusal> {
+        let mut link = Link::open(self.url.address, CONNECT_TIMEOUT, None).await.ok()?;
+        let current = self.current.borrow().map_or(String::new(), |v| format!("&version={v}"));
+        let request = Request::get(format!("{}?node={}{current}", self.url.path, self.node))
             .header(header::HOST, self.url.address.to_string())
             .body(Full::<Bytes>::default())
             .ok()?;
-        let answer = link.watch(request, ANSWER).await.ok()?;
+        let answer = link.watch(request, RESPONSE_TIMEOUT).await.ok()?;
         if answer.status() != StatusCode::OK {
             return None;
         }
-        hear.send(Heard::Opened).await.ok()?;
-        let fits = self.room.ledger.cap(Purpose::Configuration) / MADE_OF_TEXT;
-        let (most, key) = (self.most, "control.version_most").min((fits, "as memory.configuration allows"));
-        let (mut body, mut lines) = (answer.into_body(), Lines::new(most as usize));
-        let mut begun: Option<Instant> = None;
-        while let Ok(piece) = link.piece(&mut body, self.silence).await {
+        event_sender.send(StreamEvent::Opened).await.ok()?;
+        let memory_max_bytes = self.room.ledger.cap(Purpose::Configuration) / MEMORY_PER_TEXT_BYTE;
+        let (max_bytes, key) = (self.max_bytes, "control.version_most")
+            .min((memory_max_bytes, "as memory.configuration allows"));
+        let (mut body, mut lines) = (answer.into_body(), Lines::new(max_bytes as usize));
+        let mut line_started: Option<Instant> = None;
+        while let Ok(piece) = link.piece(&mut body, self.idle_timeout).await {
             if lines.push(&piece).is_err() {
-                let why = format!("longer than {most} bytes ({key})");
+                let why = format!("longer than {max_bytes} bytes ({key})");
                 return Some(Refusal::Unreadable(why));
             }
             for line in lines.by_ref() {
-                (begun, *heard) = (None, true);
+                (line_started, *line_received) = (None, true);
                 if !line.iter().all(u8::is_ascii_whitespace) {
-                    hear.send(Heard::Line(line)).await.ok()?;
+                    event_sender.send(StreamEvent::Line(line)).await.ok()?;
                 }
             }
-            let open = lines.is_open().then(|| *begun.get_or_insert_with(Instant::now));
-            if open.is_some_and(|since| since.elapsed() > LINE_TIME) {
-                return Some(Refusal::Unreadable("its line has no end".to_owned()));
+            let open = lines.is_open().then(|| *line_started.get_or_insert_with(Instant::now));
+            if open.is_some_and(|since| since.elapsed() > LINE_TIMEOUT) {
+                return Some(Refusal::Unreadable("its line is not complete in time".to_owned()));
             }
         }
         None
     }
 }
 
-/// Posts answers in order until each is taken.
-async fn answering(url: Url, node: String, mut queue: Receiver<Value>, held: Rc<RefCell<Option<u64>>>) {
+/// Posts answers in order, retrying each until the control service accepts or rejects it.
+async fn post_answers(url: Url, node: String, mut queue: Receiver<Value>, current: Rc<RefCell<Option<u64>>>) {
     while let Some(mut answer) = queue.recv().await {
         if answer["accepted"] == true {
-            *held.borrow_mut() = answer["version"].as_u64();
+            *current.borrow_mut() = answer["version"].as_u64();
         }
         answer["node"] = json!(node);
-        answer["in_effect"] = json!(*held.borrow());
-        let mut backoff = BACKOFF_FIRST;
-        // What it does not want it will not want the next time either.
+        answer["in_effect"] = json!(*current.borrow());
+        let mut backoff = INITIAL_BACKOFF;
+        // A 4xx status ends the retries, since the same answer would be rejected again.
         while !post_answer(&url, &answer).await.is_some_and(|s| s.is_success() || s.is_client_error()) {
             sleep(backoff).await;
-            backoff = (backoff * 2).min(BACKOFF_MOST);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
 
-/// Posts one answer to a version, on a connection of its own: on a used one a second copy of the acknowledgement before
-/// could be taken for its own.
+/// Posts one answer on a new connection. On a reused one, a duplicated response to the previous answer could
+/// be taken for the response to this one.
 async fn post_answer(url: &Url, answer: &Value) -> Option<StatusCode> {
-    let mut link = Link::open(url.address, CONNECT, None).await.ok()?;
+    let mut link = Link::open(url.address, CONNECT_TIMEOUT, None).await.ok()?;
     let request = Request::post(format!("{}/answers", url.path.trim_end_matches('/')))
         .header(header::HOST, url.address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(answer.to_string())))
         .ok()?;
-    Some(link.ask(request, Instant::now() + ANSWER).await.ok()?.status)
+    Some(link.ask(request, Instant::now() + RESPONSE_TIMEOUT).await.ok()?.status)
 }
 
 impl From<io::Error> for StartupError {
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -1,5 +1,5 @@
-//! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where the
-//! answer is cut short.
+//! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where
+//! the answer is cut short.
 
 use crate::discovery::dns_cache::DnsCache;
 use crate::news::{Health, Host, List, News, differences};
--- a/crates/courier/src/discovery/list_age.rs
+++ b/crates/courier/src/discovery/list_age.rs
@@ -1,5 +1,6 @@
-//! How old the list of endpoints is, across restarts: the moment of discovery's last word is kept in the state folder,
-//! on the clock of the machine, which runs on while no process does and is not stepped with the time of day.
+//! Age of the list of endpoints across restarts. The time of the last line from discovery is stored in the
+//! state folder, on the machine's boot time clock, which also runs while the courier does not and is not
+//! stepped with the time of day.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::fs;
@@ -8,39 +9,43 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// File in the state folder.
 const FILE_NAME: &str = "list-age";
+/// Temporary file that is renamed over the other.
 const NEXT_FILE_NAME: &str = "list-age.next";
-/// The clock of the file starts anew with the machine: its name tells one run of the machine from another.
+/// Id of the current boot. The boot time clock restarts with the machine, so a stored time is valid only
+/// within a boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 
-/// What a start knows of the age of the list that it was given.
+/// What is known at startup about the age of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListAge {
-    /// Discovery's last word came so long ago.
+    /// Time since the last line from discovery.
     Known(Duration),
-    /// No earlier life has left a word of it.
+    /// No earlier run has stored a time.
     Unrecorded,
-    /// What an earlier life left cannot be used: damaged, of another discovery, or from before the machine's last start.
+    /// The stored time cannot be used: damaged, from another discovery address, or from before the last
+    /// reboot.
     Unknown,
 }
 
-/// The file that holds the moment of discovery's last word.
+/// File that stores the time of the last line from discovery.
 pub struct ListAgeFile {
     path: PathBuf,
-    next: PathBuf,
+    next_path: PathBuf,
     boot_id: Option<String>,
 }
 
 impl ListAgeFile {
     pub fn new(folder: &Path) -> Self {
         let boot_id = fs::read_to_string(BOOT_ID).ok().map(|id| id.trim().to_owned());
-        ListAgeFile { path: folder.join(FILE_NAME), next: folder.join(NEXT_FILE_NAME), boot_id }
+        ListAgeFile { path: folder.join(FILE_NAME), next_path: folder.join(NEXT_FILE_NAME), boot_id }
     }
 
-    /// How long ago the last word of this discovery came.
+    /// Returns the time since the last line from the discovery at this address.
     pub fn load(&self, discovery: SocketAddr) -> ListAge {
         match fs::read_to_string(&self.path) {
-            Ok(text) => self.age(&text, discovery, machine_time()).map_or(ListAge::Unknown, ListAge::Known),
+            Ok(text) => self.age(&text, discovery, boot_time()).map_or(ListAge::Unknown, ListAge::Known),
             Err(e) if e.kind() == io::ErrorKind::NotFound => ListAge::Unrecorded,
             Err(_) => ListAge::Unknown,
         }
@@ -48,25 +53,26 @@
 
     fn age(&self, text: &str, discovery: SocketAddr, now: Duration) -> Option<Duration> {
         let (boot_id, rest) = text.strip_suffix('\n')?.split_once(' ')?;
-        let (nanoseconds, of) = rest.split_once(' ')?;
-        let applies = self.boot_id.as_deref() == Some(boot_id) && of.parse() == Ok(discovery);
-        let at = Duration::from_nanos(nanoseconds.parse().ok().filter(|_| applies)?);
-        now.checked_sub(at)
+        let (nanoseconds, stored_discovery) = rest.split_once(' ')?;
+        let applies = self.boot_id.as_deref() == Some(boot_id) && stored_discovery.parse() == Ok(discovery);
+        let last_line = Duration::from_nanos(nanoseconds.parse().ok().filter(|_| applies)?);
+        now.checked_sub(last_line)
     }
 
-    /// Notes that a word of this discovery came just now. Beside the old one, then in its place: a crash leaves either whole.
+    /// Stores that a line from the discovery at this address has just been read. Writes a temporary file and
+    /// renames it, so that a crash leaves a complete file.
     ///
     /// # Errors
-    /// It cannot be written; what stands there stays, and is older.
+    /// The file cannot be written; the older stored time is kept.
     pub fn save(&self, discovery: SocketAddr) -> io::Result<()> {
         let Some(boot_id) = &self.boot_id else { return Ok(()) };
-        fs::write(&self.next, format!("{boot_id} {} {discovery}\n", machine_time().as_nanos()))?;
-        fs::rename(&self.next, &self.path)
+        fs::write(&self.next_path, format!("{boot_id} {} {discovery}\n", boot_time().as_nanos()))?;
+        fs::rename(&self.next_path, &self.path)
     }
 }
 
-/// Time since the machine started, time asleep included.
-fn machine_time() -> Duration {
+/// Time since boot, including suspend.
+fn boot_time() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs() as u32)
 }
--- a/crates/courier/src/discovery/list_age_test.rs
+++ b/crates/courier/src/discovery/list_age_test.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_age_of_the_list_goes_on_over_a_restart() {
+fn the_age_of_the_list_keeps_counting_across_a_restart() {
     let folder = folder("restart");
     let file = ListAgeFile::new(&folder);
     assert_eq!(file.load(DISCOVERY), ListAge::Unrecorded);
@@ -22,20 +22,22 @@
 }
 
 #[test]
-fn what_is_damaged_of_another_run_of_the_machine_or_of_another_discovery_tells_no_age() {
+fn a_time_that_is_damaged_or_of_another_boot_or_discovery_gives_no_age() {
     let folder = folder("damaged");
     let file = ListAgeFile::new(&folder);
     file.save(DISCOVERY).expect("saved");
-    let whole = fs::read_to_string(&file.path).expect("a file");
+    let complete = fs::read_to_string(&file.path).expect("a file");
     let future = format!("{} {} {DISCOVERY}\n", file.boot_id.clone().unwrap_or_default(), u64::MAX);
-    let cut = (0..whole.len()).map(|length| whole[..length].to_owned());
-    for text in cut.chain([format!("other-{whole}"), future, format!("{whole}x"), "\u{0}".repeat(60)]) {
+    let truncated = (0..complete.len()).map(|length| complete[..length].to_owned());
+    for text in
+        truncated.chain([format!("other-{complete}"), future, format!("{complete}x"), "\u{0}".repeat(60)])
+    {
         fs::write(&file.path, &text).expect("written");
         assert_eq!(file.load(DISCOVERY), ListAge::Unknown, "{text:?}");
     }
-    fs::write(&file.path, &whole).expect("written");
+    fs::write(&file.path, &complete).expect("written");
     let other = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8501);
-    assert_eq!(file.load(other), ListAge::Unknown, "another discovery's word is not known");
+    assert_eq!(file.load(other), ListAge::Unknown, "a time of another discovery is not used");
     assert!(matches!(file.load(DISCOVERY), ListAge::Known(_)));
     fs::write(&file.path, [0xff, 0xfe]).expect("written");
     assert_eq!(file.load(DISCOVERY), ListAge::Unknown);
@@ -43,12 +45,12 @@
 }
 
 #[test]
-fn a_write_that_fails_leaves_the_older_moment() {
+fn a_failed_write_keeps_the_older_time() {
     let folder = folder("failing");
     let file = ListAgeFile::new(&folder);
     file.save(DISCOVERY).expect("saved");
-    // A folder in the place of the next file makes each write fail.
-    fs::create_dir(&file.next).expect("a folder");
+    // A folder at the path of the temporary file makes each write fail.
+    fs::create_dir(&file.next_path).expect("a folder");
     assert!(file.save(DISCOVERY).is_err());
     assert!(matches!(file.load(DISCOVERY), ListAge::Known(_)));
     fs::remove_dir_all(folder).expect("removed");
--- a/crates/courier/src/discovery/outage_detector.rs
+++ b/crates/courier/src/discovery/outage_detector.rs
@@ -1,28 +1,29 @@
-//! Tells an outage of discovery, which can tell nobody of a change, from a discovery that is up and crowded, which
-//! tells others while it turns this courier away.
+//! Distinguishes an outage of discovery, in which no courier learns of a change, from an overload, in which
+//! discovery announces changes to others while it refuses this courier.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A call that fails sooner was turned away: an outage mostly shows by a wait.
+/// A call that fails sooner counts as a refusal: in an outage most calls fail only after a wait.
 const MIN_OUTAGE_WAIT: Duration = Duration::from_millis(1000);
-/// Quick refusals are an outage once there were so many in a row,
+/// Consecutive refusals from which on they count as an outage, if they also last for `MIN_REFUSING_TIME`.
 const MIN_QUICK_REFUSALS: u32 = 5;
-/// and for so long: a queue of waiting calls has been worked off by then.
+/// Time that consecutive refusals must last to count as an outage: an overloaded discovery has worked off its
+/// queue of calls by then.
 const MIN_REFUSING_TIME: Duration = Duration::from_secs(12);
 
-/// What a failed call says of discovery.
+/// What a failed call tells about discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// No connection came: nothing is there, or nothing of it can be reached.
+    /// No connection: discovery is down or unreachable.
     NoConnection,
-    /// Refused, reset or unanswered on a connection.
+    /// Connected, but the request was refused, reset or not answered.
     NotServed,
-    /// It says nothing of discovery: a fault of this machine, or an answer that is malformed.
+    /// Tells nothing about discovery: a local failure, or a malformed response.
     Other,
 }
 
-/// The failed calls since discovery's last word.
+/// Counts the failed calls since the last line from discovery.
 #[derive(Default)]
 pub struct OutageDetector {
     first_failure: Option<Instant>,
@@ -30,20 +31,20 @@
 }
 
 impl OutageDetector {
-    /// Discovery has written a line.
+    /// Resets the detector after a line from discovery.
     pub fn answered(&mut self) {
         *self = OutageDetector::default();
     }
 
-    /// A call that began at `begun` has failed now. True if discovery could not be reached by it.
-    pub fn call_failed(&mut self, failure: CallFailure, begun: Instant) -> bool {
+    /// Records that a call started at `started` has just failed. Returns true if this counts as an outage.
+    pub fn call_failed(&mut self, failure: CallFailure, started: Instant) -> bool {
         self.failed_calls += 1;
-        let failing_for = self.first_failure.get_or_insert(begun).elapsed();
-        let refuses_all = self.failed_calls >= MIN_QUICK_REFUSALS && failing_for >= MIN_REFUSING_TIME;
+        let failing_for = self.first_failure.get_or_insert(started).elapsed();
+        let refusals_are_outage = self.failed_calls >= MIN_QUICK_REFUSALS && failing_for >= MIN_REFUSING_TIME;
         match failure {
             CallFailure::NoConnection => true,
-            CallFailure::NotServed => begun.elapsed() >= MIN_OUTAGE_WAIT || refuses_all,
-            CallFailure::Other => refuses_all,
+            CallFailure::NotServed => started.elapsed() >= MIN_OUTAGE_WAIT || refusals_are_outage,
+            CallFailure::Other => refusals_are_outage,
         }
     }
 }
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! The watch on the list of endpoints. It lasts until its connection ends or falls silent; then it is
-//! asked for again, with backoff.
+//! Watch on discovery's list of endpoints: a streaming HTTP response that is requested again, with backoff,
+//! whenever its connection ends or falls silent.
 
 use super::outage_detector::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
@@ -20,46 +20,53 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{Instant, sleep};
 
+/// Timeout for connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Discovery works through calls in turn and gives one up after its own time-out.
+/// Timeout for the response head. Discovery handles requests one after another and drops a request after a
+/// timeout of its own.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// While nothing changes an empty line comes every 2 s. A machine that vanished leaves the connection open
-/// and silent; a change counts as told 6 s later, so silence must be found out before that.
+/// Silence after which the connection counts as lost. Discovery sends an empty line every 2 s while nothing
+/// changes, and a machine that vanished leaves the connection open without data. Discovery counts a change as
+/// announced after 6 s, so silence must be detected earlier.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(4300);
-/// A line has to be whole within this time of its first byte: bytes that never become one are no word of discovery.
+/// Time in which a started line must be complete, so that a stream of bytes without a line end does not count
+/// as a sign of life.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause before the first retry, in seconds.
 const INITIAL_BACKOFF_S: f64 = 0.15;
+/// Upper bound of the pause between retries, in seconds; the pause doubles with each call.
 const MAX_BACKOFF_S: f64 = 2.0;
-/// Longest pause after a call that could not reach discovery: the next one ends before the list runs out of date that
-/// this one has shown to be current. Couriers that find discovery back and crowded are turned away at once, and spread
-/// over the fleet's time then.
+/// Longest pause after a call that could not reach discovery. A call that fails in an outage shows that the
+/// list is still current, and the next call must end before that lease on the list expires. Couriers that
+/// find discovery back but overloaded are refused at once and then spread their calls over
+/// `reconnect_spread`.
 const MAX_OUTAGE_PAUSE: Duration = Duration::from_millis(2000);
-/// No line is longer; guards memory against one without an end.
+/// Longest accepted line; bounds the memory that an endless line can take.
 const MAX_LINE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a watch could not be opened, or ended.
+/// Why a watch could not be opened, or why it ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchEnd {
-    #[error("no connection: {0}")]
+    #[error("cannot connect: {0}")]
     Connect(#[from] ConnectError),
-    #[error("no answer: {0}")]
+    #[error("no response: {0}")]
     NoAnswer(#[from] Lost),
     #[error("answered {0}")]
     Refused(StatusCode),
     #[error("{0}")]
     Stream(#[from] StreamEnd),
-    #[error("a line without an end for {LINE_TIMEOUT:?}")]
-    EndlessLine,
+    #[error("a line is not complete after {LINE_TIMEOUT:?}")]
+    IncompleteLine,
     #[error("a line longer than {MAX_LINE_BYTES} bytes")]
     LineTooLong,
-    #[error("a line that cannot be read: {0}")]
-    Unreadable(#[from] serde_json::Error),
-    #[error("the courier is ending")]
+    #[error("invalid line: {0}")]
+    InvalidLine(#[from] serde_json::Error),
+    #[error("the courier is shutting down")]
     Closing,
 }
 
 impl WatchEnd {
-    /// What a call that ended so says of discovery.
+    /// Classifies the failure for the outage detector.
     fn failure(&self) -> CallFailure {
         match self {
             WatchEnd::Connect(ConnectError::TimedOut(_)) => CallFailure::NoConnection,
@@ -76,7 +83,7 @@
         }
     }
 
-    /// The name that it is counted under.
+    /// Name under which it is counted on the page `/-/discovery`.
     fn kind(&self) -> &'static str {
         match self {
             WatchEnd::Connect(_) => "connect",
@@ -84,28 +91,29 @@
             WatchEnd::Refused(_) => "refused",
             WatchEnd::Stream(StreamEnd::Silent(_)) => "silent",
             WatchEnd::Stream(_) => "lost",
-            WatchEnd::EndlessLine | WatchEnd::LineTooLong | WatchEnd::Unreadable(_) => "malformed",
+            WatchEnd::IncompleteLine | WatchEnd::LineTooLong | WatchEnd::InvalidLine(_) => "malformed",
             WatchEnd::Closing => "closing",
         }
     }
 }
 
-/// A watch on discovery, opened again whenever it ends.
+/// A watch on discovery that is reopened whenever it ends.
 pub struct DiscoveryWatch {
     pub address: SocketAddr,
     pub seed: u64,
-    /// The version that the courier has.
+    /// Version of the list that the courier has.
     pub version: u64,
-    /// Ask for the whole list: the version is not known to be one of discovery's.
+    /// Request the whole list instead of changes since `version`, which may not be a version of this
+    /// discovery.
     pub request_whole: bool,
-    /// Time over which the fleet's calls are spread once a watch has ended or was turned away: all may have lost
-    /// theirs in the same moment.
+    /// Time over which the couriers of the fleet spread their calls after a watch has ended or was refused,
+    /// since all of them may have lost it at the same moment.
     pub reconnect_spread: Duration,
     pub status: Rc<WatchStatus>,
 }
 
 impl DiscoveryWatch {
-    /// Watches for good. Ends only when nobody listens any more.
+    /// Keeps a watch open. Returns only when the receiver of `news` is gone.
     pub async fn run(mut self, news: Sender<News>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut backoff = INITIAL_BACKOFF_S;
@@ -145,33 +153,33 @@
         );
     }
 
-    /// One watch, from its connection to its end, which is its only result.
+    /// Opens one watch and reads it until it ends; the result is the reason why.
     async fn watch_once(
         &mut self,
         news: &Sender<News>,
         lines_read: &mut u64,
     ) -> Result<Infallible, WatchEnd> {
-        let begun = Instant::now();
-        let (mut link, answer) = self.call().await?;
-        let (mut body, mut lines) = (answer.into_body(), Lines::new(MAX_LINE_BYTES));
-        let mut line_begun: Option<Instant> = None;
+        let started = Instant::now();
+        let (mut link, response) = self.open().await?;
+        let (mut body, mut lines) = (response.into_body(), Lines::new(MAX_LINE_BYTES));
+        let mut line_started: Option<Instant> = None;
         loop {
             let line_time_left =
-                line_begun.map_or(LINE_TIMEOUT, |begun| LINE_TIMEOUT.saturating_sub(begun.elapsed()));
+                line_started.map_or(LINE_TIMEOUT, |started| LINE_TIMEOUT.saturating_sub(started.elapsed()));
             if line_time_left.is_zero() {
-                return Err(WatchEnd::EndlessLine);
+                return Err(WatchEnd::IncompleteLine);
             }
-            let piece = link.piece(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
-            if lines.push(&piece).is_err() || lines.buffered() > MAX_LINE_BYTES {
+            let chunk = link.piece(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
+            if lines.push(&chunk).is_err() || lines.buffered() > MAX_LINE_BYTES {
                 return Err(WatchEnd::LineTooLong);
             }
             for line in lines.by_ref() {
-                let list = self.read_line(&line, *lines_read == 0)?;
+                let list = self.parse_line(&line, *lines_read == 0)?;
                 self.status.line_read(self.version);
                 *lines_read += 1;
-                line_begun = None;
+                line_started = None;
                 if *lines_read == 1 {
-                    let after = begun.elapsed().as_secs_f64();
+                    let after = started.elapsed().as_secs_f64();
                     eprintln!(
                         "discovery: the watch is open at version {}, {after:.2} s after its call",
                         self.version
@@ -183,12 +191,12 @@
                 let heard = News::DiscoveryHeard { discovery: self.address, at: Instant::now() };
                 news.send(heard).await.map_err(|_| WatchEnd::Closing)?;
             }
-            line_begun = lines.is_open().then(|| line_begun.unwrap_or_else(Instant::now));
+            line_started = lines.is_open().then(|| line_started.unwrap_or_else(Instant::now));
         }
     }
 
-    /// Connects and asks; an answer with a status other than 200 is none.
-    async fn call(&self) -> Result<(Link, Response<Incoming>), WatchEnd> {
+    /// Connects and sends the request. A status other than 200 is an error.
+    async fn open(&self) -> Result<(Link, Response<Incoming>), WatchEnd> {
         self.status.call_started();
         let path = match self.request_whole {
             true => "/api/targets?stream=1".to_owned(),
@@ -200,20 +208,20 @@
             .header(header::HOST, self.address.to_string())
             .body(Full::<Bytes>::default())
             .map_err(|_| WatchEnd::NoAnswer(Lost::Unsent))?;
-        let answer = link.watch(request, HEAD_TIMEOUT).await?;
-        match answer.status() {
-            StatusCode::OK => Ok((link, answer)),
+        let response = link.watch(request, HEAD_TIMEOUT).await?;
+        match response.status() {
+            StatusCode::OK => Ok((link, response)),
             status => Err(WatchEnd::Refused(status)),
         }
     }
 
-    /// What a line changes; None if nothing. The first line is passed on also if it is empty: it says that all is as
-    /// it was, which is an answer too.
-    fn read_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<List>, WatchEnd> {
+    /// Parses a line and returns its changes, or None if it has none. The first line is always returned,
+    /// since even an empty one tells that the list is unchanged.
+    fn parse_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<List>, WatchEnd> {
         let list = match line.iter().all(u8::is_ascii_whitespace) {
             true => List { seq: self.version, ..List::default() },
             false => serde_json::from_slice::<List>(line).inspect_err(|_| {
-                // What it would have told is asked for again, as a whole list.
+                // The changes in this line are lost, so the next call requests the whole list.
                 self.request_whole = true;
             })?,
         };
--- a/crates/courier/src/discovery/watch_test.rs
+++ b/crates/courier/src/discovery/watch_test.rs
@@ -1,9 +1,10 @@
 use super::*;
 
 #[test]
-fn a_fleet_that_loses_its_watches_does_not_ask_again_at_once() {
-    // Asked by all within a quarter of a second, discovery gave up each call before its turn came, for good.
-    let asks = |spread| {
+fn couriers_that_lose_their_watches_together_spread_their_calls() {
+    // Guards against an overload without recovery: when all couriers called within a quarter of a second,
+    // each request timed out in discovery's queue, every time.
+    let calls_by_second = |spread| {
         let mut seconds = [0; 20];
         for seed in 0..100 {
             let rng = &mut SmallRng::seed_from_u64(seed);
@@ -11,7 +12,7 @@
         }
         seconds
     };
-    let fleet = asks(Duration::from_secs(8));
-    assert!(fleet.iter().all(|asked| *asked <= 25), "{fleet:?}");
-    assert_eq!(asks(Duration::ZERO)[0], 100, "few ask at once");
+    let fleet = calls_by_second(Duration::from_secs(8));
+    assert!(fleet.iter().all(|calls| *calls <= 25), "{fleet:?}");
+    assert_eq!(calls_by_second(Duration::ZERO)[0], 100, "without a spread all call within the first second");
 }
