--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -369,9 +369,7 @@
             }
             // The transition is not expected to panic. If it does, the configuration in effect stays, and the
             // next start loads it from disk.
-            Err(e) => {
-                eprintln!("control: no more versions are applied: {e}")
-            }
+            Err(e) => eprintln!("control: no more versions are applied: {e}"),
         }
     }
 
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -1,5 +1,5 @@
-//! Looks up names of endpoints by DNS (RFC 1035), A records, at one resolver: over UDP, and over TCP where
-//! the answer is cut short.
+//! Resolves the DNS names of endpoints (RFC 1035, A records) at one resolver, over UDP and, if the response
+//! is truncated, over TCP.
 
 use crate::discovery::dns_cache::DnsCache;
 use crate::news::{Health, Host, List, News, differences};
@@ -19,19 +19,20 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// How long one try waits, and how many there are before a look-up has failed.
-const TRY_TIME: Duration = Duration::from_secs(2);
-const TRIES: usize = 2;
-/// A datagram and a TCP answer are no longer: RFC 1035, 4.2.
-const ANSWER_MOST: usize = 65_535;
-/// Aliases followed within one answer.
-const ALIASES_MOST: usize = 16;
-/// Questions that are out at once: a version may name thousands.
-const OUT_MOST: usize = 32;
+/// Timeout of one query, its repetition over TCP included.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Queries after which a lookup counts as failed.
+const MAX_QUERIES: usize = 2;
+/// Longest response over UDP or TCP, bytes (RFC 1035, section 4.2).
+const MAX_RESPONSE_BYTES: usize = 65_535;
+/// CNAME records followed within one response.
+const MAX_ALIASES: usize = 16;
+/// Lookups in flight at once. A configuration version may contain thousands of names.
+const MAX_LOOKUPS_IN_FLIGHT: usize = 32;
 
-/// A member whose address is a name.
+/// An endpoint whose address is a DNS name.
 #[derive(Clone)]
-struct Wanted {
+struct NamedEndpoint {
     host: String,
     name: String,
     port: u16,
@@ -42,10 +43,10 @@
     topic: Option<String>,
 }
 
-fn wanted(installation: &Installation) -> Vec<Wanted> {
+fn named_endpoints(installation: &Installation) -> Vec<NamedEndpoint> {
     let members = installation.pools.iter().flat_map(|p| p.members.iter().map(move |m| (p, m)));
     let of = members.filter_map(|(pool, m)| match &m.at {
-        At::Name(name, port) => Some(Wanted {
+        At::Name(name, port) => Some(NamedEndpoint {
             host: m.host.clone(),
             name: name.clone(),
             port: *port,
@@ -60,18 +61,18 @@
     of.collect()
 }
 
-/// Tells the look-ups of another configuration.
+/// Passes configurations to the resolver task.
 #[derive(Clone)]
-pub struct ResolverHandle(watch::Sender<Vec<Wanted>>);
+pub struct ResolverHandle(watch::Sender<Vec<NamedEndpoint>>);
 
 impl ResolverHandle {
     pub fn set(&self, installation: &Installation) {
-        // A later configuration holds all that an earlier one told.
-        self.0.send_replace(wanted(installation));
+        // Each value replaces the one before, since it lists all names of the configuration.
+        self.0.send_replace(named_endpoints(installation));
     }
 }
 
-/// Ends the look-ups when dropped.
+/// The resolver task, aborted on drop.
 pub struct ResolverTask(AbortHandle);
 
 impl Drop for ResolverTask {
@@ -80,99 +81,100 @@
     }
 }
 
-/// The first name server of /etc/resolv.conf.
-fn system_resolver() -> Option<SocketAddr> {
+/// Returns the first name server in /etc/resolv.conf.
+fn system_name_server() -> Option<SocketAddr> {
     let text = std::fs::read_to_string("/etc/resolv.conf").ok()?;
     let servers = text.lines().filter_map(|l| l.trim().strip_prefix("nameserver"));
     servers.filter_map(|s| s.trim().parse::<IpAddr>().ok()).map(|ip| SocketAddr::new(ip, 53)).next()
 }
 
-/// Begins to look up the names of an installation and of those that follow it.
+/// Starts the task that resolves the endpoint names of an installation and of its later configurations.
 pub fn spawn_resolver(installation: &Installation, news: Sender<News>) -> (ResolverHandle, ResolverTask) {
-    let (tell, told) = watch::channel(Vec::new());
+    let (sender, updates) = watch::channel(Vec::new());
     let dns = &installation.file.dns;
-    let task = Task {
+    let task = ResolveTask {
         server: installation.resolver,
-        names: DnsCache::new(dns.refresh_least.0, dns.refresh_most.0),
-        wanted: Vec::new(),
-        listed: BTreeMap::new(),
+        cache: DnsCache::new(dns.refresh_least.0, dns.refresh_most.0),
+        named_endpoints: Vec::new(),
+        reported: BTreeMap::new(),
         origin: Instant::now(),
         news,
     };
-    let lookups = ResolverHandle(tell);
-    lookups.set(installation);
-    (lookups, ResolverTask(tokio::task::spawn_local(task.run(told)).abort_handle()))
+    let handle = ResolverHandle(sender);
+    handle.set(installation);
+    (handle, ResolverTask(tokio::task::spawn_local(task.run(updates)).abort_handle()))
 }
 
-struct Task {
+struct ResolveTask {
     server: Option<SocketAddr>,
-    names: DnsCache,
-    wanted: Vec<Wanted>,
-    /// What the courier was told, by the endpoint's name.
-    listed: BTreeMap<String, Host>,
+    cache: DnsCache,
+    named_endpoints: Vec<NamedEndpoint>,
+    /// Entries last reported to the courier, by host.
+    reported: BTreeMap<String, Host>,
     origin: Instant,
     news: Sender<News>,
 }
 
+/// Addresses with their time to live, or why the lookup failed.
 type Answer = Result<(Vec<IpAddr>, Duration), String>;
 
-impl Task {
-    async fn run(mut self, mut told: watch::Receiver<Vec<Wanted>>) {
+impl ResolveTask {
+    async fn run(mut self, mut updates: watch::Receiver<Vec<NamedEndpoint>>) {
         let (answer, mut answers) = mpsc::channel::<(String, Answer)>(64);
-        let room = Rc::new(Semaphore::new(OUT_MOST));
+        let permits = Rc::new(Semaphore::new(MAX_LOOKUPS_IN_FLIGHT));
         loop {
             let now = self.origin.elapsed();
-            for name in self.names.due(now) {
-                let server = self.server.or_else(system_resolver);
-                let (answer, room) = (answer.clone(), room.clone());
+            for name in self.cache.take_due(now) {
+                let server = self.server.or_else(system_name_server);
+                let (answer, permits) = (answer.clone(), permits.clone());
                 tokio::task::spawn_local(async move {
-                    let _permit = room.acquire().await;
+                    let _permit = permits.acquire().await;
                     let found = match server {
-                        Some(server) => look_up(server, &name).await,
-                        None => Err("no resolver: set dns.resolver".to_owned()),
+                        Some(server) => lookup(server, &name).await,
+                        None => Err("no resolver is configured; set dns.resolver".to_owned()),
                     };
                     let _ = answer.send((name, found)).await;
                 });
             }
-            let next = self.names.next().map(|at| self.origin + at);
-            let nap = async {
+            let next = self.cache.next_due().map(|at| self.origin + at);
+            let timer = async {
                 match next {
                     Some(at) => sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                changed = told.changed() => {
+                changed = updates.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    let wanted = told.borrow_and_update().clone();
-                    let names: BTreeSet<String> = wanted.iter().map(|w| w.name.clone()).collect();
-                    self.wanted = wanted;
-                    self.names.set(&names, self.origin.elapsed());
-                    self.list().await;
+                    let named_endpoints = updates.borrow_and_update().clone();
+                    let names: BTreeSet<String> = named_endpoints.iter().map(|e| e.name.clone()).collect();
+                    self.named_endpoints = named_endpoints;
+                    self.cache.set_names(&names, self.origin.elapsed());
+                    self.report_changes().await;
                 }
-                Some((name, found)) = answers.recv() => self.answered(&name, found).await,
-                () = nap => {}
+                Some((name, found)) = answers.recv() => self.lookup_finished(&name, found).await,
+                () = timer => {}
             }
         }
     }
 
-    async fn answered(&mut self, name: &str, found: Answer) {
+    async fn lookup_finished(&mut self, name: &str, found: Answer) {
         let now = self.origin.elapsed();
         match found {
             Ok((addresses, ttl)) => {
-                if let Some(change) = self.names.answered(name, &addresses, ttl, now) {
+                if let Some(change) = self.cache.answered(name, &addresses, ttl, now) {
                     let (come, gone) = (change.added.len(), change.removed.len());
                     eprintln!(
                         "dns: {name} stands for {} addresses, {come} new, {gone} gone",
                         addresses.len()
                     );
-                    self.list().await;
+                    self.report_changes().await;
                 }
             }
             Err(why) => {
-                let Some(failure) = self.names.failed(name, now) else { return };
+                let Some(failure) = self.cache.failed(name, now) else { return };
                 if failure.first {
                     match failure.age {
                         Some(age) => {
@@ -187,38 +189,38 @@
         }
     }
 
-    /// Tells the courier what has changed since it was told last.
-    async fn list(&mut self) {
+    /// Reports the entries that have changed since the last report.
+    async fn report_changes(&mut self) {
         let mut now = BTreeMap::new();
-        for w in &self.wanted {
-            for ip in self.names.addresses(&w.name) {
-                let address = SocketAddr::new(ip, w.port);
+        for endpoint in &self.named_endpoints {
+            for ip in self.cache.addresses(&endpoint.name) {
+                let address = SocketAddr::new(ip, endpoint.port);
                 let host = Host {
-                    host: format!("{}@{ip}", w.host),
+                    host: format!("{}@{ip}", endpoint.host),
                     dial: address.to_string(),
-                    site: w.zone.clone(),
-                    class: if w.own { "own" } else { "shared" }.to_owned(),
-                    block: w.destination,
+                    site: endpoint.zone.clone(),
+                    class: if endpoint.own { "own" } else { "shared" }.to_owned(),
+                    block: endpoint.destination,
                     health: Health::Ready,
-                    share: w.limit.unwrap_or_default(),
-                    topic: w.topic.clone(),
+                    share: endpoint.limit.unwrap_or_default(),
+                    topic: endpoint.topic.clone(),
                     leased: false,
                 };
                 now.insert(host.host.clone(), host);
             }
         }
-        let hosts = differences(&self.listed, &now);
-        self.listed = now;
+        let hosts = differences(&self.reported, &now);
+        self.reported = now;
         if !hosts.is_empty() {
             let _ = self.news.send(News::Resolved(List { seq: 0, whole: false, hosts })).await;
         }
     }
 }
 
-async fn look_up(server: SocketAddr, name: &str) -> Answer {
+async fn lookup(server: SocketAddr, name: &str) -> Answer {
     let mut last = String::new();
-    for _ in 0..TRIES {
-        match timeout(TRY_TIME, ask(server, name)).await {
+    for _ in 0..MAX_QUERIES {
+        match timeout(QUERY_TIMEOUT, query(server, name)).await {
             Ok(Ok(found)) => return Ok(found),
             Ok(Err(why)) => last = why,
             Err(_) => last = format!("{server} does not answer"),
@@ -227,67 +229,68 @@
     Err(last)
 }
 
-async fn ask(server: SocketAddr, name: &str) -> Answer {
+async fn query(server: SocketAddr, name: &str) -> Answer {
     let failed = |e: std::io::Error| format!("{server}: {e}");
     let id: u16 = rand::random();
-    let question = question(id, name)?;
-    let own: SocketAddr = if server.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
-    // A port of its own for each question, and no answer from elsewhere: a guess must hit both.
-    let socket = UdpSocket::bind(own).await.map_err(failed)?;
+    let query = build_query(id, name)?;
+    let local: SocketAddr = if server.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
+    // Each query uses a new source port and a connected socket, so that a forged response must guess the port
+    // and the id.
+    let socket = UdpSocket::bind(local).await.map_err(failed)?;
     socket.connect(server).await.map_err(failed)?;
-    socket.send(&question).await.map_err(failed)?;
-    let mut buffer = vec![0; ANSWER_MOST];
+    socket.send(&query).await.map_err(failed)?;
+    let mut buffer = vec![0; MAX_RESPONSE_BYTES];
     loop {
         let n = socket.recv(&mut buffer).await.map_err(failed)?;
-        match read(id, name, &buffer[..n]) {
-            Read::Answer(answer) => return answer,
-            Read::CutShort => break,
-            // Of another question, or none at all: the right one may still come.
-            Read::Other => {}
+        match parse_response(id, name, &buffer[..n]) {
+            Response::Answer(answer) => return answer,
+            Response::Truncated => break,
+            // A response to another query, or an invalid one; the right one may still arrive.
+            Response::Unrelated => {}
         }
     }
     let mut stream = TcpStream::connect(server).await.map_err(failed)?;
-    let length = (question.len() as u16).to_be_bytes();
-    stream.write_all(&[&length[..], &question].concat()).await.map_err(failed)?;
+    let length = (query.len() as u16).to_be_bytes();
+    stream.write_all(&[&length[..], &query].concat()).await.map_err(failed)?;
     let length = stream.read_u16().await.map_err(failed)?;
     buffer.resize(usize::from(length), 0);
     stream.read_exact(&mut buffer).await.map_err(failed)?;
-    match read(id, name, &buffer) {
-        Read::Answer(answer) => answer,
-        Read::CutShort | Read::Other => Err(format!("{server}: an answer that cannot be read")),
+    match parse_response(id, name, &buffer) {
+        Response::Answer(answer) => answer,
+        Response::Truncated | Response::Unrelated => Err(format!("{server}: invalid response over TCP")),
     }
 }
 
-fn question(id: u16, name: &str) -> Result<Vec<u8>, String> {
+fn build_query(id: u16, name: &str) -> Result<Vec<u8>, String> {
     let mut packet = Packet::new_query(id);
     packet.set_flags(PacketFlag::RECURSION_DESIRED);
-    let name = Name::new(name).map_err(|e| format!("no name: {e}"))?;
+    let name = Name::new(name).map_err(|e| format!("invalid DNS name: {e}"))?;
     packet.questions.push(Question::new(name, QTYPE::TYPE(TYPE::A), QCLASS::CLASS(CLASS::IN), false));
     packet.build_bytes_vec().map_err(|e| e.to_string())
 }
 
-enum Read {
+enum Response {
     Answer(Answer),
-    CutShort,
-    Other,
+    Truncated,
+    Unrelated,
 }
 
-/// Reads an answer to a question for `name`.
-fn read(id: u16, name: &str, bytes: &[u8]) -> Read {
-    let Ok(packet) = Packet::parse(bytes) else { return Read::Other };
+/// Parses a response to the query for `name` with this id.
+fn parse_response(id: u16, name: &str, bytes: &[u8]) -> Response {
+    let Ok(packet) = Packet::parse(bytes) else { return Response::Unrelated };
     let asked = packet.questions.first().map(|q| q.qname.to_string().to_ascii_lowercase());
     if packet.id() != id || !packet.has_flags(PacketFlag::RESPONSE) || asked.as_deref() != Some(name) {
-        return Read::Other;
+        return Response::Unrelated;
     }
     if packet.has_flags(PacketFlag::TRUNCATION) {
-        return Read::CutShort;
+        return Response::Truncated;
     }
     if packet.rcode() != RCODE::NoError {
-        return Read::Answer(Err(format!("the resolver says {:?}", packet.rcode())));
+        return Response::Answer(Err(format!("the resolver responded {:?}", packet.rcode())));
     }
-    // The name itself, and what it is an alias of.
+    // The name and the targets of its CNAME records.
     let mut names = BTreeSet::from([name.to_owned()]);
-    for _ in 0..ALIASES_MOST {
+    for _ in 0..MAX_ALIASES {
         let before = names.len();
         for record in &packet.answers {
             if let RData::CNAME(to) = &record.rdata
@@ -308,10 +311,11 @@
             addresses.push(IpAddr::from(a.address.to_be_bytes()));
         }
     }
-    // Taken as it is, an empty answer would drain the pool; it may be a slip of the zone.
+    // An empty response is an error: it may be a mistake in the DNS zone, and applying it would drain
+    // the pool.
     match addresses.is_empty() {
-        true => Read::Answer(Err("the resolver has no address of it".to_owned())),
-        false => Read::Answer(Ok((addresses, Duration::from_secs(u64::from(ttl))))),
+        true => Response::Answer(Err("the resolver returned no address".to_owned())),
+        false => Response::Answer(Ok((addresses, Duration::from_secs(u64::from(ttl))))),
     }
 }
 
--- a/crates/courier/src/discovery/dns_cache.rs
+++ b/crates/courier/src/discovery/dns_cache.rs
@@ -1,32 +1,34 @@
-//! Which names of endpoints are to be looked up, and what they stand for. A state machine without a socket or
-//! a clock: a failed look-up keeps the last good answer, which is never thrown away while the name is used.
+//! Cache of DNS lookups and schedule of the next ones, without sockets or a clock. A failed lookup keeps the
+//! last addresses, which are never dropped while the name is in use.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// After a failure: the first pause, doubled up to the longest.
-const RETRY_FIRST: Duration = Duration::from_millis(500);
-const RETRY_MOST: Duration = Duration::from_secs(30);
+/// Pause after the first failed lookup; it doubles with each further failure.
+const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Upper bound of the pause after failed lookups.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(30);
 
-/// Times are since an origin of the caller's.
+/// Addresses by name, and when to look each up again. Times are relative to an origin that the caller
+/// chooses.
 #[derive(Debug)]
 pub struct DnsCache {
-    least: Duration,
-    most: Duration,
-    names: BTreeMap<String, Name>,
+    min_refresh: Duration,
+    max_refresh: Duration,
+    names: BTreeMap<String, Entry>,
 }
 
 #[derive(Debug, Default)]
-struct Name {
-    /// When it is asked for next; None while it is.
+struct Entry {
+    /// When the next lookup is due; None while one is in flight.
     due: Option<Duration>,
     addresses: BTreeSet<IpAddr>,
-    answered: Option<Duration>,
+    last_answer: Option<Duration>,
     failures: u32,
 }
 
-/// What a look-up changed.
+/// Addresses of a name that were added and removed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AddressChange {
     pub name: String,
@@ -34,22 +36,23 @@
     pub removed: Vec<IpAddr>,
 }
 
-/// A look-up that failed: the first time in a row it is worth a line in the log.
+/// A failed lookup. The first of consecutive failures is logged.
 #[derive(Debug, PartialEq, Eq)]
 pub struct LookupFailure {
     pub first: bool,
-    /// Age of the answer that still holds; None if there never was one.
+    /// Age of the addresses that stay in use; None if no lookup has succeeded yet.
     pub age: Option<Duration>,
 }
 
 impl DnsCache {
-    /// Answers are asked for again after their time to live, no sooner than `least` and no later than `most`.
-    pub fn new(least: Duration, most: Duration) -> Self {
-        DnsCache { least, most, names: BTreeMap::new() }
+    /// Creates an empty cache. Names are looked up again after their time to live, limited to `min_refresh`
+    /// to `max_refresh`.
+    pub fn new(min_refresh: Duration, max_refresh: Duration) -> Self {
+        DnsCache { min_refresh, max_refresh, names: BTreeMap::new() }
     }
 
-    /// The names that are used from now on. What is known of the others is dropped; theirs is returned.
-    pub fn set(&mut self, names: &BTreeSet<String>, now: Duration) -> Vec<AddressChange> {
+    /// Sets the names in use. Other names are dropped, and their addresses returned as removed.
+    pub fn set_names(&mut self, names: &BTreeSet<String>, now: Duration) -> Vec<AddressChange> {
         let mut dropped = Vec::new();
         self.names.retain(|name, entry| {
             let kept = names.contains(name);
@@ -60,13 +63,13 @@
             kept
         });
         for name in names {
-            self.names.entry(name.clone()).or_insert_with(|| Name { due: Some(now), ..Name::default() });
+            self.names.entry(name.clone()).or_insert_with(|| Entry { due: Some(now), ..Entry::default() });
         }
         dropped
     }
 
     /// DnsCache to be asked for now. Each is out until it is answered or has failed.
-    pub fn due(&mut self, now: Duration) -> Vec<String> {
+    pub fn take_due(&mut self, now: Duration) -> Vec<String> {
         let due = self.names.iter_mut().filter(|(_, e)| e.due.is_some_and(|at| at <= now));
         due.map(|(name, entry)| {
             entry.due = None;
@@ -75,17 +78,17 @@
         .collect()
     }
 
-    /// When one is due next.
-    pub fn next(&self) -> Option<Duration> {
+    /// When the next lookup is due.
+    pub fn next_due(&self) -> Option<Duration> {
         self.names.values().filter_map(|e| e.due).min()
     }
 
-    /// What a name stands for, as far as it is known.
+    /// Addresses of a name; empty if unknown.
     pub fn addresses(&self, name: &str) -> Vec<IpAddr> {
         self.names.get(name).map(|e| e.addresses.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// An answer came.
+    /// Stores the addresses of a successful lookup. Returns what changed, or None if nothing did.
     pub fn answered(
         &mut self,
         name: &str,
@@ -94,8 +97,8 @@
         now: Duration,
     ) -> Option<AddressChange> {
         let entry = self.names.get_mut(name)?;
-        entry.due = Some(now + ttl.clamp(self.least, self.most));
-        (entry.answered, entry.failures) = (Some(now), 0);
+        entry.due = Some(now + ttl.clamp(self.min_refresh, self.max_refresh));
+        (entry.last_answer, entry.failures) = (Some(now), 0);
         let new: BTreeSet<IpAddr> = addresses.iter().copied().collect();
         let added: Vec<IpAddr> = new.difference(&entry.addresses).copied().collect();
         let removed: Vec<IpAddr> = entry.addresses.difference(&new).copied().collect();
@@ -104,12 +107,12 @@
         changed.then(|| AddressChange { name: name.to_owned(), added, removed })
     }
 
-    /// No answer came, or one that tells nothing.
+    /// Records a failed lookup and schedules the retry. Returns None if the name is no longer in use.
     pub fn failed(&mut self, name: &str, now: Duration) -> Option<LookupFailure> {
         let entry = self.names.get_mut(name)?;
-        entry.due = Some(now + (RETRY_FIRST * (1 << entry.failures.min(10))).min(RETRY_MOST));
+        entry.due = Some(now + (INITIAL_RETRY_PAUSE * (1 << entry.failures.min(10))).min(MAX_RETRY_PAUSE));
         entry.failures += 1;
-        let age = entry.answered.map(|at| now.saturating_sub(at));
+        let age = entry.last_answer.map(|at| now.saturating_sub(at));
         Some(LookupFailure { first: entry.failures == 1, age })
     }
 }
