--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -439,7 +439,7 @@
                         self.update_versions(|v| v.done(Err(reasons))).await;
                     }
                     Change::Reload => {
-                        eprintln!("configuration not read again, the previous one stays in effect:");
+                        eprintln!("configuration not read again, the previous one stays:");
                         reasons.iter().for_each(|r| eprintln!("{r}"));
                         self.status.refused(None, reasons);
                     }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,12 +1,12 @@
-//! The real courier: the decision module on real sockets. Each room has one job; `owner` owns the module, and the
-//! others tell it what happened, by `news`, which lies below them all.
+//! The courier process: runs the decision module on real sockets. `owner` owns the module; the other modules
+//! report to it through the events in `news`, on which all of them depend.
 //!
 //! ```text
-//!   start   what it is told at its start: by the platform, by an operator's file
-//!   front   clients: HTTP, MQTT, and the operator's pages
-//!   place   where things are: discovery, names, the control service
-//!   out     calls to endpoints and brokers, notices of outcomes
-//!   owner   the decision module, its turn, and what is held
+//!   startup    configuration at startup, from the platform or from an operator's file
+//!   front      clients over HTTP and MQTT, and the admin pages
+//!   discovery  endpoints by discovery and by DNS, configuration from the control service
+//!   out        calls to endpoints and brokers, notices of outcomes
+//!   owner      the decision module, its event loop, and the messages it holds
 //! ```
 
 pub mod client;
--- a/crates/courier/src/startup.rs
+++ b/crates/courier/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start: by the platform's environment, or by an operator's file; and what both need for it.
+//! Startup from the platform's environment or from an operator's file, and what both share.
 
 mod dev;
 mod platform;
@@ -19,16 +19,21 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// News that may wait for the courier.
-const INBOX: usize = 1024;
-/// Sockets and files that are neither a client's nor an endpoint's.
-const SPARE_SOCKETS: usize = 32;
-/// How long a start waits for a folder that is in use, and how often it looks.
-const LOCK_TIME: Duration = Duration::from_secs(1);
-const LOCK_PAUSE: Duration = Duration::from_millis(50);
-/// How long the end waits for a sync that is under way.
-const END_TIME: Duration = Duration::from_millis(200);
-/// Reads the configuration, then serves until it is told to stop.
+/// Capacity of the queue of events to the courier.
+const EVENT_QUEUE_LENGTH: usize = 1024;
+/// File descriptors reserved for uses other than connections of clients and to endpoints.
+const RESERVED_SOCKETS: usize = 32;
+/// How long startup waits for a state folder that is in use.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause between attempts to lock the state folder.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How long shutdown waits for a disk sync in progress.
+const SHUTDOWN_SYNC_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Runs a courier configured by the platform's environment until it is told to stop.
+///
+/// # Errors
+/// The reason why the courier cannot start.
 pub fn run_platform(settings: Option<&Path>) -> Result<(), StartupError> {
     let config = PlatformConfig::read()?;
     let settings =
@@ -36,10 +41,10 @@
     block_on(platform::platform(config, settings))
 }
 
-/// Runs an operator's courier until it is told to stop.
+/// Runs a courier from an operator's file until it is told to stop.
 ///
 /// # Errors
-/// What kept it from its start.
+/// The reason why the courier cannot start.
 pub fn serve(file: PathBuf) -> Result<(), StartupError> {
     block_on(serve::serve(file))
 }
@@ -47,7 +52,7 @@
 /// Runs a sample installation with a stand-in endpoint.
 ///
 /// # Errors
-/// What kept it from its start.
+/// The reason why the courier cannot start.
 pub fn dev(listen: SocketAddr) -> Result<(), StartupError> {
     block_on(dev::dev(listen))
 }
@@ -56,30 +61,30 @@
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| StartupError::Invalid("runtime", e.to_string()))?;
     let done = LocalSet::new().block_on(&runtime, work);
-    // A sync that hangs in the device must not hold up the end: nothing that depends on it was told.
-    runtime.shutdown_timeout(END_TIME);
+    // A sync that hangs in the device must not delay shutdown: nothing that depends on it has been reported.
+    runtime.shutdown_timeout(SHUTDOWN_SYNC_TIMEOUT);
     done
 }
 
-fn on(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
+fn signal_stream(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
     signal(kind).map_err(|e| StartupError::Invalid(name, e.to_string()))
 }
 
-/// Takes the state folder, which a tool may be looking at for a moment.
+/// Locks the state folder. Retries for a while, since a tool may hold the lock briefly.
 async fn lock(folder: &Path) -> Result<Files, stairshed_journal::Error> {
-    let until = Instant::now() + LOCK_TIME;
+    let deadline = Instant::now() + LOCK_TIMEOUT;
     loop {
         match Files::lock(folder) {
-            Err(stairshed_journal::Error::InUse { .. }) if Instant::now() < until => {
-                tokio::time::sleep(LOCK_PAUSE).await;
+            Err(stairshed_journal::Error::InUse { .. }) if Instant::now() < deadline => {
+                tokio::time::sleep(LOCK_RETRY_INTERVAL).await;
             }
             done => return done,
         }
     }
 }
 
-/// What the start found in the journal, for whoever reads the log.
-fn tell(report: &Report) {
+/// Logs what the recovery of the journal found.
+fn log_recovery(report: &Report) {
     if let Some(messages) = report.taken_over {
         eprintln!("journal: {messages} messages taken over from the old format");
     }
--- a/crates/courier/src/startup/dev.rs
+++ b/crates/courier/src/startup/dev.rs
@@ -15,8 +15,8 @@
 use std::path::PathBuf;
 use tokio::net::TcpListener;
 
-/// The sample installation, with the stand-in's address in it.
-fn sample(listen: SocketAddr, endpoint: SocketAddr) -> String {
+/// Text of the sample installation's file.
+fn sample_file(listen: SocketAddr, endpoint: SocketAddr) -> String {
     format!(
         "# A sample installation, made by `stairshed dev`.\n\
          name = \"dev\"\n\n\
@@ -29,11 +29,12 @@
     )
 }
 
-async fn endpoint(listener: TcpListener) {
+/// Serves the stand-in endpoint, which prints each request and answers 200.
+async fn serve_endpoint(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let service = service_fn(|request: Request<Incoming>| async move {
             let (parts, body) = request.into_parts();
-            // It stands for a partner: what cannot be read is as good as empty.
+            // An unreadable body counts as empty, since the endpoint only stands in for a partner.
             let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
             let id = parts.headers.get("x-request-id").and_then(|v| v.to_str().ok()).unwrap_or("-");
             let text = String::from_utf8_lossy(&body).into_owned();
@@ -46,31 +47,31 @@
     }
 }
 
-/// A folder for one run, removed with it.
-struct Folder(PathBuf);
+/// Temporary folder of one run, removed on drop.
+struct TempFolder(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// Serves the sample until it is told to stop.
+/// Runs the sample installation until it is told to stop.
 ///
 /// # Errors
-/// The address is taken, or the folder cannot be made.
+/// The address is in use, or the folder cannot be created.
 pub async fn dev(listen: SocketAddr) -> Result<(), StartupError> {
     let stand_in = TcpListener::bind("127.0.0.1:0").await?;
     let at = stand_in.local_addr()?;
-    let folder = Folder(std::env::temp_dir().join(format!("stairshed-dev-{}", std::process::id())));
+    let folder = TempFolder(std::env::temp_dir().join(format!("stairshed-dev-{}", std::process::id())));
     fs::create_dir_all(&folder.0)?;
     let file = folder.0.join("stairshed.toml");
-    fs::write(&file, sample(listen, at))?;
-    tokio::task::spawn_local(endpoint(stand_in));
-    println!("a sample installation: {}", file.display());
+    fs::write(&file, sample_file(listen, at))?;
+    tokio::task::spawn_local(serve_endpoint(stand_in));
+    println!("sample installation: {}", file.display());
     println!("hand in a message:\n\n    curl -i -d 'hello' http://{listen}/notice\n");
-    println!("one that must not take effect twice needs an id:\n");
+    println!("a message that must not take effect twice needs an id:\n");
     println!("    curl -i -d '42 EUR' -H 'X-Request-ID: p-1' http://{listen}/payment/7\n");
-    println!("Ctrl-C ends it.");
+    println!("press Ctrl-C to stop");
     serve::serve(file).await
 }
--- a/crates/courier/src/startup/platform.rs
+++ b/crates/courier/src/startup/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's courier: told by its environment and `LB_CONFIG`.
+//! A courier configured by the platform, through its environment and `LB_CONFIG`.
 
 use super::platform_config::{self, PlatformConfig};
 use super::settings::OperatorSettings;
-use super::{INBOX, SPARE_SOCKETS, lock, on, tell};
+use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock, log_recovery, signal_stream};
 use crate::front::intake::{Front, Intake, Standing};
 use crate::front::listener::listen;
 use crate::news::News;
@@ -22,23 +22,24 @@
 use tokio::signal::unix::{Signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Reads the configuration again at each SIGHUP. A file that cannot be read changes nothing.
+/// Reads the file again on each SIGHUP. An invalid file changes nothing.
 async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<News>) {
     while hangup.recv().await.is_some() {
         match platform_config::reread_discovery(&file) {
             Ok(Some(discovery)) => {
-                eprintln!("configuration read again: discovery at {discovery}");
+                eprintln!("configuration read again: discovery is at {discovery}");
                 let _ = news.send(News::Moved(discovery)).await;
             }
-            Ok(None) => eprintln!("configuration read again: it names no discovery"),
-            Err(fault) => eprintln!("configuration not read again, the old one stays: {fault}"),
+            Ok(None) => eprintln!("configuration read again: it has no address of discovery"),
+            Err(error) => eprintln!("configuration not read again, the previous one stays: {error}"),
         }
     }
 }
 
-/// The platform's `memory_mb` is the total. Connections have no cap there: its `sockets` bound them, and to close one
-/// that is kept costs. With a total that no courier could live by only bodies that are read are bounded, by an eighth
-/// of it. All clients come by one address, so none has a share.
+/// Memory limits from the platform's `memory_mb`, which is the total. Connections have no cap, since
+/// `sockets` limits them and closing an idle connection has a cost. If the total is too low for a courier,
+/// only bodies being read are capped, at an eighth of it. No client is limited to a share, since all clients
+/// connect from one address.
 fn room(config: &PlatformConfig) -> Room {
     let total = (config.limits.memory_mb * 1e6) as u64;
     let mut caps = Caps::new(Some(total), &ByPurpose::default()).unwrap_or_else(|_| {
@@ -51,33 +52,37 @@
     Room::new(&caps, 1.0)
 }
 
-/// Serves until it is told to stop.
+/// Runs the courier until it is told to stop.
 ///
 /// # Errors
-/// What kept it from its start.
+/// The reason why the courier cannot start.
 pub async fn platform(mut config: PlatformConfig, settings: OperatorSettings) -> Result<(), StartupError> {
-    // First of all: without a handler either signal ends the process at once.
-    let mut terminate = on(SignalKind::terminate(), "SIGTERM")?;
-    let hangup = on(SignalKind::hangup(), "SIGHUP")?;
+    // Handlers are installed first: without one, either signal ends the process at once.
+    let mut terminate = signal_stream(SignalKind::terminate(), "SIGTERM")?;
+    let hangup = signal_stream(SignalKind::hangup(), "SIGHUP")?;
     let disk = (config.limits.disk_mb * 1e6) as u64;
     let options = settings.journal.options(disk, u64::from(config.settings.attempt_cap));
     let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
     let (journal, report) = opened.map_err(|e| StartupError::Invalid("LB_STATE", e.to_string()))?;
-    tell(&report);
-    let for_calls = (config.limits.sockets / 3).max(16);
-    let for_clients = config.limits.sockets.saturating_sub(for_calls + SPARE_SOCKETS).max(8);
+    log_recovery(&report);
+    let upstream_sockets = (config.limits.sockets / 3).max(16);
+    let client_sockets = config.limits.sockets.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(8);
     let room = room(&config);
-    let calls =
-        Calls::new(config.settings.connect_timeout, config.settings.keepalive, for_calls, room.clone());
-    // The module reckons with the connections that are kept here.
+    let calls = Calls::new(
+        config.settings.connect_timeout,
+        config.settings.keepalive,
+        upstream_sockets,
+        room.clone(),
+    );
+    // The decision module must know how long connections are kept alive here.
     config.settings.keepalive = calls.keep_time();
     config.settings.membership_term = Some(LIST_TERM);
-    let pushed = !config.settings.must_subscribe;
+    let lists_are_pushed = !config.settings.must_subscribe;
     let brain = Brain::new(config.settings.clone(), config.seed);
     let brain = brain.map_err(|e| StartupError::Invalid("LB_CONFIG", e))?;
-    let (news, inbox) = mpsc::channel(INBOX);
-    if pushed {
-        // Nobody asks for lists that are pushed: the watch is open from the start.
+    let (news, inbox) = mpsc::channel(EVENT_QUEUE_LENGTH);
+    if lists_are_pushed {
+        // Pushed lists are never requested by the decision module, so the watch opens at startup.
         let _ = news.send(News::Watch).await;
     }
     let standing = Rc::new(Standing::default());
@@ -88,7 +93,7 @@
         front: Front::Platform { classes: config.classes.clone() },
         standing: standing.clone(),
         news: news.clone(),
-        sockets: for_clients,
+        sockets: client_sockets,
         room: room.clone(),
         farewells: None,
     });
--- a/crates/courier/src/startup/platform_config.rs
+++ b/crates/courier/src/startup/platform_config.rs
@@ -1,5 +1,5 @@
-//! What the platform tells a courier: environment and `LB_CONFIG`, at its start and when it is told to read
-//! the file again.
+//! Configuration by the platform: the environment and the file that `LB_CONFIG` names, at startup and on
+//! reload.
 
 use crate::discovery::list_age::ListAgeFile;
 use crate::news::List;
@@ -17,21 +17,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Resources that the platform grants to a courier.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
     pub sockets: usize,
     pub disk_mb: f64,
-    #[serde(default = "memory")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
 }
 
-/// Where the file tells none: the most that a courier gets.
-fn memory() -> f64 {
+/// Default of `memory_mb`: the most memory that the platform grants.
+fn default_memory_mb() -> f64 {
     192.0
 }
 
+/// Content of the file.
 #[derive(Deserialize)]
-struct Page {
+struct ConfigFile {
     #[serde(default)]
     seed: String,
     discovery: Option<String>,
@@ -40,7 +42,7 @@
     settings: Conf,
 }
 
-/// All that a courier is told.
+/// Complete configuration by the platform.
 pub struct PlatformConfig {
     pub name: String,
     pub listen: SocketAddr,
@@ -58,7 +60,7 @@
 }
 
 impl PlatformConfig {
-    /// What the owner of the decision module needs of it.
+    /// Converts it to the setup of the owner of the decision module.
     pub fn setup(self, room: Room) -> Setup {
         let classes = self.classes.into_iter().zip(self.settings.classes.iter().cloned());
         Setup {
@@ -81,64 +83,65 @@
     }
 }
 
-fn text(name: &'static str) -> Result<String, StartupError> {
+fn variable(name: &'static str) -> Result<String, StartupError> {
     match env::var(name) {
         Ok(value) if !value.is_empty() => Ok(value),
-        Err(env::VarError::NotUnicode(_)) => Err(StartupError::Invalid(name, "is not text".to_owned())),
+        Err(env::VarError::NotUnicode(_)) => Err(StartupError::Invalid(name, "is not UTF-8".to_owned())),
         _ => Err(StartupError::MissingVariable(name)),
     }
 }
 
-fn address(name: &'static str) -> Result<SocketAddr, StartupError> {
-    place(&text(name)?).map_err(|why| StartupError::Invalid(name, why))
+fn address_variable(name: &'static str) -> Result<SocketAddr, StartupError> {
+    parse_address(&variable(name)?).map_err(|why| StartupError::Invalid(name, why))
 }
 
-fn place(text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{text:?} is no address with a port"))
+fn parse_address(text: &str) -> Result<SocketAddr, String> {
+    text.parse().map_err(|_| format!("{text:?} is not an IP address with a port"))
 }
 
-/// The seed is hexadecimal; any other text still gives one.
+/// Parses a hexadecimal seed. Any other text is hashed to a seed.
 fn seed(text: &str) -> u64 {
-    let mixed =
+    let hash =
         || text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| mixed())
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash())
 }
 
-impl Page {
-    /// Reads the whole file, or tells what is wrong with it.
+impl ConfigFile {
+    /// Reads and validates the file.
     fn read(path: &Path) -> Result<(Self, Settings, Option<SocketAddr>), StartupError> {
-        let bad = |why: String| StartupError::Invalid("LB_CONFIG", format!("{}: {why}", path.display()));
-        let page = fs::read(path).map_err(|e| bad(e.to_string()))?;
-        let page: Page = serde_json::from_slice(&page).map_err(|e| bad(e.to_string()))?;
-        let settings = page.settings.settings().map_err(|e| bad(format!("settings: {e}")))?;
-        if page.limits.sockets < 64 || page.limits.disk_mb <= 0.0 {
-            return Err(bad("limits: too few sockets or no disk".to_owned()));
+        let invalid = |why: String| StartupError::Invalid("LB_CONFIG", format!("{}: {why}", path.display()));
+        let file_config = fs::read(path).map_err(|e| invalid(e.to_string()))?;
+        let file_config: ConfigFile =
+            serde_json::from_slice(&file_config).map_err(|e| invalid(e.to_string()))?;
+        let settings = file_config.settings.settings().map_err(|e| invalid(format!("settings: {e}")))?;
+        if file_config.limits.sockets < 64 || file_config.limits.disk_mb <= 0.0 {
+            return Err(invalid("limits: sockets is below 64 or disk_mb is not above 0".to_owned()));
         }
-        let discovery = page.discovery.as_deref().map(place).transpose();
-        let discovery = discovery.map_err(|why| bad(format!("discovery: {why}")))?;
-        Ok((page, settings, discovery))
+        let discovery = file_config.discovery.as_deref().map(parse_address).transpose();
+        let discovery = discovery.map_err(|why| invalid(format!("discovery: {why}")))?;
+        Ok((file_config, settings, discovery))
     }
 }
 
-/// Where the file says that discovery is, as it stands now. An error changes nothing.
+/// Reads the file again and returns the address of discovery that it names, if any.
 pub fn reread_discovery(path: &Path) -> Result<Option<SocketAddr>, StartupError> {
-    Page::read(path).map(|(_, _, discovery)| discovery)
+    ConfigFile::read(path).map(|(_, _, discovery)| discovery)
 }
 
 impl PlatformConfig {
     pub fn read() -> Result<Self, StartupError> {
-        let (name, listen) = (text("LB_NAME")?, address("LB_LISTEN")?);
-        let state = PathBuf::from(text("LB_STATE")?);
+        let (name, listen) = (variable("LB_NAME")?, address_variable("LB_LISTEN")?);
+        let state = PathBuf::from(variable("LB_STATE")?);
         if !state.is_dir() {
-            return Err(StartupError::Invalid("LB_STATE", format!("{} is no folder", state.display())));
+            return Err(StartupError::Invalid("LB_STATE", format!("{} is not a folder", state.display())));
         }
-        let file = PathBuf::from(text("LB_CONFIG")?);
-        let (page, settings, named) = Page::read(&file)?;
-        // The file may have been replaced since the environment was set, so it holds where it names one: a
-        // courier that restarts after a reload must not fall back to the address before.
-        let discovery = match named {
+        let file = PathBuf::from(variable("LB_CONFIG")?);
+        let (file_config, settings, file_discovery) = ConfigFile::read(&file)?;
+        // The address in the file overrides the environment, which may be older than the file: a courier that
+        // restarts after a reload must not fall back to the previous address.
+        let discovery = match file_discovery {
             Some(discovery) => discovery,
-            None => address("LB_DISCOVERY")?,
+            None => address_variable("LB_DISCOVERY")?,
         };
         Ok(PlatformConfig {
             name,
@@ -146,13 +149,13 @@
             file,
             discovery,
             state,
-            seed: seed(&page.seed),
-            limits: page.limits,
-            known: page.known,
+            seed: seed(&file_config.seed),
+            limits: file_config.limits,
+            known: file_config.known,
             settings,
-            classes: page.settings.class_names().map(str::to_owned).collect(),
-            zones: page.settings.zone_names().to_vec(),
-            kinds: page.settings.kind_names().to_vec(),
+            classes: file_config.settings.class_names().map(str::to_owned).collect(),
+            zones: file_config.settings.zone_names().to_vec(),
+            kinds: file_config.settings.kind_names().to_vec(),
         })
     }
 }
--- a/crates/courier/src/startup/settings_test.rs
+++ b/crates/courier/src/startup/settings_test.rs
@@ -1,6 +1,7 @@
 use stairshed_config::File;
 
-/// Lines that begin with `#= ` show what has no default, or has no meaning without more.
+/// The example file. Its lines that start with `#= ` show keys without a default, or that depend on other
+/// keys; `all` uncomments them.
 fn example(all: bool) -> String {
     let example = include_str!("../../../../deploy/stairshed.example.toml");
     let lines = example.lines().map(|l| l.strip_prefix("#= ").filter(|_| all).unwrap_or(l));
@@ -8,7 +9,7 @@
 }
 
 #[test]
-fn the_example_is_sound_with_and_without_its_commented_keys() {
+fn the_example_is_valid_with_and_without_its_commented_keys() {
     for all in [false, true] {
         let read = stairshed_config::load("example", &example(all));
         assert!(read.is_ok(), "{}", read.expect_err("checked"));
@@ -19,13 +20,17 @@
 fn the_example_shows_every_key_with_its_default() {
     let read = stairshed_config::load("example", &example(true)).expect("sound").file;
     let json = |file: &File| serde_json::to_value(file).expect("JSON");
-    let (read, usual) = (json(&read), json(&File::default()));
+    let (read, defaults) = (json(&read), json(&File::default()));
     for section in ["limits", "memory", "journal", "dns", "mqtt"] {
-        for (key, value) in usual[section].as_object().expect("a section") {
-            // What has no default is shown all the same.
-            let right =
+        for (key, value) in defaults[section].as_object().expect("a section") {
+            // A key without a default must be shown too.
+            let is_shown =
                 if value.is_null() { !read[section][key].is_null() } else { read[section][key] == *value };
-            assert!(right, "{section}.{key}: {} in the example, {value} is the default", read[section][key]);
+            assert!(
+                is_shown,
+                "{section}.{key}: {} in the example, {value} is the default",
+                read[section][key]
+            );
         }
     }
     for (section, keys) in [
--- a/crates/courier/src/startup_error.rs
+++ b/crates/courier/src/startup_error.rs
@@ -1,13 +1,15 @@
-//! Why the program does not start.
+//! Errors that prevent the program from starting.
 
 use std::fmt;
 
-/// Why a start cannot go on.
+/// Error that prevents the start.
 #[derive(Debug)]
 pub enum StartupError {
+    /// An environment variable is not set.
     MissingVariable(&'static str),
+    /// A variable, option, signal or configuration key, and what is wrong with it.
     Invalid(&'static str, String),
-    /// Each a whole line already.
+    /// Complete messages, one per line.
     Problems(Vec<String>),
 }
 
@@ -15,7 +17,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             StartupError::MissingVariable(name) => write!(f, "{name} is not set"),
-            StartupError::Problems(lines) => write!(f, "{}", lines.join("\n")),
+            StartupError::Problems(problems) => write!(f, "{}", problems.join("\n")),
             StartupError::Invalid(name, why) => write!(f, "{name}: {}", why.replace('\n', " ")),
         }
     }
