--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -61,6 +61,7 @@
 pub struct VersionStore(PathBuf);
 
 impl VersionStore {
+    /// Uses the file at `path`.
     pub fn new(path: PathBuf) -> Self {
         VersionStore(path)
     }
@@ -113,6 +114,7 @@
 }
 
 impl ConfigStatus {
+    /// Status at startup: `version` is in effect over `file`.
     pub fn new(file: PathBuf, version: Option<u64>) -> Self {
         let (since, refusal, connected) = (SystemTime::now(), None, None);
         ConfigStatus {
@@ -121,6 +123,7 @@
         }
     }
 
+    /// Content of the page `/-/config`.
     pub fn to_json(&self) -> Value {
         let inner = self.inner.borrow();
         json!({
@@ -161,12 +164,15 @@
 enum StreamEvent {
     Opened,
     Line(Vec<u8>),
+    /// The stream has ended, with a refusal if the service broke a limit.
     Closed(Option<Refusal>),
 }
 
 /// A configuration change to apply.
 enum Change {
+    /// A version from the control service.
     Version(Version),
+    /// The file is read again.
     Reload,
 }
 
@@ -205,6 +211,8 @@
 }
 
 impl ConfigUpdater {
+    /// Creates the updater and, if a control service is configured, starts the tasks for its stream and
+    /// answers.
     pub fn new(
         (file, document, store): (PathBuf, Document, VersionStore),
         (versions, installation): (Versions, Arc<Installation>),
@@ -252,6 +260,7 @@
         }
     }
 
+    /// Access to the configuration for the admin pages.
     pub fn view(&self) -> ConfigView {
         let (status, effective) = (self.status.clone(), self.effective.clone());
         ConfigView { status, effective, document: self.document.clone() }
@@ -320,7 +329,8 @@
                     Ok(done) => self.finish_change(done).await,
                     Err(e) => {
                         eprintln!("configuration: the validation of a version did not complete: {e}");
-                        self.update_versions(|v| v.done(Err(vec!["its check failed".to_owned()]))).await;
+                        self.update_versions(|v| v.done(Err(vec!["its validation did not complete".to_owned()])))
+                            .await;
                     }
                 }
             }
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -43,6 +43,7 @@
     topic: Option<String>,
 }
 
+/// Endpoints of an installation whose address is a DNS name.
 fn named_endpoints(installation: &Installation) -> Vec<NamedEndpoint> {
     let members = installation.pools.iter().flat_map(|p| p.members.iter().map(move |m| (p, m)));
     let of = members.filter_map(|(pool, m)| match &m.at {
@@ -66,6 +67,7 @@
 pub struct ResolverHandle(watch::Sender<Vec<NamedEndpoint>>);
 
 impl ResolverHandle {
+    /// Passes on the names of a configuration.
     pub fn set(&self, installation: &Installation) {
         // Each value replaces the one before, since it lists all names of the configuration.
         self.0.send_replace(named_endpoints(installation));
@@ -217,6 +219,7 @@
     }
 }
 
+/// Queries the server, repeating a failed query.
 async fn lookup(server: SocketAddr, name: &str) -> Answer {
     let mut last = String::new();
     for _ in 0..MAX_QUERIES {
@@ -229,6 +232,7 @@
     Err(last)
 }
 
+/// Sends one query, over TCP if the response over UDP is truncated.
 async fn query(server: SocketAddr, name: &str) -> Answer {
     let failed = |e: std::io::Error| format!("{server}: {e}");
     let id: u16 = rand::random();
@@ -269,9 +273,12 @@
     packet.build_bytes_vec().map_err(|e| e.to_string())
 }
 
+/// A parsed response.
 enum Response {
     Answer(Answer),
+    /// The response is truncated; the query is repeated over TCP.
     Truncated,
+    /// Not a response to this query, or not a DNS message.
     Unrelated,
 }
 
--- a/crates/courier/src/discovery/dns_cache.rs
+++ b/crates/courier/src/discovery/dns_cache.rs
@@ -68,7 +68,7 @@
         dropped
     }
 
-    /// DnsCache to be asked for now. Each is out until it is answered or has failed.
+    /// Returns the names to look up now. Each is in flight until `answered` or `failed` is called for it.
     pub fn take_due(&mut self, now: Duration) -> Vec<String> {
         let due = self.names.iter_mut().filter(|(_, e)| e.due.is_some_and(|at| at <= now));
         due.map(|(name, entry)| {
--- a/crates/courier/src/discovery/list_age.rs
+++ b/crates/courier/src/discovery/list_age.rs
@@ -37,6 +37,7 @@
 }
 
 impl ListAgeFile {
+    /// Uses the file in the state folder `folder`.
     pub fn new(folder: &Path) -> Self {
         let boot_id = fs::read_to_string(BOOT_ID).ok().map(|id| id.trim().to_owned());
         ListAgeFile { path: folder.join(FILE_NAME), next_path: folder.join(NEXT_FILE_NAME), boot_id }
--- a/crates/courier/src/discovery/outage_detector.rs
+++ b/crates/courier/src/discovery/outage_detector.rs
@@ -6,7 +6,7 @@
 
 /// A call that fails sooner counts as a refusal: in an outage most calls fail only after a wait.
 const MIN_OUTAGE_WAIT: Duration = Duration::from_millis(1000);
-/// Consecutive refusals from which on they count as an outage, if they also last for `MIN_REFUSING_TIME`.
+/// Consecutive failed calls that count as an outage if they last for at least `MIN_REFUSING_TIME`.
 const MIN_QUICK_REFUSALS: u32 = 5;
 /// Time that consecutive refusals must last to count as an outage: an overloaded discovery has worked off its
 /// queue of calls by then.
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -32,10 +32,10 @@
 /// Time in which a started line must be complete, so that a stream of bytes without a line end does not count
 /// as a sign of life.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before the first retry, in seconds.
-const INITIAL_BACKOFF_S: f64 = 0.15;
-/// Upper bound of the pause between retries, in seconds; the pause doubles with each call.
-const MAX_BACKOFF_S: f64 = 2.0;
+/// Pause before the first retry.
+const INITIAL_BACKOFF_SECONDS: f64 = 0.15;
+/// Upper bound of the pause between retries; the pause doubles with each call.
+const MAX_BACKOFF_SECONDS: f64 = 2.0;
 /// Longest pause after a call that could not reach discovery. A call that fails in an outage shows that the
 /// list is still current, and the next call must end before that lease on the list expires. Couriers that
 /// find discovery back but overloaded are refused at once and then spread their calls over
@@ -116,14 +116,14 @@
     /// Keeps a watch open. Returns only when the receiver of `news` is gone.
     pub async fn run(mut self, news: Sender<News>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
-        let mut backoff = INITIAL_BACKOFF_S;
+        let mut backoff = INITIAL_BACKOFF_SECONDS;
         let mut outage = OutageDetector::default();
         while !news.is_closed() {
             let since = Instant::now();
             let mut lines_read = 0;
             let Err(end) = self.watch_once(&news, &mut lines_read).await;
             if lines_read > 0 && since.elapsed() > SILENCE_TIMEOUT {
-                backoff = INITIAL_BACKOFF_S;
+                backoff = INITIAL_BACKOFF_SECONDS;
             }
             let mut pause = ask_after(backoff, self.reconnect_spread, &mut rng);
             if lines_read > 0 {
@@ -140,7 +140,7 @@
             }
             self.report_end(&end, since.elapsed(), lines_read, pause);
             sleep(pause).await;
-            backoff = (backoff * 2.0).min(MAX_BACKOFF_S);
+            backoff = (backoff * 2.0).min(MAX_BACKOFF_SECONDS);
         }
     }
 
--- a/crates/courier/src/discovery/watch_test.rs
+++ b/crates/courier/src/discovery/watch_test.rs
@@ -8,7 +8,7 @@
         let mut seconds = [0; 20];
         for seed in 0..100 {
             let rng = &mut SmallRng::seed_from_u64(seed);
-            seconds[ask_after(INITIAL_BACKOFF_S, spread, rng).as_secs() as usize] += 1;
+            seconds[ask_after(INITIAL_BACKOFF_SECONDS, spread, rng).as_secs() as usize] += 1;
         }
         seconds
     };
--- a/crates/courier/src/startup/platform_config.rs
+++ b/crates/courier/src/startup/platform_config.rs
@@ -129,6 +129,10 @@
 }
 
 impl PlatformConfig {
+    /// Reads the environment and the file.
+    ///
+    /// # Errors
+    /// A variable is missing or invalid, or the file is.
     pub fn read() -> Result<Self, StartupError> {
         let (name, listen) = (variable("LB_NAME")?, address_variable("LB_LISTEN")?);
         let state = PathBuf::from(variable("LB_STATE")?);
--- a/crates/courier/src/startup/serve.rs
+++ b/crates/courier/src/startup/serve.rs
@@ -235,7 +235,7 @@
         lookups,
     );
     if let Some(wait) = first_wait {
-        eprintln!("configuration: no version yet and no routes in the file; waits_for_version for one");
+        eprintln!("configuration: no version yet and no routes in the file; waits for one");
         if !config_updater.wait_for_first_version(wait).await {
             return Err(invalid(
                 "control",
