--- a/crates/courier/src/discovery/configured_hosts.rs
+++ b/crates/courier/src/discovery/configured_hosts.rs
@@ -1,6 +1,6 @@
 //! Converts the endpoints of a configuration to entries of the endpoint list.
 
-use crate::news::{Health, Host};
+use crate::events::{Health, ListedEndpoint};
 use stairshed_config::change::Changed;
 use stairshed_config::installation::{At, OWN, SHARED};
 
@@ -14,11 +14,11 @@
 
 /// Returns the list entries that a configuration changes, and its limits by host. Endpoints given by a DNS
 /// name are left out: the resolver reports them.
-pub fn changed_hosts(changes: &[Changed]) -> (Vec<Host>, Vec<(String, f64)>) {
+pub fn changed_hosts(changes: &[Changed]) -> (Vec<ListedEndpoint>, Vec<(String, f64)>) {
     let (kinds, mut hosts, mut limits) = (endpoint_kinds(), Vec::new(), Vec::new());
     for change in changes {
         let At::Address(address) = change.member.at else { continue };
-        hosts.push(Host {
+        hosts.push(ListedEndpoint {
             host: change.member.host.clone(),
             dial: address.to_string(),
             site: change.member.zone.clone(),
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -6,12 +6,12 @@
 use crate::discovery::config_file;
 use crate::discovery::configured_hosts::changed_hosts;
 use crate::discovery::dns::ResolverHandle;
-use crate::front::effective::Effective;
-use crate::front::intake::Intake;
-use crate::front::listener::listen;
-use crate::news::{Changes, Configured, News};
-use crate::out::link::Link;
-use crate::room::{self, Room};
+use crate::events::{ConfigurationUpdate, CourierEvent, MembershipChanges};
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::http::HttpServer;
+use crate::ingress::listener::listen;
+use crate::memory_budget::{self, MemoryBudget};
+use crate::outbound::http_connection::HttpConnection;
 use crate::startup_error::StartupError;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -155,7 +155,7 @@
 #[derive(Clone)]
 pub struct ConfigView {
     pub status: Rc<ConfigStatus>,
-    pub effective: Effective,
+    pub active_config: ActiveConfig,
     /// The file and the version applied over it, as they are in effect.
     pub document: Rc<RefCell<(Document, Option<Version>)>>,
 }
@@ -195,9 +195,9 @@
     store: VersionStore,
     versions: Versions,
     installation: Arc<Installation>,
-    effective: Effective,
-    news: Sender<News>,
-    intake: Rc<Intake>,
+    active_config: ActiveConfig,
+    news: Sender<CourierEvent>,
+    http_server: Rc<HttpServer>,
     accept_task: Option<AbortHandle>,
     listen_address: Option<SocketAddr>,
     status: Rc<ConfigStatus>,
@@ -216,7 +216,7 @@
     pub fn new(
         (file, document, store): (PathBuf, Document, VersionStore),
         (versions, installation): (Versions, Arc<Installation>),
-        (effective, news, intake): (Effective, Sender<News>, Rc<Intake>),
+        (active_config, news, http_server): (ActiveConfig, Sender<CourierEvent>, Rc<HttpServer>),
         status: Rc<ConfigStatus>,
         resolver: ResolverHandle,
     ) -> Self {
@@ -231,7 +231,7 @@
                 node: node.clone(),
                 current: Rc::new(RefCell::new(current.as_ref().map(|v| v.version))),
                 max_bytes: control.version_most.0,
-                room: intake.room.clone(),
+                room: http_server.room.clone(),
                 idle_timeout: control.heartbeat.0 * 2,
             };
             status.inner.borrow_mut().connected = Some(false);
@@ -244,9 +244,9 @@
             store,
             versions,
             installation,
-            effective,
+            active_config,
             news,
-            intake,
+            http_server,
             accept_task: None,
             listen_address: None,
             status,
@@ -262,8 +262,8 @@
 
     /// Access to the configuration for the admin pages.
     pub fn view(&self) -> ConfigView {
-        let (status, effective) = (self.status.clone(), self.effective.clone());
-        ConfigView { status, effective, document: self.document.clone() }
+        let (status, active_config) = (self.status.clone(), self.active_config.clone());
+        ConfigView { status, active_config, document: self.document.clone() }
     }
 
     /// Returns the address on which clients are accepted. Starts listening if no version has done so yet.
@@ -283,8 +283,8 @@
     /// Accepts clients on this listener and stops accepting on the previous one.
     fn accept(&mut self, listener: TcpListener) {
         self.listen_address = listener.local_addr().ok();
-        let task = tokio::task::spawn_local(self.intake.clone().run(listener)).abort_handle();
-        self.intake.standing.listens(task.clone());
+        let task = tokio::task::spawn_local(self.http_server.clone().run(listener)).abort_handle();
+        self.http_server.server_state.set_accept_task(task.clone());
         if let Some(old) = self.accept_task.replace(task) {
             old.abort();
         }
@@ -491,7 +491,7 @@
     document: (Document, Option<Version>),
     before: Arc<Installation>,
     store: VersionStore,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
 }
 
 impl ChangeJob {
@@ -517,9 +517,13 @@
             };
             let installation = installation.map_err(lines)?;
             let changes = changes(Some(&before), &installation);
-            let (gone, there) = destinations(Some(&before), &installation);
+            let (removed_destinations, present_destinations) = destinations(Some(&before), &installation);
             let (hosts, limits) = changed_hosts(&changes);
-            Ok((document, Arc::new(installation), Changes { hosts, limits, gone, there }))
+            Ok((
+                document,
+                Arc::new(installation),
+                MembershipChanges { hosts, limits, removed_destinations, present_destinations },
+            ))
         });
         let checked =
             checked.await.unwrap_or_else(|e| Err(vec![format!("its validation did not complete: {e}")]));
@@ -538,9 +542,9 @@
         change: &Change,
         number: u64,
         installation: Arc<Installation>,
-        changes: Changes,
+        changes: MembershipChanges,
     ) -> Result<AppliedChange, Vec<String>> {
-        let caps = room::caps(&installation)?;
+        let caps = memory_budget::caps(&installation)?;
         let listener = match installation.http == self.before.http {
             true => None,
             false => {
@@ -558,9 +562,12 @@
         }
         let (done, in_effect) = oneshot::channel();
         let configured =
-            Configured { version: number, installation: installation.clone(), caps, changes, done };
+            ConfigurationUpdate { version: number, installation: installation.clone(), caps, changes, done };
         let stopping = || vec!["the courier is stopping".to_owned()];
-        self.news.send(News::Configured(Box::new(configured))).await.map_err(|_| stopping())?;
+        self.news
+            .send(CourierEvent::ConfigurationChanged(Box::new(configured)))
+            .await
+            .map_err(|_| stopping())?;
         in_effect.await.map_err(|_| stopping())?;
         Ok(AppliedChange { installation, listener })
     }
@@ -572,7 +579,7 @@
     node: String,
     current: Rc<RefCell<Option<u64>>>,
     max_bytes: u64,
-    room: Room,
+    room: MemoryBudget,
     idle_timeout: Duration,
 }
 
@@ -601,13 +608,13 @@
         event_sender: &Sender<StreamEvent>,
         line_received: &mut bool,
     ) -> Option<Refusal> {
-        let mut link = Link::open(self.url.address, CONNECT_TIMEOUT, None).await.ok()?;
+        let mut connection = HttpConnection::connect(self.url.address, CONNECT_TIMEOUT, None).await.ok()?;
         let current = self.current.borrow().map_or(String::new(), |v| format!("&version={v}"));
         let request = Request::get(format!("{}?node={}{current}", self.url.path, self.node))
             .header(header::HOST, self.url.address.to_string())
             .body(Full::<Bytes>::default())
             .ok()?;
-        let answer = link.watch(request, RESPONSE_TIMEOUT).await.ok()?;
+        let answer = connection.open_stream(request, RESPONSE_TIMEOUT).await.ok()?;
         if answer.status() != StatusCode::OK {
             return None;
         }
@@ -617,7 +624,7 @@
             .min((memory_max_bytes, "as memory.configuration allows"));
         let (mut body, mut lines) = (answer.into_body(), Lines::new(max_bytes as usize));
         let mut line_started: Option<Instant> = None;
-        while let Ok(piece) = link.piece(&mut body, self.idle_timeout).await {
+        while let Ok(piece) = connection.next_chunk(&mut body, self.idle_timeout).await {
             if lines.push(&piece).is_err() {
                 let why = format!("longer than {max_bytes} bytes ({key})");
                 return Some(Refusal::Unreadable(why));
@@ -657,13 +664,13 @@
 /// Posts one answer on a new connection. On a reused one, a duplicated response to the previous answer could
 /// be taken for the response to this one.
 async fn post_answer(url: &Url, answer: &Value) -> Option<StatusCode> {
-    let mut link = Link::open(url.address, CONNECT_TIMEOUT, None).await.ok()?;
+    let mut connection = HttpConnection::connect(url.address, CONNECT_TIMEOUT, None).await.ok()?;
     let request = Request::post(format!("{}/answers", url.path.trim_end_matches('/')))
         .header(header::HOST, url.address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(answer.to_string())))
         .ok()?;
-    Some(link.ask(request, Instant::now() + RESPONSE_TIMEOUT).await.ok()?.status)
+    Some(connection.send_request(request, Instant::now() + RESPONSE_TIMEOUT).await.ok()?.status)
 }
 
 impl From<io::Error> for StartupError {
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -2,7 +2,7 @@
 //! is truncated, over TCP.
 
 use crate::discovery::dns_cache::DnsCache;
-use crate::news::{Health, Host, List, News, differences};
+use crate::events::{CourierEvent, EndpointList, Health, ListedEndpoint, diff_endpoints};
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use stairshed_config::Installation;
@@ -91,7 +91,10 @@
 }
 
 /// Starts the task that resolves the endpoint names of an installation and of its later configurations.
-pub fn spawn_resolver(installation: &Installation, news: Sender<News>) -> (ResolverHandle, ResolverTask) {
+pub fn spawn_resolver(
+    installation: &Installation,
+    news: Sender<CourierEvent>,
+) -> (ResolverHandle, ResolverTask) {
     let (sender, updates) = watch::channel(Vec::new());
     let dns = &installation.file.dns;
     let task = ResolveTask {
@@ -112,9 +115,9 @@
     cache: DnsCache,
     named_endpoints: Vec<NamedEndpoint>,
     /// Entries last reported to the courier, by host.
-    reported: BTreeMap<String, Host>,
+    reported: BTreeMap<String, ListedEndpoint>,
     origin: Instant,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
 }
 
 /// Addresses with their time to live, or why the lookup failed.
@@ -197,7 +200,7 @@
         for endpoint in &self.named_endpoints {
             for ip in self.cache.addresses(&endpoint.name) {
                 let address = SocketAddr::new(ip, endpoint.port);
-                let host = Host {
+                let host = ListedEndpoint {
                     host: format!("{}@{ip}", endpoint.host),
                     dial: address.to_string(),
                     site: endpoint.zone.clone(),
@@ -211,10 +214,13 @@
                 now.insert(host.host.clone(), host);
             }
         }
-        let hosts = differences(&self.reported, &now);
+        let hosts = diff_endpoints(&self.reported, &now);
         self.reported = now;
         if !hosts.is_empty() {
-            let _ = self.news.send(News::Resolved(List { seq: 0, whole: false, hosts })).await;
+            let _ = self
+                .news
+                .send(CourierEvent::NamesResolved(EndpointList { seq: 0, whole: false, hosts }))
+                .await;
         }
     }
 }
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -3,15 +3,15 @@
 
 use super::outage_detector::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
-use crate::news::{List, News};
-use crate::out::link::{ConnectError, Link, Lost, StreamEnd};
+use crate::events::{CourierEvent, EndpointList};
+use crate::outbound::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use stairshed_config::lines::Lines;
-use stairshed_decide::brain::ask_after;
+use stairshed_decide::scheduler::list_retry_delay;
 use std::convert::Infallible;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     #[error("cannot connect: {0}")]
     Connect(#[from] ConnectError),
     #[error("no response: {0}")]
-    NoAnswer(#[from] Lost),
+    NoAnswer(#[from] RequestError),
     #[error("answered {0}")]
     Refused(StatusCode),
     #[error("{0}")]
@@ -89,7 +89,7 @@
             WatchEnd::Connect(_) => "connect",
             WatchEnd::NoAnswer(_) => "no_answer",
             WatchEnd::Refused(_) => "refused",
-            WatchEnd::Stream(StreamEnd::Silent(_)) => "silent",
+            WatchEnd::Stream(StreamEnd::IdleTimeout(_)) => "silent",
             WatchEnd::Stream(_) => "lost",
             WatchEnd::IncompleteLine | WatchEnd::LineTooLong | WatchEnd::InvalidLine(_) => "malformed",
             WatchEnd::Closing => "closing",
@@ -114,7 +114,7 @@
 
 impl DiscoveryWatch {
     /// Keeps a watch open. Returns only when the receiver of `news` is gone.
-    pub async fn run(mut self, news: Sender<News>) {
+    pub async fn run(mut self, news: Sender<CourierEvent>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut backoff = INITIAL_BACKOFF_SECONDS;
         let mut outage = OutageDetector::default();
@@ -125,15 +125,15 @@
             if lines_read > 0 && since.elapsed() > SILENCE_TIMEOUT {
                 backoff = INITIAL_BACKOFF_SECONDS;
             }
-            let mut pause = ask_after(backoff, self.reconnect_spread, &mut rng);
+            let mut pause = list_retry_delay(backoff, self.reconnect_spread, &mut rng);
             if lines_read > 0 {
                 outage.answered();
-                if news.send(News::WatchLost { discovery: self.address }).await.is_err() {
+                if news.send(CourierEvent::WatchEnded { discovery: self.address }).await.is_err() {
                     return;
                 }
             } else if outage.call_failed(end.failure(), since) {
                 pause = pause.min(MAX_OUTAGE_PAUSE.mul_f64(rng.random_range(0.25..1.0)));
-                let unreachable = News::DiscoveryUnreachable { discovery: self.address, since };
+                let unreachable = CourierEvent::DiscoveryUnreachable { discovery: self.address, since };
                 if news.send(unreachable).await.is_err() {
                     return;
                 }
@@ -156,11 +156,11 @@
     /// Opens one watch and reads it until it ends; the result is the reason why.
     async fn watch_once(
         &mut self,
-        news: &Sender<News>,
+        news: &Sender<CourierEvent>,
         lines_read: &mut u64,
     ) -> Result<Infallible, WatchEnd> {
         let started = Instant::now();
-        let (mut link, response) = self.open().await?;
+        let (mut connection, response) = self.open().await?;
         let (mut body, mut lines) = (response.into_body(), Lines::new(MAX_LINE_BYTES));
         let mut line_started: Option<Instant> = None;
         loop {
@@ -169,7 +169,7 @@
             if line_time_left.is_zero() {
                 return Err(WatchEnd::IncompleteLine);
             }
-            let chunk = link.piece(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
+            let chunk = connection.next_chunk(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
             if lines.push(&chunk).is_err() || lines.buffered() > MAX_LINE_BYTES {
                 return Err(WatchEnd::LineTooLong);
             }
@@ -186,9 +186,9 @@
                     );
                 }
                 if let Some(list) = list {
-                    news.send(News::Listed(list)).await.map_err(|_| WatchEnd::Closing)?;
+                    news.send(CourierEvent::EndpointsListed(list)).await.map_err(|_| WatchEnd::Closing)?;
                 }
-                let heard = News::DiscoveryHeard { discovery: self.address, at: Instant::now() };
+                let heard = CourierEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
                 news.send(heard).await.map_err(|_| WatchEnd::Closing)?;
             }
             line_started = lines.is_open().then(|| line_started.unwrap_or_else(Instant::now));
@@ -196,31 +196,31 @@
     }
 
     /// Connects and sends the request. A status other than 200 is an error.
-    async fn open(&self) -> Result<(Link, Response<Incoming>), WatchEnd> {
+    async fn open(&self) -> Result<(HttpConnection, Response<Incoming>), WatchEnd> {
         self.status.call_started();
         let path = match self.request_whole {
             true => "/api/targets?stream=1".to_owned(),
             false => format!("/api/targets?stream=1&index={}", self.version),
         };
         eprintln!("discovery: calls {} for {path}", self.address);
-        let mut link = Link::open(self.address, CONNECT_TIMEOUT, None).await?;
+        let mut connection = HttpConnection::connect(self.address, CONNECT_TIMEOUT, None).await?;
         let request = Request::get(path)
             .header(header::HOST, self.address.to_string())
             .body(Full::<Bytes>::default())
-            .map_err(|_| WatchEnd::NoAnswer(Lost::Unsent))?;
-        let response = link.watch(request, HEAD_TIMEOUT).await?;
+            .map_err(|_| WatchEnd::NoAnswer(RequestError::NotSent))?;
+        let response = connection.open_stream(request, HEAD_TIMEOUT).await?;
         match response.status() {
-            StatusCode::OK => Ok((link, response)),
+            StatusCode::OK => Ok((connection, response)),
             status => Err(WatchEnd::Refused(status)),
         }
     }
 
     /// Parses a line and returns its changes, or None if it has none. The first line is always returned,
     /// since even an empty one tells that the list is unchanged.
-    fn parse_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<List>, WatchEnd> {
+    fn parse_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<EndpointList>, WatchEnd> {
         let list = match line.iter().all(u8::is_ascii_whitespace) {
-            true => List { seq: self.version, ..List::default() },
-            false => serde_json::from_slice::<List>(line).inspect_err(|_| {
+            true => EndpointList { seq: self.version, ..EndpointList::default() },
+            false => serde_json::from_slice::<EndpointList>(line).inspect_err(|_| {
                 // The changes in this line are lost, so the next call requests the whole list.
                 self.request_whole = true;
             })?,
--- a/crates/courier/src/owner/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -1,12 +1,12 @@
 //! Attempts at MQTT brokers, as the owner of the decision module keeps them: each is on record with its packet id, so
 //! that one whose fate is open is resumed after a restart, and is never a second one.
 
-use super::Courier;
-use super::held::{Held, Waiting};
-use crate::clock::unix;
-use crate::news::{AfterAttempt, CallEnd};
-use crate::out::broker::Broker;
-use crate::out::calls::{Call, DRAIN_TIME};
+use super::Dispatcher;
+use super::held_message::{Held, Waiting};
+use crate::clock::unix_time;
+use crate::events::{AfterAttempt, CallResult};
+use crate::outbound::broker_connection::BrokerConnection;
+use crate::outbound::endpoint_client::{Call, MAX_WRITE_AFTER_DRAIN};
 use serde::{Deserialize, Serialize};
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Verdict};
@@ -43,7 +43,7 @@
 
 #[derive(Default)]
 pub struct Brokers {
-    of: HashMap<EndpointId, Rc<Broker>>,
+    of: HashMap<EndpointId, Rc<BrokerConnection>>,
     /// Those of which the configuration may say something else by now: looked at before the next message, where
     /// nothing is on its way.
     stale: HashSet<EndpointId>,
@@ -57,10 +57,10 @@
     format!("{PREFIX}{id}/{host}")
 }
 
-impl Courier {
+impl Dispatcher {
     /// Reads which attempts of an earlier life may be resumed.
     pub(super) fn resume_brokers(&mut self) {
-        let now = unix();
+        let now = unix_time();
         // Their sessions count as lost: see `Client::opened`.
         let lost: HashSet<String> = self.notes_under(RESUMING).into_iter().map(|(host, _)| host).collect();
         for host in &lost {
@@ -103,7 +103,7 @@
     }
 
     /// The broker behind an endpoint, as it is configured now.
-    fn broker(&mut self, endpoint: EndpointId) -> Option<Rc<Broker>> {
+    fn broker(&mut self, endpoint: EndpointId) -> Option<Rc<BrokerConnection>> {
         let known = self.brokers.of.get(&endpoint);
         if let Some(broker) = known.filter(|b| !self.brokers.stale.contains(&endpoint) || b.is_busy()) {
             return Some(broker.clone());
@@ -114,17 +114,17 @@
         let pool = installation.pools.iter().find(|p| p.destination == e.destination);
         let settings = pool.and_then(|p| p.broker.clone()).unwrap_or_default();
         self.brokers.stale.remove(&endpoint);
-        if let Some(broker) = known.filter(|b| b.is(address, &topic, &settings)) {
+        if let Some(broker) = known.filter(|b| b.matches(address, &topic, &settings)) {
             return Some(broker.clone());
         }
         let courier = installation.file.name.clone().unwrap_or_else(|| "stairshed".to_owned());
         let client = settings.client.clone().unwrap_or_else(|| format!("{courier}/{}", e.host));
         let connect = installation.settings.connect_timeout;
-        let broker = Broker::start(
+        let broker = BrokerConnection::start(
             endpoint,
             (address, topic),
             (settings, client, connect),
-            &self.setup.folder,
+            &self.setup.config_folder,
             self.news.clone(),
         );
         self.brokers.of.insert(endpoint, broker.clone());
@@ -134,7 +134,7 @@
     /// Takes a packet id for a message, on record. None if as many are on their way as may be.
     pub(super) fn reserve(&mut self, endpoint: EndpointId, message: u64) -> Option<u16> {
         let broker = self.broker(endpoint)?;
-        let id = broker.reserve()?;
+        let id = broker.reserve_packet_id()?;
         let host = self.members.endpoints.get(&endpoint)?.host.clone();
         self.put_in_use(&host, id, InUse { message, released: false });
         Some(id)
@@ -148,7 +148,7 @@
 
     /// The broker that a message is on its way to, if it is.
     pub(super) fn publishing_to(&self, message: u64) -> Option<EndpointId> {
-        let of = self.brokers.of.iter().find(|(_, broker)| broker.has(message));
+        let of = self.brokers.of.iter().find(|(_, broker)| broker.has_message(message));
         of.map(|(endpoint, _)| *endpoint)
     }
 
@@ -181,10 +181,10 @@
     }
 
     /// A broker's session is about to be resumed, or what became of it is known.
-    pub(super) fn resuming(&mut self, endpoint: EndpointId, begins: bool) {
+    pub(super) fn resuming(&mut self, endpoint: EndpointId, pending: bool) {
         let Some(host) = self.members.endpoints.get(&endpoint).map(|e| e.host.clone()) else { return };
         let key = format!("{RESUMING}{host}");
-        if !begins {
+        if !pending {
             return self.erase(&key);
         }
         self.note(&key, bytes::Bytes::new());
@@ -194,13 +194,13 @@
 
     pub(super) fn may_resume(&self, endpoint: EndpointId) {
         if let Some(broker) = self.brokers.of.get(&endpoint) {
-            broker.resuming();
+            broker.resume_recorded();
         }
     }
 
     pub(super) fn recorded(&self, endpoint: EndpointId, id: u16) {
         if let Some(broker) = self.brokers.of.get(&endpoint) {
-            broker.recorded(id);
+            broker.release_recorded(id);
         }
     }
 
@@ -217,11 +217,11 @@
         let host = e.host.clone();
         if ready {
             if let Some(broker) = self.brokers.of.get(&endpoint) {
-                broker.join();
+                broker.cancel_drain();
             }
             self.resume_at(endpoint, &host);
         } else if let Some(broker) = self.brokers.of.get(&endpoint) {
-            broker.part(DRAIN_TIME);
+            broker.drain_after(MAX_WRITE_AFTER_DRAIN);
         }
     }
 
@@ -241,7 +241,7 @@
             return;
         }
         let Some(broker) = self.broker(endpoint) else { return };
-        blocked.into_iter().for_each(|id| broker.block(id));
+        blocked.into_iter().for_each(|id| broker.block_packet_id(id));
         for message in due {
             let Some(live) = self.journal.get(message) else { continue };
             let attempt = live.attempts.len().saturating_sub(1) as u32;
@@ -255,7 +255,7 @@
     }
 
     /// An attempt of an earlier life has come to its end. Unless the message has, too, the module has it from here.
-    pub(super) fn resumed(&mut self, message: u64, end: &CallEnd) -> bool {
+    pub(super) fn resumed(&mut self, message: u64, end: &CallResult) -> bool {
         if self.brokers.open.remove(&message).is_none() {
             return false;
         }
@@ -275,7 +275,7 @@
         held.out = None;
         let class = held.class;
         let taken = self.taken_before(message, &live, class);
-        self.events.push(Event::Taken(taken));
+        self.events.push(Event::Accepted(taken));
     }
 
     /// When the next message whose fate is open over a restart ends.
@@ -336,7 +336,7 @@
 
     pub(super) fn hang_up(&self, endpoint: EndpointId) {
         if let Some(broker) = self.brokers.of.get(&endpoint) {
-            broker.hang_up();
+            broker.disconnect_if_idle();
         }
     }
 
--- a/crates/courier/src/owner/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -1,12 +1,12 @@
 //! What waits on records: nothing goes out, and nobody is told, before the journal has kept what must be kept.
 //! Owns that queue and the standing of the disk; takes over what an earlier life has left.
 
-use super::Courier;
-use super::held::{Held, NOWHERE, Waiting};
-use crate::clock::unix;
-use crate::follow;
-use crate::news::News;
-use crate::out::outcomes::Notice;
+use super::Dispatcher;
+use super::held_message::{Held, NOWHERE, Waiting};
+use crate::clock::unix_time;
+use crate::events::CourierEvent;
+use crate::message_trace;
+use crate::outbound::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Live, Synced, Verdict};
 use std::collections::VecDeque;
@@ -37,7 +37,7 @@
     let open = || live.iter().filter(|(_, m)| m.verdict.is_none());
     let may_have_run = open().filter(|(_, m)| m.attempts.iter().any(|a| a.may_have_run)).count();
     let untried = open().filter(|(_, m)| m.attempts.is_empty()).count();
-    let past = open().filter(|(_, m)| m.letter.until <= unix()).count();
+    let past = open().filter(|(_, m)| m.letter.until <= unix_time()).count();
     eprintln!(
         "resumed {} messages: {ended} ended, their notices not acknowledged; {untried} never called; \
          {may_have_run} may have run; {past} out of time",
@@ -45,7 +45,7 @@
     );
 }
 
-impl Courier {
+impl Dispatcher {
     /// Hands back what the journal holds, with what is known of its attempts.
     pub(super) fn resume(&mut self) {
         let live: Vec<(u64, Live)> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
@@ -77,11 +77,11 @@
                 continue;
             }
             let taken = self.taken_before(message, &m, class.unwrap_or_default());
-            follow::step(
+            message_trace::log_step(
                 &letter.id,
-                format_args!("resumed number={message} class={} past={:?}", letter.class, taken.past),
+                format_args!("resumed number={message} class={} past={:?}", letter.class, taken.history),
             );
-            self.events.push(Event::Taken(taken));
+            self.events.push(Event::Accepted(taken));
             let (class, attempts) = (class.unwrap_or_default(), m.attempts.len() as u32);
             self.out.held.insert(message, Held { letter, class, attempts, out: None });
         }
@@ -89,10 +89,10 @@
     }
 
     /// A message of an earlier life, or one that the module has not heard of yet, with what it went through.
-    pub(super) fn taken_before(&mut self, message: u64, live: &Live, class: usize) -> Taken {
+    pub(super) fn taken_before(&mut self, message: u64, live: &Live, class: usize) -> Accepted {
         // A clock that has jumped back since must not give what is held more time than it had: neither than was
         // left when last a time was recorded, nor than its class has.
-        let now = unix().max(self.journal.latest());
+        let now = unix_time().max(self.journal.latest());
         let letter = &live.letter;
         let ran = live.attempts.iter().find(|a| a.may_have_run).map(|a| Ran {
             endpoint: self.number(&a.host),
@@ -102,15 +102,15 @@
             ago: now.saturating_sub(a.sent),
         });
         let most = self.setup.classes.get(class).map(|c| c.deadline);
-        Taken {
+        Accepted {
             message: MessageId(message),
             class,
             tenant: 0,
             destination: DestinationId(letter.destination),
             key: letter.routed.as_ref().and_then(|r| r.order.clone()),
             time_left: letter.until.saturating_sub(now).min(most.unwrap_or(Duration::MAX)),
-            work: None,
-            past: Past { attempts: live.attempts.len() as u32, ran },
+            estimated_work: None,
+            history: Past { attempts: live.attempts.len() as u32, ran },
         }
     }
 
@@ -135,7 +135,7 @@
             tokio::task::spawn_local(async move {
                 if let Ok(done) = tokio::task::spawn_blocking(|| job.run()).await {
                     // Nobody is left to hear it once the courier has stopped.
-                    let _ = news.send(News::Synced(done)).await;
+                    let _ = news.send(CourierEvent::JournalSynced(done)).await;
                 }
             });
         }
@@ -180,7 +180,7 @@
             Waiting::Bounced { message, reply } => self.bounced(reply, message),
             Waiting::Stored { token } => {
                 if let Some(front) = &self.front {
-                    front.stored(token, Ok(()));
+                    front.on_stored(token, Ok(()));
                 }
             }
             Waiting::Recorded { endpoint, id } => self.recorded(endpoint, id),
@@ -208,7 +208,7 @@
             // What a failing disk has kept waiting; else only a sync lets anything go on.
             self.release();
         }
-        self.standing.ready.set(well && self.stopping.since.is_none());
+        self.server_state.ready.set(well && self.stopping.since.is_none());
         well
     }
 
--- a/crates/courier/src/owner/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -2,9 +2,9 @@
 
 use crate::discovery::list_age::ListAgeFile;
 use crate::discovery::watch_status::WatchStatus;
-use crate::front::effective::Effective;
-use crate::news::List;
-use crate::room::Room;
+use crate::events::EndpointList;
+use crate::ingress::active_config::ActiveConfig;
+use crate::memory_budget::MemoryBudget;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
@@ -19,10 +19,10 @@
     pub settings: Settings,
     pub classes: ClassTable,
     pub zones: Vec<String>,
-    pub kinds: Vec<String>,
+    pub endpoint_kinds: Vec<String>,
     pub seed: u64,
     /// The list as it was when the configuration was written.
-    pub known: Option<List>,
+    pub initial_list: Option<EndpointList>,
     pub discovery: Option<SocketAddr>,
     pub watch_status: Rc<WatchStatus>,
     /// Where the moment of discovery's last word is kept; None where lists have no term.
@@ -30,12 +30,12 @@
     /// For an operator's courier: what is in effect.
     pub installation: Option<Arc<Installation>>,
     /// And where the fronts look for it.
-    pub effective: Option<Effective>,
+    pub active_config: Option<ActiveConfig>,
     /// How long messages of a pool that is gone wait for it to come back.
     pub pool_wait: Duration,
     /// Messages that have ended of which something may stay.
-    pub remembered: usize,
-    pub room: Room,
+    pub max_remembered: usize,
+    pub memory_budget: MemoryBudget,
     /// Where files stand that an installation names.
-    pub folder: PathBuf,
+    pub config_folder: PathBuf,
 }
--- a/crates/courier/src/front/intake.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,11 +1,11 @@
 //! The clients' side: takes messages in over HTTP, and tells whether the courier is ready.
 
-use crate::clock::unix;
-use crate::front::effective::Effective;
-use crate::front::farewell::{Farewells, Speaks, Why};
-use crate::front::named::{Named, Unfit};
-use crate::news::{COME_AGAIN, News, Offer, Reply, ReplyTo, reason};
-use crate::room::{NoRoom, Room};
+use crate::clock::unix_time;
+use crate::events::{CourierEvent, DEFAULT_RETRY_AFTER, Reply, ReplyTo, Submission, refusal_reason};
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::message_headers::{Named, Unfit};
+use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -34,7 +34,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// A longer body is read no further and costs its connection.
 const BODY_DRAINED: usize = 1024 * 1024;
 /// A client is owed an answer or a close within 3 s of connecting: so long it may stay silent, a head may
@@ -56,11 +56,11 @@
 
 /// Standing of the program, as clients may know it.
 #[derive(Default)]
-pub struct Standing {
+pub struct ServerState {
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
     /// Told to all connections when the courier stops.
-    pub open: RefCell<BTreeMap<u64, Rc<Line>>>,
+    pub connections: RefCell<BTreeMap<u64, Rc<Line>>>,
     next: Cell<u64>,
     /// The task that takes clients in; it changes with the address.
     accepting: RefCell<Option<AbortHandle>>,
@@ -226,9 +226,9 @@
     }
 }
 
-impl Standing {
+impl ServerState {
     /// The task that takes clients in is another.
-    pub fn listens(&self, task: AbortHandle) {
+    pub fn set_accept_task(&self, task: AbortHandle) {
         *self.accepting.borrow_mut() = Some(task);
     }
 
@@ -240,15 +240,15 @@
     }
 
     /// Readiness off; idle connections close, the others after their answer.
-    pub fn stop(&self) {
+    pub fn begin_shutdown(&self) {
         self.ready.set(false);
         self.stopping.set(true);
-        self.open.borrow().values().for_each(|line| line.close.notify_one());
+        self.connections.borrow().values().for_each(|line| line.close.notify_one());
     }
 
     /// Closes the connection that is of least use, if one can go.
     fn shed(&self) -> bool {
-        let mut open = self.open.borrow_mut();
+        let mut open = self.connections.borrow_mut();
         // In a flood of newcomers the silent ones show in a moment, and go before what has served.
         if open.values().filter(|line| line.use_of().is_none()).count() * 4 > open.len() {
             return false;
@@ -264,25 +264,25 @@
 }
 
 /// Who says what a request means.
-pub enum Front {
+pub enum Routing {
     /// PROTOCOL: the path names a class, `Envelope` the destination.
     Platform { classes: Vec<String> },
     /// The routes of what is in effect.
-    Routes(Effective),
+    Routes(ActiveConfig),
 }
 
-pub struct Intake {
-    pub front: Front,
-    pub standing: Rc<Standing>,
-    pub news: Sender<News>,
+pub struct HttpServer {
+    pub routing: Routing,
+    pub server_state: Rc<ServerState>,
+    pub news: Sender<CourierEvent>,
     /// Clients' connections at most.
-    pub sockets: usize,
-    pub room: Room,
+    pub max_connections: usize,
+    pub room: MemoryBudget,
     /// Where clients are told apart, each with its share of the memory: who tells those that there is no room for.
-    pub farewells: Option<Rc<Farewells>>,
+    pub rejecter: Option<Rc<ConnectionRejecter>>,
 }
 
-impl Intake {
+impl HttpServer {
     /// Accepts clients until the task is dropped.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let this = self;
@@ -290,15 +290,15 @@
             // Out of sockets or of memory for them is backpressure: the one of least use makes room, else the
             // newcomer waits outside. Each closed one lets one in at once, so that hundreds that say nothing
             // starve nobody.
-            let full = this.standing.open.borrow().len() >= this.sockets
+            let full = this.server_state.connections.borrow().len() >= this.max_connections
                 || this.room.ledger.room(Purpose::Clients) < LINE_BYTES;
-            if full && !this.standing.shed() {
+            if full && !this.server_state.shed() {
                 sleep(Duration::from_millis(5)).await;
                 continue;
             }
             match listener.accept().await {
                 Ok((stream, from)) => {
-                    let apart = this.farewells.as_ref();
+                    let apart = this.rejecter.as_ref();
                     let from = from.ip();
                     let client = apart.and_then(|_| this.telling(|telling| telling.connection(from)));
                     let guest = client.map(|client| this.room.ledger.guest(client));
@@ -308,9 +308,9 @@
                             drop(tokio::task::spawn_local(this.clone().serve(stream, from, guest, room)))
                         }
                         Err(refused) => {
-                            if let Some(farewells) = apart {
-                                let why = Why::from(this.room.no(refused));
-                                farewells.turn_away(stream, Speaks::Http, why, false);
+                            if let Some(rejecter) = apart {
+                                let why = Why::from(this.room.refusal(refused));
+                                rejecter.turn_away(stream, Speaks::Http, why, false);
                             }
                         }
                     }
@@ -328,9 +328,9 @@
     async fn serve(self: Rc<Self>, stream: TcpStream, from: IpAddr, guest: Option<Guest>, room: Charge) {
         let _ = stream.set_nodelay(true);
         let line = Rc::new(Line::new(room));
-        let id = self.standing.next.get();
-        self.standing.next.set(id + 1);
-        self.standing.open.borrow_mut().insert(id, line.clone());
+        let id = self.server_state.next.get();
+        self.server_state.next.set(id + 1);
+        self.server_state.connections.borrow_mut().insert(id, line.clone());
         let (this, of) = (self.clone(), line.clone());
         let service = service_fn(move |request| {
             let (this, line, guest) = (this.clone(), of.clone(), guest.clone());
@@ -344,7 +344,7 @@
         });
         let mut conn = http1::Builder::new()
             .max_buf_size(HEAD_MOST)
-            .keep_alive(!self.standing.stopping.get())
+            .keep_alive(!self.server_state.stopping.get())
             .serve_connection(TokioIo::new(Ear { stream, line: line.clone() }), service);
         let mut late = pin!(sleep(SILENT_TIME));
         let shed = loop {
@@ -360,12 +360,12 @@
                 },
             }
         };
-        self.standing.open.borrow_mut().remove(&id);
-        if let Some(farewells) = self.farewells.as_ref().filter(|_| shed) {
+        self.server_state.connections.borrow_mut().remove(&id);
+        if let Some(rejecter) = self.rejecter.as_ref().filter(|_| shed) {
             // Its next request may be on its way already, or half read.
             let heard = line.stage.get() == Stage::Head;
             let stream = conn.into_parts().io.into_inner().stream;
-            farewells.turn_away(stream, Speaks::Http, Why::connections(), heard);
+            rejecter.turn_away(stream, Speaks::Http, Why::connections(), heard);
         }
     }
 
@@ -376,16 +376,16 @@
         (from, guest): (IpAddr, Option<Guest>),
     ) -> Response<Full<Bytes>> {
         let mut answer = match (request.method(), request.uri().path()) {
-            (&Method::GET, "/-/ready") => match self.standing.ready.get() {
+            (&Method::GET, "/-/ready") => match self.server_state.ready.get() {
                 true => plain(StatusCode::OK, "ready\n"),
                 false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             },
             (&Method::POST, _) => self.take(request, line, (from, guest)).await,
             (&Method::GET | &Method::HEAD, _) => plain(StatusCode::NOT_FOUND, "no such page\n"),
-            _ if matches!(self.front, Front::Routes(_)) => self.take(request, line, (from, guest)).await,
+            _ if matches!(self.routing, Routing::Routes(_)) => self.take(request, line, (from, guest)).await,
             _ => plain(StatusCode::NOT_FOUND, "no such page\n"),
         };
-        if self.standing.stopping.get() {
+        if self.server_state.stopping.get() {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
@@ -408,17 +408,17 @@
             return closing(StatusCode::PAYLOAD_TOO_LARGE, "over 64 KiB\n");
         }
         // Many large bodies at once must not take the memory: together they have a fixed room.
-        let kept = if length > BODY_MOST as u64 { 0 } else { length as usize };
-        let room = match self.room.ledger.take(Purpose::BodiesRead, kept as u64, guest.as_ref()) {
-            Ok(room) => room,
+        let kept = if length > MAX_BODY_BYTES as u64 { 0 } else { length as usize };
+        let body_charge = match self.room.ledger.take(Purpose::BodiesRead, kept as u64, guest.as_ref()) {
+            Ok(charge) => charge,
             Err(_) if self.knows(&parts.headers).await => {
                 // Of a repeat nothing is kept: it is answered, whatever memory there is.
                 return match timeout(BODY_TIME, read(body, 0)).await {
-                    Ok(Err(Unread::Large) | Ok(_)) => respond(Reply::Taken),
+                    Ok(Err(Unread::Large) | Ok(_)) => respond(Reply::Accepted),
                     _ => closing(StatusCode::BAD_REQUEST, "the body broke off\n"),
                 };
             }
-            Err(refused) => return respond(Reply::NoRoom(self.room.no(refused))),
+            Err(refused) => return respond(Reply::OutOfMemory(self.room.refusal(refused))),
         };
         // Read even if the head is at fault, so that the connection can go on.
         let body = match timeout(BODY_TIME, read(body, kept)).await {
@@ -432,9 +432,9 @@
             return closing(status, why);
         }
         let at = Instant::now();
-        let read = match &self.front {
-            Front::Platform { classes } => letter(classes, parts.uri.path(), &parts.headers, body),
-            Front::Routes(effective) => effective.letter(&parts, body),
+        let read = match &self.routing {
+            Routing::Platform { classes } => letter(classes, parts.uri.path(), &parts.headers, body),
+            Routing::Routes(active_config) => active_config.letter(&parts, body),
         };
         let (letter, time_left) = match read {
             Ok(read) => read,
@@ -442,9 +442,10 @@
         };
         let (reply, answered) = oneshot::channel();
         let id = letter.routed.is_some().then(|| letter.id.clone());
-        let reply = ReplyTo::One(reply);
-        let offer = Offer { letter: Rc::new(letter), time_left, at, reply, bounce: false, room, guest };
-        let reply = match timeout(PATIENCE, self.news.send(News::Offered(offer))).await {
+        let reply = ReplyTo::Single(reply);
+        let offer =
+            Submission { letter: Rc::new(letter), time_left, at, reply, bounce: false, body_charge, guest };
+        let reply = match timeout(PATIENCE, self.news.send(CourierEvent::Submitted(offer))).await {
             Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
             _ => Reply::Unavailable,
         };
@@ -457,12 +458,12 @@
     }
 }
 
-impl Intake {
+impl HttpServer {
     /// Asks how clients are told apart; None where they are not.
     fn telling<T>(&self, ask: impl FnOnce(&Telling) -> Option<T>) -> Option<T> {
-        match &self.front {
-            Front::Platform { .. } => None,
-            Front::Routes(effective) => ask(&effective.get().1.telling),
+        match &self.routing {
+            Routing::Platform { .. } => None,
+            Routing::Routes(active_config) => ask(&active_config.get().1.telling),
         }
     }
 
@@ -479,7 +480,7 @@
     async fn knows(&self, headers: &HeaderMap) -> bool {
         let Some(id) = Named::read(headers).ok().and_then(|named| named.id) else { return false };
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(News::Known { id: id.to_owned(), reply });
+        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply });
         matches!(timeout(PATIENCE, asked).await, Ok(Ok(()))) && known.await.unwrap_or(false)
     }
 }
@@ -505,7 +506,7 @@
     let text = headers.get("Envelope").ok_or("no Envelope\n")?;
     let text = text.to_str().map_err(|_| "Envelope is no text\n")?;
     let destination = envelope(text.trim()).ok_or("Envelope names no destination\n")?;
-    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), named.key, unix());
+    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), named.key, unix_time());
     let until = taken + time_left;
     Ok((Letter { id, class, destination, key, taken, until, body, routed: None }, time_left))
 }
@@ -525,13 +526,13 @@
         if seen > BODY_DRAINED {
             break;
         }
-        if seen <= BODY_MOST && seen <= room {
+        if seen <= MAX_BODY_BYTES && seen <= room {
             kept.extend_from_slice(&data);
         } else {
             kept = Vec::new();
         }
     }
-    if seen > BODY_MOST { Err(Unread::Large) } else { Ok(kept.into()) }
+    if seen > MAX_BODY_BYTES { Err(Unread::Large) } else { Ok(kept.into()) }
 }
 
 /// `dest=7`, perhaps among other fields.
@@ -566,22 +567,22 @@
 fn respond(reply: Reply) -> Response<Full<Bytes>> {
     let again = |status, why: Cow<'static, str>, wait: Option<Duration>| {
         let mut answer = text(status, why);
-        let wait = format!("{:.3}", wait.unwrap_or(COME_AGAIN).as_secs_f64());
+        let wait = format!("{:.3}", wait.unwrap_or(DEFAULT_RETRY_AFTER).as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&wait) {
             answer.headers_mut().insert(RETRY_AFTER, value);
         }
         answer
     };
     match reply {
-        Reply::Taken => plain(StatusCode::ACCEPTED, ""),
+        Reply::Accepted => plain(StatusCode::ACCEPTED, ""),
         Reply::Refused { wait } => again(StatusCode::TOO_MANY_REQUESTS, "refused\n".into(), wait),
         Reply::Unavailable => again(StatusCode::SERVICE_UNAVAILABLE, "not now\n".into(), None),
         // The client is owed the reason, since waiting is all that it can do about it.
-        Reply::NoRecord(why) => {
-            let why = format!("not taken on: {}\n", reason(why));
+        Reply::JournalRefused(why) => {
+            let why = format!("not taken on: {}\n", refusal_reason(why));
             again(StatusCode::SERVICE_UNAVAILABLE, why.into(), None)
         }
-        Reply::NoRoom(NoRoom { refused, wait }) => {
+        Reply::OutOfMemory(MemoryRefusal { refused, wait }) => {
             let mut answer = again(
                 StatusCode::SERVICE_UNAVAILABLE,
                 format!("not taken on: {refused}\n").into(),
@@ -592,16 +593,16 @@
             }
             answer
         }
-        Reply::Crowded => again(
+        Reply::TooManyRemembered => again(
             StatusCode::SERVICE_UNAVAILABLE,
             "not taken on: as many messages that have ended are remembered as may be\n".into(),
             None,
         ),
-        Reply::NoDestination => plain(StatusCode::NOT_FOUND, "no such destination\n"),
+        Reply::UnknownDestination => plain(StatusCode::NOT_FOUND, "no such destination\n"),
         Reply::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
     }
 }
 
 #[cfg(test)]
-#[path = "intake_test.rs"]
+#[path = "http_test.rs"]
 mod tests;
--- a/crates/courier/src/front/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -1,13 +1,15 @@
 //! MQTT clients' side: sockets around the state machine of `stairshed-mqtt`, which holds all connections and
 //! sessions. What a PUBLISH means is asked of the routes in effect, what becomes of it of the courier.
 
-use crate::clock::unix;
-use crate::front::effective::Effective;
-use crate::front::farewell::{Farewells, Speaks, Why};
-use crate::front::users::Users;
-use crate::news::{COME_AGAIN, Front, News, Offer, Reply, ReplyTo, Store, reason};
-use crate::out::outcomes;
-use crate::room::{NoRoom, Room};
+use crate::clock::unix_time;
+use crate::events::{
+    CourierEvent, DEFAULT_RETRY_AFTER, Frontend, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+};
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::rejection::{ConnectionRejecter, Speaks, Why};
+use crate::ingress::users::Users;
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
+use crate::outbound::outcomes;
 use crate::socket::is_transient;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
@@ -27,7 +29,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Notes of sessions in the journal: `session/USER/CLIENT`.
-pub const PREFIX: &str = "session/";
+pub const SESSION_KEY_PREFIX: &str = "session/";
 /// Bytes that are read at once, into a buffer that all connections share.
 const READ: usize = 16 * 1024;
 /// A client that lets so many bytes pile up unread is left.
@@ -50,50 +52,50 @@
     wake: Notify,
 }
 
-pub struct Hub {
+pub struct MqttServer {
     machine: RefCell<Server>,
     origin: Instant,
     lines: RefCell<HashMap<u64, Rc<Line>>>,
     /// By token, offers that are being judged: whether their client has left.
     judged: RefCell<HashMap<u64, Rc<Cell<bool>>>>,
-    room: Room,
+    room: MemoryBudget,
     /// What sessions take, as last measured.
     sessions: RefCell<Charge>,
     buffer: RefCell<Vec<u8>>,
     wake: Notify,
-    effective: Effective,
+    active_config: ActiveConfig,
     users: Option<Arc<Users>>,
     checks: Arc<Semaphore>,
-    news: Sender<News>,
+    news: Sender<CourierEvent>,
     connections: usize,
     /// Tells those that there is no room for.
-    farewells: Rc<Farewells>,
+    rejecter: Rc<ConnectionRejecter>,
 }
 
-impl Front for Hub {
-    fn replied(&self, token: u64, reply: Reply) {
+impl Frontend for MqttServer {
+    fn on_reply(&self, token: u64, reply: Reply) {
         self.judged_no_more(token);
         let refused = |code, why: &str, wait| Answer::Refused { code, why: why.to_owned(), wait };
-        let later = Some(COME_AGAIN);
+        let later = Some(DEFAULT_RETRY_AFTER);
         let answer = match reply {
-            Reply::Taken => Answer::Taken,
+            Reply::Accepted => Answer::Taken,
             Reply::Refused { wait } => {
                 refused(code::QUOTA_EXCEEDED, "refused: come again later", wait.or(later))
             }
             Reply::Unavailable => refused(code::QUOTA_EXCEEDED, "not now", later),
-            Reply::NoRoom(NoRoom { refused: no, wait }) => {
+            Reply::OutOfMemory(MemoryRefusal { refused: no, wait }) => {
                 refused(code::QUOTA_EXCEEDED, &no.to_string(), Some(wait))
             }
-            Reply::Crowded => refused(
+            Reply::TooManyRemembered => refused(
                 code::QUOTA_EXCEEDED,
                 "as many messages that have ended are remembered as may be",
                 later,
             ),
-            Reply::NoRecord(why @ Refusal::DiskFails) => {
-                refused(code::IMPLEMENTATION_SPECIFIC, reason(why), later)
+            Reply::JournalRefused(why @ Refusal::DiskFails) => {
+                refused(code::IMPLEMENTATION_SPECIFIC, refusal_reason(why), later)
             }
-            Reply::NoRecord(why) => refused(code::QUOTA_EXCEEDED, reason(why), later),
-            Reply::NoDestination => {
+            Reply::JournalRefused(why) => refused(code::QUOTA_EXCEEDED, refusal_reason(why), later),
+            Reply::UnknownDestination => {
                 refused(code::TOPIC_NAME_INVALID, "the topic's pool has no endpoints", None)
             }
             Reply::Failed => refused(code::UNSPECIFIED_ERROR, "failed", None),
@@ -101,43 +103,43 @@
         self.with(|machine, now| machine.replied(token, answer, now));
     }
 
-    fn stored(&self, token: u64, kept: Result<(), Refusal>) {
-        let kept = kept.map_err(|why| reason(why).to_owned());
+    fn on_stored(&self, token: u64, kept: Result<(), Refusal>) {
+        let kept = kept.map_err(|why| refusal_reason(why).to_owned());
         self.with(|machine, now| machine.stored(token, kept, now));
     }
 
-    fn hears(&self, owner: &str) -> bool {
+    fn accepts_outcomes(&self, owner: &str) -> bool {
         self.machine.borrow().hears(owner)
     }
 
-    fn weigh(&self) {
+    fn measure_memory(&self) {
         let bytes = self.machine.borrow().weigh();
         self.sessions.borrow_mut().set(bytes);
     }
 
-    fn outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
-        let line = outcomes::line(id, verdict);
+    fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
+        let line = outcomes::outcome_line(id, verdict);
         self.with(|machine, _| machine.outcome(owner, Outcome { message, line }));
     }
 }
 
-impl Hub {
+impl MqttServer {
     /// `records` are the sessions of an earlier life.
     pub fn new(
         limits: Limits,
-        (connections, room, farewells): (usize, Room, Rc<Farewells>),
-        (effective, users): (Effective, Option<Users>),
-        news: Sender<News>,
+        (connections, room, rejecter): (usize, MemoryBudget, Rc<ConnectionRejecter>),
+        (active_config, users): (ActiveConfig, Option<Users>),
+        news: Sender<CourierEvent>,
         records: Vec<(String, bytes::Bytes)>,
-    ) -> Rc<Hub> {
-        let mut machine = Server::new(limits, unix(), rand::random());
+    ) -> Rc<MqttServer> {
+        let mut machine = Server::new(limits, unix_time(), rand::random());
         for (owner, record) in records {
             let text = std::str::from_utf8(&record).unwrap_or_default();
             if !machine.restore(&owner, text, Duration::ZERO) {
                 eprintln!("mqtt: the session of {owner} cannot be read, and is given up");
             }
         }
-        Rc::new(Hub {
+        Rc::new(MqttServer {
             machine: RefCell::new(machine),
             origin: Instant::now(),
             lines: RefCell::default(),
@@ -146,12 +148,12 @@
             room,
             buffer: RefCell::new(vec![0; READ]),
             wake: Notify::new(),
-            effective,
+            active_config,
             users: users.map(Arc::new),
             checks: Arc::new(Semaphore::new(CHECKS)),
             news,
             connections,
-            farewells,
+            rejecter,
         })
     }
 
@@ -212,7 +214,7 @@
             Effect::Admit { connection, user, password, owner, will } => {
                 let fit = will.as_ref().map_or(Ok(()), |will| {
                     let publish = server::will_message(will);
-                    self.effective.publish(&publish, &owner).map(|_| ())
+                    self.active_config.publish(&publish, &owner).map(|_| ())
                 });
                 let fit = fit.map_err(|unfit| (unfit.code, format!("its will: {}", unfit.why)));
                 let fit = fit.and_then(|()| self.has_room(&owner));
@@ -228,12 +230,12 @@
                 }
             }
             Effect::Store { token, owner, record } => {
-                let key = format!("{PREFIX}{owner}");
-                let store = Store { token, key, value: record.map(bytes::Bytes::from) };
-                let _ = self.news.send(News::Store(store)).await;
+                let key = format!("{SESSION_KEY_PREFIX}{owner}");
+                let store = StateUpdate { token, key, value: record.map(bytes::Bytes::from) };
+                let _ = self.news.send(CourierEvent::StoreState(store)).await;
             }
             Effect::Told { message } | Effect::Untold { message } => {
-                let _ = self.news.send(News::OwnerTold { message }).await;
+                let _ = self.news.send(CourierEvent::OutcomeNotified { message }).await;
             }
             Effect::Log(text) => eprintln!("mqtt: {text}"),
         }
@@ -270,34 +272,41 @@
 
     async fn offer(self: Rc<Self>, offer: server::Offer) {
         let server::Offer { token, owner, publish, bounce, .. } = offer;
-        let (letter, time_left) = match self.effective.publish(&publish, &owner) {
+        let (letter, time_left) = match self.active_config.publish(&publish, &owner) {
             Ok(read) => read,
             Err(unfit) => {
                 let answer = Answer::Refused { code: unfit.code, why: unfit.why, wait: None };
                 return self.with(|machine, now| machine.replied(token, answer, now));
             }
         };
-        let guest = Some(self.room.ledger.guest(self.effective.get().1.telling.session(&owner)));
+        let guest = Some(self.room.ledger.guest(self.active_config.get().1.telling.session(&owner)));
         // Many large payloads at once must not take the memory: together they have a fixed room.
         let size = publish.payload.len() as u64;
-        let room = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
-            Ok(room) => room,
+        let body_charge = match self.room.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
+            Ok(charge) => charge,
             // What repeats a message that is taken on is acknowledged, whatever memory there is.
-            Err(_) if self.knows(&letter.id).await => return self.replied(token, Reply::Taken),
-            Err(refused) => return self.replied(token, Reply::NoRoom(self.room.no(refused))),
+            Err(_) if self.knows(&letter.id).await => return self.on_reply(token, Reply::Accepted),
+            Err(refused) => return self.on_reply(token, Reply::OutOfMemory(self.room.refusal(refused))),
         };
-        let left = Rc::new(Cell::new(false));
-        self.judged.borrow_mut().insert(token, left.clone());
-        let reply = ReplyTo::Front { front: self.clone(), token, left };
-        let offer =
-            Offer { letter: Rc::new(letter), time_left, at: Instant::now(), reply, bounce, room, guest };
-        let _ = self.news.send(News::Offered(offer)).await;
+        let abandoned = Rc::new(Cell::new(false));
+        self.judged.borrow_mut().insert(token, abandoned.clone());
+        let reply = ReplyTo::Frontend { frontend: self.clone(), token, abandoned };
+        let offer = Submission {
+            letter: Rc::new(letter),
+            time_left,
+            at: Instant::now(),
+            reply,
+            bounce,
+            body_charge,
+            guest,
+        };
+        let _ = self.news.send(CourierEvent::Submitted(offer)).await;
     }
 
     /// Whether a message of this id is taken on.
     async fn knows(&self, id: &str) -> bool {
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(News::Known { id: id.to_owned(), reply }).await;
+        let asked = self.news.send(CourierEvent::QueryAccepted { id: id.to_owned(), reply }).await;
         asked.is_ok() && known.await.unwrap_or(false)
     }
 
@@ -313,7 +322,7 @@
             }
             match listener.accept().await {
                 Ok((socket, from)) => {
-                    let client = self.effective.get().1.telling.connection(from.ip());
+                    let client = self.active_config.get().1.telling.connection(from.ip());
                     let guest = client.map(|client| self.room.ledger.guest(client));
                     let room = self.room.ledger.take(Purpose::Clients, LINE_BYTES, guest.as_ref());
                     // One address with its share of the connections is turned away, and others get in.
@@ -323,8 +332,8 @@
                             tokio::task::spawn_local(self.clone().serve(next, socket, room));
                         }
                         Err(refused) => {
-                            let why = Why::from(self.room.no(refused));
-                            self.farewells.turn_away(socket, Speaks::Mqtt, why, false);
+                            let why = Why::from(self.room.refusal(refused));
+                            self.rejecter.turn_away(socket, Speaks::Mqtt, why, false);
                         }
                     }
                     tokio::task::yield_now().await;
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,30 +1,30 @@
-//! The courier process: runs the decision module on real sockets. `owner` owns the module; the other modules
-//! report to it through the events in `news`, on which all of them depend.
+//! The courier process: runs the decision module on real sockets. `dispatcher` owns the module; the other modules
+//! report to it through the events in `events`, on which all of them depend.
 //!
 //! ```text
 //!   startup    configuration at startup, from the platform or from an operator's file
-//!   front      clients over HTTP and MQTT, and the admin pages
+//!   ingress clients over HTTP and MQTT, and the admin pages
 //!   discovery  endpoints by discovery and by DNS, configuration from the control service
 //!   out        calls to endpoints and brokers, notices of outcomes
-//!   owner      the decision module, its event loop, and the messages it holds
+//!   dispatcher the decision module, its event loop, and the messages it holds
 //! ```
 
-pub mod client;
+pub mod admin_client;
 mod clock;
 mod discovery;
-pub mod follow;
-mod front;
-mod news;
-mod out;
-mod owner;
+mod dispatcher;
+mod events;
+mod ingress;
+mod memory_budget;
+pub mod message_trace;
+mod outbound;
 mod process_memory;
-mod room;
 mod socket;
 mod startup;
 mod startup_error;
 
 pub use discovery::config_file;
-pub use front::effective::host_name;
-pub use front::users;
+pub use ingress::active_config::host_name;
+pub use ingress::users;
 pub use startup::{dev, run_platform, serve, settings};
 pub use startup_error::StartupError;
--- a/crates/courier/src/out/attempt_outcome.rs
+++ b/crates/courier/src/outbound/attempt_outcome.rs
@@ -3,57 +3,64 @@
 //! An answer that is not believed proves nothing, and the message may have run. What it forbids holds all the same: a
 //! message that is over is not sent again, whatever becomes of the rest of the answer that says so.
 
-use crate::news::{AfterAttempt, CallEnd};
-use crate::out::link::{Answer, Heard, Lost};
+use crate::events::{AfterAttempt, CallResult};
+use crate::outbound::http_connection::{HttpResponse, RequestError, ResponseProgress};
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
-use stairshed_decide::interface::{Outcome, Report};
+use stairshed_decide::interface::{LimitReport, Outcome};
 use tokio::time::Instant;
 
 /// Forbids what the answer forbids, whether or not it is proof of anything: a message of which an endpoint has said that
 /// it is over is not sent again.
-pub fn restrained(end: CallEnd, heard: Heard) -> CallEnd {
+pub fn restrained(end: CallResult, heard: ResponseProgress) -> CallResult {
     match end.after {
-        AfterAttempt::Open if heard.is_over() => {
+        AfterAttempt::RetryAllowed if heard.is_over() => {
             let proof = "an answer of 410 that could not be read to its end";
-            CallEnd { after: AfterAttempt::EndOwed, proof, ..end }
+            CallResult { after: AfterAttempt::FailWithoutRetry, proof, ..end }
         }
         _ => end,
     }
 }
 
 /// The end of a call that has no answer to tell of.
-pub fn unanswered(outcome: Outcome, proof: &'static str) -> CallEnd {
-    CallEnd { outcome, after: AfterAttempt::Open, report: None, at: Instant::now(), proof, exchange: None }
+pub fn unanswered(outcome: Outcome, proof: &'static str) -> CallResult {
+    CallResult {
+        outcome,
+        after: AfterAttempt::RetryAllowed,
+        report: None,
+        at: Instant::now(),
+        proof,
+        exchange: None,
+    }
 }
 
 /// What PROTOCOL says of an answer: what it proves, and what it forbids.
-pub fn ended(answer: Result<Answer, Lost>, heard: Heard) -> CallEnd {
+pub fn ended(answer: Result<HttpResponse, RequestError>, heard: ResponseProgress) -> CallResult {
     restrained(proven(answer, heard.blocked_until), heard)
 }
 
 /// What an answer proves. Only what PROTOCOL calls 'never' counts as not run.
-fn proven(answer: Result<Answer, Lost>, blocked_until: Option<Instant>) -> CallEnd {
+fn proven(answer: Result<HttpResponse, RequestError>, blocked_until: Option<Instant>) -> CallResult {
     let answer = match answer {
         Ok(answer) => answer,
         Err(lost) => {
             let (outcome, proof) = match lost {
-                Lost::Unsent => (Outcome::ConnectFailed, "no connection, nothing written"),
+                RequestError::NotSent => (Outcome::ConnectFailed, "no connection, nothing written"),
                 // It says nothing of the endpoint, which has not been asked.
-                Lost::Withheld(why) => (Outcome::Moot, why),
-                Lost::Broken => (Outcome::Reset, "connection broke under it"),
-                Lost::Silent => (Outcome::TimedOut, "no answer in time"),
+                RequestError::Withheld(why) => (Outcome::Moot, why),
+                RequestError::ConnectionBroken => (Outcome::Reset, "connection broke under it"),
+                RequestError::TimedOut => (Outcome::TimedOut, "no answer in time"),
             };
             return unanswered(outcome, proof);
         }
     };
     // A spoilt answer proves nothing but a first line with 200: the request has run, or may have.
     if !answer.whole && answer.status != StatusCode::OK {
-        return CallEnd { at: answer.at, ..unanswered(Outcome::Reset, "spoilt answer") };
+        return CallResult { at: answer.at, ..unanswered(Outcome::Reset, "spoilt answer") };
     }
     if answer.repeats() {
         let proof = "the answer repeats an earlier one on its connection";
-        return CallEnd { at: answer.at, ..unanswered(Outcome::Reset, proof) };
+        return CallResult { at: answer.at, ..unanswered(Outcome::Reset, proof) };
     }
     let head = |name| answer.headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
     let outcome = match answer.status {
@@ -74,14 +81,14 @@
     };
     let after = match answer.status {
         StatusCode::OK | StatusCode::GONE => AfterAttempt::Settled,
-        _ => AfterAttempt::Open,
+        _ => AfterAttempt::RetryAllowed,
     };
     let proof = match outcome {
         Outcome::Crowded => "503 and close",
         _ => answer.status.canonical_reason().unwrap_or("an answer"),
     };
     let report = report(&answer.headers);
-    CallEnd { outcome, after, report, at: answer.at, proof, exchange: None }
+    CallResult { outcome, after, report, at: answer.at, proof, exchange: None }
 }
 
 /// Whether the connection ends with this answer.
@@ -91,7 +98,7 @@
 }
 
 /// Reads `X-Server-Load: TEXT x0=0.4, x1=25`.
-fn report(headers: &HeaderMap) -> Option<Report> {
+fn report(headers: &HeaderMap) -> Option<LimitReport> {
     let text = headers.get("X-Server-Load")?.to_str().ok()?;
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
     let field = |name: &str| {
@@ -99,7 +106,7 @@
         let value = pairs.filter(|(key, _)| key.trim() == name).map(|(_, value)| value.trim()).next()?;
         value.parse::<f64>().ok().filter(|v| v.is_finite())
     };
-    Some(Report { left: field("x0")?, limit: field("x1")? })
+    Some(LimitReport { remaining_share: field("x0")?, limit: field("x1")? })
 }
 
 #[cfg(test)]
--- a/crates/courier/src/startup/platform.rs
+++ b/crates/courier/src/startup/platform.rs
@@ -3,16 +3,16 @@
 use super::platform_config::{self, PlatformConfig};
 use super::settings::OperatorSettings;
 use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock, log_recovery, signal_stream};
-use crate::front::intake::{Front, Intake, Standing};
-use crate::front::listener::listen;
-use crate::news::News;
-use crate::out::calls::Calls;
-use crate::out::outcomes::Outcomes;
-use crate::owner::Courier;
-use crate::room::Room;
+use crate::dispatcher::Dispatcher;
+use crate::events::CourierEvent;
+use crate::ingress::http::{HttpServer, Routing, ServerState};
+use crate::ingress::listener::listen;
+use crate::memory_budget::MemoryBudget;
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
 use crate::startup_error::StartupError;
-use stairshed_decide::brain::Brain;
-use stairshed_decide::interface::LIST_TERM;
+use stairshed_decide::interface::ENDPOINT_LIST_LEASE;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::Journal;
 use stairshed_memory::{ByPurpose, Caps, Purpose};
 use std::path::PathBuf;
@@ -23,12 +23,12 @@
 use tokio::sync::mpsc;
 
 /// Reads the file again on each SIGHUP. An invalid file changes nothing.
-async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<News>) {
+async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<CourierEvent>) {
     while hangup.recv().await.is_some() {
         match platform_config::reread_discovery(&file) {
             Ok(Some(discovery)) => {
                 eprintln!("configuration read again: discovery is at {discovery}");
-                let _ = news.send(News::Moved(discovery)).await;
+                let _ = news.send(CourierEvent::DiscoveryAddressChanged(discovery)).await;
             }
             Ok(None) => eprintln!("configuration read again: it has no address of discovery"),
             Err(error) => eprintln!("configuration not read again, the previous one stays: {error}"),
@@ -40,7 +40,7 @@
 /// `sockets` limits them and closing an idle connection has a cost. If the total is too low for a courier,
 /// only bodies being read are capped, at an eighth of it. No client is limited to a share, since all clients
 /// connect from one address.
-fn room(config: &PlatformConfig) -> Room {
+fn room(config: &PlatformConfig) -> MemoryBudget {
     let total = (config.limits.memory_mb * 1e6) as u64;
     let mut caps = Caps::new(Some(total), &ByPurpose::default()).unwrap_or_else(|_| {
         let mut caps = Caps::none();
@@ -49,7 +49,7 @@
     });
     caps.of[Purpose::Clients] = u64::MAX;
     caps.of[Purpose::Endpoints] = u64::MAX;
-    Room::new(&caps, 1.0)
+    MemoryBudget::new(&caps, 1.0)
 }
 
 /// Runs the courier until it is told to stop.
@@ -61,52 +61,53 @@
     let mut terminate = signal_stream(SignalKind::terminate(), "SIGTERM")?;
     let hangup = signal_stream(SignalKind::hangup(), "SIGHUP")?;
     let disk = (config.limits.disk_mb * 1e6) as u64;
-    let options = settings.journal.options(disk, u64::from(config.settings.attempt_cap));
+    let options = settings.journal.options(disk, u64::from(config.settings.max_attempts));
     let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
     let (journal, report) = opened.map_err(|e| StartupError::Invalid("LB_STATE", e.to_string()))?;
     log_recovery(&report);
     let upstream_sockets = (config.limits.sockets / 3).max(16);
     let client_sockets = config.limits.sockets.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(8);
     let room = room(&config);
-    let calls = Calls::new(
+    let calls = EndpointClient::new(
         config.settings.connect_timeout,
         config.settings.keepalive,
         upstream_sockets,
         room.clone(),
     );
     // The decision module must know how long connections are kept alive here.
-    config.settings.keepalive = calls.keep_time();
-    config.settings.membership_term = Some(LIST_TERM);
-    let lists_are_pushed = !config.settings.must_subscribe;
-    let brain = Brain::new(config.settings.clone(), config.seed);
-    let brain = brain.map_err(|e| StartupError::Invalid("LB_CONFIG", e))?;
+    config.settings.keepalive = calls.idle_timeout();
+    config.settings.membership_lease_duration = Some(ENDPOINT_LIST_LEASE);
+    let lists_are_pushed = !config.settings.subscription_required;
+    let scheduler = Scheduler::new(config.settings.clone(), config.seed);
+    let scheduler = scheduler.map_err(|e| StartupError::Invalid("LB_CONFIG", e))?;
     let (news, inbox) = mpsc::channel(EVENT_QUEUE_LENGTH);
     if lists_are_pushed {
         // Pushed lists are never requested by the decision module, so the watch opens at startup.
-        let _ = news.send(News::Watch).await;
+        let _ = news.send(CourierEvent::StartWatch).await;
     }
-    let standing = Rc::new(Standing::default());
+    let server_state = Rc::new(ServerState::default());
     let listener = listen(config.listen).map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
     let at = listener.local_addr().map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
     let (name, kept) = (config.name.clone(), journal.len());
-    let intake = Rc::new(Intake {
-        front: Front::Platform { classes: config.classes.clone() },
-        standing: standing.clone(),
+    let http_server = Rc::new(HttpServer {
+        routing: Routing::Platform { classes: config.classes.clone() },
+        server_state: server_state.clone(),
         news: news.clone(),
-        sockets: client_sockets,
+        max_connections: client_sockets,
         room: room.clone(),
-        farewells: None,
+        rejecter: None,
     });
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
-    let outcomes = Outcomes::platform(config.discovery);
+    let outcomes = OutcomeNotifier::platform(config.discovery);
     let setup = config.setup(room);
-    let courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
-    standing.ready.set(true);
-    let accepting = tokio::task::spawn_local(intake.run(listener));
+    let courier =
+        Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
+    server_state.ready.set(true);
+    let accepting = tokio::task::spawn_local(http_server.run(listener));
     tokio::task::spawn_local(async move {
         if terminate.recv().await.is_some() {
             eprintln!("stopping");
-            let _ = news.send(News::Stop).await;
+            let _ = news.send(CourierEvent::Stop).await;
             tokio::time::sleep(Duration::from_millis(700)).await;
             accepting.abort();
         }
--- a/crates/courier/src/startup/platform_config.rs
+++ b/crates/courier/src/startup/platform_config.rs
@@ -2,14 +2,14 @@
 //! reload.
 
 use crate::discovery::list_age::ListAgeFile;
-use crate::news::List;
-use crate::owner::setup::Setup;
-use crate::room::Room;
+use crate::dispatcher::setup::Setup;
+use crate::events::EndpointList;
+use crate::memory_budget::MemoryBudget;
 use crate::startup_error::StartupError;
 use serde::Deserialize;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
-use stairshed_decide::settings::Conf;
+use stairshed_decide::settings::SettingsDocument;
 use std::env;
 use std::fs;
 use std::net::SocketAddr;
@@ -38,8 +38,8 @@
     seed: String,
     discovery: Option<String>,
     limits: Limits,
-    known: Option<List>,
-    settings: Conf,
+    known: Option<EndpointList>,
+    settings: SettingsDocument,
 }
 
 /// Complete configuration by the platform.
@@ -52,7 +52,7 @@
     pub state: PathBuf,
     pub seed: u64,
     pub limits: Limits,
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     pub settings: Settings,
     pub classes: Vec<String>,
     pub zones: Vec<String>,
@@ -61,24 +61,24 @@
 
 impl PlatformConfig {
     /// Converts it to the setup of the owner of the decision module.
-    pub fn setup(self, room: Room) -> Setup {
+    pub fn setup(self, memory_budget: MemoryBudget) -> Setup {
         let classes = self.classes.into_iter().zip(self.settings.classes.iter().cloned());
         Setup {
             classes: ClassTable::new(classes),
             settings: self.settings,
             zones: self.zones,
-            kinds: self.kinds,
+            endpoint_kinds: self.kinds,
             seed: self.seed,
-            known: self.known,
+            initial_list: self.known,
             discovery: Some(self.discovery),
             watch_status: Rc::default(),
             list_age: Some(ListAgeFile::new(&self.state)),
             installation: None,
-            effective: None,
-            room,
+            active_config: None,
+            memory_budget,
             pool_wait: Duration::ZERO,
-            remembered: 0,
-            folder: PathBuf::new(),
+            max_remembered: 0,
+            config_folder: PathBuf::new(),
         }
     }
 }
--- a/crates/courier/src/startup/serve.rs
+++ b/crates/courier/src/startup/serve.rs
@@ -6,27 +6,27 @@
 use crate::discovery::configured_hosts::endpoint_kinds;
 use crate::discovery::control::{ConfigStatus, ConfigUpdater, VersionStore};
 use crate::discovery::dns;
-use crate::front::admin::{self, Pages};
-use crate::front::effective::Effective;
-use crate::front::farewell::Farewells;
-use crate::front::intake::{BODY_MOST, Front, Intake, Standing};
-use crate::front::listener::listen;
-use crate::front::mqtt::{self, Hub};
-use crate::front::users::Users;
-use crate::news::News;
-use crate::out::calls::Calls;
-use crate::out::outcomes::Outcomes;
-use crate::owner::Courier;
-use crate::owner::setup::Setup;
-use crate::room::{self, Room};
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::setup::Setup;
+use crate::events::CourierEvent;
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::admin::{self, AdminPages};
+use crate::ingress::http::{HttpServer, MAX_BODY_BYTES, Routing, ServerState};
+use crate::ingress::listener::listen;
+use crate::ingress::mqtt::{self, MqttServer};
+use crate::ingress::rejection::ConnectionRejecter;
+use crate::ingress::users::Users;
+use crate::memory_budget::{self, MemoryBudget};
+use crate::outbound::endpoint_client::EndpointClient;
+use crate::outbound::outcomes::OutcomeNotifier;
 use crate::startup_error::StartupError;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
 use stairshed_config::installation::Document;
 use stairshed_config::version::{Version, Versions};
-use stairshed_decide::brain::Brain;
 use stairshed_decide::interface::Settings;
+use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Durability, Journal};
 use stairshed_mqtt::server::Limits;
 use std::path::{Path, PathBuf};
@@ -49,20 +49,20 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Creates the MQTT server side, with the sessions stored by an earlier run.
-fn new_hub(
+fn new_mqtt_server(
     installation: &Installation,
     folder: &Path,
-    effective: &Effective,
-    news: &mpsc::Sender<News>,
-    (courier, room, farewells): (&Courier, &Room, &Rc<Farewells>),
-) -> Result<Rc<Hub>, StartupError> {
+    active_config: &ActiveConfig,
+    news: &mpsc::Sender<CourierEvent>,
+    (courier, room, rejecter): (&Dispatcher, &MemoryBudget, &Rc<ConnectionRejecter>),
+) -> Result<Rc<MqttServer>, StartupError> {
     let m = &installation.file.mqtt;
     // The range is checked when the file is read.
     let seconds = |span: Duration| u32::try_from(span.as_secs()).unwrap_or(u32::MAX - 1);
     let limits = Limits {
         sessions: m.sessions,
-        packet_most: BODY_MOST + MAX_PACKET_OVERHEAD_BYTES,
-        payload_most: BODY_MOST,
+        packet_most: MAX_BODY_BYTES + MAX_PACKET_OVERHEAD_BYTES,
+        payload_most: MAX_BODY_BYTES,
         receive_maximum: m.receive_maximum,
         aliases: m.topic_aliases,
         expiry_most: seconds(m.session_expiry.0),
@@ -73,9 +73,9 @@
     };
     let users = m.users.as_ref().map(|f| Users::read(&folder.join(f))).transpose();
     let users = users.map_err(|e| invalid("mqtt.users", e))?;
-    let records = courier.on_record(mqtt::PREFIX);
-    let bounds = (m.connections, room.clone(), farewells.clone());
-    Ok(Hub::new(limits, bounds, (effective.clone(), users), news.clone(), records))
+    let records = courier.stored_state(mqtt::SESSION_KEY_PREFIX);
+    let bounds = (m.connections, room.clone(), rejecter.clone());
+    Ok(MqttServer::new(limits, bounds, (active_config.clone(), users), news.clone(), records))
 }
 
 fn invalid(what: &'static str, why: impl ToString) -> StartupError {
@@ -83,7 +83,12 @@
 }
 
 /// Builds the setup of the owner of the decision module.
-fn setup(installation: &Arc<Installation>, effective: &Effective, room: &Room, folder: &Path) -> Setup {
+fn setup(
+    installation: &Arc<Installation>,
+    active_config: &ActiveConfig,
+    room: &MemoryBudget,
+    folder: &Path,
+) -> Setup {
     let names = installation.classes.iter().map(|c| c.name.clone());
     let classes = match installation.classes.is_empty() {
         // The decision module needs at least one class, even before the first version arrives.
@@ -94,18 +99,18 @@
         settings: Settings { classes: classes.classes(), ..installation.settings.clone() },
         classes,
         zones: Vec::new(),
-        kinds: endpoint_kinds(),
+        endpoint_kinds: endpoint_kinds(),
         seed: rand::random(),
-        known: None,
+        initial_list: None,
         discovery: installation.discovery,
         watch_status: Rc::default(),
         list_age: None,
         installation: Some(installation.clone()),
-        effective: Some(effective.clone()),
-        room: room.clone(),
+        active_config: Some(active_config.clone()),
+        memory_budget: room.clone(),
         pool_wait: installation.file.limits.pool_wait.0,
-        remembered: installation.file.limits.remembered,
-        folder: folder.to_owned(),
+        max_remembered: installation.file.limits.remembered,
+        config_folder: folder.to_owned(),
     }
 }
 
@@ -183,31 +188,36 @@
     let upstream_sockets = (limits.connections / 3).max(4);
     let client_sockets = limits.connections.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(4);
     let base_dir = file.parent().unwrap_or(Path::new(".")).to_owned();
-    let effective = Effective::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
-    let caps = room::caps(&installation).map_err(StartupError::Problems)?;
-    let room = Room::new(&caps, installation.file.memory.client_share);
-    let mut setup = setup(&installation, &effective, &room, &base_dir);
-    let calls =
-        Calls::new(setup.settings.connect_timeout, setup.settings.keepalive, upstream_sockets, room.clone());
-    setup.settings.keepalive = calls.keep_time();
+    let active_config = ActiveConfig::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
+    let caps = memory_budget::caps(&installation).map_err(StartupError::Problems)?;
+    let room = MemoryBudget::new(&caps, installation.file.memory.client_share);
+    let mut setup = setup(&installation, &active_config, &room, &base_dir);
+    let calls = EndpointClient::new(
+        setup.settings.connect_timeout,
+        setup.settings.keepalive,
+        upstream_sockets,
+        room.clone(),
+    );
+    setup.settings.keepalive = calls.idle_timeout();
     let connections = calls.connection_status();
-    let brain = Brain::new(setup.settings.clone(), setup.seed).map_err(|e| invalid("configuration", e))?;
+    let scheduler =
+        Scheduler::new(setup.settings.clone(), setup.seed).map_err(|e| invalid("configuration", e))?;
     let (news, inbox) = mpsc::channel(EVENT_QUEUE_LENGTH);
-    let standing = Rc::new(Standing::default());
-    let farewells = Farewells::start(&room);
-    let intake = Rc::new(Intake {
-        front: Front::Routes(effective.clone()),
-        standing: standing.clone(),
+    let server_state = Rc::new(ServerState::default());
+    let rejecter = ConnectionRejecter::start(&room);
+    let http_server = Rc::new(HttpServer {
+        routing: Routing::Routes(active_config.clone()),
+        server_state: server_state.clone(),
         news: news.clone(),
-        sockets: client_sockets,
+        max_connections: client_sockets,
         room: room.clone(),
-        farewells: Some(farewells.clone()),
+        rejecter: Some(rejecter.clone()),
     });
     let outcomes = &installation.file.outcomes;
     let unread = state.join("outcomes.ndjson");
     let to = outcomes.file.as_ref().map(|f| state.join(f));
     let to = if installation.outcomes.is_none() { to.or(Some(unread.clone())) } else { to };
-    let outcomes = Outcomes::operator(installation.outcomes.as_ref(), to, unread, machine);
+    let outcomes = OutcomeNotifier::operator(installation.outcomes.as_ref(), to, unread, machine);
     let (lookups, resolver) = dns::spawn_resolver(&installation, news.clone());
     let status = Rc::new(ConfigStatus::new(file.clone(), version.as_ref().map(|v| v.version)));
     let waits_for_version = version.is_none() && has_no_inputs;
@@ -217,20 +227,27 @@
     let kept = journal.len();
     let discovery = installation.discovery.is_some();
     let watch_status = setup.watch_status.clone();
-    let mut courier = Courier::new(setup, brain, journal, calls, outcomes, standing.clone(), news.clone());
-    let hub = match installation.mqtt {
-        Some(_) => Some(new_hub(&installation, &base_dir, &effective, &news, (&courier, &room, &farewells))?),
+    let mut courier =
+        Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
+    let mqtt_server = match installation.mqtt {
+        Some(_) => Some(new_mqtt_server(
+            &installation,
+            &base_dir,
+            &active_config,
+            &news,
+            (&courier, &room, &rejecter),
+        )?),
         None => None,
     };
-    if let Some(hub) = &hub {
-        courier.tells(hub.clone());
-        tokio::task::spawn_local(hub.clone().run());
+    if let Some(mqtt_server) = &mqtt_server {
+        courier.set_frontend(mqtt_server.clone());
+        tokio::task::spawn_local(mqtt_server.clone().run());
     }
     let running = tokio::task::spawn_local(courier.run(inbox));
     let mut config_updater = ConfigUpdater::new(
         (file, document, store),
         (Versions::new(version), installation),
-        (effective.clone(), news.clone(), intake),
+        (active_config.clone(), news.clone(), http_server),
         status.clone(),
         lookups,
     );
@@ -248,26 +265,26 @@
         let listener = listen(admin).map_err(|e| invalid("listen.admin", format!("{admin}: {e}")))?;
         let at = listener.local_addr().map_err(|e| invalid("listen.admin", e))?;
         eprintln!("the operator's pages are at {at}");
-        let (view, standing, room) = (config_updater.view(), standing.clone(), room.clone());
-        let pages = Pages { view, standing, room, watch: watch_status, connections };
+        let (view, server_state, room) = (config_updater.view(), server_state.clone(), room.clone());
+        let pages = AdminPages { view, server_state, room, watch: watch_status, connections };
         tokio::task::spawn_local(admin::run(listener, pages));
     }
     if installation_mqtt.is_none() && topics {
         eprintln!("configuration: [topics] are ignored, since listen.mqtt is not set");
     }
     let mut accepting = None;
-    if let Some((hub, address)) = hub.clone().zip(installation_mqtt) {
+    if let Some((mqtt_server, address)) = mqtt_server.clone().zip(installation_mqtt) {
         let listener = listen(address).map_err(|e| invalid("listen.mqtt", format!("{address}: {e}")))?;
         let at = listener.local_addr().map_err(|e| invalid("listen.mqtt", e))?;
         eprintln!("MQTT clients are served at {at}");
-        accepting = Some(tokio::task::spawn_local(hub.accept(listener)).abort_handle());
+        accepting = Some(tokio::task::spawn_local(mqtt_server.accept(listener)).abort_handle());
     }
     if discovery {
-        let _ = news.send(News::Watch).await;
+        let _ = news.send(CourierEvent::StartWatch).await;
     }
-    standing.ready.set(true);
+    server_state.ready.set(true);
     let configuring = tokio::task::spawn_local(config_updater.run(hangup));
-    let stopper = standing.clone();
+    let stopper = server_state.clone();
     tokio::task::spawn_local(async move {
         tokio::select! {
             _ = terminate.recv() => {}
@@ -278,12 +295,12 @@
         if let Some(accepting) = accepting {
             accepting.abort();
         }
-        if let Some(hub) = &hub {
-            hub.shutdown();
+        if let Some(mqtt_server) = &mqtt_server {
+            mqtt_server.shutdown();
             // Wills must be handed over before the courier stops accepting messages.
             tokio::time::sleep(WILL_GRACE_PERIOD).await;
         }
-        let _ = news.send(News::Stop).await;
+        let _ = news.send(CourierEvent::Stop).await;
         tokio::time::sleep(Duration::from_millis(700)).await;
         stopper.close_listener();
     });
