--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -2,7 +2,7 @@
 //! report to it through the events in `events`, on which all of them depend.
 //!
 //! ```text
-//!   startup    configuration at startup, from the platform or from an operator's file
+//!   bootstrap  configuration at startup, from the platform or from an operator's file
 //!   ingress clients over HTTP and MQTT, and the admin pages
 //!   discovery  endpoints by discovery and by DNS, configuration from the control service
 //!   out        calls to endpoints and brokers, notices of outcomes
@@ -10,6 +10,7 @@
 //! ```
 
 pub mod admin_client;
+mod bootstrap;
 mod clock;
 mod discovery;
 mod dispatcher;
@@ -20,11 +21,10 @@
 mod outbound;
 mod process_memory;
 mod socket;
-mod startup;
 mod startup_error;
 
+pub use bootstrap::{dev, run_platform, serve, settings};
 pub use discovery::config_file;
 pub use ingress::active_config::host_name;
 pub use ingress::users;
-pub use startup::{dev, run_platform, serve, settings};
 pub use startup_error::StartupError;
