--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -23,12 +23,12 @@
 use tokio::sync::mpsc;
 
 /// Reads the file again on each SIGHUP. An invalid file changes nothing.
-async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<CourierEvent>) {
+async fn reload(mut hangup: Signal, file: PathBuf, events: mpsc::Sender<CourierEvent>) {
     while hangup.recv().await.is_some() {
         match platform_config::reread_discovery(&file) {
             Ok(Some(discovery)) => {
                 eprintln!("configuration read again: discovery is at {discovery}");
-                let _ = news.send(CourierEvent::DiscoveryAddressChanged(discovery)).await;
+                let _ = events.send(CourierEvent::DiscoveryAddressChanged(discovery)).await;
             }
             Ok(None) => eprintln!("configuration read again: it has no address of discovery"),
             Err(error) => eprintln!("configuration not read again, the previous one stays: {error}"),
@@ -40,7 +40,7 @@
 /// `sockets` limits them and closing an idle connection has a cost. If the total is too low for a courier,
 /// only bodies being read are capped, at an eighth of it. No client is limited to a share, since all clients
 /// connect from one address.
-fn room(config: &PlatformConfig) -> MemoryBudget {
+fn memory_budget(config: &PlatformConfig) -> MemoryBudget {
     let total = (config.limits.memory_mb * 1e6) as u64;
     let mut caps = Caps::new(Some(total), &ByPurpose::default()).unwrap_or_else(|_| {
         let mut caps = Caps::none();
@@ -60,30 +60,30 @@
     // Handlers are installed first: without one, either signal ends the process at once.
     let mut terminate = signal_stream(SignalKind::terminate(), "SIGTERM")?;
     let hangup = signal_stream(SignalKind::hangup(), "SIGHUP")?;
-    let disk = (config.limits.disk_mb * 1e6) as u64;
-    let options = settings.journal.options(disk, u64::from(config.settings.max_attempts));
+    let disk_bytes = (config.limits.disk_mb * 1e6) as u64;
+    let options = settings.journal.options(disk_bytes, u64::from(config.settings.max_attempts));
     let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
     let (journal, report) = opened.map_err(|e| StartupError::Invalid("LB_STATE", e.to_string()))?;
     log_recovery(&report);
     let upstream_sockets = (config.limits.sockets / 3).max(16);
     let client_sockets = config.limits.sockets.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(8);
-    let room = room(&config);
-    let calls = EndpointClient::new(
+    let memory_budget = memory_budget(&config);
+    let endpoint_client = EndpointClient::new(
         config.settings.connect_timeout,
         config.settings.keepalive,
         upstream_sockets,
-        room.clone(),
+        memory_budget.clone(),
     );
     // The decision module must know how long connections are kept alive here.
-    config.settings.keepalive = calls.idle_timeout();
+    config.settings.keepalive = endpoint_client.idle_timeout();
     config.settings.membership_lease_duration = Some(ENDPOINT_LIST_LEASE);
     let lists_are_pushed = !config.settings.subscription_required;
     let scheduler = Scheduler::new(config.settings.clone(), config.seed);
     let scheduler = scheduler.map_err(|e| StartupError::Invalid("LB_CONFIG", e))?;
-    let (news, inbox) = mpsc::channel(EVENT_QUEUE_LENGTH);
+    let (events, event_queue) = mpsc::channel(EVENT_QUEUE_LENGTH);
     if lists_are_pushed {
         // Pushed lists are never requested by the decision module, so the watch opens at startup.
-        let _ = news.send(CourierEvent::StartWatch).await;
+        let _ = events.send(CourierEvent::StartWatch).await;
     }
     let server_state = Rc::new(ServerState::default());
     let listener = listen(config.listen).map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
@@ -92,27 +92,34 @@
     let http_server = Rc::new(HttpServer {
         routing: Routing::Platform { classes: config.classes.clone() },
         server_state: server_state.clone(),
-        news: news.clone(),
+        news: events.clone(),
         max_connections: client_sockets,
-        room: room.clone(),
+        room: memory_budget.clone(),
         rejecter: None,
     });
-    tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
+    tokio::task::spawn_local(reload(hangup, config.file.clone(), events.clone()));
     let outcomes = OutcomeNotifier::platform(config.discovery);
-    let setup = config.setup(room);
-    let courier =
-        Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
+    let setup = config.setup(memory_budget);
+    let dispatcher = Dispatcher::new(
+        setup,
+        scheduler,
+        journal,
+        endpoint_client,
+        outcomes,
+        server_state.clone(),
+        events.clone(),
+    );
     server_state.ready.set(true);
     let accepting = tokio::task::spawn_local(http_server.run(listener));
     tokio::task::spawn_local(async move {
         if terminate.recv().await.is_some() {
             eprintln!("stopping");
-            let _ = news.send(CourierEvent::Stop).await;
+            let _ = events.send(CourierEvent::Stop).await;
             tokio::time::sleep(Duration::from_millis(700)).await;
             accepting.abort();
         }
     });
     eprintln!("{name} serves {at}; {kept} messages resumed");
-    courier.run(inbox).await;
+    dispatcher.run(event_queue).await;
     Ok(())
 }
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -53,8 +53,8 @@
     installation: &Installation,
     folder: &Path,
     active_config: &ActiveConfig,
-    news: &mpsc::Sender<CourierEvent>,
-    (courier, room, rejecter): (&Dispatcher, &MemoryBudget, &Rc<ConnectionRejecter>),
+    events: &mpsc::Sender<CourierEvent>,
+    (dispatcher, memory_budget, rejecter): (&Dispatcher, &MemoryBudget, &Rc<ConnectionRejecter>),
 ) -> Result<Rc<MqttServer>, StartupError> {
     let m = &installation.file.mqtt;
     // The range is checked when the file is read.
@@ -73,9 +73,9 @@
     };
     let users = m.users.as_ref().map(|f| Users::read(&folder.join(f))).transpose();
     let users = users.map_err(|e| invalid("mqtt.users", e))?;
-    let records = courier.stored_state(mqtt::SESSION_KEY_PREFIX);
-    let bounds = (m.connections, room.clone(), rejecter.clone());
-    Ok(MqttServer::new(limits, bounds, (active_config.clone(), users), news.clone(), records))
+    let records = dispatcher.stored_state(mqtt::SESSION_KEY_PREFIX);
+    let bounds = (m.connections, memory_budget.clone(), rejecter.clone());
+    Ok(MqttServer::new(limits, bounds, (active_config.clone(), users), events.clone(), records))
 }
 
 fn invalid(what: &'static str, why: impl ToString) -> StartupError {
@@ -86,7 +86,7 @@
 fn setup(
     installation: &Arc<Installation>,
     active_config: &ActiveConfig,
-    room: &MemoryBudget,
+    memory_budget: &MemoryBudget,
     folder: &Path,
 ) -> Setup {
     let names = installation.classes.iter().map(|c| c.name.clone());
@@ -107,7 +107,7 @@
         list_age: None,
         installation: Some(installation.clone()),
         active_config: Some(active_config.clone()),
-        memory_budget: room.clone(),
+        memory_budget: memory_budget.clone(),
         pool_wait: installation.file.limits.pool_wait.0,
         max_remembered: installation.file.limits.remembered,
         config_folder: folder.to_owned(),
@@ -123,11 +123,11 @@
 /// Returns the configuration to start with: the stored version applied over the file, or the file alone.
 fn initial_configuration(
     document: &Document,
-    own: Installation,
+    file_installation: Installation,
     store: &VersionStore,
 ) -> (Option<Version>, Arc<Installation>) {
-    if own.control.is_none() {
-        return (None, Arc::new(own));
+    if file_installation.control.is_none() {
+        return (None, Arc::new(file_installation));
     }
     match store.load() {
         Ok(Some(version)) => match document.installation(Some(&version.config)) {
@@ -144,7 +144,7 @@
         Ok(None) => {}
         Err(why) => eprintln!("configuration: cannot read the stored version: {why}"),
     }
-    (None, Arc::new(own))
+    (None, Arc::new(file_installation))
 }
 
 /// Runs the courier until it is told to stop.
@@ -157,14 +157,15 @@
     let hangup = signal_stream(SignalKind::hangup(), "SIGHUP")?;
     let document =
         config_file::read_document(&file).map_err(|e| StartupError::Problems(vec![e.to_string()]))?;
-    let own = document.installation(None);
-    let own = own.map_err(|e| StartupError::Problems(e.to_string().lines().map(str::to_owned).collect()))?;
-    let state = state_folder(&file, &own);
+    let file_installation = document.installation(None);
+    let file_installation = file_installation
+        .map_err(|e| StartupError::Problems(e.to_string().lines().map(str::to_owned).collect()))?;
+    let state = state_folder(&file, &file_installation);
     let folder = state.join("journal");
     std::fs::create_dir_all(&folder).map_err(|e| invalid("state", format!("{}: {e}", folder.display())))?;
     let files = lock(&folder).await.map_err(|e| invalid("state", e))?;
     let store = VersionStore::new(state.join("version.json"));
-    let (version, installation) = initial_configuration(&document, own, &store);
+    let (version, installation) = initial_configuration(&document, file_installation, &store);
     let has_no_inputs = installation.routes.is_empty() && installation.topics.is_empty();
     if has_no_inputs && installation.control.is_none() {
         return Err(invalid(
@@ -180,7 +181,7 @@
     let mut options =
         journal.options(DEFAULT_JOURNAL_BYTES, u64::from(attempts.max(installation.file.limits.attempts)));
     options.names = options.names.max(MIN_NAMES_BYTES);
-    let machine = options.durability == Durability::Machine;
+    let syncs_to_device = options.durability == Durability::Machine;
     let (journal, report) = Journal::open(Arc::new(files), options).map_err(|e| invalid("journal", e))?;
     log_recovery(&report);
     let name = installation.file.name.clone().unwrap_or_else(|| "stairshed".to_owned());
@@ -190,35 +191,35 @@
     let base_dir = file.parent().unwrap_or(Path::new(".")).to_owned();
     let active_config = ActiveConfig::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
     let caps = memory_budget::caps(&installation).map_err(StartupError::Problems)?;
-    let room = MemoryBudget::new(&caps, installation.file.memory.client_share);
-    let mut setup = setup(&installation, &active_config, &room, &base_dir);
-    let calls = EndpointClient::new(
+    let memory_budget = MemoryBudget::new(&caps, installation.file.memory.client_share);
+    let mut setup = setup(&installation, &active_config, &memory_budget, &base_dir);
+    let endpoint_client = EndpointClient::new(
         setup.settings.connect_timeout,
         setup.settings.keepalive,
         upstream_sockets,
-        room.clone(),
+        memory_budget.clone(),
     );
-    setup.settings.keepalive = calls.idle_timeout();
-    let connections = calls.connection_status();
+    setup.settings.keepalive = endpoint_client.idle_timeout();
+    let connections = endpoint_client.connection_status();
     let scheduler =
         Scheduler::new(setup.settings.clone(), setup.seed).map_err(|e| invalid("configuration", e))?;
-    let (news, inbox) = mpsc::channel(EVENT_QUEUE_LENGTH);
+    let (events, event_queue) = mpsc::channel(EVENT_QUEUE_LENGTH);
     let server_state = Rc::new(ServerState::default());
-    let rejecter = ConnectionRejecter::start(&room);
+    let rejecter = ConnectionRejecter::start(&memory_budget);
     let http_server = Rc::new(HttpServer {
         routing: Routing::Routes(active_config.clone()),
         server_state: server_state.clone(),
-        news: news.clone(),
+        news: events.clone(),
         max_connections: client_sockets,
-        room: room.clone(),
+        room: memory_budget.clone(),
         rejecter: Some(rejecter.clone()),
     });
     let outcomes = &installation.file.outcomes;
     let unread = state.join("outcomes.ndjson");
     let to = outcomes.file.as_ref().map(|f| state.join(f));
     let to = if installation.outcomes.is_none() { to.or(Some(unread.clone())) } else { to };
-    let outcomes = OutcomeNotifier::operator(installation.outcomes.as_ref(), to, unread, machine);
-    let (lookups, resolver) = dns::spawn_resolver(&installation, news.clone());
+    let outcomes = OutcomeNotifier::operator(installation.outcomes.as_ref(), to, unread, syncs_to_device);
+    let (resolver_handle, resolver) = dns::spawn_resolver(&installation, events.clone());
     let status = Rc::new(ConfigStatus::new(file.clone(), version.as_ref().map(|v| v.version)));
     let waits_for_version = version.is_none() && has_no_inputs;
     let first_wait = installation.file.control.as_ref().map(|c| c.first_wait.0).filter(|_| waits_for_version);
@@ -227,29 +228,36 @@
     let kept = journal.len();
     let discovery = installation.discovery.is_some();
     let watch_status = setup.watch_status.clone();
-    let mut courier =
-        Dispatcher::new(setup, scheduler, journal, calls, outcomes, server_state.clone(), news.clone());
+    let mut dispatcher = Dispatcher::new(
+        setup,
+        scheduler,
+        journal,
+        endpoint_client,
+        outcomes,
+        server_state.clone(),
+        events.clone(),
+    );
     let mqtt_server = match installation.mqtt {
         Some(_) => Some(new_mqtt_server(
             &installation,
             &base_dir,
             &active_config,
-            &news,
-            (&courier, &room, &rejecter),
+            &events,
+            (&dispatcher, &memory_budget, &rejecter),
         )?),
         None => None,
     };
     if let Some(mqtt_server) = &mqtt_server {
-        courier.set_frontend(mqtt_server.clone());
+        dispatcher.set_frontend(mqtt_server.clone());
         tokio::task::spawn_local(mqtt_server.clone().run());
     }
-    let running = tokio::task::spawn_local(courier.run(inbox));
+    let running = tokio::task::spawn_local(dispatcher.run(event_queue));
     let mut config_updater = ConfigUpdater::new(
         (file, document, store),
         (Versions::new(version), installation),
-        (active_config.clone(), news.clone(), http_server),
+        (active_config.clone(), events.clone(), http_server),
         status.clone(),
-        lookups,
+        resolver_handle,
     );
     if let Some(wait) = first_wait {
         eprintln!("configuration: no version yet and no routes in the file; waits for one");
@@ -265,7 +273,7 @@
         let listener = listen(admin).map_err(|e| invalid("listen.admin", format!("{admin}: {e}")))?;
         let at = listener.local_addr().map_err(|e| invalid("listen.admin", e))?;
         eprintln!("the operator's pages are at {at}");
-        let (view, server_state, room) = (config_updater.view(), server_state.clone(), room.clone());
+        let (view, server_state, room) = (config_updater.view(), server_state.clone(), memory_budget.clone());
         let pages = AdminPages { view, server_state, room, watch: watch_status, connections };
         tokio::task::spawn_local(admin::run(listener, pages));
     }
@@ -280,7 +288,7 @@
         accepting = Some(tokio::task::spawn_local(mqtt_server.accept(listener)).abort_handle());
     }
     if discovery {
-        let _ = news.send(CourierEvent::StartWatch).await;
+        let _ = events.send(CourierEvent::StartWatch).await;
     }
     server_state.ready.set(true);
     let configuring = tokio::task::spawn_local(config_updater.run(hangup));
@@ -300,7 +308,7 @@
             // Wills must be handed over before the courier stops accepting messages.
             tokio::time::sleep(WILL_GRACE_PERIOD).await;
         }
-        let _ = news.send(CourierEvent::Stop).await;
+        let _ = events.send(CourierEvent::Stop).await;
         tokio::time::sleep(Duration::from_millis(700)).await;
         stopper.close_listener();
     });
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -196,7 +196,7 @@
     versions: Versions,
     installation: Arc<Installation>,
     active_config: ActiveConfig,
-    news: Sender<CourierEvent>,
+    events: Sender<CourierEvent>,
     http_server: Rc<HttpServer>,
     accept_task: Option<AbortHandle>,
     listen_address: Option<SocketAddr>,
@@ -216,7 +216,7 @@
     pub fn new(
         (file, document, store): (PathBuf, Document, VersionStore),
         (versions, installation): (Versions, Arc<Installation>),
-        (active_config, news, http_server): (ActiveConfig, Sender<CourierEvent>, Rc<HttpServer>),
+        (active_config, events, http_server): (ActiveConfig, Sender<CourierEvent>, Rc<HttpServer>),
         status: Rc<ConfigStatus>,
         resolver: ResolverHandle,
     ) -> Self {
@@ -231,7 +231,7 @@
                 node: node.clone(),
                 current: Rc::new(RefCell::new(current.as_ref().map(|v| v.version))),
                 max_bytes: control.version_most.0,
-                room: http_server.room.clone(),
+                memory_budget: http_server.room.clone(),
                 idle_timeout: control.heartbeat.0 * 2,
             };
             status.inner.borrow_mut().connected = Some(false);
@@ -245,7 +245,7 @@
             versions,
             installation,
             active_config,
-            news,
+            events,
             http_server,
             accept_task: None,
             listen_address: None,
@@ -401,7 +401,7 @@
             document: self.document.borrow().clone(),
             before: self.installation.clone(),
             store: self.store.clone(),
-            news: self.news.clone(),
+            events: self.events.clone(),
         };
         self.running = Some(tokio::task::spawn_local(work.run(change)));
     }
@@ -491,7 +491,7 @@
     document: (Document, Option<Version>),
     before: Arc<Installation>,
     store: VersionStore,
-    news: Sender<CourierEvent>,
+    events: Sender<CourierEvent>,
 }
 
 impl ChangeJob {
@@ -564,7 +564,7 @@
         let configured =
             ConfigurationUpdate { version: number, installation: installation.clone(), caps, changes, done };
         let stopping = || vec!["the courier is stopping".to_owned()];
-        self.news
+        self.events
             .send(CourierEvent::ConfigurationChanged(Box::new(configured)))
             .await
             .map_err(|_| stopping())?;
@@ -579,7 +579,7 @@
     node: String,
     current: Rc<RefCell<Option<u64>>>,
     max_bytes: u64,
-    room: MemoryBudget,
+    memory_budget: MemoryBudget,
     idle_timeout: Duration,
 }
 
@@ -619,7 +619,7 @@
             return None;
         }
         event_sender.send(StreamEvent::Opened).await.ok()?;
-        let memory_max_bytes = self.room.ledger.cap(Purpose::Configuration) / MEMORY_PER_TEXT_BYTE;
+        let memory_max_bytes = self.memory_budget.ledger.cap(Purpose::Configuration) / MEMORY_PER_TEXT_BYTE;
         let (max_bytes, key) = (self.max_bytes, "control.version_most")
             .min((memory_max_bytes, "as memory.configuration allows"));
         let (mut body, mut lines) = (answer.into_body(), Lines::new(max_bytes as usize));
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -93,7 +93,7 @@
 /// Starts the task that resolves the endpoint names of an installation and of its later configurations.
 pub fn spawn_resolver(
     installation: &Installation,
-    news: Sender<CourierEvent>,
+    events: Sender<CourierEvent>,
 ) -> (ResolverHandle, ResolverTask) {
     let (sender, updates) = watch::channel(Vec::new());
     let dns = &installation.file.dns;
@@ -103,7 +103,7 @@
         named_endpoints: Vec::new(),
         reported: BTreeMap::new(),
         origin: Instant::now(),
-        news,
+        events,
     };
     let handle = ResolverHandle(sender);
     handle.set(installation);
@@ -117,7 +117,7 @@
     /// Entries last reported to the courier, by host.
     reported: BTreeMap<String, ListedEndpoint>,
     origin: Instant,
-    news: Sender<CourierEvent>,
+    events: Sender<CourierEvent>,
 }
 
 /// Addresses with their time to live, or why the lookup failed.
@@ -218,7 +218,7 @@
         self.reported = now;
         if !hosts.is_empty() {
             let _ = self
-                .news
+                .events
                 .send(CourierEvent::NamesResolved(EndpointList { seq: 0, whole: false, hosts }))
                 .await;
         }
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -113,28 +113,28 @@
 }
 
 impl DiscoveryWatch {
-    /// Keeps a watch open. Returns only when the receiver of `news` is gone.
-    pub async fn run(mut self, news: Sender<CourierEvent>) {
+    /// Keeps a watch open. Returns only when the receiver of `events` is gone.
+    pub async fn run(mut self, events: Sender<CourierEvent>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut backoff = INITIAL_BACKOFF_SECONDS;
         let mut outage = OutageDetector::default();
-        while !news.is_closed() {
+        while !events.is_closed() {
             let since = Instant::now();
             let mut lines_read = 0;
-            let Err(end) = self.watch_once(&news, &mut lines_read).await;
+            let Err(end) = self.watch_once(&events, &mut lines_read).await;
             if lines_read > 0 && since.elapsed() > SILENCE_TIMEOUT {
                 backoff = INITIAL_BACKOFF_SECONDS;
             }
             let mut pause = list_retry_delay(backoff, self.reconnect_spread, &mut rng);
             if lines_read > 0 {
                 outage.answered();
-                if news.send(CourierEvent::WatchEnded { discovery: self.address }).await.is_err() {
+                if events.send(CourierEvent::WatchEnded { discovery: self.address }).await.is_err() {
                     return;
                 }
             } else if outage.call_failed(end.failure(), since) {
                 pause = pause.min(MAX_OUTAGE_PAUSE.mul_f64(rng.random_range(0.25..1.0)));
                 let unreachable = CourierEvent::DiscoveryUnreachable { discovery: self.address, since };
-                if news.send(unreachable).await.is_err() {
+                if events.send(unreachable).await.is_err() {
                     return;
                 }
             }
@@ -156,7 +156,7 @@
     /// Opens one watch and reads it until it ends; the result is the reason why.
     async fn watch_once(
         &mut self,
-        news: &Sender<CourierEvent>,
+        events: &Sender<CourierEvent>,
         lines_read: &mut u64,
     ) -> Result<Infallible, WatchEnd> {
         let started = Instant::now();
@@ -186,10 +186,10 @@
                     );
                 }
                 if let Some(list) = list {
-                    news.send(CourierEvent::EndpointsListed(list)).await.map_err(|_| WatchEnd::Closing)?;
+                    events.send(CourierEvent::EndpointsListed(list)).await.map_err(|_| WatchEnd::Closing)?;
                 }
                 let heard = CourierEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
-                news.send(heard).await.map_err(|_| WatchEnd::Closing)?;
+                events.send(heard).await.map_err(|_| WatchEnd::Closing)?;
             }
             line_started = lines.is_open().then(|| line_started.unwrap_or_else(Instant::now));
         }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -2,11 +2,11 @@
 //! report to it through the events in `events`, on which all of them depend.
 //!
 //! ```text
-//!   bootstrap  configuration at startup, from the platform or from an operator's file
-//!   ingress clients over HTTP and MQTT, and the admin pages
-//!   discovery  endpoints by discovery and by DNS, configuration from the control service
-//!   out        calls to endpoints and brokers, notices of outcomes
-//!   dispatcher the decision module, its event loop, and the messages it holds
+//!   bootstrap   configuration at startup, from the platform or from an operator's file
+//!   ingress     clients over HTTP and MQTT, and the admin pages
+//!   discovery   endpoints by discovery and by DNS, configuration from the control service
+//!   upstream    calls to endpoints and brokers, notices of outcomes
+//!   dispatcher  the decision module, its event loop, and the messages it holds
 //! ```
 
 pub mod admin_client;
