--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,12 +1,12 @@
-//! The real courier: the decision module on real sockets. Each room has one job; `dispatcher` owns the
-//! module, and the others report to it through `events`, on which they all depend.
+//! The courier process: runs the decision module on real sockets. `dispatcher` owns the module; the other modules
+//! report to it through the events in `events`, on which all of them depend.
 //!
 //! ```text
-//!   start   what it is told at its start: by the platform, by an operator's file
-//!   ingress clients: HTTP, MQTT, and the operator's pages
-//!   place   where things are: discovery, names, the control service
-//!   out     calls to endpoints and brokers, notices of outcomes
-//!   dispatcher  the decision module, its batches, and the messages held
+//!   bootstrap   configuration at startup, from the platform or from an operator's file
+//!   ingress     clients over HTTP and MQTT, and the admin pages
+//!   discovery   endpoints by discovery and by DNS, configuration from the control service
+//!   upstream    calls to endpoints and brokers, notices of outcomes
+//!   dispatcher  the decision module, its event loop, and the messages it holds
 //! ```
 
 pub mod admin_client;
@@ -20,11 +20,11 @@
 mod upstream;
 mod process_memory;
 mod socket;
-mod startup;
+mod bootstrap;
 mod startup_error;
 
 pub use discovery::config_file;
 pub use ingress::active_config::host_name;
 pub use ingress::users;
-pub use startup::{dev, run_platform, serve, settings};
+pub use bootstrap::{dev, run_platform, serve, settings};
 pub use startup_error::StartupError;
