--- a/crates/decide/src/chart_test.rs
+++ b/crates/decide/src/chart_test.rs
@@ -1,10 +1,10 @@
 //! The occupancy chart against brute force over all orders and all subsets.
 
 use crate::interface::MessageId;
-use crate::state::Chart;
+use crate::state::OccupancyChart;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-const SIGMA: i64 = 10;
+const SERVICE_TIME: i64 = 10;
 
 /// Whether some order serves every message, one after another from `now`, by its deadline.
 fn some_order_works(dues: &[i64], now: i64) -> bool {
@@ -12,7 +12,7 @@
         || (0..dues.len()).any(|first| {
             let mut rest = dues.to_vec();
             let due = rest.remove(first);
-            now + SIGMA <= due && some_order_works(&rest, now + SIGMA)
+            now + SERVICE_TIME <= due && some_order_works(&rest, now + SERVICE_TIME)
         })
 }
 
@@ -28,9 +28,9 @@
         .unwrap_or(0)
 }
 
-fn chart(dues: &[i64]) -> Chart {
-    let mut chart = Chart::default();
-    chart.resize(SIGMA);
+fn chart(dues: &[i64]) -> OccupancyChart {
+    let mut chart = OccupancyChart::default();
+    chart.resize(SERVICE_TIME);
     dues.iter().enumerate().for_each(|(n, due)| chart.add(*due, MessageId(n as u64)));
     chart
 }
@@ -46,8 +46,8 @@
         assert_eq!(chart.overdue(0).is_none(), some_order_works(&dues, 0), "{dues:?}");
         let mut dropped = 0;
         while let Some(first) = chart.overdue(0) {
-            let victim = first[rng.random_range(0..first.len())];
-            chart.remove(dues[victim.0 as usize], victim);
+            let shed_candidate = first[rng.random_range(0..first.len())];
+            chart.remove(dues[shed_candidate.0 as usize], shed_candidate);
             dropped += 1;
         }
         assert_eq!(n - dropped, most_served(&dues, 0), "{dues:?}");
--- a/crates/decide/src/memory_usage.rs
+++ b/crates/decide/src/memory_usage.rs
@@ -2,7 +2,7 @@
 //! changes a table finds this; `tests/memory_usage.rs` holds it against what the allocator gave out.
 
 use crate::interface::{DestinationId, EndpointId, LimitGroupId, MessageId};
-use crate::state::{Destination, Endpoint, Message, Ns, Pool, Scheduler};
+use crate::state::{Destination, Endpoint, LimitGroup, Message, Ns, Scheduler};
 use std::collections::VecDeque;
 
 /// Bytes of what the module holds.
@@ -43,31 +43,31 @@
         let key = |key: &String| key.len() as u64 + ALLOCATION;
         let mut messages = self.messages.len() as u64 * MESSAGE_BYTES;
         messages += self.messages.values().filter_map(|m| m.key.as_ref()).map(key).sum::<u64>();
-        for (order, waiting) in &self.turns {
+        for (order, waiting) in &self.key_queues {
             messages += entry::<(String, VecDeque<MessageId>)>() + key(order) + ring(waiting);
         }
-        for order in self.rests.keys() {
+        for order in self.key_cooldowns.keys() {
             messages += entry::<(String, (MessageId, Ns))>() + key(order);
         }
         let mut endpoints = 0;
         for e in self.endpoints.values() {
             endpoints += entry::<(EndpointId, Endpoint)>() + entry::<EndpointId>();
-            endpoints += e.idle.capacity() as u64 * size_of::<Ns>() as u64;
+            endpoints += e.idle_connections.capacity() as u64 * size_of::<Ns>() as u64;
             endpoints += e.calls.len() as u64 * entry::<(u64, (Ns, usize))>();
             // A first entry takes a whole node.
             endpoints += if e.calls.is_empty() { 0 } else { 11 * size_of::<(u64, (Ns, usize))>() as u64 };
         }
-        for d in self.dests.values() {
-            endpoints += entry::<(DestinationId, Destination)>() + ring(&d.recent);
+        for d in self.destinations.values() {
+            endpoints += entry::<(DestinationId, Destination)>() + ring(&d.recent_failures);
             endpoints += d.chart.segments.capacity() as u64 * size_of::<(Ns, Ns)>() as u64;
             // The first endpoint, and the first message on chart and among the members, take a node each.
             endpoints += 11 * size_of::<EndpointId>() as u64;
-            if !d.members.is_empty() {
+            if !d.messages.is_empty() {
                 endpoints += 11 * (size_of::<MessageId>() + size_of::<(Ns, MessageId)>()) as u64;
             }
         }
-        for pool in self.pools.values() {
-            endpoints += entry::<(LimitGroupId, Pool)>() + ring(&pool.oks);
+        for group in self.limit_groups.values() {
+            endpoints += entry::<(LimitGroupId, LimitGroup)>() + ring(&group.accepted_at);
         }
         endpoints += self.agenda.len() as u64 * entry::<(Ns, DestinationId)>();
         MemoryUsage { messages, endpoints }
