--- a/crates/decide/src/scheduler.rs
+++ b/crates/decide/src/scheduler.rs
@@ -1,7 +1,7 @@
-//! The decision module: what one courier does with each message. Pure: time comes with each call, chance
-//! from the seed. Each destination has a Fair-EDF occupancy chart of the messages held for it; they leave
-//! by earliest deadline, and when a chart is infeasible the fewest give way, of the class (or tenant) that
-//! has missed least. `docs/design.md` tells what was kept and where it departs.
+//! The scheduler: decides what one courier does with each message. It has no side effects: time comes with
+//! each call, randomness from a seed. Each destination has a Fair-EDF occupancy chart of its held messages,
+//! which are sent by earliest deadline. When a chart is infeasible, the fewest messages are shed, from the
+//! class (or tenant) with the lowest miss ratio. `docs/design.md` lists where this departs from the paper.
 
 use crate::interface::*;
 pub use crate::state::Scheduler;
@@ -10,108 +10,133 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-// ---- constants: dimensionless, or in seconds where named so --------------------------------------
+// ---- constants: dimensionless unless the name states a unit --------------------------------------
 
-/// Latency before the first answer, s, shares of the slots (the design's), calls that tell what ails.
+/// Latency assumed before the first answer.
 const INITIAL_LATENCY_SECONDS: f64 = 0.05;
+/// Share of the call slots that one destination may use.
 const MAX_DESTINATION_CALL_SHARE: f64 = 0.75;
+/// The same for an unhealthy destination.
 const MAX_UNHEALTHY_CALL_SHARE: f64 = 0.5;
+/// Number of recent calls that decide whether a destination is unhealthy.
 const RECENT_CALLS: usize = 12;
-/// EWMA weights: of a latency, of a failure, and of a failure where there is no fresh success.
+/// EWMA weight of a new latency sample.
 const LATENCY_EWMA_WEIGHT: f64 = 0.15;
+/// EWMA weight of a success or a failure.
 const FAILURE_EWMA_WEIGHT: f64 = 0.25;
+/// EWMA weight of a failure when there was no recent success.
 const STALE_FAILURE_EWMA_WEIGHT: f64 = 0.6;
-/// Miss ratios forget with this time, s: long against a trouble, short against a day.
+/// Decay time of the miss ratios: long compared with an outage, short compared with a day.
 const MISS_RATIO_DECAY_SECONDS: f64 = 30.0;
-/// A message is answered this many ticks before its time is up.
+/// A message gets its final answer this many ticks before its deadline.
 const ANSWER_MARGIN_TICKS: Ns = 5;
-/// Failure ratio (each failure moves it) above which a breaker opens.
+/// Failure ratio, moved by each failure, above which a breaker opens.
 const BREAKER_TRIP_RATIO: f64 = 0.5;
-/// Pause of an open breaker: first, s, and growth with the time for which it has ailed; least, s; part of a
-/// pause between the trials of one destination.
+/// How long a breaker first stays open.
 const INITIAL_OPEN_SECONDS: f64 = 1.5;
+/// Lower bound on the time for which a breaker stays open.
 const MIN_OPEN_SECONDS: f64 = 0.5;
+/// Growth of the open time per second for which the endpoint has been unhealthy.
 const OPEN_GROWTH_FACTOR: f64 = 6.0;
+/// Spacing of trials between endpoints of one destination, as a share of the open time.
 const TRIAL_SPACING_SHARE: f64 = 0.5;
-/// Length, s, of an outage, and of a told wait, that ends cold.
+/// An outage longer than this is followed by slow start.
 const CONFIRMED_OUTAGE_SECONDS: f64 = 1.0;
+/// A wait longer than this, as told by an endpoint, is followed by slow start.
 const COLD_WAIT_SECONDS: f64 = 2.5;
-/// A call this many latencies old with no answer since is taken as hung; and the least, s.
+/// A call this many latencies old, with no answer on the endpoint since it was sent, counts as hung.
 const HANG_LATENCY_MULTIPLE: f64 = 6.0;
+/// Lower bound on the age at which a call counts as hung.
 const MIN_HANG_SECONDS: f64 = 0.8;
-/// Attempts spread over the time left; before these, backoff after a second failure, as its share.
+/// The last attempts of a message, spread evenly over its remaining time.
 const SPREAD_ATTEMPTS: u32 = 2;
+/// Backoff after the second failure, before those attempts, as a share of the remaining time.
 const RETRY_BACKOFF_SHARE: f64 = 0.06;
-/// Pause after a refusal that tells no wait, s: first, doublings at most, and longest at a full pace.
+/// First backoff after a rejection that states no wait.
 const INITIAL_REJECTION_BACKOFF_SECONDS: f64 = 0.1;
+/// How often that backoff may double.
 const MAX_REJECTION_DOUBLINGS: u32 = 7;
+/// Upper bound on that backoff, unless one call at the fair rate takes longer.
 const MAX_REJECTION_BACKOFF_SECONDS: f64 = 1.6;
-/// Pace at first, over an even share of one call a rate span; AIMD's cut and growth; floor over an even
-/// share, or the peak; least pace, calls a second; burst of a bucket and time between two cuts, s.
+/// Initial rate as a multiple of the fair share, if that is over one call per rate window.
 const INITIAL_RATE_SHARE: f64 = 1.2;
+/// AIMD: factor applied to the rate after a rejection.
 const RATE_DECREASE_FACTOR: f64 = 0.7;
+/// AIMD: increase for each accepted call, as a multiple of the fair share or the peak rate.
 const RATE_INCREASE_SHARE: f64 = 0.06;
+/// Lower bound on the rate, as a multiple of the fair share.
 const MIN_RATE_SHARE: f64 = 0.3;
+/// Lower bound on the rate where the limit is unknown, as a multiple of the peak rate.
 const MIN_RATE_PEAK_SHARE: f64 = 0.4;
 const MIN_RATE_PER_SECOND: f64 = 0.03;
+/// Burst size of a token bucket, and minimum time between two decreases of its rate.
 const RATE_BURST_SECONDS: f64 = 0.5;
-/// Least pace in a large fleet, over an even share: what is refused uses the limit up, too. Share of the
-/// allowance above which its paces grow, and under which they shrink.
+/// Lower bound on a large fleet's rates, as a multiple of the fair share: rejected calls use up the limit.
 const MIN_FLEET_RATE_SHARE: f64 = 0.85;
+/// Remaining share of the reported allowance above which a fleet's rates grow.
 const ALLOWANCE_GROW_ABOVE: f64 = 0.5;
+/// Remaining share of the reported allowance below which a fleet's rates shrink.
 const ALLOWANCE_SHRINK_BELOW: f64 = 0.25;
-/// Part of the spare allowance by which a fleet's pace grows with an accepted call: all have grown before a
-/// report shows that one has, and what all add at once is refused.
+/// Increase of a fleet's rate per accepted call, as a share of the spare allowance. All couriers increase
+/// before a report shows that one has, and calls above the limit are rejected.
 const FLEET_RATE_INCREASE_SHARE: f64 = 0.2;
-/// Span of the rate of accepted calls, and memory of their flow, s.
+/// Window over which the rate of accepted calls is measured.
 const RATE_WINDOW_SECONDS: f64 = 2.0;
+/// Decay time of the smoothed rate of accepted calls.
 const ACCEPTED_RATE_DECAY_SECONDS: f64 = 10.0;
-/// Time-out in latencies, and least, s; time-outs after which a call that blocks others is called off.
+/// Attempt timeout as a multiple of the latency.
 const TIMEOUT_LATENCY_MULTIPLE: f64 = 7.0;
 const MIN_TIMEOUT_SECONDS: f64 = 1.0;
+/// Multiple of the attempt timeout after which a call that blocks others is cancelled.
 const STUCK_TIMEOUT_MULTIPLE: f64 = 1.5;
-/// Failure ratio too doubtful for a message that may run only once; it halves in this time, s.
+/// Failure ratio from which an endpoint is avoided by messages that may run only once.
 const MAX_ONCE_FAILURE_RATIO: f64 = 0.2;
+/// Half-life of the failure ratios.
 const FAILURE_RATIO_HALF_LIFE_SECONDS: f64 = 4.0;
-/// Held messages past this share of the room: the longest chart sheds.
+/// Share of the message limit above which the longest chart sheds messages.
 const MAX_OCCUPANCY_SHARE: f64 = 0.9;
-/// Retry of a failed list call, s.
+/// First backoff after a failed request for the list.
 const INITIAL_LIST_BACKOFF_SECONDS: f64 = 1.0;
-/// Time that a call for the list mostly takes to its answer.
+/// Usual time from a request for the list to its answer.
 const LIST_ANSWER_SECONDS: f64 = 1.5;
-/// Discovery takes a call from every courier in this time, s, however many they are.
+/// Time within which discovery can serve a request from every courier, however many there are.
 const FLEET_LIST_SECONDS: f64 = 8.0;
-/// So few couriers that act in the same moment never stand in each other's way.
+/// Up to this many couriers may act at the same moment without overloading anything.
 const SMALL_FLEET: f64 = 4.0;
-/// Endpoints are compared in points of the result, the unit of fees and handshakes: latency (per aim), doubt,
-/// and leaning, which spreads couriers that know nothing, each to its own, so that connections serve again.
+/// Endpoint cost, in the unit of fees and handshakes, of a latency as long as the class's aim.
 const LATENCY_COST: f64 = 0.05;
+/// Endpoint cost of a failure ratio of 1.
 const FAILURE_COST: f64 = 0.5;
-/// Of the last slots, one in so many and one more, a second costs what other messages could have had of it.
-/// Covers slow zones, handshakes and hangs under load; hurts where fees are dearer than messages late.
+/// Endpoint cost of a second of latency when call slots are scarce: other messages could use the slot. Limits
+/// the harm of slow zones, handshakes and hangs under load; costly where fees outweigh late messages.
 const SCARCE_SLOT_COST: f64 = 0.5;
+/// Slots are scarce when one in this many, plus one, is left.
 const SCARCE_SLOT_DIVISOR: usize = 20;
+/// Endpoint cost of this courier's random preference: spreads couriers that know nothing over the endpoints,
+/// each to its own, so that connections are reused.
 const TIE_BREAK_COST: f64 = 0.005;
-/// Calls a keep-alive that make a connection worth keeping where few can be had, and memory of that.
+/// Calls per keepalive time that make a connection worth keeping where connections are scarce.
 const MIN_REUSE_CALLS: f64 = 5.0;
+/// How long connections count as scarce, in keepalive times.
 const SCARCITY_KEEPALIVES: f64 = 6.0;
-/// Connections that an endpoint of a destination with one limit holds, as a multiple of the calls that it
-/// serves at once when its limit is used up, and at the least: the low ends of what the brief tells (3.5).
+/// Connections that an endpoint with one shared limit accepts, per call that it serves at once at its limit.
+/// This and the minimum are the low ends of the specified ranges (section 3.5 of the brief).
 const CONNECTIONS_PER_CALL: f64 = 2.8;
 const MIN_ENDPOINT_CONNECTIONS: f64 = 6.0;
 
 impl Scheduler {
-    /// Starts a courier's module without any state; `seed` feeds its jitter.
+    /// Creates a scheduler without messages or endpoints; `seed` determines its jitter. An error names the
+    /// first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, String> {
         settings.check()?;
         let mut scheduler =
             Scheduler { list_backoff: INITIAL_LIST_BACKOFF_SECONDS, ..Scheduler::empty(settings, seed) };
         let spread = scheduler.settings.list_retry_spread().as_secs_f64() * scheduler.rng.random::<f64>();
-        scheduler.list_request_at = scheduler.list_request_at.map(|at| at + ns_from_secs(spread));
+        scheduler.list_request_at = scheduler.list_request_at.map(|at| at + from_secs(spread));
         Ok(scheduler)
     }
 
-    /// Takes the news of one moment and appends what is to be done.
+    /// Applies the events of one moment and appends the actions to take. Time never runs backwards in here.
     pub fn handle(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
         let origin = *self.origin.get_or_insert(now);
         self.now = ns(now.saturating_sub(origin)).max(self.now);
@@ -139,7 +164,7 @@
             self.schedule_check(*dest);
         }
         if self.list_request_at.is_some_and(|t| t <= self.now) {
-            // Asked again only if no answer comes; an answer clears this.
+            // The timeout of this request; an answer clears it.
             let pause =
                 list_retry_delay(self.list_backoff * 4.0, self.settings.list_retry_spread(), &mut self.rng);
             self.list_request_at = Some(self.now + ns(pause));
@@ -156,13 +181,13 @@
             self.timer = Some((self.next_token, next));
             out.push(Action::SetTimer {
                 token: self.next_token,
-                after: duration_from_ns((next - self.now).max(1)),
+                after: to_duration((next - self.now).max(1)),
             });
         }
     }
 
-    /// Rule: what may have run is dropped only while its key is remembered. By then its last attempt has
-    /// ended, not merely begun: one whose connection comes late would be written after it.
+    /// Rule: receivers drop a repeat only within the key's window, so its last attempt must end within it,
+    /// not only start: a request may be written late if its connection is established late.
     fn latest_attempt_end(&self, m: &Message) -> Ns {
         match (m.may_have_run, self.settings.classes[m.class].effect) {
             (Some((_, _, at)), Effect::Keyed { window, .. }) => m.deadline.min(at + ns(window)),
@@ -170,14 +195,14 @@
         }
     }
 
-    /// When a message is answered at the latest: held ones while the usual latency is still left.
+    /// Latest time for the final answer; of a held message, while there is still time for one usual latency.
     fn answer_deadline(&self, m: &Message) -> Ns {
-        let held = (self.latest_attempt_end(m), ns_from_secs(self.destinations[&m.destination].latency));
+        let held = (self.latest_attempt_end(m), from_secs(self.destinations[&m.destination].latency));
         let (end, need) = if m.in_flight.is_none() { held } else { (m.deadline, 0) };
         end - need.max(ns(self.settings.tick) * ANSWER_MARGIN_TICKS)
     }
 
-    /// Puts the destination on the agenda for the next moment at which anything there can change.
+    /// Schedules the destination's next check for the earliest time at which anything there can change.
     fn schedule_check(&mut self, dest: DestinationId) {
         let d = &self.destinations[&dest];
         let open = d.messages.iter().map(|id| &self.messages[id]).filter(|m| !m.finished);
@@ -202,7 +227,7 @@
         self.calls_in_flight < self.settings.max_calls_in_flight && d.calls < self.max_calls(d)
     }
 
-    /// What an endpoint shares its limit with. Panics for one that was never listed.
+    /// The limit group of an endpoint. Panics for one that was never listed.
     pub fn limit_group_id(&self, id: EndpointId) -> LimitGroupId {
         let e = &self.endpoints[&id];
         (e.destination, self.settings.kinds[e.kind].separate_routes.then_some(id))
@@ -230,12 +255,12 @@
         }
     }
 
-    fn update_endpoints(&mut self, whole: bool, entries: &[EndpointEntry], out: &mut Vec<Action>) {
-        // The cached list of the start comes before anything was asked for; later news are answers.
+    fn update_endpoints(&mut self, complete: bool, entries: &[EndpointEntry], out: &mut Vec<Action>) {
+        // The first list is a cached one that precedes any request; later ones answer requests.
         if self.now > 0 {
             (self.list_request_at, self.list_backoff) = (None, INITIAL_LIST_BACKOFF_SECONDS);
         }
-        if whole {
+        if complete {
             self.endpoints.values_mut().for_each(|e| e.mark_gone(self.now));
         }
         for entry in entries {
@@ -253,16 +278,16 @@
                 .or_insert_with(|| LimitGroup { tokens: 1.0, ..LimitGroup::default() });
             if self.settings.weight_kind != WeightKind::None && group.limit.is_none() && entry.weight > 0.0 {
                 group.limit = Some(entry.weight);
-                // A fleet that calls before its first report is a burst of a call from each, then of another:
-                // paced from the start, and each bucket filled up at some time before the longest aim.
-                if let Some(even) = group
+                // Before the first report a fleet would call in bursts of one call per courier. So rates
+                // apply from the start, and each bucket fills at a random time before the longest aim.
+                if let Some(fair_share) = group
                     .fair_share(self.settings.courier_count)
                     .filter(|_| self.settings.fleet_factor() > 0.0)
                 {
                     let aim = self.settings.classes.iter().map(|c| c.aim.as_secs_f64()).fold(0.0, f64::max);
                     let lack =
-                        self.settings.fleet_factor() * self.rng.random::<f64>() * (even * aim).min(1.0);
-                    (group.rate, group.tokens, group.refilled_at) = (Some(even), 1.0 - lack, self.now);
+                        self.settings.fleet_factor() * self.rng.random::<f64>() * (fair_share * aim).min(1.0);
+                    (group.rate, group.tokens, group.refilled_at) = (Some(fair_share), 1.0 - lack, self.now);
                 }
             }
         }
@@ -270,39 +295,38 @@
         self.mark_occupied_dirty();
     }
 
-    /// Renews the lease on the list; what was held for want of it may go.
+    /// Renews the lease on the list; messages that were held because it had expired may be sent.
     fn membership_current(&mut self, as_of: Time) {
-        let had_run_out = !self.membership.is_valid(self.now);
+        let had_expired = !self.membership.is_valid(self.now);
         self.membership.renew(self.since_origin(as_of));
-        if had_run_out {
+        if had_expired {
             self.mark_occupied_dirty();
         }
         self.ask_before_expiry();
     }
 
-    /// Draws the first call for the list anew where it would be answered only after the list has run out of
-    /// date. The fleet's calls stay spread over a quarter of its time at the least.
+    /// Redraws the time of the first list request if its answer would come after the lease expires. The
+    /// requests of a fleet stay spread over at least a quarter of their usual span.
     fn ask_before_expiry(&mut self) {
-        let latest = self.membership.expires_at().saturating_sub(ns_from_secs(LIST_ANSWER_SECONDS));
+        let latest = self.membership.expires_at().saturating_sub(from_secs(LIST_ANSWER_SECONDS));
         if self.list_request_at.is_some_and(|at| at > latest) {
             let window = (latest - self.now).max(ns(self.settings.list_retry_spread()) / 4);
-            self.list_request_at =
-                Some(self.now + ns_from_secs(secs_from_ns(window) * self.rng.random::<f64>()));
+            self.list_request_at = Some(self.now + from_secs(to_secs(window) * self.rng.random::<f64>()));
         }
     }
 
-    /// A moment of the courier's clock on the module's; negative before the first call.
+    /// Converts a time of the courier's clock to this scheduler's; negative before the first call.
     fn since_origin(&self, at: Time) -> Ns {
         ns(at) - ns(self.origin.unwrap_or_default())
     }
 
-    /// Until when the list of endpoints may be acted on, on the clock of [`Scheduler::handle`]; None for good.
+    /// When the lease on the endpoint list expires, on the clock of [`Scheduler::handle`]; None if never.
     pub fn membership_expires_at(&self) -> Option<Time> {
         let expires_at = self.membership.expires_at();
-        (expires_at != NEVER).then(|| self.origin.unwrap_or_default() + duration_from_ns(expires_at))
+        (expires_at != NEVER).then(|| self.origin.unwrap_or_default() + to_duration(expires_at))
     }
 
-    /// Looks again at each destination that has messages.
+    /// Marks each destination that has messages for a check.
     fn mark_occupied_dirty(&mut self) {
         self.dirty
             .extend(self.destinations.iter().filter(|(_, d)| !d.messages.is_empty()).map(|(id, _)| *id));
@@ -319,14 +343,14 @@
         let c = &self.settings.classes[class];
         let deadline = self.now + ns(t.time_left);
         let stretch = t.estimated_work.map_or(0.0, |w| c.aim_stretch * w.as_secs_f64());
-        let aim_at = (deadline - ns(c.deadline) + ns(c.aim) + ns_from_secs(stretch)).min(deadline);
+        let aim_at = (deadline - ns(c.deadline) + ns(c.aim) + from_secs(stretch)).min(deadline);
         let fairness_group =
             if self.settings.tenant_count > 0 { t.tenant.min(self.settings.tenant_count - 1) } else { class };
         let key = t.key.clone().filter(|_| c.ordered);
         if let Some(key) = &key {
             self.key_queues.entry(key.clone()).or_default().push_back(id);
         }
-        let past = Message::from_history(&t.history, self.now);
+        let resumed = Message::from_history(&t.history, self.now);
         let message = Message {
             class,
             fairness_group,
@@ -335,7 +359,7 @@
             aim_at,
             deadline,
             chart_deadline: aim_at,
-            ..past
+            ..resumed
         };
         self.count(fairness_group, 0.0, 1.0);
         self.messages.insert(id, message);
@@ -344,13 +368,13 @@
         self.unfinished += 1;
         self.enqueue(id, out);
         while self.unfinished as f64 > MAX_OCCUPANCY_SHARE * self.settings.max_messages as f64 {
-            // The destination that holds most gives way: a paused one must not close the door to others.
-            let longest = self.destinations.iter().max_by_key(|(_, d)| d.chart.held.len()).map(|(id, _)| *id);
-            let Some(longest) = longest.filter(|d| !self.destinations[d].chart.held.is_empty()) else {
+            // The destination that holds most sheds: a paused one must not keep out messages for others.
+            let fullest = self.destinations.iter().max_by_key(|(_, d)| d.chart.held.len()).map(|(id, _)| *id);
+            let Some(fullest) = fullest.filter(|d| !self.destinations[d].chart.held.is_empty()) else {
                 break;
             };
-            let all: Vec<_> = self.destinations[&longest].chart.held.iter().map(|h| h.1).collect();
-            self.end_undelivered(self.shed_candidate(&all), out);
+            let candidates: Vec<_> = self.destinations[&fullest].chart.held.iter().map(|h| h.1).collect();
+            self.end_undelivered(self.shed_candidate(&candidates), out);
         }
     }
 
@@ -385,7 +409,7 @@
         self.finish(id);
     }
 
-    /// Spreads attempts over the time left: an outage or a rush may outlast quick retries.
+    /// Spreads attempts over the remaining time: an outage or a load peak may outlast quick retries.
     fn schedule_retry(&mut self, id: MessageId, full: bool) {
         let u = 0.5 + self.rng.random::<f64>();
         let m = self.messages.get_mut(&id).expect("known");
@@ -396,18 +420,19 @@
             (_, false) if m.attempts > 1 => RETRY_BACKOFF_SHARE * 3f64.powi(m.attempts as i32 - 2),
             _ => return,
         };
-        m.not_before = self.now + ns_from_secs(secs_from_ns(m.deadline - self.now) * u * share);
+        m.not_before = self.now + from_secs(to_secs(m.deadline - self.now) * u * share);
     }
 
-    /// Books the end of a call: slots, latency, pace and health. A bundle is booked once.
+    /// Accounts for the end of a call: slots, latency, rate and health. A bundle counts once.
     fn call_ended(&mut self, in_flight: InFlightAttempt, ended: &AttemptEnded) {
-        let (id, now, outcome, took) = (ended.endpoint, self.now, ended.outcome, ended.elapsed.as_secs_f64());
+        let (id, now, outcome, elapsed) =
+            (ended.endpoint, self.now, ended.outcome, ended.elapsed.as_secs_f64());
         let InFlightAttempt { call, sent_at, opens_connection, .. } = in_flight;
-        let e = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
-        let Some(open) = e.calls.get_mut(&call) else { return };
-        open.1 -= 1;
-        let counts = std::mem::replace(&mut open.0, Ns::MIN) != Ns::MIN && outcome != Outcome::Moot;
-        if open.1 == 0 {
+        let e = self.endpoints.get_mut(&id).expect("known");
+        let Some(bundle) = e.calls.get_mut(&call) else { return };
+        bundle.1 -= 1;
+        let counts = std::mem::replace(&mut bundle.0, Ns::MIN) != Ns::MIN && outcome != Outcome::Moot;
+        if bundle.1 == 0 {
             e.calls.remove(&call);
             self.calls_in_flight -= 1;
             let dest = e.destination;
@@ -421,15 +446,16 @@
         let Some(e) = self.endpoints.get_mut(&id).filter(|_| counts) else { return };
         let d = self.destinations.get_mut(&e.destination).expect("known");
         if !matches!(outcome, Outcome::Full { .. }) {
-            let well = matches!(outcome, Outcome::Delivered | Outcome::Cancelled);
-            d.recent_failures.push_back(!well || took > 2.0 * d.latency);
+            let succeeded = matches!(outcome, Outcome::Delivered | Outcome::Cancelled);
+            d.recent_failures.push_back(!succeeded || elapsed > 2.0 * d.latency);
             d.recent_failures.drain(..d.recent_failures.len().saturating_sub(RECENT_CALLS));
         }
-        let group = self.limit_groups.get_mut(&group_id).expect("each endpoint has a pool");
+        let group = self.limit_groups.get_mut(&group_id).expect("each endpoint has a limit group");
         match outcome {
             Outcome::Delivered => {
                 for (latency, first) in [(&mut e.latency, 0.0), (&mut d.latency, INITIAL_LATENCY_SECONDS)] {
-                    *latency += if *latency == first { 1.0 } else { LATENCY_EWMA_WEIGHT } * (took - *latency);
+                    *latency +=
+                        if *latency == first { 1.0 } else { LATENCY_EWMA_WEIGHT } * (elapsed - *latency);
                 }
                 let left = ended.report.map_or(ALLOWANCE_GROW_ABOVE, |r| r.remaining_share);
                 group.record_accepted(now, &self.settings, left);
@@ -439,31 +465,29 @@
             Outcome::Full { wait } => {
                 group.consecutive_rejections += 1;
                 group.decrease_rate(now, &self.settings);
-                // Backoff with jitter where no wait was told.
+                // Without a stated wait: exponential backoff with jitter.
                 let u: f64 = self.rng.random();
                 let doubled = INITIAL_REJECTION_BACKOFF_SECONDS
                     * f64::from(1u32 << (group.consecutive_rejections - 1).min(MAX_REJECTION_DOUBLINGS));
-                let pause = wait.map_or(
-                    ns_from_secs(doubled.min(slow.max(MAX_REJECTION_BACKOFF_SECONDS)) * (0.5 + u)),
-                    ns,
-                );
-                // All that were refused would be back at once, be it after a pause or a told wait.
-                let turn = ns_from_secs(self.settings.fleet_factor() * u * slow);
+                let pause = wait
+                    .map_or(from_secs(doubled.min(slow.max(MAX_REJECTION_BACKOFF_SECONDS)) * (0.5 + u)), ns);
+                // Otherwise all rejected couriers would return at once, after a backoff or a stated wait.
+                let turn = from_secs(self.settings.fleet_factor() * u * slow);
                 group.wait_until = group.wait_until.max(now + pause + turn);
                 if let Some(wait) = wait.filter(|w| w.as_secs_f64() > COLD_WAIT_SECONDS) {
-                    // Shut until then: all that were told so come at once, and it is cold.
+                    // Unavailable until then: all couriers return at the same time, and it is cold.
                     e.slow_start_since = Some(now + ns(wait));
                     let spread = self.settings.slow_start_duration.as_secs_f64() * u.sqrt();
-                    e.next_call_at = now + ns(wait) + ns_from_secs(spread.min(2.0 * u * gap));
+                    e.next_call_at = now + ns(wait) + from_secs(spread.min(2.0 * u * gap));
                 }
                 e.trial = None;
             }
-            // Too many connections look like a dead endpoint, but for answers on the others.
+            // A connection limit looks like a dead endpoint, except that other connections get answers.
             Outcome::ConnectFailed
                 if e.last_success > sent_at || (!e.calls.is_empty() && e.last_success > 0) => {}
-            // It is up; what shuts a call out tells nothing of how it serves. Nor, after an outage, that it
-            // is well: the next trial keeps its distance, since all that reach it push it.
-            Outcome::Crowded if e.breaker == CircuitBreaker::Closed => {}
+            // It is up, but a connection limit says nothing about how it serves. After an outage it does not
+            // prove recovery either: the next trial waits, since every connection attempt adds load.
+            Outcome::Crowded if e.breaker == Breaker::Closed => {}
             Outcome::Crowded => self.open_breaker(id, false),
             Outcome::Cancelled | Outcome::Moot => {}
             _ => self.record_failure(id, call, outcome != Outcome::ConnectFailed),
@@ -471,98 +495,97 @@
         self.maybe_idle.insert(id);
     }
 
-    /// Where no connection was to be had, new ones are tried one at a time and ever more seldom; the kept
-    /// ones serve on. Covers any limit on connections: the endpoint's, that of what lies between, this
-    /// machine's. Hurts where one failed by chance in a rush: the rest wait a tenth of a second.
-    fn record_connect(&mut self, id: EndpointId, sent: Ns, opens: bool, outcome: Outcome) {
+    /// After a failed connect, new connections are tried one at a time with exponential backoff; others stay
+    /// in use. Covers a connection limit of the endpoint, an intermediary or this machine. Drawback: after
+    /// one random failure in a load peak, the other new connections wait 0.1 s.
+    fn record_connect(&mut self, id: EndpointId, sent_at: Ns, opens_connection: bool, outcome: Outcome) {
         let kept = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Full { .. });
         let (now, e) = (self.now, self.endpoints.get_mut(&id).expect("known"));
         e.idle_connections.extend(kept.then_some(now));
-        if kept && opens {
+        if kept && opens_connection {
             e.connect_failures = e.connect_failures.saturating_sub(1);
         }
         if matches!(outcome, Outcome::ConnectFailed | Outcome::Crowded) {
-            self.connections_scarce_at[e.kind] = secs_from_ns(now);
-            // Those that were thought idle when it left are not there.
-            e.idle_connections.retain(|t| *t > sent);
-            // A rush that left before the first failure was known counts once.
-            e.connect_failures += u32::from(sent >= e.last_connect_failure);
+            self.connections_scarce_at[e.kind] = to_secs(now);
+            // Connections that counted as idle when it was sent are gone.
+            e.idle_connections.retain(|t| *t > sent_at);
+            // Connects that were started before the first failure was known count as one failure.
+            e.connect_failures += u32::from(sent_at >= e.last_connect_failure);
             e.last_connect_failure = now;
             e.next_connect_at =
-                now + ns_from_secs(connect_backoff(e.connect_failures) * (0.5 + self.rng.random::<f64>()));
+                now + from_secs(connect_backoff(e.connect_failures) * (0.5 + self.rng.random::<f64>()));
         }
     }
 
-    // ---- chart: place, set back, shed -------------------------------------------------------------
+    // ---- occupancy chart: enqueue, drop the aim, shed ----------------------------------------------
 
-    /// Sigma: the smoothed latency over the calls that may run at once, and no less than paces under a known
-    /// limit allow: else a chart believes in rates it has not. Hurts where a pace is far below the limit.
+    /// Sigma in the paper: smoothed latency over concurrent calls, but no less than the rates under a known
+    /// limit allow; otherwise the chart would assume throughput that is not there. Too high where a rate is
+    /// far below the limit.
     fn service_time(&self, id: DestinationId) -> Ns {
-        let (d, limit_groups) = (&self.destinations[&id], self.ready_limit_groups(id));
-        let pace = limit_groups
+        let (d, groups) = (&self.destinations[&id], self.ready_limit_groups(id));
+        let pace = groups
             .iter()
             .map(|p| self.limit_groups[p].limit.and(self.limit_groups[p].rate))
             .sum::<Option<f64>>();
         let paced = pace.filter(|r| *r > 0.0).map_or(0.0, |r| 1.0 / r);
-        ns_from_secs((d.latency / self.max_calls(d) as f64).max(paced)).max(1)
+        from_secs((d.latency / self.max_calls(d) as f64).max(paced)).max(1)
     }
 
-    /// Time of the chart that a fleet's courier has in hand: what its buckets hold goes at once, however thin
-    /// its share. Else one whose share is a call in many seconds refuses whatever it is given.
+    /// Chart time covered by the tokens of a fleet's courier: they can be spent at once, however small its
+    /// share. Without it, a courier with a share of one call in many seconds would refuse every message.
     fn token_credit(&self, id: DestinationId) -> Ns {
         let fleet_factor = self.settings.fleet_factor();
         if fleet_factor == 0.0 {
             return 0;
         }
-        let limit_groups = self.ready_limit_groups(id);
-        let held = limit_groups
-            .iter()
-            .map(|p| self.limit_groups[p].available_tokens(self.now).max(0.0))
-            .sum::<f64>();
+        let groups = self.ready_limit_groups(id);
+        let held =
+            groups.iter().map(|p| self.limit_groups[p].available_tokens(self.now).max(0.0)).sum::<f64>();
         (self.destinations[&id].chart.service_time as f64 * fleet_factor * held.min(1.0)) as Ns
     }
 
-    /// The pools that a destination's ready endpoints draw on, each once.
+    /// The limit groups of a destination's ready endpoints, each once.
     fn ready_limit_groups(&self, id: DestinationId) -> BTreeSet<LimitGroupId> {
         let endpoints = self.destinations[&id].endpoints.iter();
         endpoints.filter(|e| self.endpoints[e].ready).map(|e| self.limit_group_id(*e)).collect()
     }
 
-    /// Calls that this courier may have out at a destination.
+    /// Calls that this courier may have in flight to a destination.
     fn max_calls(&self, d: &Destination) -> usize {
         let bad = d.recent_failures.iter().filter(|b| **b).count();
-        let ailing = d.recent_failures.len() >= RECENT_CALLS / 3 && bad * 2 > d.recent_failures.len();
-        let share = if ailing { MAX_UNHEALTHY_CALL_SHARE } else { MAX_DESTINATION_CALL_SHARE };
+        let unhealthy = d.recent_failures.len() >= RECENT_CALLS / 3 && bad * 2 > d.recent_failures.len();
+        let share = if unhealthy { MAX_UNHEALTHY_CALL_SHARE } else { MAX_DESTINATION_CALL_SHARE };
         ((self.settings.max_calls_in_flight as f64 * share) as usize).max(1)
     }
 
     fn enqueue(&mut self, id: MessageId, out: &mut Vec<Action>) {
         let dest = self.messages[&id].destination;
         let m = &self.messages[&id];
-        if !m.past_aim && self.now + ns_from_secs(self.destinations[&dest].latency) > m.aim_at {
+        if !m.past_aim && self.now + from_secs(self.destinations[&dest].latency) > m.aim_at {
             self.drop_aim(id);
         }
-        let (due, service_time) = (self.messages[&id].chart_deadline, self.service_time(dest));
+        let (chart_deadline, service_time) = (self.messages[&id].chart_deadline, self.service_time(dest));
         let chart = &mut self.destination_mut(dest).chart;
         chart.resize(service_time);
-        chart.add(due, id);
+        chart.add(chart_deadline, id);
         self.restore_feasibility(dest, out);
     }
 
-    /// Gives up the aim: the message now stands on the chart by its final deadline.
+    /// Gives up the aim: the message moves to its final deadline on the chart.
     fn drop_aim(&mut self, id: MessageId) {
         let m = self.messages.get_mut(&id).expect("held");
-        let (dest, due, end) = (m.destination, m.chart_deadline, m.deadline);
-        (m.past_aim, m.chart_deadline) = (true, end);
+        let (dest, chart_deadline, deadline) = (m.destination, m.chart_deadline, m.deadline);
+        (m.past_aim, m.chart_deadline) = (true, deadline);
         let chart = &mut self.destination_mut(dest).chart;
-        if chart.remove(due, id) {
-            chart.add(end, id);
+        if chart.remove(chart_deadline, id) {
+            chart.add(deadline, id);
         }
         self.record_miss(id);
     }
 
-    /// While the first busy segment starts before now, one of its messages gives way. Departure: the first
-    /// time it is only set back to its final deadline, while late worth remains.
+    /// While the first busy segment starts before now, one of its messages is shed. Unlike in the paper, it
+    /// is first moved to its final deadline, while a late delivery has worth.
     fn restore_feasibility(&mut self, dest: DestinationId, out: &mut Vec<Action>) {
         let now = self.now;
         let credit = self.token_credit(dest);
@@ -576,8 +599,8 @@
         }
     }
 
-    /// The message to give way: of the group that has missed least, weighted by worth, the one
-    /// with most time left.
+    /// The message to shed: from the group with the lowest miss ratio, weighted by worth, the latest
+    /// deadline.
     fn shed_candidate(&self, candidates: &[MessageId]) -> MessageId {
         let score = |id: &MessageId| {
             let m = &self.messages[id];
@@ -595,7 +618,7 @@
 
     fn count(&mut self, fairness_group: usize, misses: f64, total: f64) {
         let t = &mut self.miss_counts[fairness_group];
-        let keep = (-secs_from_ns(self.now - t.updated_at) / MISS_RATIO_DECAY_SECONDS).exp();
+        let keep = (-to_secs(self.now - t.updated_at) / MISS_RATIO_DECAY_SECONDS).exp();
         *t = MissCounts {
             misses: t.misses * keep + misses,
             total: t.total * keep + total,
@@ -611,13 +634,13 @@
         }
     }
 
-    /// Late refusal, and the end of messages whose time is nearly up; then the chart.
+    /// Ends messages whose time is nearly up or that have no attempt left, then restores the chart.
     fn end_expired(&mut self, dest: DestinationId, out: &mut Vec<Action>) {
-        let over = |m: &Message| {
+        let expired = |m: &Message| {
             self.answer_deadline(m) <= self.now || (m.in_flight.is_none() && !self.may_attempt(m))
         };
         let open = self.destinations[&dest].messages.iter().filter(|id| !self.messages[id].finished);
-        for id in open.filter(|id| over(&self.messages[id])).copied().collect::<Vec<_>>() {
+        for id in open.filter(|id| expired(&self.messages[id])).copied().collect::<Vec<_>>() {
             self.end_undelivered(id, out);
         }
         let service_time = self.service_time(dest);
@@ -625,7 +648,7 @@
         self.restore_feasibility(dest, out);
     }
 
-    /// Sends what may go now, by earliest deadline over the destinations with news.
+    /// Sends what may be sent now, by earliest deadline across the destinations being checked.
     fn send_ready(&mut self, dirty: &BTreeSet<DestinationId>, out: &mut Vec<Action>) {
         let held: BTreeSet<_> =
             dirty.iter().flat_map(|d| self.destinations[d].chart.held.iter().copied()).collect();
@@ -646,11 +669,11 @@
         self.cancel_stuck_call(out);
     }
 
-    /// Calls off the oldest stuck call where messages wait for its slot. Guards against answers that never
-    /// come; an unsafe message is lost by it, so it hurts where very slow calls are answered.
+    /// Cancels the oldest stuck call if messages wait for its slot. Guards against answers that never come.
+    /// Drawback: a cancelled message that may run only once fails, even if its slow call would be answered.
     fn cancel_stuck_call(&mut self, out: &mut Vec<Action>) {
         self.next_stuck_check = NEVER;
-        let wanted = self.settings.cancellation_enabled && !self.waiting_for_slot.is_empty();
+        let needed = self.settings.cancellation_enabled && !self.waiting_for_slot.is_empty();
         let full = self.calls_in_flight >= self.settings.max_calls_in_flight;
         let stuck = |m: &Message| {
             let f = m
@@ -659,13 +682,11 @@
                 .filter(|f| !f.cancelled && (full || self.waiting_for_slot.contains(&m.destination)))?;
             Some(
                 f.sent_at
-                    + ns_from_secs(
-                        self.attempt_timeout(&self.endpoints[&f.endpoint]) * STUCK_TIMEOUT_MULTIPLE,
-                    ),
+                    + from_secs(self.attempt_timeout(&self.endpoints[&f.endpoint]) * STUCK_TIMEOUT_MULTIPLE),
             )
         };
         let first =
-            self.messages.iter().filter_map(|(id, m)| Some((stuck(m)?, *id))).filter(|_| wanted).min();
+            self.messages.iter().filter_map(|(id, m)| Some((stuck(m)?, *id))).filter(|_| needed).min();
         let Some((at, id)) = first else { return };
         self.next_stuck_check = at.max(self.now + ns(self.settings.tick));
         if at <= self.now {
@@ -675,16 +696,17 @@
         }
     }
 
-    /// How long an attempt that may be repeated is waited for, s.
+    /// Timeout in seconds of an attempt that may be repeated.
     fn attempt_timeout(&self, e: &Endpoint) -> f64 {
         (TIMEOUT_LATENCY_MULTIPLE * e.latency).max(MIN_TIMEOUT_SECONDS)
     }
 
-    /// Rule: ordered messages go one at a time by key, which rests after one that may still run.
+    /// Rule: messages of an ordered key go one at a time, with a pause after one that may still be running.
     fn is_next_for_key(&self, id: MessageId, m: &Message) -> bool {
         let Some(key) = &m.key else { return true };
-        let rested = self.key_cooldowns.get(key).is_none_or(|(of, until)| *of == id || *until <= self.now);
-        rested && self.key_queues.get(key).and_then(VecDeque::front) == Some(&id)
+        let cooled_down =
+            self.key_cooldowns.get(key).is_none_or(|(held_by, until)| *held_by == id || *until <= self.now);
+        cooled_down && self.key_queues.get(key).and_then(VecDeque::front) == Some(&id)
     }
 
     fn send(
@@ -713,7 +735,7 @@
                 e.idle_connections.retain(|t| *t > now - ns(self.settings.keepalive));
                 opens_connection = e.idle_connections.pop().is_none();
                 if opens_connection {
-                    e.next_connect_at = now + ns_from_secs(connect_backoff(e.connect_failures));
+                    e.next_connect_at = now + from_secs(connect_backoff(e.connect_failures));
                 }
                 e.trial = Some(call);
                 self.calls_in_flight += 1;
@@ -722,11 +744,11 @@
                 call
             }
         };
-        let attempt_timeout = ns_from_secs(self.attempt_timeout(&self.endpoints[&endpoint]));
+        let attempt_timeout = from_secs(self.attempt_timeout(&self.endpoints[&endpoint]));
         let latest_attempt_end = self.latest_attempt_end(&self.messages[&id]);
         let m = self.messages.get_mut(&id).expect("held");
         let left = latest_attempt_end - now - ns(self.settings.tick) * 2;
-        // What may run only once is given all its time: cutting it short can only fail it.
+        // A message that may run only once gets all its time: a shorter timeout could only make it fail.
         let once = self.settings.classes[m.class].effect == Effect::Once;
         let timeout = if once { left } else { left.min(attempt_timeout) };
         let (dest, due) = (m.destination, m.chart_deadline);
@@ -734,70 +756,72 @@
         m.in_flight =
             Some(InFlightAttempt { endpoint, call, cancelled: false, sent_at: now, opens_connection });
         self.destination_mut(dest).chart.remove(due, id);
-        out.push(Action::Send { message: id, endpoint, timeout: duration_from_ns(timeout.max(1)) });
+        out.push(Action::Send { message: id, endpoint, timeout: to_duration(timeout.max(1)) });
         self.space_next_call(endpoint);
     }
 
-    /// The cheapest endpoint that may take this message now. Each rule on sends is kept here.
+    /// The cheapest endpoint to which this message may be sent now. Enforces every rule on sending.
     fn choose_endpoint(&mut self, id: MessageId, open_bundles: &OpenBundles) -> Option<EndpointId> {
         let m = &self.messages[&id];
         let d = &self.destinations[&m.destination];
         let room = self.has_call_slot(d);
-        let few = self.calls_in_flight + 1 + self.settings.max_calls_in_flight / SCARCE_SLOT_DIVISOR
+        let scarce = self.calls_in_flight + 1 + self.settings.max_calls_in_flight / SCARCE_SLOT_DIVISOR
             >= self.settings.max_calls_in_flight;
-        let short = if few { SCARCE_SLOT_COST } else { 0.0 };
-        let (mut best, mut starved, mut later) = (None, Vec::new(), NEVER);
+        let slot_cost = if scarce { SCARCE_SLOT_COST } else { 0.0 };
+        let (mut best, mut rate_limited, mut check_at) = (None, Vec::new(), NEVER);
         for id in &d.endpoints {
             let e = &self.endpoints[id];
-            // Rules: nothing to a draining or gone endpoint; a keyed repeat only where it is dropped.
+            // Rules: nothing to a draining or gone endpoint; a keyed repeat only within the scope of its key.
             if !e.ready || !self.repeat_is_safe_at(m, *id, e) {
                 continue;
             }
-            // Rule: nor to one that may drain or be gone without this courier's knowing it.
+            // Rule: nothing to an endpoint that may be draining or gone without this courier's knowledge.
             if e.requires_lease && !self.membership.is_valid(self.now) {
                 continue;
             }
             if let Some(at) = self.unavailable_until(m, e) {
-                later = later.min(at);
+                check_at = check_at.min(at);
                 continue;
             }
             let group_id = self.limit_group_id(*id);
             let group = &self.limit_groups[&group_id];
-            let joins = open_bundles.get(id).is_some_and(|(_, room)| *room > 0);
-            // Rules: waits are kept, and an endpoint back from an outage gets its calls spaced.
-            let mut free = if joins || e.slow_start_since.is_none() {
+            let joins_bundle = open_bundles.get(id).is_some_and(|(_, room)| *room > 0);
+            // Rules: stated waits are observed, and calls to an endpoint in slow start are spaced.
+            let mut free_at = if joins_bundle || e.slow_start_since.is_none() {
                 group.wait_until
             } else {
                 group.wait_until.max(e.next_call_at)
             };
-            if !joins && !room {
+            if !joins_bundle && !room {
                 continue;
             }
-            if !joins {
-                let lack = 1.0 - group.available_tokens(self.now);
-                if let Some(rate) = group.rate.filter(|_| lack > 0.0 && e.breaker == CircuitBreaker::Closed) {
-                    free = free.max(self.now + ns_from_secs(lack / rate) + 1);
-                    starved.push(group_id);
+            if !joins_bundle {
+                let missing_tokens = 1.0 - group.available_tokens(self.now);
+                if let Some(rate) =
+                    group.rate.filter(|_| missing_tokens > 0.0 && e.breaker == Breaker::Closed)
+                {
+                    free_at = free_at.max(self.now + from_secs(missing_tokens / rate) + 1);
+                    rate_limited.push(group_id);
                 }
             }
             let idle = e.idle_connections.iter().any(|t| *t > self.now - ns(self.settings.keepalive));
-            if !joins && !idle {
-                free = free.max(e.next_connect_at);
+            if !joins_bundle && !idle {
+                free_at = free_at.max(e.next_connect_at);
             }
-            if free > self.now {
-                later = later.min(free);
+            if free_at > self.now {
+                check_at = check_at.min(free_at);
                 continue;
             }
             let separate = self.settings.kinds[e.kind].separate_routes;
             let fee = self.settings.zone_fees.get(e.zone).filter(|_| separate).copied().unwrap_or(0.0);
-            let cold = if joins || idle { 0.0 } else { self.settings.handshake_cost };
+            let handshake = if joins_bundle || idle { 0.0 } else { self.settings.handshake_cost };
             let aim = self.settings.classes[m.class].aim.as_secs_f64().max(INITIAL_LATENCY_SECONDS);
-            let again = if m.last_endpoint == Some(*id) && m.attempts > 0 { LATENCY_COST } else { 0.0 };
+            let retry = if m.last_endpoint == Some(*id) && m.attempts > 0 { LATENCY_COST } else { 0.0 };
             let load = 1.0 + e.calls.len() as f64 / 4.0;
-            let slow = LATENCY_COST / aim * e.latency + short * e.latency.max(INITIAL_LATENCY_SECONDS);
+            let slow = LATENCY_COST / aim * e.latency + slot_cost * e.latency.max(INITIAL_LATENCY_SECONDS);
             let cost = fee
-                + cold
-                + again
+                + handshake
+                + retry
                 + slow * load
                 + TIE_BREAK_COST * e.tie_break
                 + FAILURE_COST * e.failure_ratio.decayed(self.now);
@@ -806,12 +830,14 @@
             }
         }
         let dest = m.destination;
-        starved.into_iter().for_each(|p| self.limit_groups.get_mut(&p).expect("known").rate_limited = true);
-        self.check_by(dest, later);
+        rate_limited
+            .into_iter()
+            .for_each(|p| self.limit_groups.get_mut(&p).expect("known").rate_limited = true);
+        self.check_by(dest, check_at);
         best.map(|b| b.1)
     }
 
-    /// Rule: what may have run goes again only where that is harmless by its effect class.
+    /// Rule: a message that may have run is repeated only where its effect class makes that harmless.
     fn repeat_is_safe_at(&self, m: &Message, id: EndpointId, e: &Endpoint) -> bool {
         let Some((first, zone, _)) = m.may_have_run else { return true };
         match self.settings.classes[m.class].effect {
@@ -832,31 +858,27 @@
             && m.attempts < self.settings.classes[m.class].max_attempts.unwrap_or(self.settings.max_attempts)
     }
 
-    /// None if the message may go there, else when to ask again. A half-open breaker lets one trial through.
-    /// What may run only once keeps off endpoints where calls failed that may have run, until half its time
-    /// is gone. A connection that was not to be had costs it nothing, and in a fleet most are so at times.
+    /// None if the message may be sent there, else when to check again. A half-open breaker admits one trial.
+    /// Until half its time has passed, a message that may run only once avoids endpoints with failed calls
+    /// that may have run. Failed connects don't count: they are harmless, and common in a fleet.
     fn unavailable_until(&self, m: &Message, e: &Endpoint) -> Option<Ns> {
-        let half_gone = m.deadline - ns(self.settings.classes[m.class].deadline) / 2;
+        let half_time = m.deadline - ns(self.settings.classes[m.class].deadline) / 2;
         let risk = e.uncertain_failure_ratio.decayed(self.now);
         let too_risky =
             self.settings.classes[m.class].effect == Effect::Once && risk >= MAX_ONCE_FAILURE_RATIO;
         match e.breaker {
-            CircuitBreaker::Closed | CircuitBreaker::HalfOpen if too_risky && half_gone > self.now => {
-                Some(half_gone.min(
-                    self.now
-                        + ns_from_secs(
-                            FAILURE_RATIO_HALF_LIFE_SECONDS * (risk / MAX_ONCE_FAILURE_RATIO).log2(),
-                        )
-                        + 1,
-                ))
-            }
-            CircuitBreaker::Closed => None,
-            CircuitBreaker::HalfOpen if e.trial.is_none() => None,
+            Breaker::Closed | Breaker::HalfOpen if too_risky && half_time > self.now => Some(half_time.min(
+                self.now
+                    + from_secs(FAILURE_RATIO_HALF_LIFE_SECONDS * (risk / MAX_ONCE_FAILURE_RATIO).log2())
+                    + 1,
+            )),
+            Breaker::Closed => None,
+            Breaker::HalfOpen if e.trial.is_none() => None,
             _ => Some(NEVER),
         }
     }
 
-    /// This courier's part, in calls a second: an even share of the limit, or more where it has had more.
+    /// This courier's rate in calls per second: its fair share of the limit, or more if it has achieved more.
     fn rate_share(&self, id: EndpointId) -> f64 {
         let group_id = self.limit_group_id(id);
         let group = &self.limit_groups[&group_id];
@@ -870,30 +892,31 @@
         known.max(2.0 * (group.accepted_rate - 1.0 / ACCEPTED_RATE_DECAY_SECONDS)) / sharing.max(1) as f64
     }
 
-    /// Time between calls, s, that keeps this courier's part of the fail-back budget.
+    /// Seconds between calls that keep this courier within its share of the slow-start budget.
     fn call_gap(&self, id: EndpointId) -> f64 {
         let from = self.endpoints[&id].slow_start_since.unwrap_or(self.now);
-        let warm = secs_from_ns(self.now - from) / self.settings.slow_start_duration.as_secs_f64().max(1e-3);
+        let warm = to_secs(self.now - from) / self.settings.slow_start_duration.as_secs_f64().max(1e-3);
         let present = self.settings.slow_start_min_share
             + (1.0 - self.settings.slow_start_min_share) * warm.clamp(0.0, 1.0);
         1.0 / (self.settings.overload_multiple * present * self.rate_share(id)).max(1e-3)
     }
 
-    /// Rule: an endpoint back from an outage is not pushed over. Each keeps its part of the budget, or,
-    /// where that is less than a call, goes once at random while it warms, rather late than early.
+    /// Rule: an endpoint back from an outage is not overloaded. Each courier keeps to its share of the
+    /// budget; if that is less than a call, it calls once at random in the slow start, more likely late than
+    /// early.
     fn space_next_call(&mut self, id: EndpointId) {
         let (gap, u) = (self.call_gap(id), self.rng.random::<f64>());
         let (now, cold) = (self.now, ns(self.settings.slow_start_duration));
         let e = self.endpoints.get_mut(&id).expect("known");
         e.slow_start_since = e.slow_start_since.filter(|t| now - t <= cold);
         if let Some(from) = e.slow_start_since {
-            let left = secs_from_ns(from + cold - now);
-            e.next_call_at = e.next_call_at.max(now + ns_from_secs((left * u.sqrt()).min(gap * (0.5 + u))));
+            let left = to_secs(from + cold - now);
+            e.next_call_at = e.next_call_at.max(now + from_secs((left * u.sqrt()).min(gap * (0.5 + u))));
         }
     }
 
-    /// Whether an endpoint cannot hold an idle connection from each courier. Those that hold one never learn
-    /// so: only the others are turned away, for as long as it is kept.
+    /// Whether an endpoint cannot hold an idle connection from each courier. Those that hold one never
+    /// notice: only the others are rejected, for as long as it is kept.
     fn connections_contended(&self, id: EndpointId) -> bool {
         let e = &self.endpoints[&id];
         let couriers = self.settings.courier_count as f64;
@@ -902,20 +925,20 @@
             && couriers > (CONNECTIONS_PER_CALL * busy).max(MIN_ENDPOINT_CONNECTIONS)
     }
 
-    /// Frees an idle connection where they are few and this courier has no early use for it: idle ones count.
-    /// Where a fleet is known to crowd the endpoint it goes unless a call has left on it at once, even with
-    /// something held: hundreds that keep one each for what they may not send yet leave none. Elsewhere what
-    /// is held needs it: the one connection that is to be had may be this.
+    /// Closes idle connections, which count against limits, where they are scarce and this courier needs none
+    /// soon. If the fleet outnumbers an endpoint's connections, they go unless a call is in flight, even with
+    /// messages held: hundreds of couriers that keep one each for messages that they may not send yet would
+    /// leave none. Elsewhere held messages keep them: there may be no other connection to be had.
     fn close_spare_connection(&mut self, id: EndpointId, out: &mut Vec<Action>) {
         let e = &self.endpoints[&id];
         if !e.calls.is_empty() || e.idle_connections.is_empty() {
             return;
         }
         let span = self.settings.keepalive.as_secs_f64();
-        let tight = secs_from_ns(self.now) < self.connections_scarce_at[e.kind] + SCARCITY_KEEPALIVES * span;
-        let rare = self.limit_groups[&self.limit_group_id(id)].accepted_rate * span < MIN_REUSE_CALLS;
-        let unused = tight && rare && self.destinations[&e.destination].chart.held.is_empty();
-        if unused || self.connections_contended(id) {
+        let scarce = to_secs(self.now) < self.connections_scarce_at[e.kind] + SCARCITY_KEEPALIVES * span;
+        let rarely_used = self.limit_groups[&self.limit_group_id(id)].accepted_rate * span < MIN_REUSE_CALLS;
+        let not_needed = scarce && rarely_used && self.destinations[&e.destination].chart.held.is_empty();
+        if not_needed || self.connections_contended(id) {
             self.endpoints.get_mut(&id).expect("known").idle_connections.clear();
             out.push(Action::CloseIdleConnections { endpoint: id });
         }
@@ -928,117 +951,114 @@
             e.uncertain_failure_ratio.updated(now, FAILURE_EWMA_WEIGHT, 0.0),
         );
         e.last_success = now;
-        // Slow start follows failures, not mere silence: a lost reply must not cost a well endpoint its rate.
-        if e.breaker != CircuitBreaker::Closed {
-            e.breaker = CircuitBreaker::Closed;
-            if e.slow_start_pending && secs_from_ns(now - e.unhealthy_since) > CONFIRMED_OUTAGE_SECONDS {
+        // Slow start follows failures, not silence: one lost reply must not throttle a healthy endpoint.
+        if e.breaker != Breaker::Closed {
+            e.breaker = Breaker::Closed;
+            if e.slow_start_pending && to_secs(now - e.unhealthy_since) > CONFIRMED_OUTAGE_SECONDS {
                 (e.slow_start_since, e.next_call_at) = (Some(now), now);
                 self.space_next_call(id);
             }
         }
     }
 
-    /// A call failed; `ran` if it may have run.
-    fn record_failure(&mut self, id: EndpointId, call: u64, ran: bool) {
+    /// Records a failed call, and whether it may have run.
+    fn record_failure(&mut self, id: EndpointId, call: u64, may_have_run: bool) {
         let (now, e) = (self.now, self.endpoints.get_mut(&id).expect("known"));
-        let gain = if secs_from_ns(now - e.last_success) < 4.0 {
-            FAILURE_EWMA_WEIGHT
-        } else {
-            STALE_FAILURE_EWMA_WEIGHT
-        };
-        e.failure_ratio = e.failure_ratio.updated(now, gain, 1.0);
-        if ran {
-            e.uncertain_failure_ratio = e.uncertain_failure_ratio.updated(now, gain, 1.0);
+        let weight =
+            if to_secs(now - e.last_success) < 4.0 { FAILURE_EWMA_WEIGHT } else { STALE_FAILURE_EWMA_WEIGHT };
+        e.failure_ratio = e.failure_ratio.updated(now, weight, 1.0);
+        if may_have_run {
+            e.uncertain_failure_ratio = e.uncertain_failure_ratio.updated(now, weight, 1.0);
         }
         match e.breaker {
-            CircuitBreaker::Closed if e.failure_ratio.ratio > BREAKER_TRIP_RATIO => {
-                self.open_breaker(id, true)
-            }
-            CircuitBreaker::HalfOpen if e.trial == Some(call) => self.open_breaker(id, true),
+            Breaker::Closed if e.failure_ratio.ratio > BREAKER_TRIP_RATIO => self.open_breaker(id, true),
+            Breaker::HalfOpen if e.trial == Some(call) => self.open_breaker(id, true),
             _ => {}
         }
     }
 
-    /// Opens a breaker. The next trial comes after a multiple of the time for which it has ailed, as
-    /// ever more couriers have something to try there, but no later than the known rate has room for all.
+    /// Opens a breaker. Its pause grows with the time for which the endpoint has been unhealthy, as ever more
+    /// couriers have messages to try there, up to the time of one call at this courier's rate.
     fn open_breaker(&mut self, id: EndpointId, cold: bool) {
         let jitter = 0.5 + self.rng.random::<f64>();
         let (now, rate) = (self.now, self.rate_share(id).max(1e-3));
         let e = self.endpoints.get_mut(&id).expect("known");
-        let closed = e.breaker == CircuitBreaker::Closed;
+        let closed = e.breaker == Breaker::Closed;
         if closed && e.slow_start_since.is_none() {
             e.unhealthy_since = now;
         }
-        let pause = (INITIAL_OPEN_SECONDS + OPEN_GROWTH_FACTOR * secs_from_ns(now - e.unhealthy_since))
+        let pause = (INITIAL_OPEN_SECONDS + OPEN_GROWTH_FACTOR * to_secs(now - e.unhealthy_since))
             .min(1.0 / rate)
             .max(MIN_OPEN_SECONDS);
         e.slow_start_pending = cold || (e.slow_start_pending && !closed);
         e.slow_start_since = e.slow_start_since.filter(|_| !e.slow_start_pending);
         let (next_trial_at, apart) =
-            (now + ns_from_secs(pause * jitter), ns_from_secs(TRIAL_SPACING_SHARE * pause));
-        e.breaker = CircuitBreaker::Open;
-        // Outages mostly take a destination whole: one trial speaks for all its open endpoints. They take
-        // turns, what failed last comes last: else it alone is tried, and others that are back stay shut.
+            (now + from_secs(pause * jitter), from_secs(TRIAL_SPACING_SHARE * pause));
+        e.breaker = Breaker::Open;
+        // Most outages affect a whole destination, so one trial stands for all its open endpoints. They take
+        // turns, the latest failure last; otherwise recovered endpoints would never be tried.
         let others = self.destinations[&e.destination].endpoints.iter().map(|o| (*o, &self.endpoints[o]));
-        let shut = others.filter(|(o, e)| *o != id && e.ready && e.breaker == CircuitBreaker::Open);
-        let key_queues: BTreeSet<_> = shut.map(|(o, e)| (e.next_trial_at, o)).collect();
-        for (n, (at, other)) in key_queues.into_iter().chain([(next_trial_at, id)]).enumerate() {
+        let shut = others.filter(|(o, e)| *o != id && e.ready && e.breaker == Breaker::Open);
+        let trial_order: BTreeSet<_> = shut.map(|(o, e)| (e.next_trial_at, o)).collect();
+        for (n, (at, other)) in trial_order.into_iter().chain([(next_trial_at, id)]).enumerate() {
             self.endpoints.get_mut(&other).expect("known").next_trial_at =
                 at.max(next_trial_at + apart * n as Ns);
         }
     }
 
-    /// Rule: a wait told holds for the whole pool, whoever told it; a shorter one never replaces it.
+    /// Rule: a stated wait applies to the whole limit group; a shorter one never replaces it.
     fn apply_feedback(&mut self, id: EndpointId, outcome: Outcome, report: &Option<LimitReport>) {
         let (Some(_), now) = (self.endpoints.get(&id), self.now) else { return };
         let group_id = self.limit_group_id(id);
-        let group = self.limit_groups.get_mut(&group_id).expect("each endpoint has a pool");
+        let group = self.limit_groups.get_mut(&group_id).expect("each endpoint has a limit group");
         let before = group.limit;
         group.limit = report.map(|r| r.limit).filter(|l| *l > 0.0).or(group.limit);
         if let (Some(before), Some(limit)) = (before, group.limit) {
-            // What was learnt of the others' use holds for a limit that has moved, too.
+            // What the rate reflects of the other couriers' usage still applies when the limit changes.
             group.rate =
                 group.rate.map(|rate| rate * (1.0 + self.settings.fleet_factor() * (limit / before - 1.0)));
         }
-        let start =
-            group.fair_share(self.settings.courier_count).filter(|even| *even * RATE_WINDOW_SECONDS > 1.0);
-        group.rate = group.rate.or(start.map(|even| even * INITIAL_RATE_SHARE));
+        let start = group
+            .fair_share(self.settings.courier_count)
+            .filter(|fair_share| *fair_share * RATE_WINDOW_SECONDS > 1.0);
+        group.rate = group.rate.or(start.map(|fair_share| fair_share * INITIAL_RATE_SHARE));
         if let Outcome::Full { wait: Some(wait) } = outcome {
             group.wait_until = group.wait_until.max(now + ns(wait + self.settings.tick));
         }
     }
 
-    /// Finds hung calls and moves open breakers on, at the endpoints of one destination.
+    /// Detects hung calls and advances the breakers of one destination's endpoints.
     fn check_health(&mut self, dest: DestinationId) {
         let now = self.now;
         let d = &self.destinations[&dest];
         let (held, usual) = (!d.chart.held.is_empty(), d.latency);
         for id in d.endpoints.iter().copied().collect::<Vec<_>>() {
-            let pool_waits = self.limit_groups[&self.limit_group_id(id)].wait_until;
+            let wait_until = self.limit_groups[&self.limit_group_id(id)].wait_until;
             let e = self.endpoints.get_mut(&id).expect("known");
-            let hang = ns_from_secs((HANG_LATENCY_MULTIPLE * e.latency.max(usual)).max(MIN_HANG_SECONDS));
+            let hang = from_secs((HANG_LATENCY_MULTIPLE * e.latency.max(usual)).max(MIN_HANG_SECONDS));
             e.slow_start_since =
                 e.slow_start_since.filter(|t| now - t <= ns(self.settings.slow_start_duration));
-            // Silence: a call much older than usual and no answer since it left. One slow call can trip it,
-            // which costs a trial. A courier that stalled hears all its news first: that is no silence.
+            // Hung: a call much older than usual, with no answer since it was sent. One slow call can trip
+            // this, at the cost of a trial. After a stall of this courier, the waiting events are applied
+            // first.
             let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && e.last_success < c.0;
             let waits = e.calls.values().filter(|c| c.0 != Ns::MIN && !hung(c)).map(|c| c.0 + hang + 1).min();
             let trial_lost = |t| e.calls.get(&t).is_none_or(hung);
             match e.breaker {
-                CircuitBreaker::Closed if e.calls.values().any(hung) => self.open_breaker(id, false),
-                CircuitBreaker::Open if held && e.next_trial_at.max(pool_waits) <= now => {
-                    (e.breaker, e.trial) = (CircuitBreaker::HalfOpen, None);
+                Breaker::Closed if e.calls.values().any(hung) => self.open_breaker(id, false),
+                Breaker::Open if held && e.next_trial_at.max(wait_until) <= now => {
+                    (e.breaker, e.trial) = (Breaker::HalfOpen, None);
                 }
-                CircuitBreaker::HalfOpen if e.trial.is_some_and(trial_lost) => self.open_breaker(id, true),
+                Breaker::HalfOpen if e.trial.is_some_and(trial_lost) => self.open_breaker(id, true),
                 _ => {}
             }
             let e = &self.endpoints[&id];
-            let turn = (e.breaker == CircuitBreaker::Open && held).then_some(e.next_trial_at.max(pool_waits));
+            let turn = (e.breaker == Breaker::Open && held).then_some(e.next_trial_at.max(wait_until));
             self.check_by(dest, waits.unwrap_or(NEVER).min(turn.unwrap_or(NEVER)));
         }
     }
 
-    /// Ends a message undelivered: refused if that is known to be harmless, else given up as failed.
+    /// Ends a message undelivered: refused if a repeat is known to be harmless, else failed.
     fn end_undelivered(&mut self, id: MessageId, out: &mut Vec<Action>) {
         self.record_miss(id);
         let m = &self.messages[&id];
@@ -1052,55 +1072,54 @@
         self.finish(id);
     }
 
-    /// When a refused client may come again: what is held there has had time to go, and a wait is over.
+    /// How long a refused client should wait: until held messages can be sent and a stated wait is over.
     fn retry_hint(&self, dest: DestinationId) -> Duration {
-        let (held, limit_groups) = (self.destinations[&dest].chart.held.len(), self.ready_limit_groups(dest));
-        let wait = limit_groups.iter().map(|p| self.limit_groups[p].wait_until).min().unwrap_or(0) - self.now;
-        duration_from_ns(
-            wait.max(self.service_time(dest) * held as Ns)
-                .max(ns_from_secs(INITIAL_REJECTION_BACKOFF_SECONDS)),
+        let (held, groups) = (self.destinations[&dest].chart.held.len(), self.ready_limit_groups(dest));
+        let wait = groups.iter().map(|p| self.limit_groups[p].wait_until).min().unwrap_or(0) - self.now;
+        to_duration(
+            wait.max(self.service_time(dest) * held as Ns).max(from_secs(INITIAL_REJECTION_BACKOFF_SECONDS)),
         )
     }
 
     fn finish(&mut self, id: MessageId) {
         let Some(m) = self.messages.get_mut(&id) else { return };
         self.unfinished -= usize::from(!std::mem::replace(&mut m.finished, true));
-        let (dest, due, out) = (m.destination, m.chart_deadline, m.in_flight.is_some());
-        self.destination_mut(dest).chart.remove(due, id);
+        let (dest, chart_deadline, out) = (m.destination, m.chart_deadline, m.in_flight.is_some());
+        self.destination_mut(dest).chart.remove(chart_deadline, id);
         self.dirty.insert(dest);
         if !out && let Some(m) = self.messages.remove(&id) {
             self.destination_mut(dest).messages.remove(&id);
-            if let Some(line) = m.key.and_then(|key| self.key_queues.get_mut(&key)) {
-                line.retain(|other| *other != id);
-                self.dirty.extend(line.front().map(|next| self.messages[next].destination));
+            if let Some(queue) = m.key.and_then(|key| self.key_queues.get_mut(&key)) {
+                queue.retain(|other| *other != id);
+                self.dirty.extend(queue.front().map(|next| self.messages[next].destination));
             }
-            self.key_queues.retain(|_, line| !line.is_empty());
+            self.key_queues.retain(|_, queue| !queue.is_empty());
             self.key_cooldowns.retain(|_, (_, until)| *until > self.now);
         }
     }
 }
 
 impl Settings {
-    /// Time over which couriers spread a call to discovery that all may make at once: at a start, and after a
-    /// watch has ended or was turned away. A fleet that asks again at once keeps its queue so long that each
-    /// call is out of time when its turn comes, and none is ever served. Hurts where one courier restarts
-    /// alone: it learns of what has changed meanwhile that much later.
+    /// Time over which couriers spread requests to discovery that all may make at once: at a start, and after
+    /// a watch ended or was rejected. If a fleet retried at once, discovery's queue would stay so long that
+    /// each request timed out before its turn, and none would be served. Drawback: a courier that restarts
+    /// alone learns of changes that much later.
     pub fn list_retry_spread(&self) -> Duration {
         Duration::from_secs_f64(FLEET_LIST_SECONDS * self.fleet_factor())
     }
 
-    /// Share of the couriers beyond those few that may act in the same moment: what one does alone adds up.
+    /// Share of the couriers beyond a small fleet: 0 for a few, near 1 for many, whose actions add up.
     fn fleet_factor(&self) -> f64 {
         (1.0 - SMALL_FLEET / self.courier_count.max(1) as f64).max(0.0)
     }
 }
 
-/// How long until the list is asked for again: a pause, s, with jitter, and a part of the fleet's spread.
+/// Delay before the next list request: `pause` seconds with jitter, plus a random part of `spread`.
 pub fn list_retry_delay(pause: f64, spread: Duration, rng: &mut impl Rng) -> Duration {
     Duration::from_secs_f64(pause * (0.5 + rng.random::<f64>())) + spread.mul_f64(rng.random())
 }
 
-/// Pause between new connections after so many that were not to be had, s.
+/// Backoff in seconds before the next connection after this many failed connects.
 fn connect_backoff(times: u32) -> f64 {
     if times == 0 {
         0.0
@@ -1110,9 +1129,9 @@
 }
 
 impl FailureRatio {
-    /// What is left of it; it halves in a fixed time.
+    /// The ratio after exponential decay until `now`.
     fn decayed(self, now: Ns) -> f64 {
-        self.ratio * 0.5f64.powf(secs_from_ns(now - self.updated_at) / FAILURE_RATIO_HALF_LIFE_SECONDS)
+        self.ratio * 0.5f64.powf(to_secs(now - self.updated_at) / FAILURE_RATIO_HALF_LIFE_SECONDS)
     }
 
     fn updated(self, now: Ns, gain: f64, to: f64) -> Self {
@@ -1126,10 +1145,10 @@
         self.limit.map(|l| l / couriers.max(1) as f64)
     }
 
-    /// Tokens now. Without a pace the bucket stays full: calls sent then are no debt later.
+    /// Tokens available now. Without a rate the bucket stays full: earlier calls leave no debt.
     fn available_tokens(&self, now: Ns) -> f64 {
         let Some(rate) = self.rate else { return 1.0 };
-        (self.tokens + rate * secs_from_ns(now - self.refilled_at)).min((rate * RATE_BURST_SECONDS).max(1.0))
+        (self.tokens + rate * to_secs(now - self.refilled_at)).min((rate * RATE_BURST_SECONDS).max(1.0))
     }
 
     fn take_token(&mut self, now: Ns) {
@@ -1137,37 +1156,42 @@
         self.refilled_at = now;
     }
 
-    fn record_accepted(&mut self, now: Ns, settings: &Settings, left: f64) {
+    fn record_accepted(&mut self, now: Ns, settings: &Settings, remaining_share: f64) {
         let (couriers, fleet_factor) = (settings.courier_count, settings.fleet_factor());
         self.consecutive_rejections = 0;
         self.accepted_rate = self.accepted_rate
-            * (-secs_from_ns(now - self.accepted_rate_at) / ACCEPTED_RATE_DECAY_SECONDS).exp()
+            * (-to_secs(now - self.accepted_rate_at) / ACCEPTED_RATE_DECAY_SECONDS).exp()
             + 1.0 / ACCEPTED_RATE_DECAY_SECONDS;
         self.accepted_rate_at = now;
         self.accepted_at.push_back(now);
-        self.accepted_at.retain(|t| *t > now - ns_from_secs(RATE_WINDOW_SECONDS));
-        let span = secs_from_ns(now - *self.first_accepted_at.get_or_insert(now))
+        self.accepted_at.retain(|t| *t > now - from_secs(RATE_WINDOW_SECONDS));
+        let span = to_secs(now - *self.first_accepted_at.get_or_insert(now))
             .clamp(RATE_BURST_SECONDS, RATE_WINDOW_SECONDS);
         self.peak_rate = self.peak_rate.max((self.accepted_at.len() - 1) as f64 / span);
-        // AIMD: grows only while it is the pace that holds messages back.
+        // AIMD: increases only while the rate is what holds messages back.
         if std::mem::take(&mut self.rate_limited) {
-            let step = self.fair_share(couriers).map_or(self.peak_rate, |even| even.max(MIN_RATE_PER_SECOND));
+            let step = self
+                .fair_share(couriers)
+                .map_or(self.peak_rate, |fair_share| fair_share.max(MIN_RATE_PER_SECOND));
             let top = |r: f64| self.limit.unwrap_or(f64::INFINITY).max(r);
-            // In a fleet the allowance shows whether others leave room, not this courier's own call.
-            let spare = FLEET_RATE_INCREASE_SHARE * (left - ALLOWANCE_GROW_ABOVE).max(0.0);
+            // In a fleet the reported allowance, not this courier's own call, shows whether others leave
+            // room.
+            let spare = FLEET_RATE_INCREASE_SHARE * (remaining_share - ALLOWANCE_GROW_ABOVE).max(0.0);
             let grow = RATE_INCREASE_SHARE * (1.0 - fleet_factor) + fleet_factor * spare;
             self.rate = self.rate.map(|r| (r + grow * step).min(top(r)));
         }
-        if let Some(even) =
-            self.fair_share(couriers).filter(|_| fleet_factor > 0.0 && left < ALLOWANCE_SHRINK_BELOW)
+        if let Some(fair_share) = self
+            .fair_share(couriers)
+            .filter(|_| fleet_factor > 0.0 && remaining_share < ALLOWANCE_SHRINK_BELOW)
         {
-            self.rate = self.rate.map(|r| (r * RATE_DECREASE_FACTOR).max(even * MIN_FLEET_RATE_SHARE).min(r));
+            self.rate =
+                self.rate.map(|r| (r * RATE_DECREASE_FACTOR).max(fair_share * MIN_FLEET_RATE_SHARE).min(r));
         }
     }
 
     fn decrease_rate(&mut self, now: Ns, settings: &Settings) {
         let (couriers, fleet_factor) = (settings.courier_count, settings.fleet_factor());
-        if now - self.last_decrease < ns_from_secs(RATE_BURST_SECONDS) && self.last_decrease > 0 {
+        if now - self.last_decrease < from_secs(RATE_BURST_SECONDS) && self.last_decrease > 0 {
             return;
         }
         self.last_decrease = now;
@@ -1175,7 +1199,7 @@
         let floor = MIN_RATE_SHARE + fleet_factor * (MIN_FLEET_RATE_SHARE - MIN_RATE_SHARE);
         let floor = self
             .fair_share(couriers)
-            .map_or(blind, |even| (even * floor).max(MIN_RATE_PER_SECOND * (1.0 - fleet_factor)));
+            .map_or(blind, |fair_share| (fair_share * floor).max(MIN_RATE_PER_SECOND * (1.0 - fleet_factor)));
         let from = self
             .rate
             .unwrap_or(self.peak_rate.max(self.fair_share(couriers).unwrap_or(0.0)) / RATE_DECREASE_FACTOR);
@@ -1192,8 +1216,8 @@
         }
     }
 
-    /// Gives `due` its interval: between segments [due - sigma, due], merged with the segment
-    /// before where they touch; inside a segment, its left end moves by sigma. Merges cascade.
+    /// Adds an interval for `due`: between segments [due - service_time, due], merged with the one before
+    /// where they touch; inside a segment, its start moves earlier by service_time. Merges cascade.
     fn place(&mut self, due: Ns) {
         let service_time = self.service_time;
         let mut at = self.segments.partition_point(|s| s.1 < due);
@@ -1209,7 +1233,7 @@
         }
     }
 
-    /// Takes a message off; those left of it shift right into its slot.
+    /// Removes a message; earlier ones of its segment then start later. Tells whether it was on the chart.
     pub(crate) fn remove(&mut self, due: Ns, id: MessageId) -> bool {
         let held = self.held.remove(&(due, id));
         self.stale |= held;
@@ -1220,7 +1244,7 @@
         self.stale |= std::mem::replace(&mut self.service_time, service_time) != service_time;
     }
 
-    /// Where the first segment starts; segments that no longer fit are made anew once, here.
+    /// Start of the first segment. Rebuilds the segments if they are stale.
     pub(crate) fn start(&mut self) -> Option<Ns> {
         if std::mem::take(&mut self.stale) {
             self.segments.clear();
@@ -1231,7 +1255,7 @@
         self.segments.first().map(|s| s.0)
     }
 
-    /// If the first segment starts before `now`: its messages up to the first that cannot be met.
+    /// If the first segment starts before `now`: its messages up to the first whose deadline cannot be met.
     pub(crate) fn overdue(&mut self, now: Ns) -> Option<Vec<MessageId>> {
         self.start().filter(|start| *start < now)?;
         let unmet = |(n, h): (usize, &(Ns, _))| now + self.service_time * (n as Ns + 1) > h.0;
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -48,7 +48,7 @@
 }
 
 #[derive(Clone, Copy, Default, PartialEq)]
-pub(crate) enum CircuitBreaker {
+pub(crate) enum Breaker {
     #[default]
     Closed,
     Open,
@@ -85,7 +85,7 @@
     pub(crate) failure_ratio: FailureRatio,
     pub(crate) uncertain_failure_ratio: FailureRatio,
     pub(crate) last_success: Ns,
-    pub(crate) breaker: CircuitBreaker,
+    pub(crate) breaker: Breaker,
     /// When an open breaker lets a trial through, if one is held.
     pub(crate) next_trial_at: Ns,
     /// The outage is confirmed, so slow start follows; the call that is the trial.
--- a/crates/decide/src/time.rs
+++ b/crates/decide/src/time.rs
@@ -11,17 +11,17 @@
 }
 
 /// A span of so many seconds.
-pub(crate) fn ns_from_secs(s: f64) -> Ns {
+pub(crate) fn from_secs(s: f64) -> Ns {
     (s * 1e9).min(2f64.powi(61)) as Ns
 }
 
 /// A span in seconds.
-pub(crate) fn secs_from_ns(n: Ns) -> f64 {
+pub(crate) fn to_secs(n: Ns) -> f64 {
     n as f64 / 1e9
 }
 
 /// A span as a duration; none if it is negative.
-pub(crate) fn duration_from_ns(n: Ns) -> Duration {
+pub(crate) fn to_duration(n: Ns) -> Duration {
     Duration::from_nanos(n.max(0) as u64)
 }
 
