--- a/crates/decide/src/chart_test.rs
+++ b/crates/decide/src/chart_test.rs
@@ -1,4 +1,4 @@
-//! The occupancy chart against brute force over all orders and all subsets.
+//! Compares the occupancy chart with a brute-force search over all orders and all subsets.
 
 use crate::interface::MessageId;
 use crate::state::OccupancyChart;
@@ -6,7 +6,7 @@
 
 const SERVICE_TIME: i64 = 10;
 
-/// Whether some order serves every message, one after another from `now`, by its deadline.
+/// Whether some order serves each message by its deadline, one after another from `now`.
 fn some_order_works(dues: &[i64], now: i64) -> bool {
     dues.is_empty()
         || (0..dues.len()).any(|first| {
@@ -16,7 +16,7 @@
         })
 }
 
-/// The most messages that can be served, over all subsets.
+/// The largest number of messages that can be served.
 fn most_served(dues: &[i64], now: i64) -> usize {
     let subset =
         |bits: u32| -> Vec<i64> { (0..dues.len()).filter(|i| bits >> i & 1 == 1).map(|i| dues[i]).collect() };
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_paper_s_example_makes_its_segments() {
+fn the_example_of_the_paper_yields_its_segments() {
     let mut chart = chart(&[30, 100, 100, 140, 50, 145, 150]);
     assert_eq!(chart.start(), Some(20));
     assert_eq!(chart.segments, [(20, 30), (40, 50), (80, 100), (120, 150)]);
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -1,143 +1,144 @@
-//! The vocabulary of the decision module: settings, events, actions and the ids they use.
-//! Plain data without behaviour of its own; every decision is in [`crate::scheduler`].
+//! The scheduler's interface: settings, events, actions and ids, as plain data. Every decision is in
+//! [`crate::scheduler`].
 
 use std::time::Duration;
 
-/// A point on the courier's monotonic clock, as the time since an arbitrary origin.
+/// A time on the courier's monotonic clock, counted from an arbitrary origin.
 pub type Time = Duration;
 
-/// A message, as numbered by the courier. Never reused within a life.
+/// A message, as numbered by the courier. Not reused while the process runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(pub u64);
 
-/// An endpoint, as numbered by the courier in the order in which it first heard of them.
+/// An endpoint, as numbered by the courier in order of first appearance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// A destination: the party a message is meant for, reached through its endpoints.
+/// A destination: the receiver of a message, reached through its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DestinationId(pub u64);
 
-/// What shares one limit and its waits: a destination, or one endpoint of it where routes are separate.
+/// Identifies what shares one limit and its waits: a destination, or one of its endpoints if routes are
+/// separate.
 pub type LimitGroupId = (DestinationId, Option<EndpointId>);
 
-/// What a repeated delivery of a message does.
+/// Effect of delivering a message again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Nothing: repeats are harmless.
+    /// None: repeats are harmless.
     Repeatable,
-    /// Dropped by the receivers in `scope` for `window` from the first send that may have run.
+    /// Receivers in `scope` drop repeats for `window` from the first attempt that may have run.
     Keyed { scope: KeyScope, window: Duration },
-    /// It takes effect again, so it must never be repeated once it may have run.
+    /// A repeat takes effect again: the message must never be sent again once it may have run.
     Once,
 }
 
-/// Which endpoints of a destination share the memory of a key.
+/// Which endpoints of a destination recognise each other's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     All,
     Zone,
-    /// Only the endpoint itself (used where the scope is none this crate knows).
+    /// Only the endpoint itself; also used for scopes that are unknown to this crate.
     Endpoint,
 }
 
-/// A class of message.
+/// Settings of a message class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Full worth is earned when delivered within this time.
+    /// Target time: a delivery within it has full worth.
     pub aim: Duration,
-    /// Nothing is earned after this time.
+    /// A delivery after this time has no worth.
     pub deadline: Duration,
-    /// Worth of a message delivered within the aim.
+    /// Worth of a delivery within the aim.
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the worth that remains at the deadline.
     pub late_share: f64,
     pub effect: Effect,
-    /// Messages of one key go one at a time, in order of arrival.
+    /// Messages with the same key are sent one at a time, in order of arrival.
     pub ordered: bool,
-    /// The aim grows by this multiple of the message's estimated work.
+    /// The aim is extended by this multiple of the message's estimated work.
     pub aim_stretch: f64,
-    /// Attempts a message may have; None for [`Settings::max_attempts`].
+    /// Maximum attempts for a message; None for [`Settings::max_attempts`].
     pub max_attempts: Option<u32>,
 }
 
-/// How worth falls between the aim and the deadline.
+/// How the worth of a delivery decreases between the aim and the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorthDecay {
-    /// Evenly, down to the late share.
+    /// Linearly, down to the late share.
     Linear,
-    /// By half with each further aim, not under the late share.
+    /// Halved with each further aim, but not below the late share.
     Halving,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug)]
 pub struct DestinationKind {
-    /// The endpoints are routes apart, each with its own limit, pace and outages.
+    /// Each endpoint is a route of its own, with its own limit, rate and outages.
     pub separate_routes: bool,
-    /// Messages that one call carries at most.
+    /// Maximum number of messages in one call.
     pub max_bundle_size: usize,
 }
 
-/// What the weight of a list entry means.
+/// Meaning of the weight of a list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightKind {
     None,
-    /// Calls a second the destination or route takes from all couriers together.
+    /// Calls per second that the destination or route accepts from all couriers together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same, with an error of up to one half either way.
     Approximate,
 }
 
-/// How long a list is acted on: what discovery has counts as told after 6 s, whether or not it arrived (protocol page),
-/// and nothing may go to an endpoint that drains 1 s later. The rest is for lines that are read and calls that are
-/// written late.
+/// Duration of the lease on the endpoint list. By the discovery protocol, a change counts as announced after 6 s,
+/// whether or not it arrived, and nothing may be sent to a draining endpoint from 1 s later. The remaining 0.8 s
+/// allow for lines that are read late and calls that are written late.
 pub const ENDPOINT_LIST_LEASE: Duration = Duration::from_millis(6200);
 
-/// What the courier knows when it starts.
+/// Settings of the scheduler.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many couriers share the destinations, this one included.
+    /// Number of couriers that share the destinations, including this one.
     pub courier_count: usize,
     pub classes: Vec<Class>,
     pub kinds: Vec<DestinationKind>,
-    /// Number of tenants; with none, fairness is between classes.
+    /// Number of tenants; if 0, fairness applies between classes.
     pub tenant_count: usize,
-    /// Calls that may be out at once.
+    /// Maximum number of concurrent calls.
     pub max_calls_in_flight: usize,
-    /// Messages that may be held, sent or not.
+    /// Maximum number of messages without a final answer.
     pub max_messages: usize,
-    /// Attempts a message may have.
+    /// Maximum attempts for a message.
     pub max_attempts: u32,
     pub worth_decay: WorthDecay,
-    /// Price of a new connection, in points of the result for one a message.
+    /// Cost of a new connection, in the unit of a class's worth.
     pub handshake_cost: f64,
-    /// Price of a message on a separate route, by zone, in the same points.
+    /// Cost of a message on a separate route, by zone, in the same unit.
     pub zone_fees: Vec<f64>,
     pub weight_kind: WeightKind,
-    /// A connection not established within this time is a failed connect.
+    /// A connect fails if it is not established within this time.
     pub connect_timeout: Duration,
-    /// Idle connections close after this time.
+    /// Idle connections are closed after this time.
     pub keepalive: Duration,
     pub probing_enabled: bool,
     pub cancellation_enabled: bool,
-    /// List changes come only after [`Action::Subscribe`].
+    /// List changes arrive only after [`Action::Subscribe`].
     pub subscription_required: bool,
-    /// How long the list may be acted on from when it was last known to be current; None for good.
+    /// How long the list may be used after it was last known to be current; None for no limit.
     pub membership_lease_duration: Option<Duration>,
-    /// The smallest time between two calls of the module.
+    /// Minimum time between two calls of the scheduler.
     pub tick: Duration,
-    /// Nothing new may go to an endpoint this long after news that it drains or is gone.
+    /// From this long after an endpoint was listed as draining or gone, nothing may be sent to it.
     pub drain_grace: Duration,
-    /// A destination back from an outage has this share of its capacity at least,
+    /// Initial share of its capacity that a destination has after an outage.
     pub slow_start_min_share: f64,
-    /// and all of it after this time.
+    /// Time after an outage at which it has all of its capacity.
     pub slow_start_duration: Duration,
-    /// A cold destination falls over when sent more than this multiple of its present capacity
+    /// A destination in slow start fails again when sent more than this multiple of its present capacity
     pub overload_multiple: f64,
-    /// for this long.
+    /// for at least this long.
     pub overload_duration: Duration,
-    /// How long a key rests after an attempt that may still be running.
+    /// Pause before a key's next message, after an attempt that may still be running.
     pub order_pause: Duration,
 }
 
@@ -158,7 +159,7 @@
     pub kind: usize,
     pub state: EndpointState,
     pub weight: f64,
-    /// Discovery lists it: it is sent to only while the list may be acted on.
+    /// Listed by discovery: nothing is sent to it unless the lease on the list is valid.
     pub requires_lease: bool,
 }
 
@@ -166,36 +167,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Delivered,
-    /// Answered with an error; it may have run.
+    /// Answered with an error; the message may have run.
     Error,
-    /// Turned away unseen, perhaps with a time to wait; it never ran.
+    /// Rejected without processing, perhaps with a time to wait; the message never ran.
     Full {
         wait: Option<Duration>,
     },
-    /// No answer in time; it may have run or still run.
+    /// No answer in time; the message may have run or may still be running.
     TimedOut,
-    /// No connection could be had; it never ran.
+    /// No connection was established; the message never ran.
     ConnectFailed,
-    /// The endpoint said that it holds no more connections; it is up, and it never ran.
+    /// The endpoint is up but answered that it accepts no more connections; the message never ran.
     Crowded,
-    /// The connection broke; it may have run.
+    /// The connection broke; the message may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; the message may have run.
     Cancelled,
-    /// Not sent; it never ran, but counts as an attempt.
+    /// Not sent; the message never ran, but this counts as an attempt.
     Moot,
 }
 
-/// What an endpoint tells of its limit.
+/// An endpoint's report on its limit.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitReport {
-    /// Share of the allowance that is left.
+    /// Remaining share of the allowance.
     pub remaining_share: f64,
-    /// The limit in calls a second; 0 where there is none.
+    /// The limit in calls per second; 0 if there is none.
     pub limit: f64,
 }
 
-/// A message handed to the courier.
+/// A message that the courier has accepted.
 #[derive(Clone, Debug)]
 pub struct Accepted {
     pub message: MessageId,
@@ -203,15 +204,16 @@
     pub tenant: usize,
     pub destination: DestinationId,
     pub key: Option<String>,
-    /// How long it may still be delivered.
+    /// Time until its deadline.
     pub time_left: Duration,
-    /// A guess of the work it makes, if there is one.
+    /// Estimate of the time that it takes to process, if there is one.
     pub estimated_work: Option<Duration>,
-    /// What it went through before this courier restarted; nothing for a new one.
+    /// Its attempts before this courier restarted; none for a new message.
     pub history: Past,
 }
 
-/// What is on record of a message that was taken before the courier restarted.
+/// Recorded attempts of a message that was accepted before the courier restarted. `--follow` lines print it
+/// with these names.
 #[derive(Clone, Debug, Default)]
 pub struct Past {
     pub attempts: u32,
@@ -219,7 +221,7 @@
     pub ran: Option<Ran>,
 }
 
-/// An attempt that may have run: where it went, and how long ago.
+/// An attempt that may have run: its endpoint, zone and age. `--follow` lines print it with these names.
 #[derive(Clone, Copy, Debug)]
 pub struct Ran {
     pub endpoint: EndpointId,
@@ -227,47 +229,47 @@
     pub ago: Duration,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnded {
     pub message: MessageId,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
     pub elapsed: Duration,
-    /// The message has its final answer.
+    /// The message has its final answer; no further attempt follows.
     pub is_final: bool,
     pub report: Option<LimitReport>,
 }
 
-/// News for the module.
+/// Input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Changed entries, or with `complete` the complete list.
     EndpointList { complete: bool, entries: Vec<EndpointEntry> },
     /// A request for the list failed, or the subscription broke.
     EndpointListFailed,
-    /// The list was current at this moment: discovery has written since, or could not have told of a change.
+    /// The list was current at this time: discovery has sent data since, or could not have sent a change.
     MembershipCurrent { as_of: Time },
-    /// Discovery may tell of changes that do not reach this courier: the list may be acted on until then without a
-    /// new word.
+    /// Discovery may announce changes that don't reach this courier: unless renewed, the lease on the list expires
+    /// at this time at the latest.
     MembershipLimited { until: Time },
-    /// A message was taken and is owed one final answer.
+    /// A message was accepted and must get exactly one final answer.
     Accepted(Accepted),
-    /// A streamed answer has begun.
+    /// A streamed response has started.
     ResponseStarted { message: MessageId },
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// Nobody wants the message any more.
+    /// The client has withdrawn the message.
     Withdrawn { message: MessageId },
-    /// A wake-up asked for with [`Action::SetTimer`].
+    /// A timer set with [`Action::SetTimer`] fired.
     TimerFired { token: u64 },
     /// A probe ended.
     ProbeEnded { endpoint: EndpointId, outcome: Outcome, elapsed: Duration, report: Option<LimitReport> },
-    /// A note from another courier.
+    /// A note from another courier arrived.
     NoteReceived { from: u64, note: Vec<u8> },
 }
 
-/// What the module wants done.
+/// Output of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send {
@@ -275,13 +277,12 @@
         endpoint: EndpointId,
         timeout: Duration,
     },
-    /// End the message undelivered; trying again is harmless.
-    /// `wait` advises the client how long to stay away.
+    /// End the message undelivered; sending it again is harmless. `wait` tells the client when to retry.
     Refuse {
         message: MessageId,
         wait: Option<Duration>,
     },
-    /// End the message; whether it took effect is not known.
+    /// End the message; whether it took effect is unknown.
     Fail {
         message: MessageId,
     },
@@ -292,21 +293,21 @@
         message: MessageId,
         attempt: u32,
     },
-    /// Ask for list changes from now on, or no longer.
+    /// Start or stop receiving list changes.
     Subscribe {
         active: bool,
     },
-    /// Ask for the whole list once.
+    /// Request the complete list once.
     FetchEndpointList,
-    /// Close the idle connections to an endpoint.
+    /// Close all idle connections to an endpoint.
     CloseIdleConnections {
         endpoint: EndpointId,
     },
-    /// An endpoint that is long gone is known no more: nothing refers to it.
+    /// Forget an endpoint that left the list long ago; nothing refers to it any more.
     ForgetEndpoint {
         endpoint: EndpointId,
     },
-    /// A note of 256 bytes at most to one courier, or to all.
+    /// Send a note of at most 256 bytes to one courier, or to all.
     SendNote {
         to: Option<u64>,
         note: Vec<u8>,
@@ -315,7 +316,7 @@
         token: u64,
         after: Duration,
     },
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log {
         text: String,
     },
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decides, for one courier, what to do with each message it has taken: hold it, send it to an
-//! endpoint of its destination, refuse it or report it failed.
+//! Decides, for one courier, what to do with each accepted message: hold it, send it to an endpoint of its
+//! destination, refuse it or report it as failed.
 //!
-//! [`scheduler`] holds the decisions, `membership_lease` until when the list of endpoints may be acted on, [`interface`] the vocabulary it speaks and [`settings`] the settings'
-//! wire form. No I/O, no clock: the courier and the simulator's adapter drive it alike, and
+//! [`scheduler`] makes the decisions, `membership_lease` says until when the endpoint list may be used,
+//! [`interface`] has the events, actions and settings, and [`settings`] the settings' wire format. There is
+//! no I/O and no clock in here: the courier and the simulator's adapter drive it the same way, and
 //! `examples/embed.rs` shows how.
 
 pub mod interface;
--- a/crates/decide/src/membership_lease.rs
+++ b/crates/decide/src/membership_lease.rs
@@ -1,38 +1,38 @@
-//! The lease on the list of endpoints: until when it may be acted on without another word from discovery.
+//! The lease on the endpoint list: until when the list may be used without further contact with discovery.
 //!
-//! A courier that has lost touch with discovery cannot tell an endpoint that still serves from one that drains. The
-//! lease runs from the latest moment at which the list is known to have been current, and only such a moment renews
-//! it. While it has run out, messages are held and no attempt begins.
+//! A courier that has lost contact with discovery cannot distinguish a serving endpoint from a draining one.
+//! The lease runs from the latest time at which the list is known to have been current, and only a later such
+//! time renews it. While it has expired, messages are held and no attempt begins.
 
 use crate::time::{NEVER, Ns, ns};
 use std::time::Duration;
 
-/// The state of the lease. Without a term it never runs out: the list is the configuration's own.
+/// The lease. Without a duration it never expires: the list then comes from the configuration.
 pub(crate) struct MembershipLease {
-    term: Option<Ns>,
+    duration: Option<Ns>,
     expires_at: Ns,
 }
 
 impl MembershipLease {
-    /// One that has run out already, if there is a term: nothing is known of the list's age yet.
-    pub(crate) fn new(term: Option<Duration>) -> Self {
-        MembershipLease { term: term.map(ns), expires_at: Ns::MIN }
+    /// An expired lease, or without a duration a permanent one: the list's age is not known yet.
+    pub(crate) fn new(duration: Option<Duration>) -> Self {
+        MembershipLease { duration: duration.map(ns), expires_at: Ns::MIN }
     }
 
-    /// Another term from now on; what was granted stays granted.
-    pub(crate) fn set_term(&mut self, term: Option<Duration>) {
-        self.term = term.map(ns);
+    /// Sets the duration of later renewals; the current expiry stays.
+    pub(crate) fn set_duration(&mut self, duration: Option<Duration>) {
+        self.duration = duration.map(ns);
     }
 
-    /// The list was current at `as_of`. An older moment than the latest changes nothing.
+    /// Renews the lease from `as_of`, when the list was current. Never shortens it.
     pub(crate) fn renew(&mut self, as_of: Ns) {
-        if let Some(term) = self.term {
-            self.expires_at = self.expires_at.max(as_of.saturating_add(term));
+        if let Some(duration) = self.duration {
+            self.expires_at = self.expires_at.max(as_of.saturating_add(duration));
         }
     }
 
-    /// It ends at `latest`, whatever was granted, until it is renewed.
-    pub(crate) fn limit(&mut self, latest: Ns) {
+    /// Brings the expiry forward to `latest`; a renewal may extend it again.
+    pub(crate) fn shorten_to(&mut self, latest: Ns) {
         self.expires_at = self.expires_at.min(latest);
     }
 
@@ -40,8 +40,8 @@
         now < self.expires_at()
     }
 
-    /// [`NEVER`] without a term.
+    /// When it expires; [`NEVER`] without a duration.
     pub(crate) fn expires_at(&self) -> Ns {
-        if self.term.is_some() { self.expires_at } else { NEVER }
+        if self.duration.is_some() { self.expires_at } else { NEVER }
     }
 }
--- a/crates/decide/src/membership_lease_test.rs
+++ b/crates/decide/src/membership_lease_test.rs
@@ -7,13 +7,13 @@
 }
 
 #[test]
-fn a_list_of_unknown_age_is_not_acted_on() {
+fn a_lease_is_not_valid_before_its_first_renewal() {
     assert!(!lease().is_valid(0));
     assert!(!lease().is_valid(from_secs(100.0)));
 }
 
 #[test]
-fn a_list_is_acted_on_for_the_term_from_when_it_was_current() {
+fn a_lease_is_valid_for_its_duration_from_when_the_list_was_current() {
     let mut lease = lease();
     lease.renew(from_secs(10.0));
     assert!(lease.is_valid(from_secs(15.9)));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_older_proof_does_not_shorten_a_newer_one() {
+fn a_renewal_from_an_older_time_does_not_shorten_the_lease() {
     let mut lease = lease();
     lease.renew(from_secs(10.0));
     lease.renew(from_secs(7.0));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_proof_from_before_the_first_call_counts_from_then() {
+fn a_renewal_from_before_the_first_call_counts_from_its_own_time() {
     let mut lease = lease();
     lease.renew(from_secs(-5.0));
     assert!(lease.is_valid(from_secs(0.9)));
@@ -37,19 +37,19 @@
 }
 
 #[test]
-fn a_limit_holds_until_the_next_proof() {
+fn a_shortened_lease_is_extended_by_the_next_renewal() {
     let mut lease = lease();
     lease.renew(from_secs(10.0));
-    lease.limit(from_secs(12.0));
+    lease.shorten_to(from_secs(12.0));
     assert!(!lease.is_valid(from_secs(12.0)));
     lease.renew(from_secs(13.0));
     assert!(lease.is_valid(from_secs(18.9)));
 }
 
 #[test]
-fn without_a_term_the_list_is_always_acted_on() {
+fn without_a_duration_the_lease_is_always_valid() {
     let mut lease = MembershipLease::new(None);
-    lease.limit(from_secs(1.0));
+    lease.shorten_to(from_secs(1.0));
     assert!(lease.is_valid(from_secs(1e9)));
     assert_eq!(lease.expires_at(), NEVER);
 }
--- a/crates/decide/src/memory_usage.rs
+++ b/crates/decide/src/memory_usage.rs
@@ -1,20 +1,20 @@
-//! What the decision module holds in memory, estimated from what its tables have in them. Beside it, so that whoever
-//! changes a table finds this; `tests/memory_usage.rs` holds it against what the allocator gave out.
+//! Estimates the scheduler's memory usage from the sizes of its tables. Update it with any change to a table;
+//! `tests/memory_usage.rs` compares it with what the allocator handed out.
 
 use crate::interface::{DestinationId, EndpointId, LimitGroupId, MessageId};
 use crate::state::{Destination, Endpoint, LimitGroup, Message, Ns, Scheduler};
 use std::collections::VecDeque;
 
-/// Bytes of what the module holds.
+/// Estimated memory usage in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemoryUsage {
-    /// Of messages: their records, and where they stand on charts and agendas.
+    /// Messages, with their entries in charts and sets.
     pub messages: u64,
-    /// Of endpoints and destinations: their records, paces and limits.
+    /// Endpoints, destinations and limit groups.
     pub endpoints: u64,
 }
 
-/// What a message takes without its order.
+/// Bytes for a message without its key.
 pub const MESSAGE_BYTES: u64 =
     entry::<(MessageId, Message)>() + entry::<MessageId>() + entry::<(Ns, MessageId)>();
 
@@ -24,13 +24,13 @@
     }
 }
 
-/// What an entry of a B-tree takes. A node has room for 11; where keys only rise, as numbers do, each is left behind
-/// with 6, and it has its links.
+/// Bytes for an entry of a B-tree, links included. A node has room for 11 entries; with ascending keys, as
+/// numbers are, each full node is split and keeps 6.
 const fn entry<T>() -> u64 {
     (size_of::<T>() as u64 + 2) * 11 / 6
 }
 
-/// What a small allocation takes beside its bytes.
+/// Overhead of a small allocation in bytes.
 const ALLOCATION: u64 = 16;
 
 fn ring<T>(of: &VecDeque<T>) -> u64 {
@@ -38,7 +38,7 @@
 }
 
 impl Scheduler {
-    /// What is held now. Walks all tables: some 20 ns a message and 50 ns an endpoint.
+    /// Estimates the current memory usage. Scans all tables: about 20 ns per message and 50 ns per endpoint.
     pub fn memory_usage(&self) -> MemoryUsage {
         let key = |key: &String| key.len() as u64 + ALLOCATION;
         let mut messages = self.messages.len() as u64 * MESSAGE_BYTES;
@@ -54,13 +54,13 @@
             endpoints += entry::<(EndpointId, Endpoint)>() + entry::<EndpointId>();
             endpoints += e.idle_connections.capacity() as u64 * size_of::<Ns>() as u64;
             endpoints += e.calls.len() as u64 * entry::<(u64, (Ns, usize))>();
-            // A first entry takes a whole node.
+            // The first entry allocates a whole node.
             endpoints += if e.calls.is_empty() { 0 } else { 11 * size_of::<(u64, (Ns, usize))>() as u64 };
         }
         for d in self.destinations.values() {
             endpoints += entry::<(DestinationId, Destination)>() + ring(&d.recent_failures);
             endpoints += d.chart.segments.capacity() as u64 * size_of::<(Ns, Ns)>() as u64;
-            // The first endpoint, and the first message on chart and among the members, take a node each.
+            // The first endpoint, and the first message in the chart and in the set, allocate a node each.
             endpoints += 11 * size_of::<EndpointId>() as u64;
             if !d.messages.is_empty() {
                 endpoints += 11 * (size_of::<MessageId>() + size_of::<(Ns, MessageId)>()) as u64;
--- a/crates/decide/src/scheduler.rs
+++ b/crates/decide/src/scheduler.rs
@@ -243,7 +243,7 @@
                 self.list_backoff = (self.list_backoff * 2.0).min(INITIAL_LIST_BACKOFF_SECONDS * 8.0);
             }
             Event::MembershipCurrent { as_of } => self.membership_current(*as_of),
-            Event::MembershipLimited { until } => self.membership.limit(self.since_origin(*until)),
+            Event::MembershipLimited { until } => self.membership.shorten_to(self.since_origin(*until)),
             Event::Accepted(taken) => self.accept(taken, out),
             Event::ResponseStarted { .. } | Event::NoteReceived { .. } => {}
             Event::AttemptEnded(ended) => self.attempt_ended(ended, out),
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,10 +1,11 @@
-//! The settings as the platform writes them: in the first message of the bench's line protocol, and in
-//! a real courier's configuration. Parsed here once, for both.
+//! Wire format of the settings, as used by the first message of the simulator's line protocol and by the
+//! platform's configuration of a courier.
 
 use crate::interface::*;
 use serde::Deserialize;
 use std::time::Duration;
 
+/// The settings as written outside.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct SettingsDocument {
@@ -101,21 +102,25 @@
 }
 
 impl SettingsDocument {
-    /// The names of the classes, in the order of their numbers.
+    /// Names of the classes, by class number.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.lanes.iter().map(|l| l.name.as_str())
     }
 
-    /// The names of the zones and of the kinds of destination, in the order of their numbers.
+    /// Names of the zones, by zone number.
     pub fn zone_names(&self) -> &[String] {
         &self.dcs
     }
 
+    /// Names of the kinds of destination, by kind number.
     pub fn kind_names(&self) -> &[String] {
         &self.skus
     }
 
-    /// The settings in the terms of the module. An error names what cannot be worked with.
+    /// Converts to [`Settings`].
+    ///
+    /// # Errors
+    /// Names the setting that is not valid.
     pub fn settings(&self) -> Result<Settings, String> {
         let conf = self;
         let mut classes = Vec::new();
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -1,5 +1,5 @@
-//! What the decision module remembers, as plain data. Nothing here decides anything: each figure is
-//! set and read in [`crate::scheduler`].
+//! The scheduler's state as plain data. Nothing here decides anything: [`crate::scheduler`] sets and reads
+//! it.
 
 use crate::interface::*;
 use crate::membership_lease::MembershipLease;
@@ -7,24 +7,28 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// An attempt without an outcome yet.
 pub(crate) struct InFlightAttempt {
     pub(crate) endpoint: EndpointId,
+    /// The call that carries it; other messages may share it.
     pub(crate) call: u64,
     pub(crate) cancelled: bool,
     pub(crate) sent_at: Ns,
-    /// It had to open a connection.
+    /// No idle connection was available, so it opens one.
     pub(crate) opens_connection: bool,
 }
 
+/// A message that is held or in flight.
 #[derive(Default)]
 pub(crate) struct Message {
     pub(crate) class: usize,
+    /// The tenant or, without tenants, the class.
     pub(crate) fairness_group: usize,
     pub(crate) destination: DestinationId,
     pub(crate) key: Option<String>,
     pub(crate) aim_at: Ns,
     pub(crate) deadline: Ns,
-    /// Deadline on the chart: the aim, or the end once set back.
+    /// Deadline on the chart: the aim, or the final deadline once the aim is given up.
     pub(crate) chart_deadline: Ns,
     pub(crate) past_aim: bool,
     pub(crate) counted_as_missed: bool,
@@ -33,20 +37,21 @@
     /// First attempt that may have run: its endpoint, zone and send time.
     pub(crate) may_have_run: Option<(EndpointId, usize, Ns)>,
     pub(crate) last_endpoint: Option<EndpointId>,
-    /// Not sent again before this: its own backoff.
+    /// End of the retry backoff.
     pub(crate) not_before: Ns,
-    /// The final answer is out; kept until its attempt has an outcome.
+    /// The final answer was given; kept until its attempt has an outcome.
     pub(crate) finished: bool,
 }
 
 impl Message {
-    /// What is known of a message at the start: for a resumed one its attempts, and the one that may have run.
+    /// A message with its recorded attempts, of which one may have run; without any for a new one.
     pub(crate) fn from_history(history: &Past, now: Ns) -> Self {
         let may_have_run = history.ran.map(|r| (r.endpoint, r.zone, now - ns(r.ago)));
         Message { attempts: history.attempts, may_have_run, ..Message::default() }
     }
 }
 
+/// State of an endpoint's circuit breaker.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) enum Breaker {
     #[default]
@@ -55,87 +60,105 @@
     HalfOpen,
 }
 
-/// The smoothed share of calls that failed, as it was when last noted.
+/// Smoothed share of failed calls, as of its last update; decays from then on.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct FailureRatio {
     pub(crate) ratio: f64,
     pub(crate) updated_at: Ns,
 }
 
+/// An endpoint of the list, with its health and connections.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub(crate) destination: DestinationId,
     pub(crate) zone: usize,
     pub(crate) kind: usize,
     pub(crate) ready: bool,
-    /// Nothing is sent there while the lease on the list has run out.
+    /// Nothing is sent to it while the lease on the list has expired.
     pub(crate) requires_lease: bool,
-    /// Since when the list has it no more.
+    /// When it left the list.
     pub(crate) gone_since: Option<Ns>,
+    /// Smoothed latency in seconds; 0 before the first answer.
     pub(crate) latency: f64,
-    /// Calls out: when sent and messages without an outcome.
+    /// Calls in flight: send time (`Ns::MIN` once a first outcome is known) and messages without an outcome.
     pub(crate) calls: BTreeMap<u64, (Ns, usize)>,
-    /// When idle connections were last used.
+    /// When each idle connection was last used.
     pub(crate) idle_connections: Vec<Ns>,
-    /// No new connection is tried before this; how many were not to be had, less those that were; the last.
+    /// No new connection is opened before this.
     pub(crate) next_connect_at: Ns,
+    /// Failed connects less successful ones, at least 0.
     pub(crate) connect_failures: u32,
     pub(crate) last_connect_failure: Ns,
-    /// Failures of late; and those of them that may have run.
+    /// Recent failures.
     pub(crate) failure_ratio: FailureRatio,
+    /// Recent failures of calls that may have run.
     pub(crate) uncertain_failure_ratio: FailureRatio,
     pub(crate) last_success: Ns,
     pub(crate) breaker: Breaker,
-    /// When an open breaker lets a trial through, if one is held.
+    /// When an open breaker admits a trial, if a message is held.
     pub(crate) next_trial_at: Ns,
-    /// The outage is confirmed, so slow start follows; the call that is the trial.
+    /// Slow start follows the outage, if that lasts long enough.
     pub(crate) slow_start_pending: bool,
+    /// The latest call, which is the trial of a half-open breaker.
     pub(crate) trial: Option<u64>,
+    /// Start of the slow start; in the future while a long wait lasts.
     pub(crate) slow_start_since: Option<Ns>,
-    /// Since when it ails, for the spacing of trials; while it warms, nothing before `free_at`.
+    /// Start of the outage; the time between trials grows from then on.
     pub(crate) unhealthy_since: Ns,
+    /// No call before this during slow start.
     pub(crate) next_call_at: Ns,
-    /// This courier's own leaning among equals, 0 to 1.
+    /// This courier's random preference among equal endpoints, 0 to 1; less is preferred.
     pub(crate) tie_break: f64,
 }
 
-/// What shares one limit: a destination, or one endpoint of it where routes are separate.
+/// Rate and waits of one limit: of a destination, or of one endpoint where routes are separate.
 #[derive(Default)]
 pub(crate) struct LimitGroup {
+    /// End of a stated wait or of the backoff after a rejection.
     pub(crate) wait_until: Ns,
+    /// Refill rate of the token bucket in calls per second; None for no limit.
     pub(crate) rate: Option<f64>,
     pub(crate) tokens: f64,
     pub(crate) refilled_at: Ns,
     pub(crate) consecutive_rejections: u32,
     pub(crate) last_decrease: Ns,
-    /// The limit in calls a second as told by reports, or by the list.
+    /// The limit in calls per second, from reports or from the list.
     pub(crate) limit: Option<f64>,
-    /// Calls accepted in the last rate span.
+    /// Times of the calls accepted in the last rate window.
     pub(crate) accepted_at: VecDeque<Ns>,
     pub(crate) first_accepted_at: Option<Ns>,
     pub(crate) peak_rate: f64,
+    /// The rate has held a message back since the last accepted call.
     pub(crate) rate_limited: bool,
-    /// Calls accepted, decayed.
+    /// Accepted calls per second, smoothed.
     pub(crate) accepted_rate: f64,
     pub(crate) accepted_rate_at: Ns,
 }
 
-/// Calls begun in this reply that have room for more messages.
+/// Calls started in this turn, with the number of messages that may still join each.
 pub(crate) type OpenBundles = BTreeMap<EndpointId, (u64, usize)>;
 
+/// A destination with its held messages and load.
 #[derive(Default)]
 pub(crate) struct Destination {
     pub(crate) endpoints: BTreeSet<EndpointId>,
     pub(crate) chart: OccupancyChart,
-    /// Messages not yet forgotten; when to look here next, as on the agenda.
+    /// Its messages, held and in flight.
     pub(crate) messages: BTreeSet<MessageId>,
+    /// When the last check asked for another.
     pub(crate) next_check: Ns,
+    /// Its place on the agenda.
     pub(crate) scheduled_check: Ns,
+    /// Calls in flight.
     pub(crate) calls: usize,
+    /// Smoothed latency in seconds.
     pub(crate) latency: f64,
+    /// For each recent call, whether it failed or was slow.
     pub(crate) recent_failures: VecDeque<bool>,
 }
 
+/// Messages of a fairness group and those that missed their aim, both decayed. Their quotient is the miss
+/// ratio.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct MissCounts {
     pub(crate) misses: f64,
@@ -143,48 +166,55 @@
     pub(crate) updated_at: Ns,
 }
 
-/// The occupancy chart of one destination: what is held, by deadline, and the busy segments that
-/// these make when each starts as late as it can.
+/// The occupancy chart of one destination: the held messages by deadline, and the busy segments that they
+/// form when each starts as late as possible.
 #[derive(Default)]
 pub(crate) struct OccupancyChart {
     pub(crate) held: BTreeSet<(Ns, MessageId)>,
     pub(crate) segments: Vec<(Ns, Ns)>,
     pub(crate) service_time: Ns,
-    /// The segments no longer fit what is held and are made anew when next asked for.
+    /// The segments don't match the held messages and are rebuilt on next use.
     pub(crate) stale: bool,
 }
 
-/// The decisions of one courier.
+/// The delivery scheduler of one courier: events in, actions out.
 pub struct Scheduler {
     pub(crate) settings: Settings,
     pub(crate) rng: SmallRng,
+    /// Time of the first call, from which `now` counts.
     pub(crate) origin: Option<Time>,
     pub(crate) now: Ns,
     pub(crate) messages: BTreeMap<MessageId, Message>,
+    /// Number of messages without a final answer.
     pub(crate) unfinished: usize,
     pub(crate) destinations: BTreeMap<DestinationId, Destination>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) limit_groups: BTreeMap<LimitGroupId, LimitGroup>,
-    /// Messages of ordered classes by key, in order of arrival; and when a key has rested.
+    /// Messages of ordered classes by key, in order of arrival.
     pub(crate) key_queues: BTreeMap<String, VecDeque<MessageId>>,
+    /// Keys with an attempt that may still be running: its message, and until when the others wait.
     pub(crate) key_cooldowns: BTreeMap<String, (MessageId, Ns)>,
     pub(crate) miss_counts: Vec<MissCounts>,
     pub(crate) calls_in_flight: usize,
     pub(crate) next_call: u64,
+    /// Token and time of the pending timer.
     pub(crate) timer: Option<(u64, Ns)>,
     pub(crate) next_token: u64,
-    /// Destinations with news, those to look at later, and those that wait for a slot.
+    /// Destinations to check in this turn.
     pub(crate) dirty: BTreeSet<DestinationId>,
+    /// Destinations to check later.
     pub(crate) agenda: BTreeSet<(Ns, DestinationId)>,
-    /// When an endpoint of each kind last had no connection left, s.
+    /// When a connect last failed, for each kind of destination, in seconds.
     pub(crate) connections_scarce_at: Vec<f64>,
+    /// Destinations with messages that wait for a call slot.
     pub(crate) waiting_for_slot: BTreeSet<DestinationId>,
-    /// Endpoints with a call that has ended: its connection is free, unless another call left on it.
+    /// Endpoints with a call that ended: its connection is idle unless another call was sent on it.
     pub(crate) maybe_idle: BTreeSet<EndpointId>,
     pub(crate) next_stuck_check: Ns,
     pub(crate) membership: MembershipLease,
-    /// When to ask for the list again.
+    /// When to request the list next.
     pub(crate) list_request_at: Option<Ns>,
+    /// Backoff in seconds after a failed list request.
     pub(crate) list_backoff: f64,
 }
 
@@ -227,7 +257,7 @@
         self.gone_since.get_or_insert(now);
     }
 
-    /// Takes its standing from the list.
+    /// Applies its state in the list.
     pub(crate) fn set_state(&mut self, standing: EndpointState, now: Ns) {
         match standing {
             EndpointState::Gone => self.mark_gone(now),
@@ -237,27 +267,27 @@
 }
 
 impl Scheduler {
-    /// Other settings from now on. Classes and kinds keep their numbers: new ones come behind.
+    /// Replaces the settings. Classes and kinds keep their numbers; new ones are appended.
     ///
     /// # Errors
-    /// Names the first figure that cannot be worked with; nothing is changed then.
+    /// Names the first setting that is not valid; nothing is changed then.
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), String> {
         settings.check()?;
         if settings.classes.len() < self.settings.classes.len()
             || settings.kinds.len() < self.settings.kinds.len()
         {
-            return Err("settings: a class or kind that may be in use is gone".to_owned());
+            return Err("settings: a class or kind that may be in use was removed".to_owned());
         }
         if settings.tenant_count == 0 {
             self.miss_counts.resize(settings.classes.len(), MissCounts::default());
         }
         self.connections_scarce_at.resize(settings.kinds.len(), f64::MIN);
-        self.membership.set_term(settings.membership_lease_duration);
+        self.membership.set_duration(settings.membership_lease_duration);
         self.settings = settings;
         Ok(())
     }
 
-    /// The limit of an endpoint, or of all that share one with it, is now stated as this, calls a second.
+    /// Sets the limit of an endpoint's limit group, in calls per second. Ignores unknown endpoints.
     pub fn set_limit(&mut self, endpoint: EndpointId, limit: f64) {
         if !self.endpoints.contains_key(&endpoint) {
             return;
@@ -269,8 +299,9 @@
         }
     }
 
-    /// Drops the rows of endpoints that are long gone and that no call, wait or message names: where
-    /// endpoints are replaced all day, the tables would grow and each choice walk ever more of them.
+    /// Drops endpoints that left the list long ago and that no call, wait or message refers to. Where
+    /// endpoints are replaced all day, the tables would otherwise grow and each choice would scan ever more
+    /// of them.
     pub(crate) fn forget_gone_endpoints(&mut self, out: &mut Vec<Action>) {
         let (now, span) = (self.now, ns(self.settings.slow_start_duration));
         let old = |e: &Endpoint| e.gone_since.is_some_and(|t| now - t > span) && e.calls.is_empty();
@@ -300,7 +331,7 @@
 }
 
 impl Settings {
-    /// Names the first figure that cannot be worked with.
+    /// Checks the settings. The error names the first that is not valid.
     pub(crate) fn check(&self) -> Result<(), String> {
         let classes = self.classes.iter().flat_map(|c| [c.worth, c.late_share, c.aim_stretch]);
         let figures = [self.slow_start_min_share, self.overload_multiple, self.handshake_cost].into_iter();
@@ -308,8 +339,14 @@
         for (good, what) in [
             (self.max_calls_in_flight > 0, "no slots"),
             (!self.classes.is_empty() && !self.kinds.is_empty(), "no classes or no kinds"),
-            (self.max_messages > 0 && self.max_attempts > 0, "no room for messages or attempts"),
-            (figures.chain(classes).chain(self.zone_fees.clone()).all(positive), "a figure is negative"),
+            (
+                self.max_messages > 0 && self.max_attempts > 0,
+                "the maximum number of messages or attempts is 0",
+            ),
+            (
+                figures.chain(classes).chain(self.zone_fees.clone()).all(positive),
+                "a number is negative or not a number",
+            ),
         ] {
             if !good {
                 return Err(format!("settings: {what}"));
