--- a/crates/courier/src/place/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -1,10 +1,10 @@
 //! The watch on the list of endpoints. It lasts until its connection ends or falls silent; then it is
 //! asked for again, with backoff.
 
-use super::outage::{CallFailure, OutageDetector};
+use super::outage_detector::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
-use crate::news::{List, News};
-use crate::out::link::{ConnectError, Link, Lost, StreamEnd};
+use crate::events::{CourierEvent, EndpointList};
+use crate::outbound::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -43,7 +43,7 @@
     #[error("no connection: {0}")]
     Connect(#[from] ConnectError),
     #[error("no answer: {0}")]
-    NoAnswer(#[from] Lost),
+    NoAnswer(#[from] RequestError),
     #[error("answered {0}")]
     Refused(StatusCode),
     #[error("{0}")]
@@ -82,7 +82,7 @@
             WatchEnd::Connect(_) => "connect",
             WatchEnd::NoAnswer(_) => "no_answer",
             WatchEnd::Refused(_) => "refused",
-            WatchEnd::Stream(StreamEnd::Silent(_)) => "silent",
+            WatchEnd::Stream(StreamEnd::IdleTimeout(_)) => "silent",
             WatchEnd::Stream(_) => "lost",
             WatchEnd::EndlessLine | WatchEnd::LineTooLong | WatchEnd::Unreadable(_) => "malformed",
             WatchEnd::Closing => "closing",
@@ -91,22 +91,22 @@
 }
 
 /// A watch on discovery, opened again whenever it ends.
-pub struct Watch {
+pub struct DiscoveryWatch {
     pub address: SocketAddr,
     pub seed: u64,
     /// The version that the courier has.
-    pub seq: u64,
+    pub version: u64,
     /// Ask for the whole list: the version is not known to be one of discovery's.
-    pub fresh: bool,
+    pub request_whole: bool,
     /// Time over which the fleet's calls are spread once a watch has ended or was turned away: all may have lost
     /// theirs in the same moment.
-    pub spread: Duration,
+    pub reconnect_spread: Duration,
     pub status: Rc<WatchStatus>,
 }
 
-impl Watch {
+impl DiscoveryWatch {
     /// Watches for good. Ends only when nobody listens any more.
-    pub async fn run(mut self, news: Sender<News>) {
+    pub async fn run(mut self, news: Sender<CourierEvent>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut backoff = INITIAL_BACKOFF_S;
         let mut outage = OutageDetector::default();
@@ -117,15 +117,15 @@
             if lines_read > 0 && since.elapsed() > SILENCE_TIMEOUT {
                 backoff = INITIAL_BACKOFF_S;
             }
-            let mut pause = list_retry_delay(backoff, self.spread, &mut rng);
+            let mut pause = list_retry_delay(backoff, self.reconnect_spread, &mut rng);
             if lines_read > 0 {
                 outage.answered();
-                if news.send(News::WatchLost { discovery: self.address }).await.is_err() {
+                if news.send(CourierEvent::WatchEnded { discovery: self.address }).await.is_err() {
                     return;
                 }
             } else if outage.call_failed(end.failure(), since) {
                 pause = pause.min(MAX_OUTAGE_PAUSE.mul_f64(rng.random_range(0.25..1.0)));
-                let unreachable = News::DiscoveryUnreachable { discovery: self.address, since };
+                let unreachable = CourierEvent::DiscoveryUnreachable { discovery: self.address, since };
                 if news.send(unreachable).await.is_err() {
                     return;
                 }
@@ -137,7 +137,7 @@
     }
 
     fn report_end(&self, end: &WatchEnd, after: Duration, lines_read: u64, pause: Duration) {
-        self.status.ended(end.kind(), &end.to_string());
+        self.status.call_ended(end.kind(), &end.to_string());
         let what = if lines_read > 0 { "the watch is lost" } else { "no watch" };
         let (after, pause) = (after.as_secs_f64(), pause.as_secs_f64());
         eprintln!(
@@ -148,11 +148,11 @@
     /// One watch, from its connection to its end, which is its only result.
     async fn watch_once(
         &mut self,
-        news: &Sender<News>,
+        news: &Sender<CourierEvent>,
         lines_read: &mut u64,
     ) -> Result<Infallible, WatchEnd> {
         let begun = Instant::now();
-        let (mut link, answer) = self.call().await?;
+        let (mut connection, answer) = self.call().await?;
         let (mut body, mut lines) = (answer.into_body(), Lines::new(MAX_LINE_BYTES));
         let mut line_begun: Option<Instant> = None;
         loop {
@@ -161,26 +161,26 @@
             if line_time_left.is_zero() {
                 return Err(WatchEnd::EndlessLine);
             }
-            let piece = link.piece(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
+            let piece = connection.next_chunk(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
             if lines.push(&piece).is_err() || lines.buffered() > MAX_LINE_BYTES {
                 return Err(WatchEnd::LineTooLong);
             }
             for line in lines.by_ref() {
                 let list = self.read_line(&line, *lines_read == 0)?;
-                self.status.line_read(self.seq);
+                self.status.line_read(self.version);
                 *lines_read += 1;
                 line_begun = None;
                 if *lines_read == 1 {
                     let after = begun.elapsed().as_secs_f64();
                     eprintln!(
                         "discovery: the watch is open at version {}, {after:.2} s after its call",
-                        self.seq
+                        self.version
                     );
                 }
                 if let Some(list) = list {
-                    news.send(News::Listed(list)).await.map_err(|_| WatchEnd::Closing)?;
+                    news.send(CourierEvent::EndpointsListed(list)).await.map_err(|_| WatchEnd::Closing)?;
                 }
-                let heard = News::DiscoveryHeard { discovery: self.address, at: Instant::now() };
+                let heard = CourierEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
                 news.send(heard).await.map_err(|_| WatchEnd::Closing)?;
             }
             line_begun = lines.is_open().then(|| line_begun.unwrap_or_else(Instant::now));
@@ -188,40 +188,40 @@
     }
 
     /// Connects and asks; an answer with a status other than 200 is none.
-    async fn call(&self) -> Result<(Link, Response<Incoming>), WatchEnd> {
+    async fn call(&self) -> Result<(HttpConnection, Response<Incoming>), WatchEnd> {
         self.status.call_started();
-        let path = match self.fresh {
+        let path = match self.request_whole {
             true => "/api/targets?stream=1".to_owned(),
-            false => format!("/api/targets?stream=1&index={}", self.seq),
+            false => format!("/api/targets?stream=1&index={}", self.version),
         };
         eprintln!("discovery: calls {} for {path}", self.address);
-        let mut link = Link::open(self.address, CONNECT_TIMEOUT, None).await?;
+        let mut connection = HttpConnection::connect(self.address, CONNECT_TIMEOUT, None).await?;
         let request = Request::get(path)
             .header(header::HOST, self.address.to_string())
             .body(Full::<Bytes>::default())
-            .map_err(|_| WatchEnd::NoAnswer(Lost::Unsent))?;
-        let answer = link.watch(request, HEAD_TIMEOUT).await?;
+            .map_err(|_| WatchEnd::NoAnswer(RequestError::NotSent))?;
+        let answer = connection.open_stream(request, HEAD_TIMEOUT).await?;
         match answer.status() {
-            StatusCode::OK => Ok((link, answer)),
+            StatusCode::OK => Ok((connection, answer)),
             status => Err(WatchEnd::Refused(status)),
         }
     }
 
     /// What a line changes; None if nothing. The first line is passed on also if it is empty: it says that all is as
     /// it was, which is an answer too.
-    fn read_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<List>, WatchEnd> {
+    fn read_line(&mut self, line: &[u8], is_first: bool) -> Result<Option<EndpointList>, WatchEnd> {
         let list = match line.iter().all(u8::is_ascii_whitespace) {
-            true => List { seq: self.seq, ..List::default() },
-            false => serde_json::from_slice::<List>(line).inspect_err(|_| {
+            true => EndpointList { seq: self.version, ..EndpointList::default() },
+            false => serde_json::from_slice::<EndpointList>(line).inspect_err(|_| {
                 // What it would have told is asked for again, as a whole list.
-                self.fresh = true;
+                self.request_whole = true;
             })?,
         };
         if !list.hosts.is_empty() || list.whole {
-            (self.seq, self.fresh) = (list.seq, false);
+            (self.version, self.request_whole) = (list.seq, false);
             return Ok(Some(list));
         }
-        self.seq = self.seq.max(list.seq);
+        self.version = self.version.max(list.seq);
         Ok(is_first.then_some(list))
     }
 }
--- a/crates/courier/src/owner/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -1,9 +1,9 @@
 //! Verdicts and the notices of them: on record first, then posted in batches until acknowledged.
 
-use super::Courier;
-use crate::clock::unix;
-use crate::follow;
-use crate::out::outcomes::{Notice, Outcomes};
+use super::Dispatcher;
+use crate::clock::unix_time;
+use crate::message_trace;
+use crate::outbound::outcomes::{Notice, OutcomeNotifier};
 use stairshed_journal::Verdict;
 use std::collections::VecDeque;
 
@@ -16,16 +16,16 @@
     pub(super) queue: VecDeque<(u64, Notice)>,
     /// Batches on their way.
     pub(super) posts: usize,
-    pub(super) outcomes: Outcomes,
+    pub(super) outcomes: OutcomeNotifier,
 }
 
 impl Notices {
-    pub(super) fn new(outcomes: Outcomes) -> Self {
+    pub(super) fn new(outcomes: OutcomeNotifier) -> Self {
         Notices { queue: VecDeque::new(), posts: 0, outcomes }
     }
 }
 
-impl Courier {
+impl Dispatcher {
     /// The module has ended a message undelivered: on record first, then told.
     pub(super) fn judge(&mut self, message: u64, verdict: Verdict) {
         let Some(m) = self.out.held.get(&message) else { return };
@@ -33,8 +33,8 @@
             return;
         }
         let id = m.letter.id.clone();
-        let left = m.letter.until.saturating_sub(unix());
-        follow::step(
+        let left = m.letter.until.saturating_sub(unix_time());
+        message_trace::log_step(
             &id,
             format_args!(
                 "ends verdict={verdict:?} attempts={} out={} left={left:?}",
@@ -62,7 +62,7 @@
             }
             let batch: Vec<_> = self.notices.queue.drain(..kept).map(|(_, notice)| notice).collect();
             self.notices.posts += 1;
-            tokio::task::spawn_local(self.notices.outcomes.clone().post(batch, self.news.clone()));
+            tokio::task::spawn_local(self.notices.outcomes.clone().deliver(batch, self.news.clone()));
         }
     }
 }
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,30 +1,30 @@
-//! The real courier: the decision module on real sockets. Each room has one job; `owner` owns the module, and the
-//! others tell it what happened, by `news`, which lies below them all.
+//! The real courier: the decision module on real sockets. Each room has one job; `dispatcher` owns the module, and the
+//! others tell it what happened, by `events`, which lies below them all.
 //!
 //! ```text
 //!   start   what it is told at its start: by the platform, by an operator's file
-//!   front   clients: HTTP, MQTT, and the operator's pages
+//!   ingress clients: HTTP, MQTT, and the operator's pages
 //!   place   where things are: discovery, names, the control service
 //!   out     calls to endpoints and brokers, notices of outcomes
-//!   owner   the decision module, its turn, and what is held
+//!   dispatcher the decision module, its turn, and what is held
 //! ```
 
-pub mod client;
+pub mod admin_client;
 mod clock;
-mod fault;
-pub mod follow;
-mod front;
-mod news;
-mod out;
-mod owner;
-mod place;
-mod room;
+mod discovery;
+mod dispatcher;
+mod events;
+mod ingress;
+mod memory_budget;
+pub mod message_trace;
+mod outbound;
+mod process_memory;
 mod socket;
-mod start;
-mod system;
+mod startup;
+mod startup_error;
 
-pub use fault::Fault;
-pub use front::effective::host_name;
-pub use front::users;
-pub use place::file;
-pub use start::{dev, run, serve, settings};
+pub use discovery::config_file;
+pub use ingress::active_config::host_name;
+pub use ingress::users;
+pub use startup::{dev, run_platform, serve, settings};
+pub use startup_error::StartupError;
--- a/crates/courier/src/out/broker.rs
+++ b/crates/courier/src/outbound/broker_connection.rs
@@ -1,8 +1,8 @@
 //! The connection to one MQTT broker: a socket around the state machine of `stairshed-mqtt`. It decides nothing.
 
-use crate::clock::unix;
-use crate::news::{AfterAttempt, CallEnd, News};
-use crate::out::calls::Call;
+use crate::clock::unix_time;
+use crate::events::{AfterAttempt, CallResult, CourierEvent};
+use crate::outbound::endpoint_client::Call;
 use crate::socket::is_transient;
 use bytes::Bytes;
 use stairshed_config::file::{self, MqttVersion};
@@ -31,7 +31,7 @@
 /// A time that never comes, as long as this program runs.
 const NEVER: Duration = Duration::from_secs(1 << 32);
 
-pub struct Broker {
+pub struct BrokerConnection {
     endpoint: EndpointId,
     address: SocketAddr,
     topic: String,
@@ -50,14 +50,14 @@
     Ok(Bytes::from(text.lines().next().unwrap_or_default().to_owned()))
 }
 
-impl Broker {
+impl BrokerConnection {
     pub fn start(
         endpoint: EndpointId,
         (address, topic): (SocketAddr, String),
         (settings, client, connect_time): (file::Broker, String, Duration),
         folder: &Path,
-        news: Sender<News>,
-    ) -> Rc<Broker> {
+        news: Sender<CourierEvent>,
+    ) -> Rc<BrokerConnection> {
         let password = settings.password_file.as_ref().and_then(|f| match password(folder, f) {
             Ok(password) => Some(password),
             Err(e) => {
@@ -83,7 +83,7 @@
             connect_time,
             in_flight: settings.in_flight,
         };
-        let broker = Rc::new(Broker {
+        let broker = Rc::new(BrokerConnection {
             endpoint,
             address,
             topic,
@@ -99,7 +99,7 @@
     }
 
     /// Whether it is the one that is configured so.
-    pub fn is(&self, address: SocketAddr, topic: &str, settings: &file::Broker) -> bool {
+    pub fn matches(&self, address: SocketAddr, topic: &str, settings: &file::Broker) -> bool {
         self.address == address && self.topic == topic && self.settings == *settings
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Whether a message is on its way to it.
-    pub fn has(&self, message: u64) -> bool {
+    pub fn has_message(&self, message: u64) -> bool {
         self.attempts.borrow().contains_key(&message)
     }
 
@@ -124,14 +124,14 @@
         act(&mut self.machine.borrow_mut(), self.origin.elapsed());
     }
 
-    pub fn reserve(&self) -> Option<u16> {
+    pub fn reserve_packet_id(&self) -> Option<u16> {
         self.machine.borrow_mut().reserve()
     }
 
     /// Sends a message under a reserved id.
     pub fn publish(&self, id: u16, call: Call, effect: Effect) {
         self.attempts.borrow_mut().insert(call.message, call.attempt);
-        let patience = call.until.saturating_duration_since(Instant::now());
+        let patience = call.deadline.saturating_duration_since(Instant::now());
         let message = self.message(call.message, &call.letter, patience, effect, None);
         self.with(|machine, now| machine.publish(id, message, now));
     }
@@ -145,7 +145,7 @@
         (sent, released): (Duration, bool),
     ) {
         self.attempts.borrow_mut().insert(number, attempt);
-        let patience = letter.until.saturating_sub(unix());
+        let patience = letter.until.saturating_sub(unix_time());
         let message = self.message(number, &letter, patience, effect, Some(sent));
         self.with(|machine, now| machine.resume(id, message, released, now));
     }
@@ -158,7 +158,7 @@
         effect: Effect,
         sent: Option<Duration>,
     ) -> Message {
-        let (unix, now) = (unix(), self.origin.elapsed());
+        let (unix, now) = (unix_time(), self.origin.elapsed());
         let left = letter.until.saturating_sub(unix);
         // At QoS 1 a broker takes what goes again for another message: what must not run twice goes at QoS 2.
         let qos = if effect == Effect::Once || self.settings.qos == 2 {
@@ -182,16 +182,16 @@
         Message { number, publish, patience, until: now + left, repeat_until }
     }
 
-    pub fn block(&self, id: u16) {
+    pub fn block_packet_id(&self, id: u16) {
         self.with(|machine, now| machine.block(id, now));
     }
 
-    pub fn recorded(&self, id: u16) {
+    pub fn release_recorded(&self, id: u16) {
         self.with(|machine, now| machine.recorded(id, now));
     }
 
     /// That its session is being resumed is on record.
-    pub fn resuming(&self) {
+    pub fn resume_recorded(&self) {
         self.with(|machine, now| machine.resuming(now));
     }
 
@@ -200,16 +200,16 @@
     }
 
     /// Nothing new goes there after `grace`.
-    pub fn part(&self, grace: Duration) {
+    pub fn drain_after(&self, grace: Duration) {
         self.with(|machine, now| machine.part(now + grace, now));
     }
 
-    pub fn join(&self) {
+    pub fn cancel_drain(&self) {
         self.with(|machine, _| machine.join());
     }
 
     /// Ends its connection if nothing is on its way.
-    pub fn hang_up(&self) {
+    pub fn disconnect_if_idle(&self) {
         self.with(|machine, _| machine.hang_up());
     }
 
@@ -219,7 +219,7 @@
         self.wake.notify_one();
     }
 
-    async fn run(self: Rc<Self>, news: Sender<News>) {
+    async fn run(self: Rc<Self>, news: Sender<CourierEvent>) {
         let mut socket: Option<TcpStream> = None;
         let mut opening: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
         let mut bytes = vec![0; READ];
@@ -299,16 +299,16 @@
         }
     }
 
-    async fn tell(&self, effect: client::Effect, news: &Sender<News>) {
+    async fn tell(&self, effect: client::Effect, news: &Sender<CourierEvent>) {
         let endpoint = self.endpoint;
         let told = match effect {
-            client::Effect::Record { id, message } => News::Released { endpoint, id, message },
-            client::Effect::Resuming => News::Resuming { endpoint, begins: true },
-            client::Effect::Resumed => News::Resuming { endpoint, begins: false },
-            client::Effect::Free { id, .. } => News::Freed { endpoint, id },
+            client::Effect::Record { id, message } => CourierEvent::PubrecReceived { endpoint, id, message },
+            client::Effect::Resuming => CourierEvent::SessionResuming { endpoint, pending: true },
+            client::Effect::Resumed => CourierEvent::SessionResuming { endpoint, pending: false },
+            client::Effect::Free { id, .. } => CourierEvent::PacketIdFreed { endpoint, id },
             client::Effect::Ended { message, end, .. } => {
                 let Some(attempt) = self.attempts.borrow_mut().remove(&message) else { return };
-                News::Called { message, attempt, endpoint, end: ended(end) }
+                CourierEvent::CallEnded { message, attempt, endpoint, end: ended(end) }
             }
             client::Effect::Log(text) => {
                 eprintln!("mqtt: {}: {text}", self.address);
@@ -354,7 +354,7 @@
 }
 
 /// What an attempt's end means to the decision module: the table of docs/mqtt.md.
-fn ended(end: End) -> CallEnd {
+fn ended(end: End) -> CallResult {
     let outcome = match end {
         End::Delivered => Outcome::Delivered,
         End::Error => Outcome::Error,
@@ -364,9 +364,9 @@
         End::Lost => Outcome::Reset,
         End::TimedOut => Outcome::TimedOut,
     };
-    CallEnd {
+    CallResult {
         outcome,
-        after: if end == End::Delivered { AfterAttempt::Settled } else { AfterAttempt::Open },
+        after: if end == End::Delivered { AfterAttempt::Settled } else { AfterAttempt::RetryAllowed },
         report: None,
         at: Instant::now(),
         proof: "the broker's word",
--- a/crates/courier/src/out/listening.rs
+++ b/crates/courier/src/outbound/exchange_monitor.rs
@@ -1,7 +1,7 @@
 //! What is heard of an answer while its exchange goes on, and what of it is passed on at once.
 
-use crate::news::News;
-use crate::out::link::{Heard, Listener};
+use crate::events::CourierEvent;
+use crate::outbound::http_connection::{ProgressHandle, ResponseProgress};
 use stairshed_decide::interface::{EndpointId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -12,34 +12,34 @@
 
 /// What is heard on the connection of one exchange, once it has one. A wait that its answer tells is passed on before the
 /// rest of that has come, which may take longer than a wait may be ignored.
-pub struct Listening {
+pub struct ExchangeMonitor {
     endpoint: EndpointId,
-    news: Sender<News>,
-    listener: RefCell<Option<Listener>>,
+    news: Sender<CourierEvent>,
+    listener: RefCell<Option<ProgressHandle>>,
     /// The dispatcher has been told of the wait.
     wait_told: Cell<bool>,
 }
 
-impl Listening {
+impl ExchangeMonitor {
     /// For an exchange with this endpoint; `news` reaches the dispatcher.
-    pub fn new(endpoint: EndpointId, news: Sender<News>) -> Self {
-        Listening { endpoint, news, listener: RefCell::default(), wait_told: Cell::default() }
+    pub fn new(endpoint: EndpointId, news: Sender<CourierEvent>) -> Self {
+        ExchangeMonitor { endpoint, news, listener: RefCell::default(), wait_told: Cell::default() }
     }
 
     /// The exchange has its connection.
-    pub fn to(&self, listener: Listener) {
+    pub fn to(&self, listener: ProgressHandle) {
         self.listener.replace(Some(listener));
     }
 
     /// What it has shown so far.
-    pub fn heard(&self) -> Heard {
-        self.listener.borrow().as_ref().map(Listener::heard).unwrap_or_default()
+    pub fn heard(&self) -> ResponseProgress {
+        self.listener.borrow().as_ref().map(ProgressHandle::heard).unwrap_or_default()
     }
 
     /// The wait that nobody has been told of yet.
-    fn untold_wait(&self) -> Option<News> {
+    fn untold_wait(&self) -> Option<CourierEvent> {
         let until = self.heard().blocked_until.filter(|_| !self.wait_told.get())?;
-        Some(News::ToldToWait { endpoint: self.endpoint, until })
+        Some(CourierEvent::BackoffRequested { endpoint: self.endpoint, until })
     }
 
     /// Passes a wait on if that can be done at once.
@@ -50,7 +50,7 @@
     }
 
     /// Tells how the exchange has ended, and a wait before it that this does not tell.
-    pub async fn end(self, news: News, outcome: Outcome) {
+    pub async fn end(self, news: CourierEvent, outcome: Outcome) {
         let tells = matches!(outcome, Outcome::Full { wait: Some(_) });
         if let Some(wait) = self.untold_wait().filter(|_| !tells) {
             // Nobody is left to hear it once the courier has stopped.
