--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,4 +1,4 @@
-//! Translates the line protocol of the bench to and from [`stairshed_decide::interface`]. It decides nothing.
+//! Translates the simulator's line protocol to and from [`stairshed_decide::interface`]. It decides nothing.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Serialize};
@@ -10,16 +10,16 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-/// One line received.
+/// An input line.
 #[derive(Deserialize)]
 #[serde(tag = "what", rename_all_fields = "kebab-case")]
-enum News {
+enum InputLine {
     #[serde(rename = "SYNC")]
     Sync { wall_ns: u64 },
     #[serde(rename = "GO")]
     Go {},
     #[serde(rename = "TABLE")]
-    Table { buffer: u64, elements: Vec<Element> },
+    Table { buffer: u64, elements: Vec<ListedEndpoint> },
     #[serde(rename = "NEW_INSTANCE")]
     NewInstance { courier_id: u64, salt: u64, conf: Box<SettingsDocument> },
     #[serde(rename = "EXIT")]
@@ -54,7 +54,7 @@
         took_ns: u64,
         #[serde(default)]
         last: bool,
-        pressure: Option<Pressure>,
+        pressure: Option<LoadReport>,
     },
     #[serde(rename = "WITHDRAWN")]
     Withdrawn { courier_id: u64, job: u64 },
@@ -69,7 +69,7 @@
         detail: u64,
         #[serde(default)]
         took_ns: u64,
-        pressure: Option<Pressure>,
+        pressure: Option<LoadReport>,
     },
     #[serde(rename = "WHISPER")]
     Whisper { courier_id: u64, sender: u64, contents: String },
@@ -77,7 +77,7 @@
 
 #[derive(Deserialize, Clone)]
 #[serde(rename_all = "kebab-case")]
-struct Element {
+struct ListedEndpoint {
     endpoint: String,
     #[serde(default)]
     zone: usize,
@@ -90,15 +90,15 @@
 }
 
 #[derive(Deserialize)]
-struct Pressure {
+struct LoadReport {
     x0: Option<f64>,
     x1: Option<f64>,
 }
 
-/// One line sent.
+/// An output line.
 #[derive(Serialize, Debug, PartialEq)]
 #[serde(tag = "what", rename_all = "SCREAMING_SNAKE_CASE", rename_all_fields = "kebab-case")]
-enum Deed<'a> {
+enum OutputLine<'a> {
     SubmitTo {
         courier_id: u64,
         job: u64,
@@ -156,7 +156,7 @@
     Done,
 }
 
-fn nanos(d: Duration) -> u64 {
+fn as_nanos_u64(d: Duration) -> u64 {
     u64::try_from(d.as_nanos()).unwrap_or(u64::MAX)
 }
 
@@ -174,35 +174,36 @@
     })
 }
 
-fn report(pressure: Option<Pressure>) -> Option<LimitReport> {
+fn report(pressure: Option<LoadReport>) -> Option<LimitReport> {
     let p = pressure?;
     Some(LimitReport { remaining_share: p.x0?, limit: p.x1? })
 }
 
-/// One courier: its module and the numbers given to the endpoint addresses it has heard of.
+/// A courier: its scheduler, and the ids of the endpoint addresses that it has seen. `scheduler` is None after a
+/// failure, which `fault` holds until it is reported.
 struct Instance {
     scheduler: Option<Scheduler>,
     classes: usize,
     names: Vec<String>,
-    numbers: HashMap<String, EndpointId>,
-    news: Vec<Event>,
+    endpoint_ids: HashMap<String, EndpointId>,
+    events: Vec<Event>,
     fault: Option<String>,
 }
 
 impl Instance {
-    fn number(&mut self, name: &str) -> EndpointId {
-        if let Some(id) = self.numbers.get(name) {
+    fn endpoint_id(&mut self, name: &str) -> EndpointId {
+        if let Some(id) = self.endpoint_ids.get(name) {
             return *id;
         }
         let id = EndpointId(self.names.len() as u32);
         self.names.push(name.to_owned());
-        self.numbers.insert(name.to_owned(), id);
+        self.endpoint_ids.insert(name.to_owned(), id);
         id
     }
 
-    fn entry(&mut self, e: &Element) -> Result<EndpointEntry, String> {
+    fn entry(&mut self, e: &ListedEndpoint) -> Result<EndpointEntry, String> {
         Ok(EndpointEntry {
-            endpoint: self.number(&e.endpoint),
+            endpoint: self.endpoint_id(&e.endpoint),
             destination: DestinationId(e.destination),
             zone: e.zone,
             kind: e.sku,
@@ -210,7 +211,7 @@
                 0 => EndpointState::Gone,
                 1 => EndpointState::Ready,
                 2 => EndpointState::Draining,
-                other => return Err(format!("unknown state {other}")),
+                other => return Err(format!("unknown endpoint state {other}")),
             },
             weight: e.rating,
             requires_lease: true,
@@ -218,18 +219,21 @@
     }
 }
 
-/// The adapter: all instances of this process.
+/// All couriers of this process.
 #[derive(Default)]
-pub struct Host {
+pub struct Adapter {
     now: Time,
-    tables: BTreeMap<u64, Vec<Element>>,
+    tables: BTreeMap<u64, Vec<ListedEndpoint>>,
     instances: BTreeMap<u64, Instance>,
-    /// Instances with news in this batch, in order of their first event.
-    turn: Vec<u64>,
+    /// Couriers with input in this batch, in order of their first line.
+    pending: Vec<u64>,
 }
 
-impl Host {
-    /// Reads events until the input ends, answering each batch. An error names what was wrong.
+impl Adapter {
+    /// Reads lines until the input ends, and answers each batch.
+    ///
+    /// # Errors
+    /// Names the line and what is wrong with it.
     pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), String> {
         for (index, line) in input.lines().enumerate() {
             let at = |fault: String| format!("line {}: {fault}", index + 1);
@@ -237,70 +241,70 @@
             if line.trim().is_empty() {
                 continue;
             }
-            let news: News = serde_json::from_str(&line).map_err(|e| at(e.to_string()))?;
-            if let News::Go {} = news {
+            let parsed: InputLine = serde_json::from_str(&line).map_err(|e| at(e.to_string()))?;
+            if let InputLine::Go {} = parsed {
                 self.answer(&mut output).map_err(|e| at(format!("cannot write the reply: {e}")))?;
             } else {
-                self.take(news).map_err(at)?;
+                self.apply(parsed).map_err(at)?;
             }
         }
         Ok(())
     }
 
     fn push(&mut self, id: u64, event: Event) -> Result<(), String> {
-        self.known(id)?.news.push(event);
+        self.instance(id)?.events.push(event);
         Ok(())
     }
 
-    fn known(&mut self, id: u64) -> Result<&mut Instance, String> {
+    fn instance(&mut self, id: u64) -> Result<&mut Instance, String> {
         let instance = self.instances.get_mut(&id).ok_or_else(|| format!("unknown instance {id}"))?;
-        if !self.turn.contains(&id) {
-            self.turn.push(id);
+        if !self.pending.contains(&id) {
+            self.pending.push(id);
         }
         Ok(instance)
     }
 
-    fn take(&mut self, news: News) -> Result<(), String> {
-        match news {
-            News::Sync { wall_ns } => self.now = Duration::from_nanos(wall_ns),
-            News::Go {} => {}
-            News::Table { buffer, elements } => {
+    fn apply(&mut self, line: InputLine) -> Result<(), String> {
+        match line {
+            InputLine::Sync { wall_ns } => self.now = Duration::from_nanos(wall_ns),
+            InputLine::Go {} => {}
+            InputLine::Table { buffer, elements } => {
                 self.tables.insert(buffer, elements);
             }
-            News::NewInstance { courier_id, salt, conf } => {
+            InputLine::NewInstance { courier_id, salt, conf } => {
                 let made = conf.settings().and_then(|s| Scheduler::new(s, salt).map_err(|e| e.to_string()));
                 let (scheduler, fault) = match made {
                     Ok(scheduler) => (Some(scheduler), None),
                     Err(fault) => (None, Some(fault)),
                 };
                 let classes = conf.class_names().count();
-                let (names, numbers, news) = (Vec::new(), HashMap::new(), Vec::new());
+                let (names, endpoint_ids, events) = (Vec::new(), HashMap::new(), Vec::new());
                 self.instances
-                    .insert(courier_id, Instance { scheduler, classes, names, numbers, news, fault });
-                self.known(courier_id)?;
+                    .insert(courier_id, Instance { scheduler, classes, names, endpoint_ids, events, fault });
+                self.instance(courier_id)?;
             }
-            News::Exit { courier_id } => {
-                self.known(courier_id)?;
+            InputLine::Exit { courier_id } => {
+                self.instance(courier_id)?;
                 self.instances.remove(&courier_id);
-                self.turn.retain(|id| *id != courier_id);
+                self.pending.retain(|id| *id != courier_id);
             }
-            News::DirectoryUpdate { courier_id, kind, buffer } => {
+            InputLine::DirectoryUpdate { courier_id, kind, buffer } => {
                 let event = match kind {
                     0..=2 => {
                         let number = buffer.unwrap_or(0);
-                        let table = self.tables.remove(&number).ok_or(format!("no table {number}"))?;
-                        let instance = self.known(courier_id);
+                        let table = self.tables.remove(&number).ok_or(format!("unknown table {number}"))?;
+                        let instance = self.instance(courier_id);
                         let entries =
                             instance.and_then(|i| table.iter().map(|e| i.entry(e)).collect::<Result<_, _>>());
                         self.tables.insert(number, table);
                         Event::EndpointList { complete: kind > 0, entries: entries? }
                     }
                     3 => Event::EndpointListFailed,
-                    other => return Err(format!("unknown kind of list {other}")),
+                    other => return Err(format!("unknown kind of list update {other}")),
                 };
                 self.push(courier_id, event)?;
             }
-            News::Order {
+            InputLine::Order {
                 courier_id,
                 job,
                 marks,
@@ -311,7 +315,7 @@
                 customer,
                 to_exchange,
             } => {
-                if kind >= self.known(courier_id)?.classes {
+                if kind >= self.instance(courier_id)?.classes {
                     return Err(format!("class {kind} is not listed"));
                 }
                 let event = Event::Accepted(Accepted {
@@ -326,11 +330,11 @@
                 });
                 self.push(courier_id, event)?;
             }
-            News::Flowing { courier_id, job } => {
+            InputLine::Flowing { courier_id, job } => {
                 self.push(courier_id, Event::ResponseStarted { message: MessageId(job) })?;
             }
-            News::Done { courier_id, job, endpoint, how, detail, took_ns, last, pressure } => {
-                let endpoint = self.known(courier_id)?.number(&endpoint);
+            InputLine::Done { courier_id, job, endpoint, how, detail, took_ns, last, pressure } => {
+                let endpoint = self.instance(courier_id)?.endpoint_id(&endpoint);
                 let event = Event::AttemptEnded(AttemptEnded {
                     message: MessageId(job),
                     endpoint,
@@ -341,20 +345,20 @@
                 });
                 self.push(courier_id, event)?;
             }
-            News::Withdrawn { courier_id, job } => {
+            InputLine::Withdrawn { courier_id, job } => {
                 self.push(courier_id, Event::Withdrawn { message: MessageId(job) })?;
             }
-            News::Elapsed { courier_id, name } => {
-                // A name that is no number was not set by the module; it has no use for it.
+            InputLine::Elapsed { courier_id, name } => {
+                // The scheduler's timers are named by numbers; others are ignored.
                 let woken = name.parse().map(|token| Event::TimerFired { token });
                 if let Ok(event) = woken {
                     self.push(courier_id, event)?;
                 } else {
-                    self.known(courier_id)?;
+                    self.instance(courier_id)?;
                 }
             }
-            News::Echo { courier_id, endpoint, how, detail, took_ns, pressure } => {
-                let endpoint = self.known(courier_id)?.number(&endpoint);
+            InputLine::Echo { courier_id, endpoint, how, detail, took_ns, pressure } => {
+                let endpoint = self.instance(courier_id)?.endpoint_id(&endpoint);
                 let event = Event::ProbeEnded {
                     endpoint,
                     outcome: outcome(how, detail)?,
@@ -363,7 +367,7 @@
                 };
                 self.push(courier_id, event)?;
             }
-            News::Whisper { courier_id, sender, contents } => {
+            InputLine::Whisper { courier_id, sender, contents } => {
                 let note = STANDARD.decode(contents).map_err(|e| format!("contents: {e}"))?;
                 self.push(courier_id, Event::NoteReceived { from: sender, note })?;
             }
@@ -373,68 +377,72 @@
 
     fn answer(&mut self, output: &mut impl Write) -> io::Result<()> {
         let mut actions = Vec::new();
-        for id in std::mem::take(&mut self.turn) {
+        for id in std::mem::take(&mut self.pending) {
             let Some(instance) = self.instances.get_mut(&id) else { continue };
-            let news = std::mem::take(&mut instance.news);
+            let events = std::mem::take(&mut instance.events);
             actions.clear();
             if let Some(scheduler) = &mut instance.scheduler {
                 let now = self.now;
-                let run = catch_unwind(AssertUnwindSafe(|| scheduler.handle(now, &news, &mut actions)));
+                let run = catch_unwind(AssertUnwindSafe(|| scheduler.handle(now, &events, &mut actions)));
                 if let Err(panic) = run {
                     let text = panic.downcast_ref::<String>().map(String::as_str);
                     let text = text.or(panic.downcast_ref::<&str>().copied());
-                    instance.fault = Some(text.unwrap_or("panic in the module").to_owned());
+                    instance.fault = Some(text.unwrap_or("the scheduler panicked").to_owned());
                     instance.scheduler = None;
                 }
             }
             for action in &actions {
-                if let Some(deed) = deed(id, action, &instance.names) {
-                    write_line(output, &deed)?;
+                if let Some(output_line) = output_line(id, action, &instance.names) {
+                    write_line(output, &output_line)?;
                 }
             }
             if let Some(message) = instance.fault.take() {
-                write_line(output, &Deed::Bug { courier_id: id, message })?;
+                write_line(output, &OutputLine::Bug { courier_id: id, message })?;
             }
         }
-        write_line(output, &Deed::Done)?;
+        write_line(output, &OutputLine::Done)?;
         output.flush()
     }
 }
 
-/// What the wire says of an action; nothing where it has no word for it.
-fn deed<'a>(courier_id: u64, action: &Action, names: &'a [String]) -> Option<Deed<'a>> {
+/// The output line for an action; None if the protocol has none.
+fn output_line<'a>(courier_id: u64, action: &Action, names: &'a [String]) -> Option<OutputLine<'a>> {
     let name = |e: EndpointId| names[e.0 as usize].as_str();
     Some(match action {
-        // An endpoint that was once listed stays known to the bench.
+        // The simulator never forgets an endpoint.
         Action::ForgetEndpoint { .. } => return None,
-        Action::Send { message, endpoint, timeout } => Deed::SubmitTo {
+        Action::Send { message, endpoint, timeout } => OutputLine::SubmitTo {
             courier_id,
             job: message.0,
-            try_for_ns: nanos(*timeout),
+            try_for_ns: as_nanos_u64(*timeout),
             endpoint: name(*endpoint),
         },
         Action::Refuse { message, wait } => {
-            Deed::TurnAway { courier_id, job: message.0, backoff_ns: wait.map(nanos) }
+            OutputLine::TurnAway { courier_id, job: message.0, backoff_ns: wait.map(as_nanos_u64) }
         }
-        Action::Fail { message } => Deed::ReportFailure { courier_id, job: message.0 },
-        Action::Cancel { message, attempt } => Deed::Revoke { courier_id, job: message.0, send_no: *attempt },
-        Action::Probe { endpoint } => Deed::Poll { courier_id, endpoint: name(*endpoint) },
-        Action::CloseIdleConnections { endpoint } => Deed::Close { courier_id, endpoint: name(*endpoint) },
-        Action::Subscribe { active } => Deed::Subscribe { courier_id, active: *active },
-        Action::FetchEndpointList => Deed::Fetch { courier_id },
-        Action::SendNote { to, note } => Deed::Notify {
+        Action::Fail { message } => OutputLine::ReportFailure { courier_id, job: message.0 },
+        Action::Cancel { message, attempt } => {
+            OutputLine::Revoke { courier_id, job: message.0, send_no: *attempt }
+        }
+        Action::Probe { endpoint } => OutputLine::Poll { courier_id, endpoint: name(*endpoint) },
+        Action::CloseIdleConnections { endpoint } => {
+            OutputLine::Close { courier_id, endpoint: name(*endpoint) }
+        }
+        Action::Subscribe { active } => OutputLine::Subscribe { courier_id, active: *active },
+        Action::FetchEndpointList => OutputLine::Fetch { courier_id },
+        Action::SendNote { to, note } => OutputLine::Notify {
             courier_id,
             whom: to.map_or(-1, |peer| peer as i64),
             contents: STANDARD.encode(note),
         },
         Action::SetTimer { token, after } => {
-            Deed::WakeAt { courier_id, name: token.to_string(), from_now_ns: nanos(*after) }
+            OutputLine::WakeAt { courier_id, name: token.to_string(), from_now_ns: as_nanos_u64(*after) }
         }
-        Action::Log { text } => Deed::NoteDown { courier_id, message: text.clone() },
+        Action::Log { text } => OutputLine::NoteDown { courier_id, message: text.clone() },
     })
 }
 
-fn write_line(output: &mut impl Write, deed: &Deed) -> io::Result<()> {
-    serde_json::to_writer(&mut *output, deed)?;
+fn write_line(output: &mut impl Write, output_line: &OutputLine) -> io::Result<()> {
+    serde_json::to_writer(&mut *output, output_line)?;
     output.write_all(b"\n")
 }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,7 +1,7 @@
-//! Round trips through the adapter, and its plain refusals of malformed input.
+//! Round trips through the adapter, and its errors for malformed input.
 
 use serde_json::{Value, json};
-use stairshed_adapter::Host;
+use stairshed_adapter::Adapter;
 
 fn conf() -> Value {
     json!({
@@ -22,13 +22,13 @@
 
 fn run(lines: &[Value]) -> Result<Vec<Vec<Value>>, String> {
     let input: String = lines.iter().map(|l| format!("{l}\n")).collect();
-    run_text(&input)
+    run_input(&input)
 }
 
-/// The replies, one list of actions a batch.
-fn run_text(input: &str) -> Result<Vec<Vec<Value>>, String> {
+/// The replies: one list of actions per batch.
+fn run_input(input: &str) -> Result<Vec<Vec<Value>>, String> {
     let mut output = Vec::new();
-    Host::default().run(input.as_bytes(), &mut output)?;
+    Adapter::default().run(input.as_bytes(), &mut output)?;
     let (mut replies, mut reply) = (Vec::new(), Vec::new());
     for line in String::from_utf8(output).expect("UTF-8").lines() {
         let action: Value = serde_json::from_str(line).expect("JSON");
@@ -41,7 +41,7 @@
     Ok(replies)
 }
 
-fn start(id: u64, conf: Value) -> Vec<Value> {
+fn start_lines(id: u64, conf: Value) -> Vec<Value> {
     vec![
         json!({"what": "SYNC", "wall-ns": 9_000_000_000u64}),
         json!({"what": "NEW_INSTANCE", "courier-id": id, "salt": 5, "conf": conf}),
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn a_message_is_sent_to_its_destination_and_its_outcome_taken() {
-    let mut lines = start(3, conf());
+fn a_message_is_sent_to_its_destination_and_its_outcome_is_applied() {
+    let mut lines = start_lines(3, conf());
     lines.push(order(3, 77, 58));
     lines.push(json!({"what": "GO"}));
     lines.push(json!({"what": "SYNC", "wall-ns": 9_100_000_000u64}));
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn list_numbers_are_resolved_in_order_within_a_batch() {
-    let mut lines = start(3, conf());
+fn table_numbers_are_resolved_in_order_within_a_batch() {
+    let mut lines = start_lines(3, conf());
     lines.push(json!({"what": "TABLE", "buffer": 0, "elements": [
         {"endpoint": "10.0.0.9:1", "zone": 0, "sku": 0, "destination": 60, "state": 1, "rating": 9}]}));
     lines.push(json!({"what": "DIRECTORY_UPDATE", "courier-id": 3, "kind": 0, "revision": 2, "buffer": 0}));
@@ -102,10 +102,10 @@
 
 #[test]
 fn a_restart_in_one_batch_starts_without_state() {
-    let mut lines = start(3, conf());
+    let mut lines = start_lines(3, conf());
     lines.push(order(3, 1, 57));
     lines.push(json!({"what": "EXIT", "courier-id": 3}));
-    lines.extend(start(3, conf()).into_iter().skip(1));
+    lines.extend(start_lines(3, conf()).into_iter().skip(1));
     lines.push(json!({"what": "GO"}));
     let replies = run(&lines).expect("legal");
     assert!(only(&replies[0], "SUBMIT_TO").is_empty());
@@ -113,13 +113,13 @@
 }
 
 #[test]
-fn unworkable_settings_are_told_as_a_bug() {
+fn invalid_settings_are_reported_as_a_bug() {
     for (path, value) in
         [("/family-info/slots", json!(0)), ("/lanes/0/aim-ns", json!(-1)), ("/lanes", json!([]))]
     {
         let mut bad = conf();
         *bad.pointer_mut(path).expect("a key of the settings") = value;
-        let mut lines = start(3, bad);
+        let mut lines = start_lines(3, bad);
         lines.push(json!({"what": "GO"}));
         let replies = run(&lines).expect("legal");
         assert_eq!(only(&replies[0], "BUG").len(), 1, "{path}");
@@ -129,7 +129,7 @@
 #[test]
 fn malformed_input_stops_the_adapter_with_the_line_number() {
     let go = json!({"what": "GO"}).to_string();
-    let mut started: Vec<String> = start(3, conf()).iter().map(Value::to_string).collect();
+    let mut started: Vec<String> = start_lines(3, conf()).iter().map(Value::to_string).collect();
     started.push(go);
     for (bad, fault) in [
         ("{nonsense".to_owned(), ""),
@@ -140,7 +140,7 @@
         (order(3, 5, 57).to_string().replace("\"kind\":0", "\"kind\":7"), "class 7 is not listed"),
     ] {
         let text = format!("{}\n{bad}\n", started.join("\n"));
-        let error = run_text(&text).expect_err(&bad);
+        let error = run_input(&text).expect_err(&bad);
         assert!(error.starts_with(&format!("line {}: ", started.len() + 1)), "{error}");
         assert!(error.contains(fault), "{error}");
     }
