--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -179,8 +179,8 @@
     Some(LimitReport { remaining_share: p.x0?, limit: p.x1? })
 }
 
-/// A courier: its scheduler, and the ids of the endpoint addresses that it has seen. `scheduler` is None after a
-/// failure, which `fault` holds until it is reported.
+/// A courier: its scheduler, and the ids of the endpoint addresses that it has seen. `scheduler` is None
+/// after a failure, which `fault` holds until it is reported.
 struct Instance {
     scheduler: Option<Scheduler>,
     classes: usize,
--- a/crates/decide/examples/embed.rs
+++ b/crates/decide/examples/embed.rs
@@ -1,4 +1,4 @@
-//! A courier in miniature: one destination with one endpoint, one message, answered at once.
+//! A minimal courier: one destination with one endpoint, and one message that is answered at once.
 
 use stairshed_decide::interface::*;
 use stairshed_decide::scheduler::Scheduler;
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -90,9 +90,9 @@
     Approximate,
 }
 
-/// Duration of the lease on the endpoint list. By the discovery protocol, a change counts as announced after 6 s,
-/// whether or not it arrived, and nothing may be sent to a draining endpoint from 1 s later. The remaining 0.8 s
-/// allow for lines that are read late and calls that are written late.
+/// Duration of the lease on the endpoint list. By the discovery protocol, a change counts as announced after
+/// 6 s, whether or not it arrived, and nothing may be sent to a draining endpoint from 1 s later. The
+/// remaining 0.8 s allow for lines that are read late and calls that are written late.
 pub const ENDPOINT_LIST_LEASE: Duration = Duration::from_millis(6200);
 
 /// Settings of the scheduler.
@@ -250,8 +250,8 @@
     EndpointListFailed,
     /// The list was current at this time: discovery has sent data since, or could not have sent a change.
     MembershipCurrent { as_of: Time },
-    /// Discovery may announce changes that don't reach this courier: unless renewed, the lease on the list expires
-    /// at this time at the latest.
+    /// Discovery may announce changes that don't reach this courier: unless renewed, the lease on the list
+    /// expires at this time at the latest.
     MembershipLimited { until: Time },
     /// A message was accepted and must get exactly one final answer.
     Accepted(Accepted),
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Settings and a driver shared by the tests. The driver answers nothing by itself: each test says
-//! what happens, and reads what the module asks for.
+//! Settings and a driver shared by the tests. The driver answers nothing by itself: each test feeds the
+//! events and reads the scheduler's actions.
 #![allow(dead_code)]
 
-pub mod world;
+pub mod simulation;
 
 use stairshed_decide::interface::*;
 use stairshed_decide::scheduler::Scheduler;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Class 0 repeatable, 1 keyed within its zone, 2 once only.
+/// Class 0 is repeatable, class 1 keyed within its zone, class 2 once.
 pub fn settings() -> Settings {
     let keyed = Effect::Keyed { scope: KeyScope::Zone, window: MS * 5000 };
     Settings {
@@ -75,7 +75,7 @@
     }
 }
 
-pub fn taken(message: u64, class: usize, destination: u64, time_left: Duration) -> Event {
+pub fn accepted(message: u64, class: usize, destination: u64, time_left: Duration) -> Event {
     Event::Accepted(Accepted {
         message: MessageId(message),
         class,
@@ -88,7 +88,7 @@
     })
 }
 
-pub fn ended(message: u64, endpoint: u32, outcome: Outcome, took_ms: u32) -> Event {
+pub fn attempt_ended(message: u64, endpoint: u32, outcome: Outcome, took_ms: u32) -> Event {
     Event::AttemptEnded(AttemptEnded {
         message: MessageId(message),
         endpoint: EndpointId(endpoint),
@@ -99,51 +99,51 @@
     })
 }
 
-/// A module and its clock; remembers every action with its time.
-pub struct Drive {
+/// A scheduler and its clock; logs every action with its time.
+pub struct Driver {
     pub scheduler: Scheduler,
     pub now: Duration,
     pub log: Vec<(Duration, Action)>,
-    wakes: Vec<(Duration, u64)>,
+    timers: Vec<(Duration, u64)>,
 }
 
-impl Drive {
+impl Driver {
     pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
-        Drive::seeded(settings, entries, 11)
+        Driver::seeded(settings, entries, 11)
     }
 
     pub fn seeded(settings: Settings, entries: Vec<EndpointEntry>, seed: u64) -> Self {
-        Drive::begun(settings, entries, seed, MS * 1000)
+        Driver::started_at(settings, entries, seed, MS * 1000)
     }
 
-    /// One that starts at this time.
-    pub fn begun(settings: Settings, entries: Vec<EndpointEntry>, seed: u64, now: Duration) -> Self {
+    /// A driver whose clock starts at `now`.
+    pub fn started_at(settings: Settings, entries: Vec<EndpointEntry>, seed: u64, now: Duration) -> Self {
         let scheduler = Scheduler::new(settings, seed).expect("workable settings");
-        let mut drive = Drive { scheduler, now, log: Vec::new(), wakes: Vec::new() };
+        let mut drive = Driver { scheduler, now, log: Vec::new(), timers: Vec::new() };
         drive.feed(&[Event::EndpointList { complete: true, entries }]);
         drive
     }
 
-    /// Hands in events now; returns the actions they led to.
+    /// Feeds events now and returns the resulting actions.
     pub fn feed(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, events, &mut actions);
         for action in &actions {
             if let Action::SetTimer { token, after } = action {
-                self.wakes.push((self.now + *after, *token));
+                self.timers.push((self.now + *after, *token));
             }
             self.log.push((self.now, action.clone()));
         }
         actions
     }
 
-    /// Lets time pass in ticks, waking the module as it asked; returns what it did.
+    /// Advances time in ticks, fires the timers that are due, and returns the resulting actions.
     pub fn pass(&mut self, span: Duration) -> Vec<Action> {
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += MS * 5;
-            let due: Vec<_> = self.wakes.iter().filter(|w| w.0 <= self.now).map(|w| w.1).collect();
-            self.wakes.retain(|w| w.0 > self.now);
+            let due: Vec<_> = self.timers.iter().filter(|w| w.0 <= self.now).map(|w| w.1).collect();
+            self.timers.retain(|w| w.0 > self.now);
             let events: Vec<_> = due.into_iter().map(|token| Event::TimerFired { token }).collect();
             if !events.is_empty() {
                 all.extend(self.feed(&events));
@@ -153,7 +153,7 @@
     }
 }
 
-/// The sends among actions, as (message, endpoint).
+/// The sends among the actions, as (message, endpoint).
 pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
     let send = |a: &Action| match a {
         Action::Send { message, endpoint, .. } => Some((message.0, endpoint.0)),
@@ -162,6 +162,6 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn has(actions: &[Action], f: impl Fn(&Action) -> bool) -> bool {
+pub fn has_action(actions: &[Action], f: impl Fn(&Action) -> bool) -> bool {
     actions.iter().any(f)
 }
--- a/crates/decide/tests/layout.rs
+++ b/crates/decide/tests/layout.rs
@@ -1,4 +1,4 @@
-//! The decision module is printed and kept in the on-call folder: it must stay short and narrow.
+//! The scheduler's source is printed for the on-call folder, so its length and width are limited.
 
 #[test]
 fn the_module_stays_within_1200_lines_of_110_columns() {
