--- a/crates/decide/src/chart_test.rs
+++ b/crates/decide/src/chart_test.rs
@@ -1,22 +1,22 @@
-//! The occupancy chart against brute force over all orders and all subsets.
+//! Compares the occupancy chart with a brute-force search over all orders and all subsets.
 
 use crate::interface::MessageId;
-use crate::state::Chart;
+use crate::state::OccupancyChart;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-const SIGMA: i64 = 10;
+const SERVICE_TIME: i64 = 10;
 
-/// Whether some order serves every message, one after another from `now`, by its deadline.
+/// Whether some order serves each message by its deadline, one after another from `now`.
 fn some_order_works(dues: &[i64], now: i64) -> bool {
     dues.is_empty()
         || (0..dues.len()).any(|first| {
             let mut rest = dues.to_vec();
             let due = rest.remove(first);
-            now + SIGMA <= due && some_order_works(&rest, now + SIGMA)
+            now + SERVICE_TIME <= due && some_order_works(&rest, now + SERVICE_TIME)
         })
 }
 
-/// The most messages that can be served, over all subsets.
+/// The largest number of messages that can be served.
 fn most_served(dues: &[i64], now: i64) -> usize {
     let subset =
         |bits: u32| -> Vec<i64> { (0..dues.len()).filter(|i| bits >> i & 1 == 1).map(|i| dues[i]).collect() };
@@ -28,9 +28,9 @@
         .unwrap_or(0)
 }
 
-fn chart(dues: &[i64]) -> Chart {
-    let mut chart = Chart::default();
-    chart.resize(SIGMA);
+fn chart(dues: &[i64]) -> OccupancyChart {
+    let mut chart = OccupancyChart::default();
+    chart.resize(SERVICE_TIME);
     dues.iter().enumerate().for_each(|(n, due)| chart.add(*due, MessageId(n as u64)));
     chart
 }
@@ -46,8 +46,8 @@
         assert_eq!(chart.overdue(0).is_none(), some_order_works(&dues, 0), "{dues:?}");
         let mut dropped = 0;
         while let Some(first) = chart.overdue(0) {
-            let victim = first[rng.random_range(0..first.len())];
-            chart.remove(dues[victim.0 as usize], victim);
+            let shed_candidate = first[rng.random_range(0..first.len())];
+            chart.remove(dues[shed_candidate.0 as usize], shed_candidate);
             dropped += 1;
         }
         assert_eq!(n - dropped, most_served(&dues, 0), "{dues:?}");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_paper_s_example_makes_its_segments() {
+fn the_example_of_the_paper_yields_its_segments() {
     let mut chart = chart(&[30, 100, 100, 140, 50, 145, 150]);
     assert_eq!(chart.start(), Some(20));
     assert_eq!(chart.segments, [(20, 30), (40, 50), (80, 100), (120, 150)]);
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -1,5 +1,5 @@
-//! What the decision module remembers, as plain data. Nothing here decides anything: each figure is
-//! set and read in [`crate::scheduler`].
+//! The scheduler's state as plain data. Nothing here decides anything: [`crate::scheduler`] sets and reads
+//! it.
 
 use crate::interface::*;
 use crate::membership_lease::MembershipLease;
@@ -7,46 +7,51 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub(crate) struct Flight {
+/// An attempt without an outcome yet.
+pub(crate) struct InFlightAttempt {
     pub(crate) endpoint: EndpointId,
+    /// The call that carries it; other messages may share it.
     pub(crate) call: u64,
     pub(crate) cancelled: bool,
-    pub(crate) sent: Ns,
-    /// It had to open a connection.
-    pub(crate) opens: bool,
+    pub(crate) sent_at: Ns,
+    /// No idle connection was available, so it opens one.
+    pub(crate) opens_connection: bool,
 }
 
+/// A message that is held or in flight.
 #[derive(Default)]
 pub(crate) struct Message {
     pub(crate) class: usize,
-    pub(crate) group: usize,
-    pub(crate) dest: DestinationId,
+    /// The tenant or, without tenants, the class.
+    pub(crate) fairness_group: usize,
+    pub(crate) destination: DestinationId,
     pub(crate) key: Option<String>,
-    pub(crate) aim: Ns,
-    pub(crate) end: Ns,
-    /// Deadline on the chart: the aim, or the end once set back.
-    pub(crate) due: Ns,
-    pub(crate) late: bool,
-    pub(crate) missed: bool,
+    pub(crate) aim_at: Ns,
+    pub(crate) deadline: Ns,
+    /// Deadline on the chart: the aim, or the final deadline once the aim is given up.
+    pub(crate) chart_deadline: Ns,
+    pub(crate) past_aim: bool,
+    pub(crate) counted_as_missed: bool,
     pub(crate) attempts: u32,
-    pub(crate) flight: Option<Flight>,
+    pub(crate) in_flight: Option<InFlightAttempt>,
     /// First attempt that may have run: its endpoint, zone and send time.
-    pub(crate) ran: Option<(EndpointId, usize, Ns)>,
-    pub(crate) last: Option<EndpointId>,
-    /// Not sent again before this: its own backoff.
+    pub(crate) may_have_run: Option<(EndpointId, usize, Ns)>,
+    pub(crate) last_endpoint: Option<EndpointId>,
+    /// End of the retry backoff.
     pub(crate) not_before: Ns,
-    /// The final answer is out; kept until its attempt has an outcome.
-    pub(crate) over: bool,
+    /// The final answer was given; kept until its attempt has an outcome.
+    pub(crate) finished: bool,
 }
 
 impl Message {
-    /// What is known of a message at the start: for a resumed one its attempts, and the one that may have run.
-    pub(crate) fn with_past(past: &Past, now: Ns) -> Self {
-        let ran = past.ran.map(|r| (r.endpoint, r.zone, now - ns(r.ago)));
-        Message { attempts: past.attempts, ran, ..Message::default() }
+    /// A message with its recorded attempts, of which one may have run; without any for a new one.
+    pub(crate) fn from_history(history: &Past, now: Ns) -> Self {
+        let may_have_run = history.ran.map(|r| (r.endpoint, r.zone, now - ns(r.ago)));
+        Message { attempts: history.attempts, may_have_run, ..Message::default() }
     }
 }
 
+/// State of an endpoint's circuit breaker.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) enum Breaker {
     #[default]
@@ -55,249 +60,278 @@
     HalfOpen,
 }
 
-/// The smoothed share of calls that failed, as it was when last noted.
+/// Smoothed share of failed calls, as of its last update; decays from then on.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Doubt {
-    pub(crate) share: f64,
-    pub(crate) at: Ns,
+pub(crate) struct FailureRatio {
+    pub(crate) ratio: f64,
+    pub(crate) updated_at: Ns,
 }
 
+/// An endpoint of the list, with its health and connections.
 #[derive(Default)]
 pub(crate) struct Endpoint {
-    pub(crate) dest: DestinationId,
+    pub(crate) destination: DestinationId,
     pub(crate) zone: usize,
     pub(crate) kind: usize,
     pub(crate) ready: bool,
-    /// Nothing is sent there while the lease on the list has run out.
-    pub(crate) leased: bool,
-    /// Since when the list has it no more.
-    pub(crate) gone: Option<Ns>,
+    /// Nothing is sent to it while the lease on the list has expired.
+    pub(crate) requires_lease: bool,
+    /// When it left the list.
+    pub(crate) gone_since: Option<Ns>,
+    /// Smoothed latency in seconds; 0 before the first answer.
     pub(crate) latency: f64,
-    /// Calls out: when sent and messages without an outcome.
+    /// Calls in flight: send time (`Ns::MIN` once a first outcome is known) and messages without an outcome.
     pub(crate) calls: BTreeMap<u64, (Ns, usize)>,
-    /// When idle connections were last used.
-    pub(crate) idle: Vec<Ns>,
-    /// No new connection is tried before this; how many were not to be had, less those that were; the last.
-    pub(crate) connect_at: Ns,
-    pub(crate) unconnected: u32,
-    pub(crate) connect_failed: Ns,
-    /// Failures of late; and those of them that may have run.
-    pub(crate) doubt: Doubt,
-    pub(crate) risk: Doubt,
-    pub(crate) last_ok: Ns,
+    /// When each idle connection was last used.
+    pub(crate) idle_connections: Vec<Ns>,
+    /// No new connection is opened before this.
+    pub(crate) next_connect_at: Ns,
+    /// Failed connects less successful ones, at least 0.
+    pub(crate) connect_failures: u32,
+    pub(crate) last_connect_failure: Ns,
+    /// Recent failures.
+    pub(crate) failure_ratio: FailureRatio,
+    /// Recent failures of calls that may have run.
+    pub(crate) uncertain_failure_ratio: FailureRatio,
+    pub(crate) last_success: Ns,
     pub(crate) breaker: Breaker,
-    /// When an open breaker lets a trial through, if one is held.
-    pub(crate) turn_at: Ns,
-    /// The outage is confirmed, so slow start follows; the call that is the trial.
-    pub(crate) cold: bool,
+    /// When an open breaker admits a trial, if a message is held.
+    pub(crate) next_trial_at: Ns,
+    /// Slow start follows the outage, if that lasts long enough.
+    pub(crate) slow_start_pending: bool,
+    /// The latest call, which is the trial of a half-open breaker.
     pub(crate) trial: Option<u64>,
-    pub(crate) warm_from: Option<Ns>,
-    /// Since when it ails, for the spacing of trials; while it warms, nothing before `free_at`.
-    pub(crate) ailing_from: Ns,
-    pub(crate) free_at: Ns,
-    /// This courier's own leaning among equals, 0 to 1.
-    pub(crate) lean: f64,
+    /// Start of the slow start; in the future while a long wait lasts.
+    pub(crate) slow_start_since: Option<Ns>,
+    /// Start of the outage; the time between trials grows from then on.
+    pub(crate) unhealthy_since: Ns,
+    /// No call before this during slow start.
+    pub(crate) next_call_at: Ns,
+    /// This courier's random preference among equal endpoints, 0 to 1; less is preferred.
+    pub(crate) tie_break: f64,
 }
 
-/// What shares one limit: a destination, or one endpoint of it where routes are separate.
+/// Rate and waits of one limit: of a destination, or of one endpoint where routes are separate.
 #[derive(Default)]
-pub(crate) struct Pool {
+pub(crate) struct LimitGroup {
+    /// End of a stated wait or of the backoff after a rejection.
     pub(crate) wait_until: Ns,
+    /// Refill rate of the token bucket in calls per second; None for no limit.
     pub(crate) rate: Option<f64>,
     pub(crate) tokens: f64,
-    pub(crate) filled: Ns,
-    pub(crate) fulls: u32,
-    pub(crate) cut_at: Ns,
-    /// The limit in calls a second as told by reports, or by the list.
+    pub(crate) refilled_at: Ns,
+    pub(crate) consecutive_rejections: u32,
+    pub(crate) last_decrease: Ns,
+    /// The limit in calls per second, from reports or from the list.
     pub(crate) limit: Option<f64>,
-    /// Calls accepted in the last rate span.
-    pub(crate) oks: VecDeque<Ns>,
-    pub(crate) first_ok: Option<Ns>,
-    pub(crate) peak: f64,
-    pub(crate) starved: bool,
-    /// Calls accepted, decayed.
-    pub(crate) flow: f64,
-    pub(crate) flow_at: Ns,
+    /// Times of the calls accepted in the last rate window.
+    pub(crate) accepted_at: VecDeque<Ns>,
+    pub(crate) first_accepted_at: Option<Ns>,
+    pub(crate) peak_rate: f64,
+    /// The rate has held a message back since the last accepted call.
+    pub(crate) rate_limited: bool,
+    /// Accepted calls per second, smoothed.
+    pub(crate) accepted_rate: f64,
+    pub(crate) accepted_rate_at: Ns,
 }
 
-/// Calls begun in this reply that have room for more messages.
-pub(crate) type Joined = BTreeMap<EndpointId, (u64, usize)>;
+/// Calls started in this turn, with the number of messages that may still join each.
+pub(crate) type OpenBundles = BTreeMap<EndpointId, (u64, usize)>;
 
+/// A destination with its held messages and load.
 #[derive(Default)]
 pub(crate) struct Destination {
     pub(crate) endpoints: BTreeSet<EndpointId>,
-    pub(crate) chart: Chart,
-    /// Messages not yet forgotten; when to look here next, as on the agenda.
-    pub(crate) members: BTreeSet<MessageId>,
-    pub(crate) next: Ns,
-    pub(crate) booked: Ns,
+    pub(crate) chart: OccupancyChart,
+    /// Its messages, held and in flight.
+    pub(crate) messages: BTreeSet<MessageId>,
+    /// When the last check asked for another.
+    pub(crate) next_check: Ns,
+    /// Its place on the agenda.
+    pub(crate) scheduled_check: Ns,
+    /// Calls in flight.
     pub(crate) calls: usize,
+    /// Smoothed latency in seconds.
     pub(crate) latency: f64,
-    pub(crate) recent: VecDeque<bool>,
+    /// For each recent call, whether it failed or was slow.
+    pub(crate) recent_failures: VecDeque<bool>,
 }
 
+/// Messages of a fairness group and those that missed their aim, both decayed. Their quotient is the miss
+/// ratio.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Tally {
+pub(crate) struct MissCounts {
     pub(crate) misses: f64,
     pub(crate) total: f64,
-    pub(crate) at: Ns,
+    pub(crate) updated_at: Ns,
 }
 
-/// The occupancy chart of one destination: what is held, by deadline, and the busy segments that
-/// these make when each starts as late as it can.
+/// The occupancy chart of one destination: the held messages by deadline, and the busy segments that they
+/// form when each starts as late as possible.
 #[derive(Default)]
-pub(crate) struct Chart {
+pub(crate) struct OccupancyChart {
     pub(crate) held: BTreeSet<(Ns, MessageId)>,
     pub(crate) segments: Vec<(Ns, Ns)>,
-    pub(crate) sigma: Ns,
-    /// The segments no longer fit what is held and are made anew when next asked for.
+    pub(crate) service_time: Ns,
+    /// The segments don't match the held messages and are rebuilt on next use.
     pub(crate) stale: bool,
 }
 
-/// The decisions of one courier.
+/// The delivery scheduler of one courier: events in, actions out.
 pub struct Scheduler {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: SmallRng,
+    /// Time of the first call, from which `now` counts.
     pub(crate) origin: Option<Time>,
     pub(crate) now: Ns,
     pub(crate) messages: BTreeMap<MessageId, Message>,
-    pub(crate) live: usize,
-    pub(crate) dests: BTreeMap<DestinationId, Destination>,
+    /// Number of messages without a final answer.
+    pub(crate) unfinished: usize,
+    pub(crate) destinations: BTreeMap<DestinationId, Destination>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
-    pub(crate) pools: BTreeMap<LimitGroupId, Pool>,
-    /// Messages of ordered classes by key, in order of arrival; and when a key has rested.
-    pub(crate) turns: BTreeMap<String, VecDeque<MessageId>>,
-    pub(crate) rests: BTreeMap<String, (MessageId, Ns)>,
-    pub(crate) tallies: Vec<Tally>,
-    pub(crate) calls_out: usize,
+    pub(crate) limit_groups: BTreeMap<LimitGroupId, LimitGroup>,
+    /// Messages of ordered classes by key, in order of arrival.
+    pub(crate) key_queues: BTreeMap<String, VecDeque<MessageId>>,
+    /// Keys with an attempt that may still be running: its message, and until when the others wait.
+    pub(crate) key_cooldowns: BTreeMap<String, (MessageId, Ns)>,
+    pub(crate) miss_counts: Vec<MissCounts>,
+    pub(crate) calls_in_flight: usize,
     pub(crate) next_call: u64,
-    pub(crate) wake: Option<(u64, Ns)>,
+    /// Token and time of the pending timer.
+    pub(crate) timer: Option<(u64, Ns)>,
     pub(crate) next_token: u64,
-    /// Destinations with news, those to look at later, and those that wait for a slot.
-    pub(crate) touched: BTreeSet<DestinationId>,
+    /// Destinations to check in this turn.
+    pub(crate) dirty: BTreeSet<DestinationId>,
+    /// Destinations to check later.
     pub(crate) agenda: BTreeSet<(Ns, DestinationId)>,
-    /// When an endpoint of each kind last had no connection left, s.
-    pub(crate) tight: Vec<f64>,
-    pub(crate) pressed: BTreeSet<DestinationId>,
-    /// Endpoints with a call that has ended: its connection is free, unless another call left on it.
-    pub(crate) spare: BTreeSet<EndpointId>,
-    pub(crate) stuck_at: Ns,
+    /// When a connect last failed, for each kind of destination, in seconds.
+    pub(crate) connections_scarce_at: Vec<f64>,
+    /// Destinations with messages that wait for a call slot.
+    pub(crate) waiting_for_slot: BTreeSet<DestinationId>,
+    /// Endpoints with a call that ended: its connection is idle unless another call was sent on it.
+    pub(crate) maybe_idle: BTreeSet<EndpointId>,
+    pub(crate) next_stuck_check: Ns,
     pub(crate) membership: MembershipLease,
-    /// When to ask for the list again.
-    pub(crate) ask_at: Option<Ns>,
-    pub(crate) ask_pause: f64,
+    /// When to request the list next.
+    pub(crate) list_request_at: Option<Ns>,
+    /// Backoff in seconds after a failed list request.
+    pub(crate) list_backoff: f64,
 }
 
 impl Scheduler {
-    pub(crate) fn blank(set: Settings, seed: u64) -> Self {
-        let groups = if set.tenant_count > 0 { set.tenant_count } else { set.classes.len() };
+    pub(crate) fn empty(settings: Settings, seed: u64) -> Self {
+        let groups = if settings.tenant_count > 0 { settings.tenant_count } else { settings.classes.len() };
         Scheduler {
             rng: SmallRng::seed_from_u64(seed),
             origin: None,
             now: 0,
             messages: BTreeMap::new(),
-            live: 0,
-            dests: BTreeMap::new(),
+            unfinished: 0,
+            destinations: BTreeMap::new(),
             endpoints: BTreeMap::new(),
-            pools: BTreeMap::new(),
-            turns: BTreeMap::new(),
-            rests: BTreeMap::new(),
-            tallies: vec![Tally::default(); groups],
-            calls_out: 0,
+            limit_groups: BTreeMap::new(),
+            key_queues: BTreeMap::new(),
+            key_cooldowns: BTreeMap::new(),
+            miss_counts: vec![MissCounts::default(); groups],
+            calls_in_flight: 0,
             next_call: 0,
-            wake: None,
+            timer: None,
             next_token: 0,
-            touched: BTreeSet::new(),
+            dirty: BTreeSet::new(),
             agenda: BTreeSet::new(),
-            tight: vec![f64::MIN; set.kinds.len()],
-            pressed: BTreeSet::new(),
-            spare: BTreeSet::new(),
-            stuck_at: NEVER,
-            membership: MembershipLease::new(set.membership_lease_duration),
-            ask_at: set.subscription_required.then_some(0),
-            ask_pause: 0.0,
-            set,
+            connections_scarce_at: vec![f64::MIN; settings.kinds.len()],
+            waiting_for_slot: BTreeSet::new(),
+            maybe_idle: BTreeSet::new(),
+            next_stuck_check: NEVER,
+            membership: MembershipLease::new(settings.membership_lease_duration),
+            list_request_at: settings.subscription_required.then_some(0),
+            list_backoff: 0.0,
+            settings,
         }
     }
 }
 
 impl Endpoint {
-    pub(crate) fn leave(&mut self, now: Ns) {
+    pub(crate) fn mark_gone(&mut self, now: Ns) {
         self.ready = false;
-        self.gone.get_or_insert(now);
+        self.gone_since.get_or_insert(now);
     }
 
-    /// Takes its standing from the list.
-    pub(crate) fn stand(&mut self, standing: EndpointState, now: Ns) {
+    /// Applies its state in the list.
+    pub(crate) fn set_state(&mut self, standing: EndpointState, now: Ns) {
         match standing {
-            EndpointState::Gone => self.leave(now),
-            _ => (self.ready, self.gone) = (standing == EndpointState::Ready, None),
+            EndpointState::Gone => self.mark_gone(now),
+            _ => (self.ready, self.gone_since) = (standing == EndpointState::Ready, None),
         }
     }
 }
 
 impl Scheduler {
-    /// Other settings from now on. Classes and kinds keep their numbers: new ones come behind.
+    /// Replaces the settings. Classes and kinds keep their numbers; new ones are appended.
     ///
     /// # Errors
-    /// Names the first figure that cannot be worked with; nothing is changed then.
-    pub fn reconfigure(&mut self, set: Settings) -> Result<(), String> {
-        set.check()?;
-        if set.classes.len() < self.set.classes.len() || set.kinds.len() < self.set.kinds.len() {
-            return Err("settings: a class or kind that may be in use is gone".to_owned());
+    /// Names the first setting that is not valid; nothing is changed then.
+    pub fn reconfigure(&mut self, settings: Settings) -> Result<(), String> {
+        settings.check()?;
+        if settings.classes.len() < self.settings.classes.len()
+            || settings.kinds.len() < self.settings.kinds.len()
+        {
+            return Err("settings: a class or kind that may be in use was removed".to_owned());
         }
-        if set.tenant_count == 0 {
-            self.tallies.resize(set.classes.len(), Tally::default());
+        if settings.tenant_count == 0 {
+            self.miss_counts.resize(settings.classes.len(), MissCounts::default());
         }
-        self.tight.resize(set.kinds.len(), f64::MIN);
-        self.membership.set_term(set.membership_lease_duration);
-        self.set = set;
+        self.connections_scarce_at.resize(settings.kinds.len(), f64::MIN);
+        self.membership.set_duration(settings.membership_lease_duration);
+        self.settings = settings;
         Ok(())
     }
 
-    /// The limit of an endpoint, or of all that share one with it, is now stated as this, calls a second.
+    /// Sets the limit of an endpoint's limit group, in calls per second. Ignores unknown endpoints.
     pub fn set_limit(&mut self, endpoint: EndpointId, limit: f64) {
         if !self.endpoints.contains_key(&endpoint) {
             return;
         }
         let id = self.limit_group_id(endpoint);
-        if let Some(pool) = self.pools.get_mut(&id) {
-            pool.limit = Some(limit);
-            pool.rate = pool.rate.map(|rate| rate.min(limit));
+        if let Some(group) = self.limit_groups.get_mut(&id) {
+            group.limit = Some(limit);
+            group.rate = group.rate.map(|rate| rate.min(limit));
         }
     }
 
-    /// Drops the rows of endpoints that are long gone and that no call, wait or message names: where
-    /// endpoints are replaced all day, the tables would grow and each choice walk ever more of them.
-    pub(crate) fn forget(&mut self, out: &mut Vec<Action>) {
-        let (now, span) = (self.now, ns(self.set.slow_start_duration));
-        let old = |e: &Endpoint| e.gone.is_some_and(|t| now - t > span) && e.calls.is_empty();
+    /// Drops endpoints that left the list long ago and that no call, wait or message refers to. Where
+    /// endpoints are replaced all day, the tables would otherwise grow and each choice would scan ever more
+    /// of them.
+    pub(crate) fn forget_gone_endpoints(&mut self, out: &mut Vec<Action>) {
+        let (now, span) = (self.now, ns(self.settings.slow_start_duration));
+        let old = |e: &Endpoint| e.gone_since.is_some_and(|t| now - t > span) && e.calls.is_empty();
         let mut gone: BTreeSet<_> =
             self.endpoints.iter().filter(|(_, e)| old(e)).map(|(id, _)| *id).collect();
         if gone.is_empty() {
             return;
         }
         for m in self.messages.values() {
-            let named = [m.last, m.ran.map(|r| r.0), m.flight.as_ref().map(|f| f.endpoint)];
+            let named =
+                [m.last_endpoint, m.may_have_run.map(|r| r.0), m.in_flight.as_ref().map(|f| f.endpoint)];
             gone.retain(|id| !named.contains(&Some(*id)));
         }
         for id in gone {
             let (dest, route) = self.limit_group_id(id);
-            if self.pools.get(&(dest, route)).is_some_and(|p| p.wait_until > now) {
+            if self.limit_groups.get(&(dest, route)).is_some_and(|p| p.wait_until > now) {
                 continue;
             }
             if route.is_some() {
-                self.pools.remove(&(dest, route));
+                self.limit_groups.remove(&(dest, route));
             }
             self.endpoints.remove(&id);
-            self.dests.get_mut(&dest).map(|d| d.endpoints.remove(&id));
+            self.destinations.get_mut(&dest).map(|d| d.endpoints.remove(&id));
             out.push(Action::ForgetEndpoint { endpoint: id });
         }
     }
 }
 
 impl Settings {
-    /// Names the first figure that cannot be worked with.
+    /// Checks the settings. The error names the first that is not valid.
     pub(crate) fn check(&self) -> Result<(), String> {
         let classes = self.classes.iter().flat_map(|c| [c.worth, c.late_share, c.aim_stretch]);
         let figures = [self.slow_start_min_share, self.overload_multiple, self.handshake_cost].into_iter();
@@ -305,8 +339,14 @@
         for (good, what) in [
             (self.max_calls_in_flight > 0, "no slots"),
             (!self.classes.is_empty() && !self.kinds.is_empty(), "no classes or no kinds"),
-            (self.max_messages > 0 && self.max_attempts > 0, "no room for messages or attempts"),
-            (figures.chain(classes).chain(self.zone_fees.clone()).all(positive), "a figure is negative"),
+            (
+                self.max_messages > 0 && self.max_attempts > 0,
+                "the maximum number of messages or attempts is 0",
+            ),
+            (
+                figures.chain(classes).chain(self.zone_fees.clone()).all(positive),
+                "a number is negative or not a number",
+            ),
         ] {
             if !good {
                 return Err(format!("settings: {what}"));
