--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -186,7 +186,10 @@
                     );
                 }
                 if let Some(list) = list {
-                    events.send(DispatcherEvent::EndpointsListed(list)).await.map_err(|_| WatchEnd::Closing)?;
+                    events
+                        .send(DispatcherEvent::EndpointsListed(list))
+                        .await
+                        .map_err(|_| WatchEnd::Closing)?;
                 }
                 let heard =
                     DispatcherEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,7 +1,7 @@
 //! HTTP server for clients: accepts messages and answers the readiness check.
 
 use crate::clock::unix_time;
-use crate::events::{DispatcherEvent, DEFAULT_RETRY_AFTER, Reply, ReplyTo, Submission, refusal_reason};
+use crate::events::{DEFAULT_RETRY_AFTER, DispatcherEvent, Reply, ReplyTo, Submission, refusal_reason};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::message_headers::{MessageHeaders, RequestError};
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
@@ -489,11 +489,11 @@
         let reply = ReplyTo::Single(reply);
         let submission =
             Submission { letter: Rc::new(message), time_left, at, reply, bounce: false, body_charge, guest };
-        let reply = match timeout(ENQUEUE_TIMEOUT, self.news.send(DispatcherEvent::Submitted(submission))).await
-        {
-            Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
-            _ => Reply::Unavailable,
-        };
+        let reply =
+            match timeout(ENQUEUE_TIMEOUT, self.news.send(DispatcherEvent::Submitted(submission))).await {
+                Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
+                _ => Reply::Unavailable,
+            };
         let mut answer = reply_response(reply);
         // The courier generates an id where the client sent none, so it is always returned.
         if let Some(id) = id.and_then(|id| HeaderValue::from_str(&id).ok()) {
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -3,13 +3,15 @@
 //! message.
 
 use crate::clock::unix_time;
-use crate::events::{DispatcherEvent, DEFAULT_RETRY_AFTER, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason};
+use crate::events::{
+    DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
 use crate::ingress::users::Users;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
-use crate::upstream::outcomes;
 use crate::socket::is_transient;
+use crate::upstream::outcomes;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
 use stairshed_memory::{Charge, Purpose};
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -10,6 +10,7 @@
 //! ```
 
 pub mod admin_client;
+mod bootstrap;
 mod clock;
 mod discovery;
 mod dispatcher;
@@ -17,14 +18,13 @@
 mod ingress;
 mod memory_budget;
 pub mod message_trace;
-mod upstream;
 mod process_memory;
 mod socket;
-mod bootstrap;
 mod startup_error;
+mod upstream;
 
+pub use bootstrap::{dev, run_platform, serve, settings};
 pub use discovery::config_file;
 pub use ingress::active_config::host_name;
 pub use ingress::users;
-pub use bootstrap::{dev, run_platform, serve, settings};
 pub use startup_error::StartupError;
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -2,8 +2,8 @@
 
 use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult, DispatcherEvent};
-use crate::upstream::endpoint_client::Call;
 use crate::socket::is_transient;
+use crate::upstream::endpoint_client::Call;
 use bytes::Bytes;
 use stairshed_config::file::{self, MqttVersion};
 use stairshed_decide::interface::{Effect, EndpointId, Outcome};
