--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -111,7 +111,7 @@
     /// Maximum attempts for a message.
     pub max_attempts: u32,
     pub worth_decay: WorthDecay,
-    /// Cost of a new connection, in the unit of a class's worth.
+    /// Cost of one new connection per message, in points of the overall result.
     pub handshake_cost: f64,
     /// Cost of a message on a separate route, by zone, in the same unit.
     pub zone_fees: Vec<f64>,
--- a/crates/decide/src/scheduler.rs
+++ b/crates/decide/src/scheduler.rs
@@ -42,7 +42,7 @@
 const TRIAL_SPACING_SHARE: f64 = 0.5;
 /// An outage longer than this is followed by slow start.
 const CONFIRMED_OUTAGE_SECONDS: f64 = 1.0;
-/// A wait longer than this, as told by an endpoint, is followed by slow start.
+/// A wait longer than this, as stated by an endpoint, is followed by slow start.
 const COLD_WAIT_SECONDS: f64 = 2.5;
 /// A call this many latencies old, with no answer on the endpoint since it was sent, counts as hung.
 const HANG_LATENCY_MULTIPLE: f64 = 6.0;
@@ -431,7 +431,8 @@
         let e = self.endpoints.get_mut(&id).expect("known");
         let Some(bundle) = e.calls.get_mut(&call) else { return };
         bundle.1 -= 1;
-        let counts = std::mem::replace(&mut bundle.0, Ns::MIN) != Ns::MIN && outcome != Outcome::Moot;
+        let is_first_outcome =
+            std::mem::replace(&mut bundle.0, Ns::MIN) != Ns::MIN && outcome != Outcome::Moot;
         if bundle.1 == 0 {
             e.calls.remove(&call);
             self.calls_in_flight -= 1;
@@ -440,10 +441,10 @@
         }
         let group_id = self.limit_group_id(id);
         let (gap, slow) = (self.call_gap(id), 1.0 / (self.rate_share(id)).max(1e-3));
-        if counts {
+        if is_first_outcome {
             self.record_connect(id, sent_at, opens_connection, outcome);
         }
-        let Some(e) = self.endpoints.get_mut(&id).filter(|_| counts) else { return };
+        let Some(e) = self.endpoints.get_mut(&id).filter(|_| is_first_outcome) else { return };
         let d = self.destinations.get_mut(&e.destination).expect("known");
         if !matches!(outcome, Outcome::Full { .. }) {
             let succeeded = matches!(outcome, Outcome::Delivered | Outcome::Cancelled);
@@ -472,8 +473,8 @@
                 let pause = wait
                     .map_or(from_secs(doubled.min(slow.max(MAX_REJECTION_BACKOFF_SECONDS)) * (0.5 + u)), ns);
                 // Otherwise all rejected couriers would return at once, after a backoff or a stated wait.
-                let turn = from_secs(self.settings.fleet_factor() * u * slow);
-                group.wait_until = group.wait_until.max(now + pause + turn);
+                let spread_delay = from_secs(self.settings.fleet_factor() * u * slow);
+                group.wait_until = group.wait_until.max(now + pause + spread_delay);
                 if let Some(wait) = wait.filter(|w| w.as_secs_f64() > COLD_WAIT_SECONDS) {
                     // Unavailable until then: all couriers return at the same time, and it is cold.
                     e.slow_start_since = Some(now + ns(wait));
@@ -524,12 +525,12 @@
     /// far below the limit.
     fn service_time(&self, id: DestinationId) -> Ns {
         let (d, groups) = (&self.destinations[&id], self.ready_limit_groups(id));
-        let pace = groups
+        let total_rate = groups
             .iter()
             .map(|p| self.limit_groups[p].limit.and(self.limit_groups[p].rate))
             .sum::<Option<f64>>();
-        let paced = pace.filter(|r| *r > 0.0).map_or(0.0, |r| 1.0 / r);
-        from_secs((d.latency / self.max_calls(d) as f64).max(paced)).max(1)
+        let rate_interval = total_rate.filter(|r| *r > 0.0).map_or(0.0, |r| 1.0 / r);
+        from_secs((d.latency / self.max_calls(d) as f64).max(rate_interval)).max(1)
     }
 
     /// Chart time covered by the tokens of a fleet's courier: they can be spent at once, however small its
@@ -895,10 +896,10 @@
     /// Seconds between calls that keep this courier within its share of the slow-start budget.
     fn call_gap(&self, id: EndpointId) -> f64 {
         let from = self.endpoints[&id].slow_start_since.unwrap_or(self.now);
-        let warm = to_secs(self.now - from) / self.settings.slow_start_duration.as_secs_f64().max(1e-3);
-        let present = self.settings.slow_start_min_share
-            + (1.0 - self.settings.slow_start_min_share) * warm.clamp(0.0, 1.0);
-        1.0 / (self.settings.overload_multiple * present * self.rate_share(id)).max(1e-3)
+        let progress = to_secs(self.now - from) / self.settings.slow_start_duration.as_secs_f64().max(1e-3);
+        let capacity_share = self.settings.slow_start_min_share
+            + (1.0 - self.settings.slow_start_min_share) * progress.clamp(0.0, 1.0);
+        1.0 / (self.settings.overload_multiple * capacity_share * self.rate_share(id)).max(1e-3)
     }
 
     /// Rule: an endpoint back from an outage is not overloaded. Each courier keeps to its share of the
@@ -906,11 +907,11 @@
     /// early.
     fn space_next_call(&mut self, id: EndpointId) {
         let (gap, u) = (self.call_gap(id), self.rng.random::<f64>());
-        let (now, cold) = (self.now, ns(self.settings.slow_start_duration));
+        let (now, duration) = (self.now, ns(self.settings.slow_start_duration));
         let e = self.endpoints.get_mut(&id).expect("known");
-        e.slow_start_since = e.slow_start_since.filter(|t| now - t <= cold);
+        e.slow_start_since = e.slow_start_since.filter(|t| now - t <= duration);
         if let Some(from) = e.slow_start_since {
-            let left = to_secs(from + cold - now);
+            let left = to_secs(from + duration - now);
             e.next_call_at = e.next_call_at.max(now + from_secs((left * u.sqrt()).min(gap * (0.5 + u))));
         }
     }
@@ -979,7 +980,7 @@
 
     /// Opens a breaker. Its pause grows with the time for which the endpoint has been unhealthy, as ever more
     /// couriers have messages to try there, up to the time of one call at this courier's rate.
-    fn open_breaker(&mut self, id: EndpointId, cold: bool) {
+    fn open_breaker(&mut self, id: EndpointId, slow_start: bool) {
         let jitter = 0.5 + self.rng.random::<f64>();
         let (now, rate) = (self.now, self.rate_share(id).max(1e-3));
         let e = self.endpoints.get_mut(&id).expect("known");
@@ -990,19 +991,19 @@
         let pause = (INITIAL_OPEN_SECONDS + OPEN_GROWTH_FACTOR * to_secs(now - e.unhealthy_since))
             .min(1.0 / rate)
             .max(MIN_OPEN_SECONDS);
-        e.slow_start_pending = cold || (e.slow_start_pending && !closed);
+        e.slow_start_pending = slow_start || (e.slow_start_pending && !closed);
         e.slow_start_since = e.slow_start_since.filter(|_| !e.slow_start_pending);
-        let (next_trial_at, apart) =
+        let (next_trial_at, spacing) =
             (now + from_secs(pause * jitter), from_secs(TRIAL_SPACING_SHARE * pause));
         e.breaker = Breaker::Open;
         // Most outages affect a whole destination, so one trial stands for all its open endpoints. They take
         // turns, the latest failure last; otherwise recovered endpoints would never be tried.
         let others = self.destinations[&e.destination].endpoints.iter().map(|o| (*o, &self.endpoints[o]));
-        let shut = others.filter(|(o, e)| *o != id && e.ready && e.breaker == Breaker::Open);
-        let trial_order: BTreeSet<_> = shut.map(|(o, e)| (e.next_trial_at, o)).collect();
+        let open = others.filter(|(o, e)| *o != id && e.ready && e.breaker == Breaker::Open);
+        let trial_order: BTreeSet<_> = open.map(|(o, e)| (e.next_trial_at, o)).collect();
         for (n, (at, other)) in trial_order.into_iter().chain([(next_trial_at, id)]).enumerate() {
             self.endpoints.get_mut(&other).expect("known").next_trial_at =
-                at.max(next_trial_at + apart * n as Ns);
+                at.max(next_trial_at + spacing * n as Ns);
         }
     }
 
@@ -1042,7 +1043,8 @@
             // this, at the cost of a trial. After a stall of this courier, the waiting events are applied
             // first.
             let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && e.last_success < c.0;
-            let waits = e.calls.values().filter(|c| c.0 != Ns::MIN && !hung(c)).map(|c| c.0 + hang + 1).min();
+            let next_hang =
+                e.calls.values().filter(|c| c.0 != Ns::MIN && !hung(c)).map(|c| c.0 + hang + 1).min();
             let trial_lost = |t| e.calls.get(&t).is_none_or(hung);
             match e.breaker {
                 Breaker::Closed if e.calls.values().any(hung) => self.open_breaker(id, false),
@@ -1053,8 +1055,8 @@
                 _ => {}
             }
             let e = &self.endpoints[&id];
-            let turn = (e.breaker == Breaker::Open && held).then_some(e.next_trial_at.max(wait_until));
-            self.check_by(dest, waits.unwrap_or(NEVER).min(turn.unwrap_or(NEVER)));
+            let trial_at = (e.breaker == Breaker::Open && held).then_some(e.next_trial_at.max(wait_until));
+            self.check_by(dest, next_hang.unwrap_or(NEVER).min(trial_at.unwrap_or(NEVER)));
         }
     }
 
@@ -1233,7 +1235,7 @@
         }
     }
 
-    /// Removes a message; earlier ones of its segment then start later. Tells whether it was on the chart.
+    /// Removes a message; earlier ones of its segment then start later. Returns whether it was on the chart.
     pub(crate) fn remove(&mut self, due: Ns, id: MessageId) -> bool {
         let held = self.held.remove(&(due, id));
         self.stale |= held;
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -258,10 +258,10 @@
     }
 
     /// Applies its state in the list.
-    pub(crate) fn set_state(&mut self, standing: EndpointState, now: Ns) {
-        match standing {
+    pub(crate) fn set_state(&mut self, state: EndpointState, now: Ns) {
+        match state {
             EndpointState::Gone => self.mark_gone(now),
-            _ => (self.ready, self.gone_since) = (standing == EndpointState::Ready, None),
+            _ => (self.ready, self.gone_since) = (state == EndpointState::Ready, None),
         }
     }
 }
@@ -304,16 +304,16 @@
     /// of them.
     pub(crate) fn forget_gone_endpoints(&mut self, out: &mut Vec<Action>) {
         let (now, span) = (self.now, ns(self.settings.slow_start_duration));
-        let old = |e: &Endpoint| e.gone_since.is_some_and(|t| now - t > span) && e.calls.is_empty();
+        let is_old = |e: &Endpoint| e.gone_since.is_some_and(|t| now - t > span) && e.calls.is_empty();
         let mut gone: BTreeSet<_> =
-            self.endpoints.iter().filter(|(_, e)| old(e)).map(|(id, _)| *id).collect();
+            self.endpoints.iter().filter(|(_, e)| is_old(e)).map(|(id, _)| *id).collect();
         if gone.is_empty() {
             return;
         }
         for m in self.messages.values() {
-            let named =
+            let referenced =
                 [m.last_endpoint, m.may_have_run.map(|r| r.0), m.in_flight.as_ref().map(|f| f.endpoint)];
-            gone.retain(|id| !named.contains(&Some(*id)));
+            gone.retain(|id| !referenced.contains(&Some(*id)));
         }
         for id in gone {
             let (dest, route) = self.limit_group_id(id);
--- a/crates/decide/tests/common/simulation.rs
+++ b/crates/decide/tests/common/simulation.rs
@@ -192,28 +192,28 @@
             self.submit(destination, (self.next % 3) as usize, count);
         }
         let now = self.fleet[0].now + STEP;
-        let anew = ((now - self.started_at).as_secs_f64() / REPORT_INTERVAL_SECONDS).fract()
+        let refresh = ((now - self.started_at).as_secs_f64() / REPORT_INTERVAL_SECONDS).fract()
             < step / REPORT_INTERVAL_SECONDS;
         for (server, bucket) in self.servers.iter().zip(&mut self.buckets) {
             let most = server.burst_seconds * server.limit;
             bucket.level = (bucket.level + server.limit * step).min(most);
-            if anew {
+            if refresh {
                 bucket.report = (bucket.level / most).max(0.0);
             }
         }
         for n in 0..self.fleet.len() {
             let mut actions = self.fleet[n].pass(STEP);
-            let mut news = Vec::new();
+            let mut events = Vec::new();
             for (_, _, event, finished_call) in self.scheduled.extract_if(.., |c| c.1 == n && c.0 <= now) {
                 if let Some((server, kept)) = finished_call {
                     self.busy_connections[server] -= usize::from(kept);
                     self.idle_connections[n][server].extend(kept.then_some(now));
                 }
-                news.push(event);
+                events.push(event);
             }
-            if !news.is_empty() {
-                self.attempt_ended(n, &news);
-                actions.extend(self.fleet[n].feed(&news));
+            if !events.is_empty() {
+                self.attempt_ended(n, &events);
+                actions.extend(self.fleet[n].feed(&events));
             }
             for idle_connections in &mut self.idle_connections[n] {
                 idle_connections.retain(|since| now - *since < self.set.keepalive);
@@ -228,8 +228,8 @@
         }
     }
 
-    fn attempt_ended(&mut self, n: usize, news: &[Event]) {
-        for event in news {
+    fn attempt_ended(&mut self, n: usize, events: &[Event]) {
+        for event in events {
             let Event::AttemptEnded(attempt_ended) = event else { continue };
             match attempt_ended.outcome {
                 Outcome::Delivered => {
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -19,32 +19,32 @@
     let mut fleet: Vec<_> =
         (0..COURIERS).map(|n| Driver::seeded(set.clone(), vec![listed], n as u64)).collect();
     let (start, mut calls, mut next) = (fleet[0].now, vec![(0, 0); 20], 0);
-    let mut saw = vec![false; COURIERS];
-    let back = start + MS * 2000 + unreachable;
+    let mut saw_failure = vec![false; COURIERS];
+    let recovered_at = start + MS * 2000 + unreachable;
     let mut answers: Vec<(Duration, usize, Event)> = Vec::new();
-    while fleet[0].now < back + MS * 10_000 {
+    while fleet[0].now < recovered_at + MS * 10_000 {
         // Ten messages per second, each to the next courier.
-        let turn = (fleet[0].now - start).as_millis() % 100 == 0;
-        next += usize::from(turn);
+        let is_due = (fleet[0].now - start).as_millis() % 100 == 0;
+        next += usize::from(is_due);
         for n in 0..COURIERS {
             let mut actions = fleet[n].pass(MS * 5);
             let now = fleet[n].now;
             let due = answers.extract_if(.., |a| a.1 == n && a.0 <= now);
-            let mut news: Vec<_> = due.map(|a| a.2).collect();
-            if turn && next * 7 % COURIERS == n {
-                news.push(accepted(next as u64, 1, 1, MS * 20_000));
+            let mut events: Vec<_> = due.map(|a| a.2).collect();
+            if is_due && next * 7 % COURIERS == n {
+                events.push(accepted(next as u64, 1, 1, MS * 20_000));
             }
-            if !news.is_empty() {
-                actions.extend(fleet[n].feed(&news));
+            if !events.is_empty() {
+                actions.extend(fleet[n].feed(&events));
             }
             for (message, endpoint) in sends(&actions) {
-                let down = now >= start + MS * 2000 && now < back;
-                saw[n] |= down;
+                let down = now >= start + MS * 2000 && now < recovered_at;
+                saw_failure[n] |= down;
                 let outcome = if down { Outcome::ConnectFailed } else { Outcome::Delivered };
                 answers.push((now + MS * 100, n, attempt_ended(message, endpoint, outcome, 100)));
-                if now >= back {
-                    let at = &mut calls[((now - back).as_millis() / 500).min(19) as usize];
-                    *at = (at.0 + 1, at.1 + usize::from(saw[n]));
+                if now >= recovered_at {
+                    let at = &mut calls[((now - recovered_at).as_millis() / 500).min(19) as usize];
+                    *at = (at.0 + 1, at.1 + usize::from(saw_failure[n]));
                 }
             }
         }
@@ -140,7 +140,7 @@
         assert!(requested.iter().sum::<usize>() >= couriers, "each asks again: {requested:?}");
         assert!(
             requested.iter().all(|requested| *requested <= most),
-            "when all were turned away: {requested:?}"
+            "after all watches ended: {requested:?}"
         );
     }
 }
@@ -283,7 +283,7 @@
                 let mut out = drive.feed(&(1..=3).map(|n| accepted(n, 0, 1, MS * 8000)).collect::<Vec<_>>());
                 let mut over = std::collections::BTreeSet::new();
                 for step in 0..90 {
-                    let mut news = Vec::new();
+                    let mut events = Vec::new();
                     for action in std::mem::take(&mut out) {
                         match action {
                             // Rejected every other time, with a report of the same limit.
@@ -302,7 +302,7 @@
                                     report,
                                 };
                                 over.extend((!full).then_some(message));
-                                news.push(Event::AttemptEnded(attempt_ended));
+                                events.push(Event::AttemptEnded(attempt_ended));
                             }
                             Action::Refuse { message, .. } | Action::Fail { message } => {
                                 over.insert(message);
@@ -310,7 +310,7 @@
                             _ => {}
                         }
                     }
-                    out = drive.feed(&news);
+                    out = drive.feed(&events);
                     out.extend(drive.pass(MS * 100));
                 }
                 assert_eq!(over.len(), 3, "{courier_count} couriers, a limit of {limit}, {weight_kind:?}");
--- a/crates/decide/tests/memory_usage.rs
+++ b/crates/decide/tests/memory_usage.rs
@@ -19,8 +19,8 @@
     let change = region.change();
     let truth = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
     let off = estimate as f64 / truth - 1.0;
-    println!("{what}: {estimate} B estimated, {truth} B given out: {:+.1} %", 100.0 * off);
-    assert!(off.abs() < MAX_RELATIVE_ERROR, "{what}: {estimate} B estimated, {truth} B given out");
+    println!("{what}: {estimate} B estimated, {truth} B allocated: {:+.1} %", 100.0 * off);
+    assert!(off.abs() < MAX_RELATIVE_ERROR, "{what}: {estimate} B estimated, {truth} B allocated");
 }
 
 #[test]
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -52,31 +52,40 @@
         let listed_endpoint = &self.list[&endpoint];
         let m = self.open.get(&message).expect("a send names a known message");
         assert!(!m.answered, "sent after its answer");
-        assert!(!m.in_flight, "two attempts out");
+        assert!(!m.in_flight, "two attempts in flight");
         assert_eq!(listed_endpoint.entry.destination.0, m.destination, "sent to another destination");
         assert!(
             listed_endpoint.unusable_since.is_none_or(|t| self.now <= t + self.set.drain_grace),
-            "drain not kept"
+            "sent to a draining endpoint"
         );
         assert!(m.attempts < self.set.max_attempts, "too many attempts");
         if let Some((first, at)) = m.may_have_run {
             match self.set.classes[m.class].effect {
                 Effect::Repeatable => {}
-                Effect::Once => panic!("an unsafe message that may have run was sent again"),
+                Effect::Once => panic!("a once message that may have run was sent again"),
                 Effect::Keyed { window, .. } => {
-                    assert_eq!(self.list[&first].entry.zone, listed_endpoint.entry.zone, "out of scope");
+                    assert_eq!(
+                        self.list[&first].entry.zone, listed_endpoint.entry.zone,
+                        "outside the key's scope"
+                    );
                     // A connection may be established as late as the timeout allows; only then is the request
                     // written.
-                    assert!(self.now + timeout <= at + window, "may be written out of the window");
+                    assert!(self.now + timeout <= at + window, "may be written outside the key's window");
                 }
             }
         }
         let limit_group = self.limit_group(endpoint);
-        assert!(self.waits.get(&limit_group).is_none_or(|until| self.now >= *until), "wait not heeded");
+        assert!(
+            self.waits.get(&limit_group).is_none_or(|until| self.now >= *until),
+            "stated wait not observed"
+        );
         if let Some(key) = &m.key {
             assert_eq!(self.key_queues[key].front(), Some(&message), "out of turn");
             let rest = self.key_cooldowns.get(key);
-            assert!(rest.is_none_or(|(of, until)| *of == message || self.now >= *until), "no rest");
+            assert!(
+                rest.is_none_or(|(of, until)| *of == message || self.now >= *until),
+                "pause of the key not observed"
+            );
         }
         let m = self.open.get_mut(&message).expect("known");
         (m.in_flight, m.attempts) = (true, m.attempts + 1);
@@ -114,7 +123,10 @@
         assert!(self.now <= m.end + MS * 20, "answered too late");
         let may_have_run = m.in_flight || m.may_have_run.is_some();
         let effect = self.set.classes[m.class].effect;
-        assert!(!(refused && may_have_run && effect != Effect::Repeatable), "refused what may have run");
+        assert!(
+            !(refused && may_have_run && effect != Effect::Repeatable),
+            "refused a message that may have run"
+        );
         m.answered = true;
         self.settle(message);
     }
@@ -247,7 +259,10 @@
                 }
                 Action::Cancel { message, attempt } => {
                     let m = &checker.open[&message.0];
-                    assert!(m.in_flight && attempt == m.attempts - 1, "cancelled what is not out");
+                    assert!(
+                        m.in_flight && attempt == m.attempts - 1,
+                        "cancelled an attempt that is not in flight"
+                    );
                 }
                 _ => {}
             }
--- a/crates/decide/tests/scenarios.rs
+++ b/crates/decide/tests/scenarios.rs
@@ -332,7 +332,7 @@
     );
     let mut seen = d.pass(MS * 11_000);
     seen.extend(d.feed(&[list(vec![entry(2, 1, 0, 1)])]));
-    assert_eq!(forgotten(&seen), [other], "a call is still out at the first");
+    assert_eq!(forgotten(&seen), [other], "a call to the first is still in flight");
     d.feed(&[attempt_ended(1, out, Outcome::Delivered, 50)]);
     d.pass(MS * 20);
     assert_eq!(forgotten(&d.feed(&[list(vec![entry(2, 1, 0, 1)])])), [out]);
