--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -134,9 +134,9 @@
     pub slow_start_min_share: f64,
     /// Time after an outage at which it has all of its capacity.
     pub slow_start_duration: Duration,
-    /// A destination in slow start fails again when sent more than this multiple of its present capacity
+    /// Multiple of its present capacity above which a destination in slow start fails again.
     pub overload_multiple: f64,
-    /// for at least this long.
+    /// How long that multiple must be exceeded for it to fail.
     pub overload_duration: Duration,
     /// Pause before a key's next message, after an attempt that may still be running.
     pub order_pause: Duration,
@@ -163,7 +163,7 @@
     pub requires_lease: bool,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a probe ended. `--follow` lines print it with these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Delivered,
@@ -272,52 +272,28 @@
 /// Output of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Send {
-        message: MessageId,
-        endpoint: EndpointId,
-        timeout: Duration,
-    },
+    /// Start an attempt, which ends in an [`Event::AttemptEnded`].
+    Send { message: MessageId, endpoint: EndpointId, timeout: Duration },
     /// End the message undelivered; sending it again is harmless. `wait` tells the client when to retry.
-    Refuse {
-        message: MessageId,
-        wait: Option<Duration>,
-    },
+    Refuse { message: MessageId, wait: Option<Duration> },
     /// End the message; whether it took effect is unknown.
-    Fail {
-        message: MessageId,
-    },
-    Probe {
-        endpoint: EndpointId,
-    },
-    Cancel {
-        message: MessageId,
-        attempt: u32,
-    },
+    Fail { message: MessageId },
+    /// Check whether an endpoint answers.
+    Probe { endpoint: EndpointId },
+    /// Cancel an attempt; attempts of a message count from 0.
+    Cancel { message: MessageId, attempt: u32 },
     /// Start or stop receiving list changes.
-    Subscribe {
-        active: bool,
-    },
+    Subscribe { active: bool },
     /// Request the complete list once.
     FetchEndpointList,
     /// Close all idle connections to an endpoint.
-    CloseIdleConnections {
-        endpoint: EndpointId,
-    },
+    CloseIdleConnections { endpoint: EndpointId },
     /// Forget an endpoint that left the list long ago; nothing refers to it any more.
-    ForgetEndpoint {
-        endpoint: EndpointId,
-    },
+    ForgetEndpoint { endpoint: EndpointId },
     /// Send a note of at most 256 bytes to one courier, or to all.
-    SendNote {
-        to: Option<u64>,
-        note: Vec<u8>,
-    },
-    SetTimer {
-        token: u64,
-        after: Duration,
-    },
+    SendNote { to: Option<u64>, note: Vec<u8> },
+    /// Ask for an [`Event::TimerFired`].
+    SetTimer { token: u64, after: Duration },
     /// Write a line to the operators' log.
-    Log {
-        text: String,
-    },
+    Log { text: String },
 }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -97,7 +97,7 @@
     order_pause_ns: i64,
 }
 
-fn span(ns: i64, name: &str) -> Result<Duration, String> {
+fn non_negative_duration(ns: i64, name: &str) -> Result<Duration, String> {
     u64::try_from(ns).map(Duration::from_nanos).map_err(|_| format!("{name} is negative"))
 }
 
@@ -133,14 +133,14 @@
                         "zone" => KeyScope::Zone,
                         _ => KeyScope::Endpoint,
                     },
-                    window: span(lane.key_ttl_ns, "key-ttl-ns")?,
+                    window: non_negative_duration(lane.key_ttl_ns, "key-ttl-ns")?,
                 },
                 "once" => Effect::Once,
                 other => return Err(format!("unknown effect {other}")),
             };
             classes.push(Class {
-                aim: span(lane.aim_ns, "aim-ns")?,
-                deadline: span(lane.deadline_ns, "deadline-ns")?,
+                aim: non_negative_duration(lane.aim_ns, "aim-ns")?,
+                deadline: non_negative_duration(lane.deadline_ns, "deadline-ns")?,
                 worth: lane.credit,
                 late_share: lane.late_share,
                 effect,
@@ -177,19 +177,19 @@
                 "rough" => WeightKind::Approximate,
                 _ => WeightKind::None,
             },
-            connect_timeout: span(limits.connect_timeout_ns, "connect-timeout-ns")?,
-            keepalive: span(limits.keepalive_ns, "keepalive-ns")?,
+            connect_timeout: non_negative_duration(limits.connect_timeout_ns, "connect-timeout-ns")?,
+            keepalive: non_negative_duration(limits.keepalive_ns, "keepalive-ns")?,
             probing_enabled: limits.probing,
             cancellation_enabled: limits.cancel,
             subscription_required: conf.membership_mode == "subscribe",
             membership_lease_duration: None,
-            tick: span(conf.tick_ns, "tick-ns")?,
-            drain_grace: span(rules.drain_grace_ns, "drain-grace-ns")?,
+            tick: non_negative_duration(conf.tick_ns, "tick-ns")?,
+            drain_grace: non_negative_duration(rules.drain_grace_ns, "drain-grace-ns")?,
             slow_start_min_share: rules.cold_from,
-            slow_start_duration: span(rules.cold_ns, "cold-ns")?,
+            slow_start_duration: non_negative_duration(rules.cold_ns, "cold-ns")?,
             overload_multiple: rules.fall_multiple,
-            overload_duration: span(rules.fall_ns, "fall-ns")?,
-            order_pause: span(rules.order_pause_ns, "order-pause-ns")?,
+            overload_duration: non_negative_duration(rules.fall_ns, "fall-ns")?,
+            order_pause: non_negative_duration(rules.order_pause_ns, "order-pause-ns")?,
         })
     }
 }
