--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -523,9 +523,9 @@
             durability: usual.durability,
             room: None,
             segment: None,
-            set_aside: usual.set_aside,
-            names: usual.names,
-            live_share: usual.live_share,
+            set_aside: usual.preallocate,
+            names: usual.reserved_name_bytes,
+            live_share: usual.max_live_fraction,
             on_damage: usual.on_damage,
         }
     }
@@ -536,12 +536,12 @@
     pub fn options(&self, room: u64, attempts: u64) -> Options {
         let room = self.room.map_or(room, |room| room.0);
         Options {
-            segment: self.segment.map(|segment| segment.0),
+            segment_bytes: self.segment.map(|segment| segment.0),
             durability: self.durability,
-            set_aside: self.set_aside,
-            attempts,
-            names: self.names,
-            live_share: self.live_share,
+            preallocate: self.set_aside,
+            reserved_attempts: attempts,
+            reserved_name_bytes: self.names,
+            max_live_fraction: self.live_share,
             on_damage: self.on_damage,
             ..Options::new(room)
         }
--- a/crates/courier/src/bootstrap.rs
+++ b/crates/courier/src/bootstrap.rs
@@ -9,7 +9,7 @@
 use crate::startup_error::StartupError;
 use platform_config::PlatformConfig;
 use settings::OperatorSettings;
-use stairshed_journal::{Files, Report};
+use stairshed_journal::{FileStorage, RecoveryReport};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -71,11 +71,11 @@
 }
 
 /// Locks the state folder. Retries for a while, since a tool may hold the lock briefly.
-async fn lock(folder: &Path) -> Result<Files, stairshed_journal::Error> {
+async fn lock(folder: &Path) -> Result<FileStorage, stairshed_journal::Error> {
     let deadline = Instant::now() + LOCK_TIMEOUT;
     loop {
-        match Files::lock(folder) {
-            Err(stairshed_journal::Error::InUse { .. }) if Instant::now() < deadline => {
+        match FileStorage::lock(folder) {
+            Err(stairshed_journal::Error::Locked { .. }) if Instant::now() < deadline => {
                 tokio::time::sleep(LOCK_RETRY_INTERVAL).await;
             }
             done => return done,
@@ -84,21 +84,24 @@
 }
 
 /// Logs what the recovery of the journal found.
-fn log_recovery(report: &Report) {
-    if let Some(messages) = report.taken_over {
+fn log_recovery(report: &RecoveryReport) {
+    if let Some(messages) = report.migrated {
         eprintln!("journal: {messages} messages taken over from the old format");
     }
-    if report.cut_bytes > 0 {
-        eprintln!("journal: a torn tail of {} bytes was cut off, as a crash leaves it", report.cut_bytes);
+    if report.truncated_bytes > 0 {
+        eprintln!(
+            "journal: a torn tail of {} bytes was cut off, as a crash leaves it",
+            report.truncated_bytes
+        );
     }
     for damage in &report.damages {
         eprintln!("journal: DAMAGED: {damage}");
     }
-    for message in &report.lost {
+    for message in &report.lost_messages {
         eprintln!("journal: LOST: message {message} was accepted, and its id and body cannot be read");
     }
-    if !report.suspected.is_empty() {
-        let n = report.suspected.len();
+    if !report.presumed_sent.is_empty() {
+        let n = report.presumed_sent.len();
         eprintln!("journal: {n} messages count as sent, since a lost record may say so");
     }
 }
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -180,7 +180,7 @@
     let attempts = installation.file.classes.values().filter_map(|c| c.attempts).max().unwrap_or_default();
     let mut options =
         journal.options(DEFAULT_JOURNAL_BYTES, u64::from(attempts.max(installation.file.limits.attempts)));
-    options.names = options.names.max(MIN_NAMES_BYTES);
+    options.reserved_name_bytes = options.reserved_name_bytes.max(MIN_NAMES_BYTES);
     let syncs_to_device = options.durability == Durability::Machine;
     let (journal, report) = Journal::open(Arc::new(files), options).map_err(|e| invalid("journal", e))?;
     log_recovery(&report);
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -87,7 +87,7 @@
         server_state: Rc<ServerState>,
         event_tx: Sender<DispatcherEvent>,
     ) -> Self {
-        let acceptance = Acceptance::after(journal.last());
+        let acceptance = Acceptance::after(journal.last_number());
         let memory = Memory::new(setup.memory_budget.clone());
         let mut dispatcher = Dispatcher {
             setup,
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -8,7 +8,7 @@
 use crate::events::{Reply, ReplyTo, Submission};
 use crate::message_trace;
 use stairshed_decide::interface::*;
-use stairshed_journal::{Letter, Refusal};
+use stairshed_journal::{AcceptedMessage, Refusal};
 use std::collections::{BTreeMap, HashMap};
 
 /// A submission that waits for the module's decision.
@@ -44,17 +44,17 @@
             let _ = submission.reply.send(reply);
         };
         // A second submission with the same id: the first one is accepted already, or not decided yet.
-        if let Some(message) = self.acceptance.ids.get(&submission.letter.id) {
+        if let Some(message) = self.acceptance.ids.get(&submission.accepted.id) {
             let is_accepted = !self.acceptance.pending.contains_key(message);
             return respond(submission, if is_accepted { Reply::Accepted } else { Reply::Unavailable });
         }
-        if let Some(reply) = self.reply_to_duplicate(&submission.letter) {
+        if let Some(reply) = self.reply_to_duplicate(&submission.accepted) {
             return respond(submission, reply);
         }
-        if let Some(reply) = self.early_refusal(&submission.letter) {
+        if let Some(reply) = self.early_refusal(&submission.accepted) {
             return self.reject(submission, reply);
         }
-        let Some(class) = self.classify(&submission.letter) else {
+        let Some(class) = self.classify(&submission.accepted) else {
             return self.reject(submission, Reply::Failed);
         };
         let memory = match self.reserve_memory(&mut submission) {
@@ -64,13 +64,13 @@
         self.update_classes();
         let message = self.acceptance.next;
         self.acceptance.next += 1;
-        self.acceptance.ids.insert(submission.letter.id.clone(), message);
+        self.acceptance.ids.insert(submission.accepted.id.clone(), message);
         self.events.push(Event::Accepted(Accepted {
             message: MessageId(message),
             class,
             tenant: 0,
-            destination: DestinationId(submission.letter.destination),
-            key: submission.letter.routed.as_ref().and_then(|r| r.order.clone()),
+            destination: DestinationId(submission.accepted.destination),
+            key: submission.accepted.routed.as_ref().and_then(|r| r.order_key.clone()),
             time_left: submission.time_left.saturating_sub(submission.at.elapsed()),
             estimated_work: None,
             history: Past::default(),
@@ -86,14 +86,14 @@
     }
 
     /// The refusal of a message that cannot be accepted whatever the module decides.
-    pub(super) fn early_refusal(&mut self, letter: &Letter) -> Option<Reply> {
+    pub(super) fn early_refusal(&mut self, accepted: &AcceptedMessage) -> Option<Reply> {
         if self.records.disk_failed.is_some() {
-            return Some(Reply::JournalRefused(Refusal::DiskFails));
+            return Some(Reply::JournalRefused(Refusal::DiskUnreliable));
         }
-        if self.members.removed_destinations.contains_key(&letter.destination) {
+        if self.members.removed_destinations.contains_key(&accepted.destination) {
             return Some(Reply::Unavailable);
         }
-        if !self.members.destinations.contains(&letter.destination) {
+        if !self.members.destinations.contains(&accepted.destination) {
             return Some(if self.members.discovery_answered {
                 Reply::UnknownDestination
             } else {
@@ -103,10 +103,10 @@
         if self.attempts.held.len() + self.acceptance.pending.len() >= self.setup.settings.max_messages {
             return Some(Reply::Refused { wait: None });
         }
-        if self.remembers_too_many(letter) {
+        if self.remembers_too_many(accepted) {
             return Some(Reply::TooManyRemembered);
         }
-        self.journal.fits(letter).err().map(Reply::JournalRefused)
+        self.journal.can_accept(accepted).err().map(Reply::JournalRefused)
     }
 
     /// Drops submissions whose client gave up before it had a reply: such a client counts its message as not
@@ -121,7 +121,7 @@
             .collect();
         for message in abandoned {
             if let Some(PendingSubmission { submission, .. }) = self.acceptance.pending.remove(&message) {
-                self.acceptance.ids.remove(&submission.letter.id);
+                self.acceptance.ids.remove(&submission.accepted.id);
             }
             let of = |e: &Event| matches!(e, Event::Accepted(t) if t.message.0 == message);
             self.events.retain(|e| !of(e));
@@ -130,15 +130,15 @@
 
     /// Writes the new messages that the module did not refuse to the journal, then replies to their clients.
     pub(super) fn accept_submissions(&mut self, refused: &mut HashMap<u64, Verdict>) {
-        let mut accepted = Vec::new();
+        let mut accepted_messages = Vec::new();
         for (message, PendingSubmission { class, submission, memory }) in
             std::mem::take(&mut self.acceptance.pending)
         {
             if let Some(verdict) = refused.remove(&message) {
-                self.acceptance.ids.remove(&submission.letter.id);
+                self.acceptance.ids.remove(&submission.accepted.id);
                 message_trace::log_step(
-                    &submission.letter.id,
-                    format_args!("refused at once class={} verdict={verdict:?}", submission.letter.class),
+                    &submission.accepted.id,
+                    format_args!("refused at once class={} verdict={verdict:?}", submission.accepted.class),
                 );
                 let reply = match verdict {
                     Verdict::Bounced { wait } => Reply::Refused { wait },
@@ -148,34 +148,34 @@
                 continue;
             }
             // Other messages of this batch may have used up the journal's space since this one was submitted.
-            if let Err(why) = self.journal.fits(&submission.letter) {
-                self.acceptance.ids.remove(&submission.letter.id);
+            if let Err(why) = self.journal.can_accept(&submission.accepted) {
+                self.acceptance.ids.remove(&submission.accepted.id);
                 self.events.push(Event::Withdrawn { message: MessageId(message) });
                 self.reject(submission, Reply::JournalRefused(why));
                 continue;
             }
-            let Submission { letter, reply, .. } = submission;
+            let Submission { accepted, reply, .. } = submission;
             message_trace::log_step(
-                &letter.id,
+                &accepted.id,
                 format_args!(
                     "taken number={message} class={} destination={}",
-                    letter.class, letter.destination
+                    accepted.class, accepted.destination
                 ),
             );
-            self.journal.accept(message, letter.clone());
+            self.journal.accept(message, accepted.clone());
             self.memory.add_message(message, memory);
-            self.attempts.held.insert(message, HeldMessage { letter, class, attempts: 0, in_flight: None });
-            accepted.push((message, reply));
+            self.attempts.held.insert(message, HeldMessage { accepted, class, attempts: 0, in_flight: None });
+            accepted_messages.push((message, reply));
         }
-        if accepted.is_empty() {
+        if accepted_messages.is_empty() {
             return;
         }
         let seq = self.journal.last_seq();
         let recorded = self.flush_journal();
-        for (message, reply) in accepted {
+        for (message, reply) in accepted_messages {
             if !recorded {
                 // The message is not accepted, whether or not its client gets this reply.
-                let _ = reply.send(Reply::JournalRefused(Refusal::DiskFails));
+                let _ = reply.send(Reply::JournalRefused(Refusal::DiskUnreliable));
                 self.withdraw(message);
             } else {
                 self.run_when_durable(seq, DeferredAction::ConfirmAcceptance { message, reply });
@@ -189,7 +189,7 @@
         if reply.send(Reply::Accepted).is_err() {
             if let Some(m) = self.attempts.held.get(&message) {
                 message_trace::log_step(
-                    &m.letter.id,
+                    &m.accepted.id,
                     format_args!("withdrawn: the client disconnected before the reply"),
                 );
             }
@@ -206,21 +206,21 @@
 
     /// The class of a message: by its name and, for a message from a route, by the effect and deadline
     /// recorded when it was accepted.
-    pub(super) fn classify(&mut self, letter: &Letter) -> Option<usize> {
-        let deadline = letter.until.saturating_sub(letter.taken);
-        let Some(routed) = &letter.routed else {
+    pub(super) fn classify(&mut self, accepted: &AcceptedMessage) -> Option<usize> {
+        let deadline = accepted.deadline.saturating_sub(accepted.accepted_at);
+        let Some(routed) = &accepted.routed else {
             let classes = &mut self.setup.classes;
-            let class = classes.named(&letter.class)?;
+            let class = classes.named(&accepted.class)?;
             let keyed = classes.get(class).is_some_and(|c| matches!(c.effect, Effect::Keyed { .. }));
             // Without a key no endpoint can tell a repeat from a new message.
-            let may_run_again = keyed && letter.key.is_none();
+            let may_run_again = keyed && accepted.key.is_none();
             return Some(if may_run_again {
-                classes.recorded(&letter.class, Effect::Once, deadline)
+                classes.recorded(&accepted.class, Effect::Once, deadline)
             } else {
                 class
             });
         };
-        Some(self.setup.classes.recorded(&letter.class, routed.effect, deadline))
+        Some(self.setup.classes.recorded(&accepted.class, routed.effect, deadline))
     }
 
     /// Passes new classes to the module: messages accepted under an earlier configuration version may have a
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -43,7 +43,7 @@
             Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Crowded | Outcome::Moot
         );
         if never {
-            self.journal.never_ran(message, attempt);
+            self.journal.record_never_ran(message, attempt);
         }
         match end.after {
             AfterAttempt::RetryAllowed => {}
@@ -67,7 +67,7 @@
                 "maybe"
             };
             message_trace::log_step(
-                &m.letter.id,
+                &m.accepted.id,
                 format_args!(
                     "attempt={attempt} ended outcome={:?} ran={ran} over={} proof={:?} {}",
                     end.outcome,
@@ -108,7 +108,7 @@
                 continue;
             };
             let zone = self.setup.zones.get(e.zone).cloned().unwrap_or_default();
-            let attempt = Attempt { host: e.host.clone(), zone, sent: unix_time(), may_have_run: true };
+            let attempt = Attempt { host: e.host.clone(), zone, sent_at: unix_time(), may_have_run: true };
             let broker = e.topic.is_some();
             m.in_flight = Some((now, None));
             if late {
@@ -127,7 +127,7 @@
                 self.events.push(not_sent(message, endpoint, Outcome::Full { wait: None }));
                 continue;
             };
-            let Ok(number) = self.journal.attempt(message, attempt) else {
+            let Ok(number) = self.journal.record_attempt(message, attempt) else {
                 // The attempt's names are longer than the space reserved for them, and the journal has no
                 // more.
                 m.in_flight = None;
@@ -139,7 +139,7 @@
             let list = &self.setup.watch_status;
             let host = self.members.endpoints.get(&endpoint).map(|e| e.host.as_str());
             message_trace::log_step(
-                &m.letter.id,
+                &m.accepted.id,
                 format_args!(
                     "attempt={number} decided endpoint={} host={} address={address} \
                      for={timeout:?} list={} list_age={:?}",
@@ -149,16 +149,16 @@
                     list.last_line_age()
                 ),
             );
-            let letter = m.letter.clone();
+            let accepted = m.accepted.clone();
             let once = self.setup.classes.get(m.class).is_some_and(|c| c.effect == Effect::Once);
             let (deadline, pool) = (now + timeout, self.scheduler.limit_group_id(endpoint));
-            ready.push(Call { message, attempt: number, endpoint, pool, target, letter, deadline, once });
+            ready.push(Call { message, attempt: number, endpoint, pool, target, accepted, deadline, once });
         }
         let seq = self.journal.last_seq();
         // Attempts must be in the journal before their first byte is sent, and verdicts before their notice.
         if !self.flush_journal() {
             for call in ready {
-                self.journal.never_ran(call.message, call.attempt);
+                self.journal.record_never_ran(call.message, call.attempt);
                 self.release_packet_id(&call.target, call.endpoint);
                 if let Some(m) = self.attempts.held.get_mut(&call.message) {
                     m.in_flight = None;
--- a/crates/courier/src/dispatcher/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -9,7 +9,7 @@
 use crate::upstream::endpoint_client::{Call, MAX_WRITE_AFTER_DRAIN};
 use serde::{Deserialize, Serialize};
 use stairshed_decide::interface::*;
-use stairshed_journal::{Live, Verdict};
+use stairshed_journal::{LiveMessage, Verdict};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -82,7 +82,7 @@
             }
             match self.journal.get(of.message) {
                 Some(live) if live.verdict.is_none() => {
-                    let left = live.letter.until.saturating_sub(now).saturating_sub(EXPIRY_MARGIN);
+                    let left = live.accepted.deadline.saturating_sub(now).saturating_sub(EXPIRY_MARGIN);
                     let until = Instant::now() + left;
                     let open = OpenAttempt { host, id, released: of.released, resumed: false, until };
                     self.brokers.open_attempts.insert(of.message, open);
@@ -96,13 +96,13 @@
 
     /// Holds a message whose attempt by a previous process is unresolved, without passing it to the module.
     /// Returns whether it is one.
-    pub(super) fn hold_open_attempt(&mut self, message: u64, live: &Live, class: usize) -> bool {
+    pub(super) fn hold_open_attempt(&mut self, message: u64, live: &LiveMessage, class: usize) -> bool {
         if !self.brokers.open_attempts.contains_key(&message) {
             return false;
         }
-        let (letter, attempts) = (live.letter.clone(), live.attempts.len() as u32);
+        let (accepted, attempts) = (live.accepted.clone(), live.attempts.len() as u32);
         let in_flight = Some((Instant::now(), None));
-        self.attempts.held.insert(message, HeldMessage { letter, class, attempts, in_flight });
+        self.attempts.held.insert(message, HeldMessage { accepted, class, attempts, in_flight });
         true
     }
 
@@ -259,12 +259,12 @@
         for message in due {
             let Some(live) = self.journal.get(message) else { continue };
             let attempt = live.attempts.len().saturating_sub(1) as u32;
-            let sent = live.attempts.last().map_or(Duration::ZERO, |a| a.sent);
-            let letter = live.letter.clone();
+            let sent = live.attempts.last().map_or(Duration::ZERO, |a| a.sent_at);
+            let accepted = live.accepted.clone();
             let effect = self.effect_of(message);
             let Some(open) = self.brokers.open_attempts.get_mut(&message) else { continue };
             open.resumed = true;
-            broker.resume(open.id, (message, attempt, letter), effect, (sent, open.released));
+            broker.resume(open.id, (message, attempt, accepted), effect, (sent, open.released));
         }
     }
 
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -7,7 +7,7 @@
 use crate::clock::unix_time;
 use crate::events::{Reply, ReplyTo, Submission};
 use crate::message_trace;
-use stairshed_journal::{Kept, Letter, Verdict};
+use stairshed_journal::{AcceptedMessage, EndedMessage, Verdict};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -67,7 +67,7 @@
 }
 
 impl EndedMessages {
-    fn insert(&mut self, message: u64, kept: &Kept) {
+    fn insert(&mut self, message: u64, kept: &EndedMessage) {
         self.remembered.insert(message);
         if !kept.until.is_zero() {
             self.by_id.insert(kept.id.clone(), message);
@@ -75,7 +75,7 @@
         }
     }
 
-    fn remove(&mut self, message: u64, kept: &Kept) {
+    fn remove(&mut self, message: u64, kept: &EndedMessage) {
         self.remembered.remove(&message);
         self.expiry.remove(&(kept.until, message));
         if self.by_id.get(&kept.id) == Some(&message) {
@@ -103,14 +103,15 @@
 }
 
 /// Whether a record of the message may be kept after it has ended.
-fn leaves_record(letter: &Letter) -> bool {
-    letter.routed.as_ref().is_some_and(|r| r.owner.is_some() || !r.remember.is_zero())
+fn leaves_record(accepted: &AcceptedMessage) -> bool {
+    accepted.routed.as_ref().is_some_and(|r| r.owner.is_some() || !r.remember_for.is_zero())
 }
 
 impl Dispatcher {
     /// Loads the records that a previous process left, and tells the clients that have not been told.
     pub(super) fn resume_ended(&mut self) {
-        let all: Vec<(u64, Kept)> = self.journal.kept().map(|(n, k)| (n, Kept::clone(k))).collect();
+        let all: Vec<(u64, EndedMessage)> =
+            self.journal.ended_messages().map(|(n, k)| (n, EndedMessage::clone(k))).collect();
         for (message, kept) in all {
             self.ended_messages.insert(message, &kept);
             self.memory.remember(message, &kept);
@@ -126,27 +127,28 @@
     }
 
     /// Whether the message would need a record beyond the limit on remembered messages.
-    pub(super) fn remembers_too_many(&self, letter: &Letter) -> bool {
-        leaves_record(letter) && self.ended_messages.remembered.len() >= self.setup.max_remembered
+    pub(super) fn remembers_too_many(&self, accepted: &AcceptedMessage) -> bool {
+        leaves_record(accepted) && self.ended_messages.remembered.len() >= self.setup.max_remembered
     }
 
     /// The reply to a message whose id is remembered: it is accepted already, and its client is told the
     /// outcome again.
-    pub(super) fn reply_to_duplicate(&mut self, letter: &Letter) -> Option<Reply> {
-        if letter.routed.is_none() && self.ended_messages.recent_ids.contains(&letter.id) {
+    pub(super) fn reply_to_duplicate(&mut self, accepted: &AcceptedMessage) -> Option<Reply> {
+        if accepted.routed.is_none() && self.ended_messages.recent_ids.contains(&accepted.id) {
             message_trace::log_step(
-                &letter.id,
+                &accepted.id,
                 format_args!("handed in again after its end: not sent again"),
             );
             return Some(Reply::Accepted);
         }
-        let message = *self.ended_messages.by_id.get(&letter.id)?;
-        let owner = letter.routed.as_ref().and_then(|r| r.owner.clone());
+        let message = *self.ended_messages.by_id.get(&accepted.id)?;
+        let owner = accepted.routed.as_ref().and_then(|r| r.owner.clone());
         if let Some(owner) = owner.filter(|o| self.accepts_outcomes(o))
-            && let Some(kept) = self.journal.kept_of(message).map(|k| Kept::clone(k))
+            && let Some(kept) = self.journal.ended_message(message).map(|k| EndedMessage::clone(k))
             && kept.owner.is_none()
         {
-            self.journal.keep(message, Kept { owner: Some(owner.clone()), ..kept.clone() });
+            self.journal
+                .replace_with_ended(message, EndedMessage { owner: Some(owner.clone()), ..kept.clone() });
             self.notify_owner(&owner, message, &kept.id, kept.verdict);
         }
         Some(Reply::Accepted)
@@ -168,10 +170,10 @@
     /// Tells the client at once that the module has ended its message undelivered.
     pub(super) fn notify_owner_of_verdict(&mut self, message: u64, verdict: Verdict) {
         let Some(live) = self.journal.get(message) else { return };
-        let letter = live.letter.clone();
-        let owner = letter.routed.as_ref().and_then(|r| r.owner.as_ref());
+        let accepted = live.accepted.clone();
+        let owner = accepted.routed.as_ref().and_then(|r| r.owner.as_ref());
         if let Some(owner) = owner.filter(|o| self.accepts_outcomes(o)) {
-            self.notify_owner(owner, message, &letter.id, Some(verdict));
+            self.notify_owner(owner, message, &accepted.id, Some(verdict));
         }
     }
 
@@ -179,52 +181,52 @@
     /// verdict of None means delivered.
     pub(super) fn finish_message(&mut self, message: u64, verdict: Option<Verdict>) {
         let Some(live) = self.journal.get(message) else { return };
-        let letter = live.letter.clone();
-        self.acceptance.ids.remove(&letter.id);
+        let accepted = live.accepted.clone();
+        self.acceptance.ids.remove(&accepted.id);
         let notified = self.ended_messages.notified.remove(&message);
-        let Some(routed) = letter.routed.as_ref().filter(|_| leaves_record(&letter)) else {
+        let Some(routed) = accepted.routed.as_ref().filter(|_| leaves_record(&accepted)) else {
             // A bounced message may be submitted again; a repeat of any other could run it a second time.
-            if letter.routed.is_none() && !matches!(verdict, Some(Verdict::Bounced { .. })) {
-                self.ended_messages.recent_ids.insert(&letter.id, Instant::now());
+            if accepted.routed.is_none() && !matches!(verdict, Some(Verdict::Bounced { .. })) {
+                self.ended_messages.recent_ids.insert(&accepted.id, Instant::now());
             }
             self.memory.release(message);
-            return self.journal.end(message);
+            return self.journal.record_end(message);
         };
         let notifying = self.ended_messages.notifying.contains(&message);
         let owner = routed.owner.clone().filter(|o| !notified && (notifying || self.accepts_outcomes(o)));
         // A bounced message may be submitted again with the same id.
         let bounced = matches!(verdict, Some(Verdict::Bounced { .. }));
-        let until = letter.taken + routed.remember;
+        let until = accepted.accepted_at + routed.remember_for;
         let until = if bounced || until <= unix_time() { Duration::ZERO } else { until };
-        let kept = Kept { id: letter.id.clone(), owner: owner.clone(), verdict, until };
+        let kept = EndedMessage { id: accepted.id.clone(), owner: owner.clone(), verdict, until };
         if owner.is_none() && until.is_zero() {
             self.memory.release(message);
-            return self.journal.end(message);
+            return self.journal.record_end(message);
         }
         self.memory.remember(message, &kept);
         self.ended_messages.insert(message, &kept);
-        self.journal.keep(message, kept);
+        self.journal.replace_with_ended(message, kept);
         if let Some(owner) = owner {
-            self.notify_owner(&owner, message, &letter.id, verdict);
+            self.notify_owner(&owner, message, &accepted.id, verdict);
         }
     }
 
     /// The outcome has been delivered to its client, or can no longer be.
     pub(super) fn owner_notified(&mut self, message: u64) {
         self.ended_messages.notifying.remove(&message);
-        match self.journal.kept_of(message).map(|k| Kept::clone(k)) {
+        match self.journal.ended_message(message).map(|k| EndedMessage::clone(k)) {
             Some(kept) if kept.until.is_zero() => self.forget_message(message, &kept),
-            Some(kept) => self.journal.keep(message, Kept { owner: None, ..kept }),
+            Some(kept) => self.journal.replace_with_ended(message, EndedMessage { owner: None, ..kept }),
             // The notice to the operator is not acknowledged yet.
             None if self.journal.get(message).is_some() => drop(self.ended_messages.notified.insert(message)),
             None => {}
         }
     }
 
-    fn forget_message(&mut self, message: u64, kept: &Kept) {
+    fn forget_message(&mut self, message: u64, kept: &EndedMessage) {
         self.ended_messages.remove(message, kept);
         self.memory.release(message);
-        self.journal.end(message);
+        self.journal.record_end(message);
     }
 
     /// Forgets messages that have expired; the record stays while a client is still to be told.
@@ -236,13 +238,15 @@
         {
             self.ended_messages.expiry.remove(&(at, message));
             any_expired = true;
-            let Some(kept) = self.journal.kept_of(message).map(|k| Kept::clone(k)) else { continue };
+            let Some(kept) = self.journal.ended_message(message).map(|k| EndedMessage::clone(k)) else {
+                continue;
+            };
             if kept.owner.is_none() {
                 self.forget_message(message, &kept);
             } else {
                 self.ended_messages.remove(message, &kept);
                 self.ended_messages.remembered.insert(message);
-                self.journal.keep(message, Kept { until: Duration::ZERO, ..kept });
+                self.journal.replace_with_ended(message, EndedMessage { until: Duration::ZERO, ..kept });
             }
         }
         if any_expired {
@@ -253,8 +257,8 @@
     /// Replies to a submission that is not accepted. Where the protocol has no refusal, the message is
     /// accepted and bounced at once, in the journal; if that is not possible either, it is refused.
     pub(super) fn reject(&mut self, submission: Submission, reply: Reply) {
-        let Submission { letter, reply: to, bounce, .. } = submission;
-        let owner = letter
+        let Submission { accepted, reply: to, bounce, .. } = submission;
+        let owner = accepted
             .routed
             .as_ref()
             .and_then(|r| r.owner.clone())
@@ -270,8 +274,8 @@
             _ => None,
         };
         let verdict = Some(Verdict::Bounced { wait });
-        let id = letter.id.clone();
-        let fits = self.journal.fits_note((id.len() + owner.len()) as u64);
+        let id = accepted.id.clone();
+        let fits = self.journal.can_store_note((id.len() + owner.len()) as u64);
         if self.records.disk_failed.is_some()
             || fits.is_err()
             || self.ended_messages.remembered.len() >= self.setup.max_remembered
@@ -281,10 +285,10 @@
         }
         let message = self.acceptance.next;
         self.acceptance.next += 1;
-        let kept = Kept { id, owner: Some(owner), verdict, until: Duration::ZERO };
+        let kept = EndedMessage { id, owner: Some(owner), verdict, until: Duration::ZERO };
         self.memory.remember(message, &kept);
         self.ended_messages.insert(message, &kept);
-        self.journal.keep_new(message, kept);
+        self.journal.store_ended(message, kept);
         if !self.flush_journal() {
             let _ = to.send(reply);
             return;
@@ -297,7 +301,7 @@
     pub(super) fn confirm_bounce(&mut self, reply: ReplyTo, message: u64) {
         // A client that has disconnected is told when it returns.
         let _ = reply.send(Reply::Accepted);
-        if let Some(kept) = self.journal.kept_of(message).map(|k| Kept::clone(k))
+        if let Some(kept) = self.journal.ended_message(message).map(|k| EndedMessage::clone(k))
             && let Some(owner) = &kept.owner
         {
             self.notify_owner(owner, message, &kept.id, kept.verdict);
--- a/crates/courier/src/dispatcher/held_message.rs
+++ b/crates/courier/src/dispatcher/held_message.rs
@@ -4,7 +4,7 @@
 use crate::events::ReplyTo;
 use crate::upstream::endpoint_client::Call;
 use stairshed_decide::interface::EndpointId;
-use stairshed_journal::Letter;
+use stairshed_journal::AcceptedMessage;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -15,7 +15,7 @@
 
 /// A message that the courier holds until it ends.
 pub(super) struct HeldMessage {
-    pub(super) letter: Rc<Letter>,
+    pub(super) accepted: Rc<AcceptedMessage>,
     pub(super) class: usize,
     pub(super) attempts: u32,
     /// The call in flight: when it was started, and how to cancel it where that is possible.
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -36,7 +36,7 @@
         let Some((file, discovery)) = file.zip(self.setup.discovery) else { return };
         let ago = match file.load(discovery) {
             ListAge::Known(ago) => ago,
-            ListAge::Unrecorded if self.journal.last() == 0 => ASSUMED_FIRST_AGE,
+            ListAge::Unrecorded if self.journal.last_number() == 0 => ASSUMED_FIRST_AGE,
             ListAge::Unrecorded | ListAge::Unknown => {
                 eprintln!(
                     "discovery: the age of the list is unknown; nothing is sent until discovery answers"
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -203,7 +203,7 @@
         if due.is_empty() {
             return;
         }
-        let of = |m: &HeldMessage| due.contains(&m.letter.destination);
+        let of = |m: &HeldMessage| due.contains(&m.accepted.destination);
         let mut ended = Vec::new();
         for (message, m) in self.attempts.held.iter().filter(|(_, m)| of(m) && m.in_flight.is_none()) {
             let Some(live) = self.journal.get(*message).filter(|live| live.verdict.is_none()) else {
@@ -220,7 +220,7 @@
         }
         for destination in due {
             // Messages with a call in flight end with that call.
-            if !self.attempts.held.values().any(|m| m.letter.destination == destination) {
+            if !self.attempts.held.values().any(|m| m.accepted.destination == destination) {
                 self.members.removed_destinations.remove(&destination);
                 self.members.destinations.remove(&destination);
             }
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -7,7 +7,7 @@
 use crate::memory_budget::MemoryBudget;
 use crate::process_memory;
 use stairshed_decide::memory_usage;
-use stairshed_journal::{Attempt, Kept, Letter, ROW};
+use stairshed_journal::{AcceptedMessage, Attempt, EndedMessage, STATE_ENTRY_BYTES};
 use stairshed_memory::{Charge, Guest, Level, Purpose, Refused, Reserve};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -43,8 +43,8 @@
 /// Bytes of an accepted message beside its strings: the message, its rows in the journal, the module and the
 /// dispatcher's tables, and the charges for its memory.
 const MESSAGE_BYTES: u64 = memory_usage::MESSAGE_BYTES
-    + ROW
-    + (size_of::<Letter>()
+    + STATE_ENTRY_BYTES
+    + (size_of::<AcceptedMessage>()
         + 32
         + hash_entry_bytes(size_of::<(String, u64)>())
         + btree_entry_bytes(size_of::<(u64, HeldMessage)>())
@@ -56,8 +56,8 @@
 const NOTICE_BYTES: u64 = 250;
 /// Bytes of the record of an ended message beside its id and client: rows in the journal and in the
 /// dispatcher's tables.
-const REMEMBERED_BYTES: u64 = ROW
-    + (size_of::<Kept>()
+const REMEMBERED_BYTES: u64 = STATE_ENTRY_BYTES
+    + (size_of::<EndedMessage>()
         + 32
         + hash_entry_bytes(size_of::<(String, u64)>())
         + hash_entry_bytes(8)
@@ -122,13 +122,13 @@
     /// Reserves memory for a message and for everything that it may need later.
     fn reserve(
         &self,
-        letter: &Letter,
+        accepted: &AcceptedMessage,
         body: Charge,
         (guest, accepts_outcomes): (Option<&Guest>, bool),
     ) -> Result<MessageMemory, Refused> {
         let ledger = &self.budget.ledger;
         let body = body.turn_into(Purpose::BodiesHeld).map_err(|(_, refused)| refused)?;
-        let needs = MemoryNeeds::of(letter, accepts_outcomes);
+        let needs = MemoryNeeds::of(accepted, accepts_outcomes);
         // Its record is buffered until the batch is written.
         ledger.fits(Purpose::Journal, body.bytes() + needs.rows, None)?;
         Ok(MessageMemory {
@@ -143,11 +143,11 @@
     }
 
     /// The same for a message of a previous process, which cannot be refused.
-    pub(super) fn resume_message(&mut self, message: u64, letter: &Letter) {
+    pub(super) fn resume_message(&mut self, message: u64, accepted: &AcceptedMessage) {
         let ledger = &self.budget.ledger;
-        let needs = MemoryNeeds::of(letter, true);
+        let needs = MemoryNeeds::of(accepted, true);
         let memory = MessageMemory {
-            _body: ledger.force(Purpose::BodiesHeld, letter.body.len() as u64),
+            _body: ledger.force(Purpose::BodiesHeld, accepted.body.len() as u64),
             _rows: ledger.force(Purpose::Messages, needs.rows),
             _attempts: ledger.force_reserve(Purpose::Messages, ATTEMPTS_BYTES),
             notice: ledger.force_reserve(Purpose::Notices, needs.notice),
@@ -172,7 +172,7 @@
     }
 
     /// Replaces the memory of an ended message by that of its record.
-    pub(super) fn remember(&mut self, message: u64, kept: &Kept) {
+    pub(super) fn remember(&mut self, message: u64, kept: &EndedMessage) {
         let bytes =
             REMEMBERED_BYTES + (2 * kept.id.len() + kept.owner.as_ref().map_or(0, String::len)) as u64;
         let reserve = self.messages.remove(&message).and_then(|memory| memory.kept);
@@ -205,11 +205,11 @@
 
 impl MemoryNeeds {
     /// `accepts_outcomes` says whether its client subscribes to outcomes.
-    fn of(letter: &Letter, accepts_outcomes: bool) -> MemoryNeeds {
-        let id = letter.id.len() as u64;
+    fn of(accepted: &AcceptedMessage, accepts_outcomes: bool) -> MemoryNeeds {
+        let id = accepted.id.len() as u64;
         // The id is stored with the message and in the dispatcher's table, the key with the message.
-        let strings = 2 * id + (letter.class.len() + letter.key.as_ref().map_or(0, String::len)) as u64;
-        let Some(routed) = &letter.routed else {
+        let strings = 2 * id + (accepted.class.len() + accepted.key.as_ref().map_or(0, String::len)) as u64;
+        let Some(routed) = &accepted.routed else {
             return MemoryNeeds {
                 rows: MESSAGE_BYTES + strings,
                 notice: NOTICE_BYTES + 2 * id,
@@ -222,7 +222,7 @@
             .iter()
             .map(|(n, v)| n.len() + v.len() + 2 * STRING_OVERHEAD_BYTES + size_of::<(String, String)>());
         // An order key is stored with the message and three times in the module.
-        let order = routed.order.as_ref().map_or(0, |o| 4 * (o.len() + STRING_OVERHEAD_BYTES) + 200);
+        let order = routed.order_key.as_ref().map_or(0, |o| 4 * (o.len() + STRING_OVERHEAD_BYTES) + 200);
         let owner = routed.owner.as_ref().map_or(0, String::len);
         let routed_bytes = routed.route.len()
             + routed.method.len()
@@ -230,7 +230,7 @@
             + owner
             + order
             + headers.sum::<usize>();
-        let leaves_record = routed.owner.is_some() || !routed.remember.is_zero();
+        let leaves_record = routed.owner.is_some() || !routed.remember_for.is_zero();
         MemoryNeeds {
             rows: MESSAGE_BYTES + strings + routed_bytes as u64 + 4 * STRING_OVERHEAD_BYTES as u64,
             notice: NOTICE_BYTES + 2 * id,
@@ -278,10 +278,10 @@
         // The submission keeps an empty charge: the memory of its body passes to the message.
         let empty = self.memory.budget.ledger.force(Purpose::BodiesRead, 0);
         let body = std::mem::replace(&mut submission.body_charge, empty);
-        let owner = submission.letter.routed.as_ref().and_then(|r| r.owner.as_ref());
+        let owner = submission.accepted.routed.as_ref().and_then(|r| r.owner.as_ref());
         let accepts_outcomes = owner.is_some_and(|owner| self.accepts_outcomes(owner));
         let memory =
-            self.memory.reserve(&submission.letter, body, (submission.guest.as_ref(), accepts_outcomes));
+            self.memory.reserve(&submission.accepted, body, (submission.guest.as_ref(), accepts_outcomes));
         memory.map_err(|refused| Reply::OutOfMemory(self.memory.budget.refusal(refused)))
     }
 
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -34,8 +34,8 @@
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
             return;
         }
-        let id = m.letter.id.clone();
-        let left = m.letter.until.saturating_sub(unix_time());
+        let id = m.accepted.id.clone();
+        let left = m.accepted.deadline.saturating_sub(unix_time());
         message_trace::log_step(
             &id,
             format_args!(
@@ -47,7 +47,7 @@
         if m.in_flight.is_none() {
             self.attempts.held.remove(&message);
         }
-        self.journal.judge(message, verdict);
+        self.journal.record_verdict(message, verdict);
         self.memory.add_notice(message);
         self.notify_owner_of_verdict(message, verdict);
         self.notices.queue.push_back((self.journal.last_seq(), Notice { message, id, verdict }));
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -9,7 +9,7 @@
 use crate::message_trace;
 use crate::upstream::outcomes::Notice;
 use stairshed_decide::interface::*;
-use stairshed_journal::{Live, Synced, Verdict};
+use stairshed_journal::{LiveMessage, SyncOutcome, Verdict};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -33,7 +33,7 @@
 }
 
 /// Logs how many messages the previous process left, if any.
-fn log_resumed(live: &[(u64, Live)]) {
+fn log_resumed(live: &[(u64, LiveMessage)]) {
     if live.is_empty() {
         return;
     }
@@ -41,7 +41,7 @@
     let open = || live.iter().filter(|(_, m)| m.verdict.is_none());
     let may_have_run = open().filter(|(_, m)| m.attempts.iter().any(|a| a.may_have_run)).count();
     let untried = open().filter(|(_, m)| m.attempts.is_empty()).count();
-    let past = open().filter(|(_, m)| m.letter.until <= unix_time()).count();
+    let past = open().filter(|(_, m)| m.accepted.deadline <= unix_time()).count();
     eprintln!(
         "resumed {} messages: {ended} ended, their notices not acknowledged; {untried} never called; \
          {may_have_run} may have run; {past} out of time",
@@ -52,68 +52,69 @@
 impl Dispatcher {
     /// Resumes the messages in the journal, with what is known of their attempts.
     pub(super) fn resume_messages(&mut self) {
-        let live: Vec<(u64, Live)> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
+        let live: Vec<(u64, LiveMessage)> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
         log_resumed(&live);
         for (message, m) in live {
-            let letter = m.letter.clone();
-            self.acceptance.ids.insert(letter.id.clone(), message);
-            self.memory.resume_message(message, &letter);
-            let class = self.classify(&letter);
+            let accepted = m.accepted.clone();
+            self.acceptance.ids.insert(accepted.id.clone(), message);
+            self.memory.resume_message(message, &accepted);
+            let class = self.classify(&accepted);
             // A message with a verdict only waits for its notice to be acknowledged: sending it again could
             // deliver a message that its client was told to submit again.
             let verdict = m.verdict.or(class.is_none().then_some(Verdict::Dead));
             if let Some(verdict) = verdict {
                 if m.verdict.is_none() {
-                    self.journal.judge(message, verdict);
+                    self.journal.record_verdict(message, verdict);
                 }
                 let seq = self.journal.last_seq();
                 self.memory.add_notice(message);
-                self.notices.queue.push_back((seq, Notice { message, id: letter.id.clone(), verdict }));
+                self.notices.queue.push_back((seq, Notice { message, id: accepted.id.clone(), verdict }));
                 continue;
             }
             // A message whose pool the configuration no longer has is held as if the pool were removed now.
-            if self.setup.installation.is_some() && !self.members.destinations.contains(&letter.destination) {
+            if self.setup.installation.is_some() && !self.members.destinations.contains(&accepted.destination)
+            {
                 let until = Instant::now() + self.setup.pool_wait;
-                self.members.removed_destinations.entry(letter.destination).or_insert(until);
+                self.members.removed_destinations.entry(accepted.destination).or_insert(until);
             }
-            self.members.destinations.insert(letter.destination);
+            self.members.destinations.insert(accepted.destination);
             if self.hold_open_attempt(message, &m, class.unwrap_or_default()) {
                 continue;
             }
             let taken = self.resumed_message(message, &m, class.unwrap_or_default());
             message_trace::log_step(
-                &letter.id,
-                format_args!("resumed number={message} class={} past={:?}", letter.class, taken.history),
+                &accepted.id,
+                format_args!("resumed number={message} class={} past={:?}", accepted.class, taken.history),
             );
             self.events.push(Event::Accepted(taken));
             let (class, attempts) = (class.unwrap_or_default(), m.attempts.len() as u32);
-            self.attempts.held.insert(message, HeldMessage { letter, class, attempts, in_flight: None });
+            self.attempts.held.insert(message, HeldMessage { accepted, class, attempts, in_flight: None });
         }
         self.update_classes();
     }
 
     /// The module's event for a message with earlier attempts: one of a previous process, or one that the
     /// module does not know yet.
-    pub(super) fn resumed_message(&mut self, message: u64, live: &Live, class: usize) -> Accepted {
+    pub(super) fn resumed_message(&mut self, message: u64, live: &LiveMessage, class: usize) -> Accepted {
         // If the clock has jumped back, a message must not gain time: neither beyond what was left at the
         // latest time on record, nor beyond its class's deadline.
-        let now = unix_time().max(self.journal.latest());
-        let letter = &live.letter;
+        let now = unix_time().max(self.journal.latest_time());
+        let accepted = &live.accepted;
         let ran = live.attempts.iter().find(|a| a.may_have_run).map(|a| Ran {
             endpoint: self.endpoint_id(&a.host),
             // An operator's endpoints may have no zone, and this attempt's zone is not known: a keyed repeat
             // must not rely on the key memory of endpoints that may not have seen the key.
             zone: self.zone_index(if a.host.is_empty() { UNKNOWN_ZONE } else { &a.zone }),
-            ago: now.saturating_sub(a.sent),
+            ago: now.saturating_sub(a.sent_at),
         });
         let most = self.setup.classes.get(class).map(|c| c.deadline);
         Accepted {
             message: MessageId(message),
             class,
             tenant: 0,
-            destination: DestinationId(letter.destination),
-            key: letter.routed.as_ref().and_then(|r| r.order.clone()),
-            time_left: letter.until.saturating_sub(now).min(most.unwrap_or(Duration::MAX)),
+            destination: DestinationId(accepted.destination),
+            key: accepted.routed.as_ref().and_then(|r| r.order_key.clone()),
+            time_left: accepted.deadline.saturating_sub(now).min(most.unwrap_or(Duration::MAX)),
             estimated_work: None,
             history: Past { attempts: live.attempts.len() as u32, ran },
         }
@@ -147,11 +148,11 @@
     }
 
     /// Handles the result of a sync.
-    pub(super) fn sync_finished(&mut self, done: Synced) {
+    pub(super) fn sync_finished(&mut self, done: SyncOutcome) {
         if let Err(e) = self.journal.finish_sync(done) {
             eprintln!("journal: {e}");
         }
-        if self.journal.is_trusted() {
+        if self.journal.is_disk_trusted() {
             if self.records.sync_failed.take().is_some() {
                 eprintln!("journal: syncs work again, and all that lives is written anew");
             }
@@ -223,10 +224,10 @@
     /// Ends a message for which nothing remains to be done.
     pub(super) fn end_message(&mut self, message: u64) {
         if let Some(m) = self.journal.get(message) {
-            let id = m.letter.id.clone();
+            let id = m.accepted.id.clone();
             self.acceptance.ids.remove(&id);
             self.memory.release(message);
-            self.journal.end(message);
+            self.journal.record_end(message);
         }
     }
 }
--- a/crates/courier/src/dispatcher/stored_state.rs
+++ b/crates/courier/src/dispatcher/stored_state.rs
@@ -24,13 +24,13 @@
     pub(super) fn put_state(&mut self, key: &str, value: bytes::Bytes) {
         let number = *self.state_numbers.entry(key.to_owned()).or_insert(self.acceptance.next);
         self.acceptance.next = self.acceptance.next.max(number + 1);
-        self.journal.note(number, Note { key: key.to_owned(), value });
+        self.journal.store_note(number, Note { key: key.to_owned(), value });
     }
 
     /// Deletes the value under a key, if there is one.
     pub(super) fn delete_state(&mut self, key: &str) {
         if let Some(number) = self.state_numbers.remove(key) {
-            self.journal.end(number);
+            self.journal.record_end(number);
         }
     }
 
@@ -38,8 +38,8 @@
     pub(super) fn store_state(&mut self, update: StateUpdate) {
         let StateUpdate { token, key, value } = update;
         let fits = match &value {
-            _ if self.records.disk_failed.is_some() => Err(Refusal::DiskFails),
-            Some(value) => self.journal.fits_note((key.len() + value.len()) as u64),
+            _ if self.records.disk_failed.is_some() => Err(Refusal::DiskUnreliable),
+            Some(value) => self.journal.can_store_note((key.len() + value.len()) as u64),
             None => Ok(()),
         };
         let Some(ingress) = self.ingress.clone() else { return };
@@ -52,7 +52,7 @@
         }
         match self.flush_journal() {
             true => self.run_when_durable(self.journal.last_seq(), DeferredAction::ConfirmState { token }),
-            false => ingress.on_stored(token, Err(Refusal::DiskFails)),
+            false => ingress.on_stored(token, Err(Refusal::DiskUnreliable)),
         }
     }
 }
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use stairshed_config::Installation;
 use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
-use stairshed_journal::{Letter, Refusal, Synced, Verdict};
+use stairshed_journal::{AcceptedMessage, Refusal, SyncOutcome, Verdict};
 use stairshed_memory::{Caps, Charge, Guest};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
         reply: oneshot::Sender<bool>,
     },
     /// A journal sync has finished or failed.
-    JournalSynced(Synced),
+    JournalSynced(SyncOutcome),
     /// State of an ingress that is to be written to the journal.
     StoreState(StateUpdate),
     /// The outcome of a message has been delivered to its client, or can no longer be.
@@ -159,7 +159,7 @@
 
 /// A message that a client submits, and where the reply goes.
 pub struct Submission {
-    pub letter: Rc<Letter>,
+    pub accepted: Rc<AcceptedMessage>,
     /// Time until its deadline, as of `at`.
     pub time_left: Duration,
     /// When it arrived.
@@ -223,7 +223,7 @@
     match why {
         Refusal::Full => "the journal is full of messages that have not ended",
         Refusal::DiskFull => "the disk is full",
-        Refusal::DiskFails => "the disk cannot be written",
+        Refusal::DiskUnreliable => "the disk cannot be written",
     }
 }
 
--- a/crates/courier/src/ingress/active_config.rs
+++ b/crates/courier/src/ingress/active_config.rs
@@ -10,7 +10,7 @@
 use stairshed_config::route::{self, NoRoute, normal_path};
 use stairshed_config::topic::Published;
 use stairshed_decide::interface::Effect;
-use stairshed_journal::{Letter, Routed};
+use stairshed_journal::{AcceptedMessage, RoutedRequest};
 use stairshed_mqtt::packet::{Publish, code};
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -114,7 +114,7 @@
         &self,
         parts: &Parts,
         body: Bytes,
-    ) -> Result<(Letter, Duration), RequestError> {
+    ) -> Result<(AcceptedMessage, Duration), RequestError> {
         let (version, installation) = self.get();
         let fields = MessageHeaders::read(&parts.headers)?;
         let path = normal_path(parts.uri.path()).filter(|p| p.len() <= MAX_PATH_BYTES);
@@ -167,7 +167,7 @@
                 "a message of this class requires an Idempotency-Key, the same in each retry\n".into()
             );
         }
-        let order = match &classes[class].order_by {
+        let order_key = match &classes[class].order_by {
             None => None,
             Some(name) => match route::Request::header(&request, name) {
                 Some(value) if !value.is_empty() => Some(value.to_owned()),
@@ -192,25 +192,25 @@
         }
         // After the deadline of its class a message has no value, so the client cannot extend it.
         let time_left = fields.time_left.unwrap_or(class_settings.deadline).min(class_settings.deadline);
-        let taken = unix_time();
-        let routed = Routed {
+        let accepted_at = unix_time();
+        let routed = RoutedRequest {
             version,
             route: matched.route.name.clone(),
             method: request.method.to_owned(),
             path: matched.path + &query,
             headers,
             effect: class_settings.effect,
-            order,
+            order_key,
             owner: None,
-            remember: classes[class].remember,
+            remember_for: classes[class].remember,
         };
-        let message = Letter {
+        let message = AcceptedMessage {
             id,
             class: classes[class].name.clone(),
             destination: matched.pool.destination,
             key: fields.key,
-            taken,
-            until: taken + time_left,
+            accepted_at,
+            deadline: accepted_at + time_left,
             body,
             routed: Some(routed),
         };
@@ -225,7 +225,7 @@
         &self,
         publish: &Publish,
         owner: &str,
-    ) -> Result<(Letter, Duration), PublishError> {
+    ) -> Result<(AcceptedMessage, Duration), PublishError> {
         let (version, installation) = self.get();
         let topic = installation.topics.choose(&publish.topic);
         let topic = topic.ok_or_else(|| {
@@ -262,7 +262,7 @@
             // identity.
             (None, _) => format!("{:032x}", rand::random::<u128>()),
         };
-        let order = match &class.order_by {
+        let order_key = match &class.order_by {
             None => None,
             Some(name) => match published.property(name) {
                 Some(value) if !value.is_empty() => Some(value.to_owned()),
@@ -295,27 +295,27 @@
         })?;
         let expiry = publish.expiry.map(|s| Duration::from_secs(u64::from(s)));
         let time_left = [expiry, time_out].into_iter().flatten().fold(settings.deadline, Duration::min);
-        let taken = unix_time();
+        let accepted_at = unix_time();
         // A message with a generated id cannot be recognised as a duplicate, so it need not be remembered.
-        let remember = if identity.is_some() { class.remember_mqtt } else { Duration::ZERO };
-        let routed = Routed {
+        let remember_for = if identity.is_some() { class.remember_mqtt } else { Duration::ZERO };
+        let routed = RoutedRequest {
             version,
             route: topic.name.clone(),
             method: "POST".to_owned(),
             path,
             headers,
             effect: settings.effect,
-            order,
+            order_key,
             owner: Some(owner.to_owned()),
-            remember,
+            remember_for,
         };
-        let message = Letter {
+        let message = AcceptedMessage {
             id,
             class: class.name.clone(),
             destination: installation.pools[topic.pool].destination,
             key: key.map(|key| percent_encode(&key)),
-            taken,
-            until: taken + time_left,
+            accepted_at,
+            deadline: accepted_at + time_left,
             body: publish.payload.clone(),
             routed: Some(routed),
         };
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -15,7 +15,7 @@
 use hyper::service::service_fn;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use stairshed_journal::Letter;
+use stairshed_journal::AcceptedMessage;
 use stairshed_memory::{Charge, Guest, Purpose, Telling};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -487,8 +487,15 @@
         let (reply, answered) = oneshot::channel();
         let id = message.routed.is_some().then(|| message.id.clone());
         let reply = ReplyTo::Single(reply);
-        let submission =
-            Submission { letter: Rc::new(message), time_left, at, reply, bounce: false, body_charge, guest };
+        let submission = Submission {
+            accepted: Rc::new(message),
+            time_left,
+            at,
+            reply,
+            bounce: false,
+            body_charge,
+            guest,
+        };
         let reply =
             match timeout(ENQUEUE_TIMEOUT, self.news.send(DispatcherEvent::Submitted(submission))).await {
                 Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
@@ -536,7 +543,7 @@
     path: &str,
     headers: &HeaderMap,
     body: Bytes,
-) -> Result<(Letter, Duration), RequestError> {
+) -> Result<(AcceptedMessage, Duration), RequestError> {
     let fields = MessageHeaders::read(headers)?;
     let id = fields.id.ok_or("X-Request-ID is missing\n")?;
     let path_class = path.trim_start_matches('/').split('/').next().unwrap_or_default();
@@ -551,9 +558,12 @@
     let text = headers.get("Envelope").ok_or("Envelope is missing\n")?;
     let text = text.to_str().map_err(|_| "Envelope is not ASCII text\n")?;
     let destination = envelope_destination(text.trim()).ok_or("Envelope has no valid dest field\n")?;
-    let (id, class, key, taken) = (id.to_owned(), name.to_owned(), fields.key, unix_time());
-    let until = taken + time_left;
-    Ok((Letter { id, class, destination, key, taken, until, body, routed: None }, time_left))
+    let (id, class, key, accepted_at) = (id.to_owned(), name.to_owned(), fields.key, unix_time());
+    let deadline = accepted_at + time_left;
+    Ok((
+        AcceptedMessage { id, class, destination, key, accepted_at, deadline, body, routed: None },
+        time_left,
+    ))
 }
 
 /// Why a body was not read whole.
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -92,7 +92,7 @@
             Reply::TooManyRemembered => {
                 refused(code::QUOTA_EXCEEDED, "the limit of remembered messages is reached", default_wait)
             }
-            Reply::JournalRefused(why @ Refusal::DiskFails) => {
+            Reply::JournalRefused(why @ Refusal::DiskUnreliable) => {
                 refused(code::IMPLEMENTATION_SPECIFIC, refusal_reason(why), default_wait)
             }
             Reply::JournalRefused(why) => refused(code::QUOTA_EXCEEDED, refusal_reason(why), default_wait),
@@ -296,7 +296,7 @@
         self.pending_offers.borrow_mut().insert(token, abandoned.clone());
         let reply = ReplyTo::Ingress { ingress: self.clone(), token, abandoned };
         let offer = Submission {
-            letter: Rc::new(message),
+            accepted: Rc::new(message),
             time_left,
             at: Instant::now(),
             reply,
--- a/crates/courier/src/journal_tool.rs
+++ b/crates/courier/src/journal_tool.rs
@@ -2,7 +2,9 @@
 
 use serde_json::{Value, json};
 use stairshed_courier::settings::OperatorSettings;
-use stairshed_journal::{Attempt, Files, Found, Journal, Kept, Live, Options, Record, Verdict};
+use stairshed_journal::{
+    Attempt, EndedMessage, FileStorage, Journal, JournalContents, LiveMessage, Options, Record, Verdict,
+};
 use std::io::{self, Write};
 use std::path::Path;
 use std::sync::Arc;
@@ -22,8 +24,8 @@
 }
 
 /// Reads a journal with the widest limits, so that it can be read whatever settings it was written with.
-fn read(folder: &Path, on_record: &mut dyn FnMut(u64, &Record)) -> Result<Found, Error> {
-    let files = Files::read_only(folder)?;
+fn read(folder: &Path, on_record: &mut dyn FnMut(u64, &Record)) -> Result<JournalContents, Error> {
+    let files = FileStorage::read_only(folder)?;
     Ok(stairshed_journal::read(&files, &Options::new(u64::MAX / 4), on_record)?)
 }
 
@@ -42,9 +44,9 @@
         "message", "age s", "left s", "attempts", "body", "verdict"
     )?;
     for (message, live) in &found.live {
-        let letter = &live.letter;
-        body_bytes += letter.body.len();
-        name_bytes += letter.id.len() + letter.class.len() + letter.key.as_ref().map_or(0, String::len);
+        let accepted = &live.accepted;
+        body_bytes += accepted.body.len();
+        name_bytes += accepted.id.len() + accepted.class.len() + accepted.key.as_ref().map_or(0, String::len);
         attempts += live.attempts.len();
         with_verdict += usize::from(live.verdict.is_some());
         may_have_run += usize::from(live.attempts.iter().any(|a| a.may_have_run));
@@ -53,16 +55,16 @@
             Some(Verdict::Dead) => "dead",
             Some(Verdict::Bounced { .. }) => "bounced",
         };
-        let left = seconds_between(now, letter.until);
-        let age = match letter.taken.is_zero() {
+        let left = seconds_between(now, accepted.deadline);
+        let age = match accepted.accepted_at.is_zero() {
             true => "-".to_owned(),
-            false => format!("{:.1}", seconds_between(letter.taken, now)),
+            false => format!("{:.1}", seconds_between(accepted.accepted_at, now)),
         };
-        let (attempt_count, body) = (live.attempts.len(), letter.body.len());
+        let (attempt_count, body) = (live.attempts.len(), accepted.body.len());
         writeln!(
             out,
             "{message:>12} {age:>10} {left:>10.1} {attempt_count:>8} {body:>9} {verdict:>8}  {}, {}",
-            letter.class, letter.id
+            accepted.class, accepted.id
         )?;
     }
     writeln!(
@@ -70,11 +72,11 @@
         "messages: {} live, {with_verdict} with a verdict, {may_have_run} that may have run",
         found.live.len()
     )?;
-    let unacknowledged = found.kept.values().filter(|k| k.owner.is_some()).count();
+    let unacknowledged = found.ended_messages.values().filter(|k| k.owner.is_some()).count();
     writeln!(
         out,
         "ended: {} remembered, {unacknowledged} of them not told to their client",
-        found.kept.len()
+        found.ended_messages.len()
     )?;
     writeln!(out, "notes: {}", found.notes.len())?;
     writeln!(out, "bytes: {} in {} segments", found.bytes, found.segments)?;
@@ -85,24 +87,24 @@
     writeln!(
         out,
         "  needed {} with their heads and frames, dead {}",
-        found.needed,
-        found.bytes - found.needed
+        found.live_bytes,
+        found.bytes - found.live_bytes
     )?;
     print_damages(&found, out)
 }
 
-fn print_damages(found: &Found, out: &mut impl Write) -> Result<(), Error> {
-    if found.cut_bytes > 0 {
+fn print_damages(found: &JournalContents, out: &mut impl Write) -> Result<(), Error> {
+    if found.truncated_bytes > 0 {
         writeln!(
             out,
             "torn tail: {} bytes, as left by a crash; the next start truncates them",
-            found.cut_bytes
+            found.truncated_bytes
         )?;
     }
     for damage in &found.damages {
         writeln!(out, "DAMAGED {damage}")?;
     }
-    for message in &found.lost {
+    for message in &found.lost_messages {
         writeln!(out, "LOST message {message}: it was accepted, but its id and body cannot be read")?;
     }
     Ok(())
@@ -137,19 +139,19 @@
 
 fn record_json(seq: u64, record: &Record) -> Value {
     let micros = |t: Duration| t.as_micros() as u64;
-    let attempt = |a: &Attempt| json!({"host": a.host, "zone": a.zone, "sent_us": micros(a.sent), "may_have_run": a.may_have_run});
+    let attempt = |a: &Attempt| json!({"host": a.host, "zone": a.zone, "sent_us": micros(a.sent_at), "may_have_run": a.may_have_run});
     let verdict = |v: &Verdict| match v {
         Verdict::Dead => json!({"result": "dead"}),
         Verdict::Bounced { wait } => json!({"result": "bounced", "wait_us": wait.map(micros)}),
     };
-    let remembered_json = |k: &Kept| {
+    let remembered_json = |k: &EndedMessage| {
         json!({"id": k.id, "owner": k.owner, "until_us": micros(k.until),
             "verdict": k.verdict.as_ref().map(verdict)})
     };
-    let live_json = |live: &Live| {
-        let l = &live.letter;
+    let live_json = |live: &LiveMessage| {
+        let l = &live.accepted;
         json!({"id": l.id, "class": l.class, "destination": l.destination, "key": l.key,
-            "taken_us": micros(l.taken), "until_us": micros(l.until), "body_bytes": l.body.len(),
+            "taken_us": micros(l.accepted_at), "until_us": micros(l.deadline), "body_bytes": l.body.len(),
             "attempts": live.attempts.iter().map(attempt).collect::<Vec<_>>(),
             "verdict": live.verdict.as_ref().map(verdict)})
     };
@@ -174,10 +176,10 @@
 /// Copies the live messages into new segments and removes the old ones.
 pub fn compact(folder: &Path, settings: Option<&Path>, out: &mut impl Write) -> Result<(), Error> {
     let settings = OperatorSettings::read(settings)?;
-    let files = Arc::new(Files::lock(folder)?);
+    let files = Arc::new(FileStorage::lock(folder)?);
     let mut options = settings.journal.options(u64::MAX / 4, 6);
     // The smallest segment size, so that a courier with any `room` can copy a segment later.
-    options.segment = options.segment.or(Some(0));
+    options.segment_bytes = options.segment_bytes.or(Some(0));
     let (mut journal, report) = Journal::open(files, options)?;
     for damage in &report.damages {
         writeln!(out, "DAMAGED {damage}")?;
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use stairshed_config::file::{self, MqttVersion};
 use stairshed_decide::interface::{Effect, EndpointId, Outcome};
-use stairshed_journal::Letter;
+use stairshed_journal::AcceptedMessage;
 use stairshed_mqtt::client::{self, Client, End, Message, Options};
 use stairshed_mqtt::packet::Publish;
 use stairshed_mqtt::{Qos, Version};
@@ -137,7 +137,7 @@
     pub fn publish(&self, id: u16, call: Call, effect: Effect) {
         self.attempts.borrow_mut().insert(call.message, call.attempt);
         let patience = call.deadline.saturating_duration_since(Instant::now());
-        let message = self.message(call.message, &call.letter, patience, effect, None);
+        let message = self.message(call.message, &call.accepted, patience, effect, None);
         self.with_client(|mqtt_client, now| mqtt_client.publish(id, message, now));
     }
 
@@ -146,13 +146,13 @@
     pub fn resume(
         &self,
         id: u16,
-        (number, attempt, letter): (u64, u32, Rc<Letter>),
+        (number, attempt, accepted): (u64, u32, Rc<AcceptedMessage>),
         effect: Effect,
         (sent, released): (Duration, bool),
     ) {
         self.attempts.borrow_mut().insert(number, attempt);
-        let patience = letter.until.saturating_sub(unix_time());
-        let message = self.message(number, &letter, patience, effect, Some(sent));
+        let patience = accepted.deadline.saturating_sub(unix_time());
+        let message = self.message(number, &accepted, patience, effect, Some(sent));
         self.with_client(|mqtt_client, now| mqtt_client.resume(id, message, released, now));
     }
 
@@ -160,13 +160,13 @@
     fn message(
         &self,
         number: u64,
-        letter: &Letter,
+        accepted: &AcceptedMessage,
         patience: Duration,
         effect: Effect,
         sent: Option<Duration>,
     ) -> Message {
         let (unix, now) = (unix_time(), self.origin.elapsed());
-        let left = letter.until.saturating_sub(unix);
+        let left = accepted.deadline.saturating_sub(unix);
         // At QoS 1 a broker treats a retransmission as a new message, so messages that must not run twice use
         // QoS 2.
         let qos = if effect == Effect::Once || self.settings.qos == 2 {
@@ -178,14 +178,14 @@
             Effect::Keyed { window, .. } => now + (sent.unwrap_or(unix) + window).saturating_sub(unix),
             Effect::Repeatable | Effect::Once => NEVER,
         };
-        let mut properties = vec![("X-Request-ID".to_owned(), letter.id.clone())];
-        properties.extend(letter.key.iter().map(|key| ("Idempotency-Key".to_owned(), key.clone())));
-        properties.extend(letter.routed.iter().flat_map(|r| r.headers.iter().cloned()));
+        let mut properties = vec![("X-Request-ID".to_owned(), accepted.id.clone())];
+        properties.extend(accepted.key.iter().map(|key| ("Idempotency-Key".to_owned(), key.clone())));
+        properties.extend(accepted.routed.iter().flat_map(|r| r.headers.iter().cloned()));
         let seconds = left.as_secs() + u64::from(left.subsec_nanos() > 0);
         let publish = Publish {
             expiry: Some(u32::try_from(seconds.max(1)).unwrap_or(u32::MAX)),
             properties,
-            ..Publish::new("", qos, None, letter.body.clone())
+            ..Publish::new("", qos, None, accepted.body.clone())
         };
         Message { number, publish, patience, until: now + left, repeat_until }
     }
--- a/crates/courier/src/upstream/endpoint_client.rs
+++ b/crates/courier/src/upstream/endpoint_client.rs
@@ -15,7 +15,7 @@
 use hyper::Request;
 use hyper::header::HOST;
 use stairshed_decide::interface::{EndpointId, LimitGroupId, Outcome};
-use stairshed_journal::Letter;
+use stairshed_journal::AcceptedMessage;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     /// The endpoints that share a limit: a wait requested by one of them applies to the whole pool.
     pub pool: LimitGroupId,
     pub target: CallTarget,
-    pub letter: Rc<Letter>,
+    pub accepted: Rc<AcceptedMessage>,
     /// Nothing is written after this time. It counts from the decision to send, so neither a slow disk nor a
     /// wait for a connection extends the time that the decision module allowed.
     pub deadline: Instant,
@@ -260,24 +260,24 @@
         cancel: oneshot::Receiver<()>,
         events: Sender<DispatcherEvent>,
     ) {
-        let Call { message, attempt, endpoint, pool, letter, deadline, once, .. } = call;
+        let Call { message, attempt, endpoint, pool, accepted, deadline, once, .. } = call;
         let timeout = deadline.saturating_duration_since(Instant::now());
-        let path = letter.routed.as_ref().map_or("/inbox", |r| &r.path);
+        let path = accepted.routed.as_ref().map_or("/inbox", |r| &r.path);
         let mut request = Request::post(path)
             .header(HOST, address.to_string())
-            .header("X-Request-ID", &letter.id)
+            .header("X-Request-ID", &accepted.id)
             .header("X-Timeout", format!("{}m", timeout.as_millis().max(1)));
-        if let Some(key) = &letter.key {
+        if let Some(key) = &accepted.key {
             request = request.header("Idempotency-Key", key);
         }
-        if let Some(routed) = &letter.routed {
+        if let Some(routed) = &accepted.routed {
             request = request.method(routed.method.as_str());
             for (name, value) in &routed.headers {
                 request = request.header(name, value);
             }
         }
         let monitor = ExchangeMonitor::new(endpoint, events);
-        let end = match request.body(Full::new(letter.body.clone())) {
+        let end = match request.body(Full::new(accepted.body.clone())) {
             Ok(request) => tokio::select! {
                 biased;
                 (response, exchange) =
--- a/crates/journal/benches/journal.rs
+++ b/crates/journal/benches/journal.rs
@@ -7,7 +7,7 @@
 //! (default 1000), `BENCH_ONLY` one of append, compaction, amplification, recovery. Takes a few minutes and up to 3 GB.
 
 use bytes::Bytes;
-use stairshed_journal::{Durability, Files, Journal, Letter, Options};
+use stairshed_journal::{AcceptedMessage, Durability, FileStorage, Journal, Options};
 use std::fs::{self, File, OpenOptions};
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
@@ -25,21 +25,21 @@
     path
 }
 
-fn letter(n: u64, body: usize) -> Rc<Letter> {
-    Rc::new(Letter {
+fn sample_message(n: u64, body: usize) -> Rc<AcceptedMessage> {
+    Rc::new(AcceptedMessage {
         id: format!("{n:016x}"),
         class: "payment".to_owned(),
         destination: n % 50,
         key: Some(format!("{n:032x}")),
-        taken: Duration::from_secs(1_789_999_990),
-        until: Duration::from_secs(1_790_000_000),
+        accepted_at: Duration::from_secs(1_789_999_990),
+        deadline: Duration::from_secs(1_790_000_000),
         body: Bytes::from(vec![n as u8; body]),
         routed: None,
     })
 }
 
 fn open(path: &Path, options: Options) -> Journal {
-    let files = Arc::new(Files::lock(path).expect("the lock"));
+    let files = Arc::new(FileStorage::lock(path).expect("the lock"));
     Journal::open(files, options).expect("it opens").0
 }
 
@@ -66,11 +66,11 @@
         let path = folder("append");
         let mut journal = open(&path, Options { durability, ..Options::new(2_000_000_000) });
         // Made beforehand, as the clients' requests are.
-        let letters: Vec<_> = (1..=self.total).map(|n| letter(n, BODY)).collect();
+        let letters: Vec<_> = (1..=self.total).map(|n| sample_message(n, BODY)).collect();
         let begin = Instant::now();
-        for (n, letter) in (1..=self.total).zip(letters) {
-            journal.accept(n, letter);
-            journal.end(n);
+        for (n, accepted) in (1..=self.total).zip(letters) {
+            journal.accept(n, accepted);
+            journal.record_end(n);
             if n % self.batch == 0 {
                 journal.flush().expect("written");
                 if let Some(job) = journal.begin_sync() {
@@ -147,7 +147,7 @@
     let live = 100_000_000 / (BODY as u64 + 116);
     let mut journal = open(&path, Options::new(400_000_000));
     for n in 1..=live {
-        journal.accept(n, letter(n, BODY));
+        journal.accept(n, sample_message(n, BODY));
         if n % 500 == 0 {
             journal.flush().expect("written");
         }
@@ -159,9 +159,9 @@
         // A third of the messages live long: ends strike two of three.
         let begin = Instant::now();
         n += 1;
-        journal.accept(n, letter(n, BODY));
+        journal.accept(n, sample_message(n, BODY));
         let old = n - live;
-        journal.end(if old.is_multiple_of(3) { n } else { old });
+        journal.record_end(if old.is_multiple_of(3) { n } else { old });
         journal.flush().expect("written");
         journal.compact(64 * 1024);
         journal.flush().expect("written");
@@ -179,10 +179,10 @@
             let at = bytes.len();
             bytes.extend_from_slice(&[0; 8]);
             bytes.extend_from_slice(&message.to_le_bytes());
-            bytes.extend_from_slice(m.letter.id.as_bytes());
-            bytes.extend_from_slice(m.letter.class.as_bytes());
-            bytes.extend_from_slice(m.letter.key.as_deref().unwrap_or_default().as_bytes());
-            bytes.extend_from_slice(&m.letter.body);
+            bytes.extend_from_slice(m.accepted.id.as_bytes());
+            bytes.extend_from_slice(m.accepted.class.as_bytes());
+            bytes.extend_from_slice(m.accepted.key.as_deref().unwrap_or_default().as_bytes());
+            bytes.extend_from_slice(&m.accepted.body);
             let sum = crc32fast::hash(&bytes[at + 8..]);
             bytes[at..at + 4].copy_from_slice(&sum.to_le_bytes());
         }
@@ -198,14 +198,14 @@
     let mb: u64 = std::env::var("BENCH_RECOVER_MB").ok().and_then(|n| n.parse().ok()).unwrap_or(1000);
     println!("\nrecovery: {mb} MB in segments, a tenth of the messages live");
     let path = folder("recover");
-    let options = Options { live_share: 0.9, ..Options::new(mb * 4_000_000) };
+    let options = Options { max_live_fraction: 0.9, ..Options::new(mb * 4_000_000) };
     let mut journal = open(&path, options.clone());
     let mut n = 0;
     while journal.usage().written < mb * 1_000_000 {
         n += 1;
-        journal.accept(n, letter(n, 4000));
+        journal.accept(n, sample_message(n, 4000));
         if n > 20 && n % 10 != 0 {
-            journal.end(n - 20);
+            journal.record_end(n - 20);
         }
         if n % 200 == 0 {
             journal.flush().expect("written");
@@ -257,24 +257,29 @@
         let path = folder("amplify");
         let mut journal = open(
             &path,
-            Options { live_share: 0.99, attempts: 0, segment: Some(300_000), ..Options::new(40_000_000) },
+            Options {
+                max_live_fraction: 0.99,
+                reserved_attempts: 0,
+                segment_bytes: Some(300_000),
+                ..Options::new(40_000_000)
+            },
         );
         let wanted = (40_000_000.0 * share) as u64;
         let (mut live, mut n, mut dice) = (Vec::new(), 0u64, 88172645463325252u64);
         let mut base = None;
         while n < 400_000 {
             n += 1;
-            let new = letter(n, BODY);
-            if journal.usage().live >= wanted || journal.fits(&new).is_err() {
+            let new = sample_message(n, BODY);
+            if journal.usage().live >= wanted || journal.can_accept(&new).is_err() {
                 // Full: from here on it is steady.
                 dice ^= dice << 13;
                 dice ^= dice >> 7;
                 dice ^= dice << 17;
                 let at = (dice % live.len() as u64) as usize;
-                journal.end(live.swap_remove(at));
+                journal.record_end(live.swap_remove(at));
                 base.get_or_insert_with(|| journal.usage());
             }
-            if journal.fits(&new).is_ok() {
+            if journal.can_accept(&new).is_ok() {
                 journal.accept(n, new);
                 live.push(n);
             }
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -8,9 +8,9 @@
     #[error("{file}: {call}: {source}")]
     Io { file: String, call: &'static str, source: io::Error },
     #[error("{folder}: another process holds the lock of this folder; stop it, or name another folder")]
-    InUse { folder: String },
+    Locked { folder: String },
     #[error("{folder}: is not a folder; name one that exists and can be written")]
-    NoFolder { folder: String },
+    NotADirectory { folder: String },
     #[error(
         "{file}: format version {found}, and this program knows {known} at most; nothing was changed. Start \
          the newer program on this folder"
@@ -20,9 +20,9 @@
         "journal: a file of the old format stands beside segments that it was not taken over into; nothing \
          was changed. Move away the one that is out of date"
     )]
-    BothFormats,
-    #[error("journal: room of {room} bytes is too small; at least {least} are needed")]
-    RoomTooSmall { room: u64, least: u64 },
+    ConflictingFormats,
+    #[error("journal: room = {capacity} bytes is too small; at least {required} bytes are required")]
+    CapacityTooSmall { capacity: u64, required: u64 },
     #[error("{0}; nothing was changed (on_damage = \"stop\")")]
     Damaged(Damage),
     #[error(
@@ -66,5 +66,5 @@
     #[error("the disk has no room for what the message may still need on record")]
     DiskFull,
     #[error("the disk does not keep what is written to it")]
-    DiskFails,
+    DiskUnreliable,
 }
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -5,7 +5,7 @@
 use bytes::BufMut;
 
 /// The version that is written. A higher one in a file ends the start.
-pub const VERSION: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 const MAGIC: &[u8; 8] = b"SHEDJRNL";
 pub(crate) const HEADER: usize = 8 + 2 + 2 + 8 + 8 + 8 + 8 + 4;
 /// Length, checksum and sequence number.
@@ -39,7 +39,7 @@
     pub fn bytes(&self) -> Vec<u8> {
         let mut to = Vec::with_capacity(HEADER);
         to.put_slice(MAGIC);
-        to.put_u16_le(VERSION);
+        to.put_u16_le(FORMAT_VERSION);
         to.put_u16_le(u16::from(self.machine) | u16::from(self.takeover) << 1);
         to.put_u64_le(self.number);
         to.put_u64_le(self.first);
@@ -60,7 +60,7 @@
             return Err(BadHeader::Spoilt);
         }
         // All versions keep these bytes and their checksum: a flipped bit must not look like a newer format.
-        if sound && u16_at(8) > VERSION {
+        if sound && u16_at(8) > FORMAT_VERSION {
             return Err(BadHeader::Newer(u16_at(8)));
         }
         if !sound {
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -6,11 +6,11 @@
 use crate::legacy;
 use crate::log::{FRAME_BYTES, Log, Op, Shape};
 use crate::options::{Durability, OnDamage, Options};
-use crate::record::{self, Attempt, Kept, Letter, Live, Note, Record, Verdict};
+use crate::record::{self, AcceptedMessage, Attempt, EndedMessage, LiveMessage, Note, Record, Verdict};
 use crate::recover::{Recovered, recover};
 use crate::state::{Item, State, lasting};
 use crate::storage::{Storage, StoredFile, read_into};
-use crate::sync::{SyncJob, Synced, Trust};
+use crate::sync::{SyncJob, SyncOutcome, Trust};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,17 +35,17 @@
 
 /// What a start found.
 #[derive(Debug, Default)]
-pub struct Report {
+pub struct RecoveryReport {
     /// Parts that could not be read.
     pub damages: Vec<Damage>,
     /// Messages that were accepted and cannot be told any more: their beginning is lost.
-    pub lost: Vec<u64>,
+    pub lost_messages: Vec<u64>,
     /// Messages that live and count as sent, since a lost record may say so.
-    pub suspected: Vec<u64>,
+    pub presumed_sent: Vec<u64>,
     /// Bytes of a torn tail that were cut off.
-    pub cut_bytes: u64,
+    pub truncated_bytes: u64,
     /// Messages taken over from the old format; None if there was no file of it.
-    pub taken_over: Option<usize>,
+    pub migrated: Option<usize>,
     pub read_bytes: u64,
 }
 
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// See [`Error`]. A folder of a newer format, and with [`OnDamage::Stop`] a damaged one, is left as it is.
-    pub fn open(storage: Arc<dyn Storage>, options: Options) -> Result<(Self, Report), Error> {
+    pub fn open(storage: Arc<dyn Storage>, options: Options) -> Result<(Self, RecoveryReport), Error> {
         options.check()?;
         let names = storage.list().map_err(|e| Error::io("journal", "list", e))?;
         let old = names.iter().any(|n| n == legacy::NAME);
@@ -113,7 +113,7 @@
         let remove = |name: &str| storage.remove(name).map_err(|e| Error::io(name, "remove", e));
         if old {
             if !found.takeover {
-                return Err(Error::BothFormats);
+                return Err(Error::ConflictingFormats);
             }
             // Written by a take-over that was cut short: the old file still holds all.
             let begun: Vec<u64> =
@@ -130,18 +130,18 @@
             remove(&frame::segment_name(*number))?;
         }
         let mut journal = Self::over(storage.clone(), options, &mut found, old, &names)?;
-        let mut report = Report {
+        let mut report = RecoveryReport {
             damages: found.damages,
-            lost: found.lost,
-            cut_bytes: found.cut_bytes,
+            lost_messages: found.lost_messages,
+            truncated_bytes: found.truncated_bytes,
             read_bytes: found.read,
-            ..Report::default()
+            ..RecoveryReport::default()
         };
         if old {
-            report.taken_over = Some(journal.take_over(&mut report)?);
+            report.migrated = Some(journal.take_over(&mut report)?);
         }
         if !report.damages.is_empty() {
-            report.suspected = journal.salvage(found.lost_before)?;
+            report.presumed_sent = journal.salvage(found.lost_before)?;
         }
         journal.flush()?;
         if journal.options.durability == Durability::Machine {
@@ -210,12 +210,12 @@
     }
 
     /// Copies what the old format's file holds, then removes that: until then it is what counts.
-    fn take_over(&mut self, report: &mut Report) -> Result<usize, Error> {
+    fn take_over(&mut self, report: &mut RecoveryReport) -> Result<usize, Error> {
         let file = self.storage.open(legacy::NAME).map_err(|e| Error::io(legacy::NAME, "open", e))?;
         let mut bytes = Vec::new();
         read_into(&*file, &mut bytes).map_err(|e| Error::io(legacy::NAME, "read", e))?;
         let (live, _, sound) = legacy::replay(&bytes);
-        report.cut_bytes += (bytes.len() - sound) as u64;
+        report.truncated_bytes += (bytes.len() - sound) as u64;
         let messages = live.len();
         for (message, live) in live {
             self.snapshot(message, live);
@@ -251,16 +251,16 @@
     }
 
     /// The live messages, by number.
-    pub fn live(&self) -> impl Iterator<Item = (u64, &Live)> {
+    pub fn live(&self) -> impl Iterator<Item = (u64, &LiveMessage)> {
         self.state.live()
     }
 
-    pub fn get(&self, message: u64) -> Option<&Live> {
+    pub fn get(&self, message: u64) -> Option<&LiveMessage> {
         self.state.get(message).and_then(|slot| slot.item.live())
     }
 
     /// What stays of messages that have ended, by number.
-    pub fn kept(&self) -> impl Iterator<Item = (u64, &Rc<Kept>)> {
+    pub fn ended_messages(&self) -> impl Iterator<Item = (u64, &Rc<EndedMessage>)> {
         self.state.items().filter_map(|(number, item)| match item {
             Item::Kept(kept) => Some((number, kept)),
             _ => None,
@@ -268,7 +268,7 @@
     }
 
     /// What stays of one that has ended.
-    pub fn kept_of(&self, message: u64) -> Option<&Rc<Kept>> {
+    pub fn ended_message(&self, message: u64) -> Option<&Rc<EndedMessage>> {
         match self.state.get(message).map(|slot| &slot.item) {
             Some(Item::Kept(kept)) => Some(kept),
             _ => None,
@@ -293,12 +293,12 @@
     }
 
     /// The highest number that any record names.
-    pub fn last(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         self.state.last()
     }
 
     /// The latest time that a record tells, Unix time: a clock that shows less has jumped back.
-    pub fn latest(&self) -> Duration {
+    pub fn latest_time(&self) -> Duration {
         self.state.latest()
     }
 
@@ -309,7 +309,7 @@
 
     pub fn usage(&self) -> Usage {
         Usage {
-            room: self.options.room,
+            room: self.options.capacity_bytes,
             used: self.used(),
             live: self.state.bytes(),
             owed: self.state.owed(),
@@ -329,17 +329,17 @@
     ///
     /// # Errors
     /// Why it cannot just now.
-    pub fn fits(&mut self, letter: &Letter) -> Result<(), Refusal> {
+    pub fn can_accept(&mut self, accepted: &AcceptedMessage) -> Result<(), Refusal> {
         if self.trust != Trust::Well {
-            return Err(Refusal::DiskFails);
+            return Err(Refusal::DiskUnreliable);
         }
-        if record::snapshot_bytes(letter) > self.options.record_most as u64
-            || self.state.weight() + self.options.weight(letter) > self.options.live_most()
+        if record::snapshot_bytes(accepted) > self.options.max_record_bytes as u64
+            || self.state.weight() + self.options.weight(accepted) > self.options.live_most()
         {
             return Err(Refusal::Full);
         }
-        match self.options.set_aside {
-            true => self.set_aside(self.options.trail(self.options.attempts)),
+        match self.options.preallocate {
+            true => self.set_aside(self.options.trail(self.options.reserved_attempts)),
             false => Ok(()),
         }
     }
@@ -349,7 +349,7 @@
         let wanted = self.aside_wanted(more);
         if wanted > self.aside {
             let to = wanted + ASIDE_STEP;
-            self.storage.set_aside(ASIDE, to).map_err(|_| Refusal::DiskFull)?;
+            self.storage.preallocate(ASIDE, to).map_err(|_| Refusal::DiskFull)?;
             self.names_dirty = true;
             self.aside = to;
         }
@@ -360,14 +360,14 @@
         (self.state.owed() + more + self.options.copy_room()).next_multiple_of(ASIDE_STEP)
     }
 
-    /// Takes a message on. Ask [`Journal::fits`] first.
-    pub fn accept(&mut self, message: u64, letter: Rc<Letter>) {
-        self.snapshot(message, Live { letter, attempts: Vec::new(), verdict: None });
+    /// Takes a message on. Ask [`Journal::can_accept`] first.
+    pub fn accept(&mut self, message: u64, accepted: Rc<AcceptedMessage>) {
+        self.snapshot(message, LiveMessage { accepted, attempts: Vec::new(), verdict: None });
     }
 
-    fn snapshot(&mut self, message: u64, live: Live) -> u64 {
+    fn snapshot(&mut self, message: u64, live: LiveMessage) -> u64 {
         let weight = self.state.get(message).map_or(0, |slot| slot.weight);
-        let weight = weight.max(self.options.weight(&live.letter));
+        let weight = weight.max(self.options.weight(&live.accepted));
         self.put(weight, Record::Snapshot { message, live })
     }
 
@@ -375,7 +375,7 @@
     ///
     /// # Errors
     /// If it is beyond what room was kept for and there is no other. It must not be made then.
-    pub fn attempt(&mut self, message: u64, attempt: Attempt) -> Result<u32, Refusal> {
+    pub fn record_attempt(&mut self, message: u64, attempt: Attempt) -> Result<u32, Refusal> {
         let Some(slot) = self.state.get(message) else { return Ok(0) };
         let Some(live) = slot.item.live() else { return Ok(0) };
         let names = (attempt.host.len() + attempt.zone.len()) as u64;
@@ -393,7 +393,7 @@
     }
 
     /// An attempt has proof that it never ran. One that may have run needs no record: that is what is assumed.
-    pub fn never_ran(&mut self, message: u64, attempt: u32) {
+    pub fn record_never_ran(&mut self, message: u64, attempt: u32) {
         let open = self.get(message).and_then(|m| m.attempts.get(attempt as usize));
         if open.is_some_and(|a| a.may_have_run) {
             self.put(0, Record::NeverRan { message, index: attempt as u16 });
@@ -401,28 +401,28 @@
     }
 
     /// Records how a message ends that is not delivered.
-    pub fn judge(&mut self, message: u64, verdict: Verdict) {
+    pub fn record_verdict(&mut self, message: u64, verdict: Verdict) {
         if self.get(message).is_some() {
             self.put(0, Record::Judged { message, verdict });
         }
     }
 
     /// Nothing more is owed for the message, or the note is needed no more.
-    pub fn end(&mut self, message: u64) {
+    pub fn record_end(&mut self, message: u64) {
         if self.state.get(message).is_some() {
             self.put(0, Record::Ended { message });
         }
     }
 
     /// The message has ended, and this stays of it. Takes less room than the message did, which is free again.
-    pub fn keep(&mut self, message: u64, kept: Kept) {
+    pub fn replace_with_ended(&mut self, message: u64, kept: EndedMessage) {
         if self.state.get(message).is_some() {
             self.put_lasting(Record::Kept { message, kept: Rc::new(kept) });
         }
     }
 
-    /// The same for one that was never taken on. Ask [`Journal::fits_note`] first.
-    pub fn keep_new(&mut self, message: u64, kept: Kept) {
+    /// The same for one that was never taken on. Ask [`Journal::can_store_note`] first.
+    pub fn store_ended(&mut self, message: u64, kept: EndedMessage) {
         self.put_lasting(Record::Kept { message, kept: Rc::new(kept) });
     }
 
@@ -430,20 +430,20 @@
     ///
     /// # Errors
     /// Why it cannot just now.
-    pub fn fits_note(&mut self, bytes: u64) -> Result<(), Refusal> {
+    pub fn can_store_note(&mut self, bytes: u64) -> Result<(), Refusal> {
         let weight = lasting(FRAME_BYTES + record::NOTE_BYTES + bytes);
         match weight {
-            _ if self.trust != Trust::Well => Err(Refusal::DiskFails),
-            _ if record::NOTE_BYTES + bytes > self.options.record_most as u64 => Err(Refusal::Full),
+            _ if self.trust != Trust::Well => Err(Refusal::DiskUnreliable),
+            _ if record::NOTE_BYTES + bytes > self.options.max_record_bytes as u64 => Err(Refusal::Full),
             weight if self.state.weight() + weight > self.options.live_most() => Err(Refusal::Full),
-            weight if self.options.set_aside => self.set_aside(weight),
+            weight if self.options.preallocate => self.set_aside(weight),
             _ => Ok(()),
         }
     }
 
-    /// Puts a note under a number, in the place of the one that was there. Ask [`Journal::fits_note`] first.
-    /// The number must be one that no message has, above [`Journal::last`] for a new one.
-    pub fn note(&mut self, number: u64, note: Note) {
+    /// Puts a note under a number, in the place of the one that was there. Ask [`Journal::can_store_note`] first.
+    /// The number must be one that no message has, above [`Journal::last_number`] for a new one.
+    pub fn store_note(&mut self, number: u64, note: Note) {
         self.put_lasting(Record::Note { number, note: Rc::new(note) });
     }
 
@@ -473,7 +473,7 @@
             Durability::Machine => self.state.weight(),
         };
         let taken = self.options.copy_room() + self.aside + self.damaged_bytes + machine;
-        self.options.room.saturating_sub(taken)
+        self.options.capacity_bytes.saturating_sub(taken)
     }
 
     /// Frees segments until a record fits. Room for the copies is always there: no more than
@@ -554,9 +554,9 @@
         if self.trust == Trust::Rewriting && !self.log.oldest_below(self.empty_below) {
             self.trust = Trust::Rewritten(self.log.last_seq());
         }
-        if self.options.set_aside && self.aside > self.aside_wanted(0) + 4 * ASIDE_STEP {
+        if self.options.preallocate && self.aside > self.aside_wanted(0) + 4 * ASIDE_STEP {
             let to = self.aside_wanted(0) + ASIDE_STEP;
-            if self.storage.set_aside(ASIDE, to).is_ok() {
+            if self.storage.preallocate(ASIDE, to).is_ok() {
                 self.aside = to;
             }
         }
@@ -593,7 +593,7 @@
                 // This is what the room was set aside for.
                 let to = self.aside.saturating_sub(ASIDE_STEP);
                 let name = ASIDE;
-                self.storage.set_aside(name, to).map_err(|e| Error::io(name, "shrink", e))?;
+                self.storage.preallocate(name, to).map_err(|e| Error::io(name, "shrink", e))?;
                 self.aside = to;
                 done = self.execute(&op);
             }
@@ -649,7 +649,7 @@
     /// is room.
     fn give_up(&mut self, number: u64, damaged: bool) -> Result<(), Error> {
         let name = frame::segment_name(number);
-        if damaged && self.options.room >= KEEP_DAMAGED_FROM {
+        if damaged && self.options.capacity_bytes >= KEEP_DAMAGED_FROM {
             let size = self.storage.open(&name).and_then(|f| f.size());
             let size = size.map_err(|e| Error::io(&name, "size", e))?;
             let kept = format!("{name}{DAMAGED}");
@@ -730,7 +730,7 @@
 
     /// False from a failed sync on until all that lives is kept again. Syncs are to be tried again after a
     /// pause meanwhile.
-    pub fn is_trusted(&self) -> bool {
+    pub fn is_disk_trusted(&self) -> bool {
         self.trust == Trust::Well
     }
 
@@ -738,7 +738,7 @@
     ///
     /// # Errors
     /// [`Error::SyncFailed`], once, when several have failed in a row. The journal goes on trying.
-    pub fn finish_sync(&mut self, done: Synced) -> Result<(), Error> {
+    pub fn finish_sync(&mut self, done: SyncOutcome) -> Result<(), Error> {
         self.sync_out = false;
         if done.result.is_err() {
             self.failures += 1;
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -1,7 +1,7 @@
 //! The format before segments: one file, `journal`, of records with length and checksum. Read once, when a
 //! folder of an older courier is taken over; never written.
 
-use crate::record::{Attempt, Fields, Letter, Live, Verdict};
+use crate::record::{AcceptedMessage, Attempt, Fields, LiveMessage, Verdict};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,25 +26,36 @@
 }
 
 /// Applies one record; None if it cannot be read.
-fn apply(live: &mut BTreeMap<u64, Live>, last: &mut u64, record: &[u8]) -> Option<()> {
+fn apply(live: &mut BTreeMap<u64, LiveMessage>, last: &mut u64, record: &[u8]) -> Option<()> {
     let mut f = Fields(record);
     let (kind, message) = (f.byte()?, f.u64()?);
     *last = message.max(*last);
     match kind {
         ACCEPTED => {
-            let (until, destination) = (Duration::from_micros(f.u64()?), f.u64()?);
+            let (deadline, destination) = (Duration::from_micros(f.u64()?), f.u64()?);
             let (id, class, keyed, key) = (text(&mut f)?, text(&mut f)?, f.byte()? == 1, text(&mut f)?);
             let length = f.u32()? as usize;
             let body = Bytes::copy_from_slice(f.take(length)?);
             let key = keyed.then_some(key);
-            let letter =
-                Letter { id, class, destination, key, taken: Duration::ZERO, until, body, routed: None };
-            live.insert(message, Live { letter: Rc::new(letter), attempts: Vec::new(), verdict: None });
+            let accepted = AcceptedMessage {
+                id,
+                class,
+                destination,
+                key,
+                accepted_at: Duration::ZERO,
+                deadline,
+                body,
+                routed: None,
+            };
+            live.insert(
+                message,
+                LiveMessage { accepted: Rc::new(accepted), attempts: Vec::new(), verdict: None },
+            );
         }
         ATTEMPT => {
-            let (sent, host, zone) = (Duration::from_micros(f.u64()?), text(&mut f)?, text(&mut f)?);
+            let (sent_at, host, zone) = (Duration::from_micros(f.u64()?), text(&mut f)?, text(&mut f)?);
             if let Some(m) = live.get_mut(&message) {
-                m.attempts.push(Attempt { host, zone, sent, may_have_run: true });
+                m.attempts.push(Attempt { host, zone, sent_at, may_have_run: true });
             }
         }
         OUTCOME => {
@@ -69,7 +80,7 @@
 }
 
 /// Replays what is sound; returns the live messages, the highest number and the length of the sound part.
-pub(crate) fn replay(bytes: &[u8]) -> (BTreeMap<u64, Live>, u64, usize) {
+pub(crate) fn replay(bytes: &[u8]) -> (BTreeMap<u64, LiveMessage>, u64, usize) {
     let (mut live, mut last, mut sound) = (BTreeMap::new(), 0, 0);
     let mut f = Fields(bytes);
     while let (Some(len), Some(sum)) = (f.u32(), f.u32()) {
--- a/crates/journal/src/legacy_test.rs
+++ b/crates/journal/src/legacy_test.rs
@@ -14,15 +14,15 @@
     to.put_slice(text);
 }
 
-fn accepted(message: u64, letter: &Letter) -> Vec<u8> {
+fn accepted_record(message: u64, accepted: &AcceptedMessage) -> Vec<u8> {
     let mut to = head(ACCEPTED, message);
-    to.put_u64_le(letter.until.as_micros() as u64);
-    to.put_u64_le(letter.destination);
-    put_text(&mut to, letter.id.as_bytes());
-    put_text(&mut to, letter.class.as_bytes());
-    to.put_u8(u8::from(letter.key.is_some()));
-    put_text(&mut to, letter.key.as_deref().unwrap_or_default().as_bytes());
-    put_text(&mut to, &letter.body);
+    to.put_u64_le(accepted.deadline.as_micros() as u64);
+    to.put_u64_le(accepted.destination);
+    put_text(&mut to, accepted.id.as_bytes());
+    put_text(&mut to, accepted.class.as_bytes());
+    to.put_u8(u8::from(accepted.key.is_some()));
+    put_text(&mut to, accepted.key.as_deref().unwrap_or_default().as_bytes());
+    put_text(&mut to, &accepted.body);
     to
 }
 
@@ -47,15 +47,15 @@
     to
 }
 
-fn letter(id: &str, body: &'static [u8]) -> Letter {
-    Letter {
+fn sample_message(id: &str, body: &'static [u8]) -> AcceptedMessage {
+    AcceptedMessage {
         id: id.to_owned(),
         class: "notice".to_owned(),
         destination: 7,
         key: (!body.is_empty()).then(|| format!("k-{id}")),
         routed: None,
-        taken: Duration::ZERO,
-        until: Duration::from_micros(1_790_000_000_000_001),
+        accepted_at: Duration::ZERO,
+        deadline: Duration::from_micros(1_790_000_000_000_001),
         body: Bytes::from_static(body),
     }
 }
@@ -63,12 +63,12 @@
 /// A file with each kind of record, and the length behind each.
 fn written() -> (Vec<u8>, Vec<usize>) {
     let records = [
-        accepted(1, &letter("a", b"bo\0dy")),
-        accepted(2, &letter("b", b"")),
+        accepted_record(1, &sample_message("a", b"bo\0dy")),
+        accepted_record(2, &sample_message("b", b"")),
         attempted(1, "s-1"),
         never_ran(1, 0),
         attempted(1, "s-2"),
-        accepted(3, &letter("c", b"x")),
+        accepted_record(3, &sample_message("c", b"x")),
         judged(2, true, 250_000),
         judged(1, false, 0),
         head(ENDED, 3),
@@ -89,7 +89,7 @@
     let (live, last, sound) = replay(&file);
     assert_eq!((live.len(), last, sound), (2, 3, file.len()));
     let one = &live[&1];
-    assert_eq!(*one.letter, letter("a", b"bo\0dy"));
+    assert_eq!(*one.accepted, sample_message("a", b"bo\0dy"));
     let attempts: Vec<_> = one.attempts.iter().map(|a| (a.host.as_str(), a.may_have_run)).collect();
     assert_eq!(attempts, [("s-1", false), ("s-2", true)]);
     assert_eq!(one.verdict, Some(Verdict::Dead));
@@ -112,11 +112,11 @@
     use crate::journal::Journal;
     use crate::options::{Durability, Options};
     use crate::storage::Storage;
-    use crate::storage::faulty::{Faulty, Replay, Step};
+    use crate::storage::faulty::{FaultyStorage, Replay, Step};
     use std::collections::BTreeMap;
     use std::sync::Arc;
 
-    fn state(journal: &Journal) -> BTreeMap<u64, Live> {
+    fn state(journal: &Journal) -> BTreeMap<u64, LiveMessage> {
         journal.live().map(|(n, m)| (n, m.clone())).collect()
     }
 
@@ -127,10 +127,10 @@
     #[test]
     fn every_message_is_taken_over_and_the_old_file_goes() {
         let (file, _) = written();
-        let folder = Faulty::over(BTreeMap::from([(NAME.to_owned(), file.clone())]));
+        let folder = FaultyStorage::from_image(BTreeMap::from([(NAME.to_owned(), file.clone())]));
         let (journal, report) =
             Journal::open(Arc::new(folder.clone()), options(Durability::Process)).expect("opens");
-        assert_eq!(report.taken_over, Some(2));
+        assert_eq!(report.migrated, Some(2));
         assert_eq!(state(&journal), replay(&file).0);
         assert!(!folder.list().expect("names").iter().any(|n| n == NAME));
     }
@@ -140,11 +140,11 @@
         for durability in [Durability::Process, Durability::Machine] {
             let (file, _) = written();
             let before = BTreeMap::from([(NAME.to_owned(), file.clone()), (NEXT.to_owned(), vec![1, 2])]);
-            let folder = Faulty::over(before.clone());
+            let folder = FaultyStorage::from_image(before.clone());
             Journal::open(Arc::new(folder.clone()), options(durability)).expect("opens");
-            let mut replayed = Replay::over(&before);
+            let mut replayed = Replay::from_image(&before);
             let check = |image: BTreeMap<String, Vec<u8>>, at: usize| {
-                let again = Faulty::over(image);
+                let again = FaultyStorage::from_image(image);
                 let (journal, _) = Journal::open(Arc::new(again), options(durability))
                     .unwrap_or_else(|e| panic!("cut at step {at}: {e}"));
                 assert_eq!(state(&journal), replay(&file).0, "cut at step {at}");
@@ -157,14 +157,14 @@
                         let mut torn = replayed.clone();
                         let bytes = bytes[..cut].to_vec();
                         torn.apply(&Step::Write { file: *file, at: *place, bytes });
-                        check(torn.killed(), at);
+                        check(torn.after_kill(), at);
                     }
                 }
                 replayed.apply(step);
-                check(replayed.killed(), at);
+                check(replayed.after_kill(), at);
                 if durability == Durability::Machine {
                     for _ in 0..20 {
-                        check(replayed.power_cut(&mut rng), at);
+                        check(replayed.after_power_cut(&mut rng), at);
                     }
                 }
             }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -27,11 +27,11 @@
 mod sync;
 
 pub use error::{Damage, Error, Refusal};
-pub use frame::VERSION;
-pub use journal::{Journal, Report, Usage};
+pub use frame::FORMAT_VERSION;
+pub use journal::{Journal, RecoveryReport, Usage};
 pub use options::{Durability, OnDamage, Options};
-pub use record::{Attempt, Kept, Letter, Live, Note, Record, Routed, Verdict};
-pub use recover::{Found, read};
-pub use state::ROW;
-pub use storage::files::Files;
-pub use sync::{SyncJob, Synced};
+pub use record::{AcceptedMessage, Attempt, EndedMessage, LiveMessage, Note, Record, RoutedRequest, Verdict};
+pub use recover::{JournalContents, read};
+pub use state::STATE_ENTRY_BYTES;
+pub use storage::files::FileStorage;
+pub use sync::{SyncJob, SyncOutcome};
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -2,7 +2,7 @@
 
 use crate::error::Error;
 use crate::frame::{FRAME, HEADER, SEAL_FRAME};
-use crate::record::{self, Letter};
+use crate::record::{self, AcceptedMessage};
 
 /// When a record counts as kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
@@ -30,21 +30,21 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Bytes that all its files may take, each counted in whole 512.
-    pub room: u64,
+    pub capacity_bytes: u64,
     /// Bytes of a segment; None for a share of the room.
-    pub segment: Option<u64>,
+    pub segment_bytes: Option<u64>,
     /// Bytes of the longest record: a body with its head.
-    pub record_most: usize,
+    pub max_record_bytes: usize,
     pub durability: Durability,
     /// Sets room aside on the disk itself for what accepted messages may still need, so that nothing else
     /// can take it.
-    pub set_aside: bool,
+    pub preallocate: bool,
     /// Attempts for which room is kept, and bytes of the host's and zone's name together in each. What goes
     /// beyond takes other room, and is refused where there is none.
-    pub attempts: u64,
-    pub names: u64,
+    pub reserved_attempts: u64,
+    pub reserved_name_bytes: u64,
     /// Share of the room that live messages may take, with all that they may still need.
-    pub live_share: f64,
+    pub max_live_fraction: f64,
     pub on_damage: OnDamage,
 }
 
@@ -65,14 +65,14 @@
     /// The settings of the platform's courier, with this much room.
     pub fn new(room: u64) -> Self {
         Options {
-            room,
-            segment: None,
-            record_most: RECORD_MOST.min(usize::try_from(room / RECORD_SHARE).unwrap_or(RECORD_MOST)),
+            capacity_bytes: room,
+            segment_bytes: None,
+            max_record_bytes: RECORD_MOST.min(usize::try_from(room / RECORD_SHARE).unwrap_or(RECORD_MOST)),
             durability: Durability::Process,
-            set_aside: false,
-            attempts: 6,
-            names: 50,
-            live_share: 0.6,
+            preallocate: false,
+            reserved_attempts: 6,
+            reserved_name_bytes: 50,
+            max_live_fraction: 0.6,
             on_damage: OnDamage::Salvage,
         }
     }
@@ -80,12 +80,14 @@
     /// Bytes of a segment. Also bounds the messages that begin in one, with all that they may still need: so
     /// much at most is copied before its room is free again.
     pub(crate) fn segment(&self) -> u64 {
-        let least = self.frame_most() + self.trail(self.attempts);
-        self.segment.unwrap_or_else(|| (self.room / SEGMENTS).clamp(2 * least, SEGMENT_MOST)).max(least)
+        let min_segment = self.frame_most() + self.trail(self.reserved_attempts);
+        self.segment_bytes
+            .unwrap_or_else(|| (self.capacity_bytes / SEGMENTS).clamp(2 * min_segment, SEGMENT_MOST))
+            .max(min_segment)
     }
 
     pub(crate) fn frame_most(&self) -> u64 {
-        (FRAME + self.record_most + HEADER + SEAL_FRAME) as u64
+        (FRAME + self.max_record_bytes + HEADER + SEAL_FRAME) as u64
     }
 
     /// Room that only compaction may use: the copies out of one segment, and the heads of those they go to.
@@ -96,36 +98,36 @@
     /// What a message may add after its acceptance, frames included.
     pub(crate) fn trail(&self, attempts: u64) -> u64 {
         let frame = FRAME as u64;
-        attempts * (2 * frame + record::attempt_bytes(self.names) + record::NEVER_RAN_BYTES)
+        attempts * (2 * frame + record::attempt_bytes(self.reserved_name_bytes) + record::NEVER_RAN_BYTES)
             + (frame + record::JUDGED_BYTES)
             + (frame + record::ENDED_BYTES)
     }
 
     /// All that a message may take.
-    pub(crate) fn weight(&self, letter: &Letter) -> u64 {
-        FRAME as u64 + record::snapshot_bytes(letter) + self.trail(self.attempts)
+    pub(crate) fn weight(&self, accepted: &AcceptedMessage) -> u64 {
+        FRAME as u64 + record::snapshot_bytes(accepted) + self.trail(self.reserved_attempts)
     }
 
     /// What the weights of all live messages may come to.
     pub(crate) fn live_most(&self) -> u64 {
         let share = match self.durability {
-            Durability::Process => self.live_share,
-            Durability::Machine => self.live_share.min(MACHINE_SHARE),
+            Durability::Process => self.max_live_fraction,
+            Durability::Machine => self.max_live_fraction.min(MACHINE_SHARE),
         };
-        (self.room.saturating_sub(self.copy_room()) as f64 * share) as u64
+        (self.capacity_bytes.saturating_sub(self.copy_room()) as f64 * share) as u64
     }
 
     /// # Errors
-    /// [`Error::RoomTooSmall`] if one message, its copy and the copies out of one segment do not fit.
+    /// [`Error::CapacityTooSmall`] if one message, its copy and the copies out of one segment do not fit.
     pub(crate) fn check(&self) -> Result<(), Error> {
-        let least = self.copy_room() + 4 * self.frame_most() + 4 * 1024;
-        let least = match self.durability {
-            Durability::Process => least,
-            Durability::Machine => least * 2,
+        let required = self.copy_room() + 4 * self.frame_most() + 4 * 1024;
+        let required = match self.durability {
+            Durability::Process => required,
+            Durability::Machine => required * 2,
         };
-        match self.room >= least {
+        match self.capacity_bytes >= required {
             true => Ok(()),
-            false => Err(Error::RoomTooSmall { room: self.room, least }),
+            false => Err(Error::CapacityTooSmall { capacity: self.capacity_bytes, required }),
         }
     }
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -8,24 +8,24 @@
 
 /// A message as its client handed it in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Letter {
+pub struct AcceptedMessage {
     pub id: String,
     pub class: String,
     pub destination: u64,
     pub key: Option<String>,
     /// When it was taken on, Unix time; zero if that is not known (the old format).
-    pub taken: Duration,
+    pub accepted_at: Duration,
     /// When its time is up, Unix time.
-    pub until: Duration,
+    pub deadline: Duration,
     pub body: Bytes,
     /// How an operator's route sends it on; None for the platform's messages.
-    pub routed: Option<Routed>,
+    pub routed: Option<RoutedRequest>,
 }
 
 /// What a route made of a message. On record, so that it is sent by one version of the configuration from its
 /// start to its end, whatever has changed since.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Routed {
+pub struct RoutedRequest {
     /// The version; 0 for the operator's file.
     pub version: u64,
     pub route: String,
@@ -35,18 +35,18 @@
     /// What a repeat did by the class as it was: a class that changes later is never less strict for it.
     pub effect: Effect,
     /// What it is ordered by, where its class asks for that.
-    pub order: Option<String>,
-    /// The client that is told how it ended, where its front tells that: see [`Kept::owner`].
+    pub order_key: Option<String>,
+    /// The client that is told how it ended, where its front tells that: see [`EndedMessage::owner`].
     pub owner: Option<String>,
     /// How long its id is remembered from when it was taken on, though it has ended: a repeat within that time
     /// is known as one. Zero for not at all.
-    pub remember: Duration,
+    pub remember_for: Duration,
 }
 
 /// What stays of a message that has ended, for as long as a repeat of it must be known as one, or its client
 /// has not been told how it ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct EndedMessage {
     pub id: String,
     /// The client that is told how it ended; None for one that is not told, or has been.
     pub owner: Option<String>,
@@ -71,15 +71,15 @@
     pub host: String,
     pub zone: String,
     /// Unix time.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// Whether it may have run; true until an outcome proves the contrary.
     pub may_have_run: bool,
 }
 
 impl Attempt {
     /// An attempt that a lost part of the journal may have held: it may have run, anywhere.
-    pub(crate) fn unknown(sent: Duration) -> Self {
-        Attempt { host: String::new(), zone: String::new(), sent, may_have_run: true }
+    pub(crate) fn unknown(sent_at: Duration) -> Self {
+        Attempt { host: String::new(), zone: String::new(), sent_at, may_have_run: true }
     }
 }
 
@@ -92,8 +92,8 @@
 
 /// A message that has not ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Live {
-    pub letter: Rc<Letter>,
+pub struct LiveMessage {
+    pub accepted: Rc<AcceptedMessage>,
     pub attempts: Vec<Attempt>,
     /// Decided, but the notice is not acknowledged.
     pub verdict: Option<Verdict>,
@@ -106,7 +106,7 @@
     /// place of all that came before it under this number.
     Snapshot {
         message: u64,
-        live: Live,
+        live: LiveMessage,
     },
     /// Carries the attempt's place in the list, so that it can be applied twice without harm.
     Attempt {
@@ -128,7 +128,7 @@
     /// What stays of a message. Takes the place of all that came before it under this number.
     Kept {
         message: u64,
-        kept: Rc<Kept>,
+        kept: Rc<EndedMessage>,
     },
     /// A note. Takes the place of the one before it under this number, which is of the messages' numbers.
     Note {
@@ -152,7 +152,7 @@
 const ENDED: u8 = 5;
 const TRIM: u8 = 6;
 const SYNCED: u8 = 7;
-/// A snapshot with [`Routed`] behind it; and one with its owner and for how long it is remembered, too.
+/// A snapshot with [`RoutedRequest`] behind it; and one with its owner and for how long it is remembered, too.
 const ROUTED: u8 = 8;
 const OWNED: u8 = 9;
 const KEPT: u8 = 10;
@@ -176,20 +176,20 @@
 }
 
 /// Bytes of the snapshot of a message that has no attempts yet.
-pub(crate) fn snapshot_bytes(letter: &Letter) -> u64 {
-    let texts = letter.id.len() + letter.class.len() + letter.key.as_ref().map_or(0, String::len);
-    let routed = letter.routed.as_ref().map_or(0, routed_bytes);
-    HEAD as u64 + 8 + 8 + 8 + 2 + 2 + 1 + 2 + 2 + 1 + 4 + (texts + letter.body.len() + routed) as u64
+pub(crate) fn snapshot_bytes(accepted: &AcceptedMessage) -> u64 {
+    let texts = accepted.id.len() + accepted.class.len() + accepted.key.as_ref().map_or(0, String::len);
+    let routed = accepted.routed.as_ref().map_or(0, routed_bytes);
+    HEAD as u64 + 8 + 8 + 8 + 2 + 2 + 1 + 2 + 2 + 1 + 4 + (texts + accepted.body.len() + routed) as u64
 }
 
 /// Whether a snapshot has the form that came with fronts that tell their clients how messages ended.
-fn is_owned(r: &Routed) -> bool {
-    r.owner.is_some() || !r.remember.is_zero()
+fn is_owned(r: &RoutedRequest) -> bool {
+    r.owner.is_some() || !r.remember_for.is_zero()
 }
 
-fn routed_bytes(r: &Routed) -> usize {
+fn routed_bytes(r: &RoutedRequest) -> usize {
     let headers: usize = r.headers.iter().map(|(n, v)| 4 + n.len() + v.len()).sum();
-    let order = r.order.as_ref().map_or(0, String::len);
+    let order_key = r.order_key.as_ref().map_or(0, String::len);
     let owner = if is_owned(r) { 1 + 2 + r.owner.as_ref().map_or(0, String::len) + 8 } else { 0 };
     owner
         + 8
@@ -205,10 +205,10 @@
         + 8
         + 1
         + 2
-        + order
+        + order_key
 }
 
-fn put_routed(to: &mut Vec<u8>, r: &Routed) {
+fn put_routed(to: &mut Vec<u8>, r: &RoutedRequest) {
     to.put_u64_le(r.version);
     put_text(to, &r.route);
     put_text(to, &r.method);
@@ -227,14 +227,14 @@
     };
     to.put_u8(effect);
     to.put_u64_le(micros(window));
-    put_option(to, r.order.as_deref());
+    put_option(to, r.order_key.as_deref());
     if is_owned(r) {
         put_option(to, r.owner.as_deref());
-        to.put_u64_le(micros(r.remember));
+        to.put_u64_le(micros(r.remember_for));
     }
 }
 
-fn read_routed(f: &mut Fields, owned: bool) -> Option<Routed> {
+fn read_routed(f: &mut Fields, owned: bool) -> Option<RoutedRequest> {
     let (version, route, method, path) = (f.u64()?, f.text()?, f.text()?, f.text()?);
     let headers = (0..f.u16()?).map(|_| Some((f.text()?, f.text()?))).collect::<Option<Vec<_>>>()?;
     let (effect, window) = (f.byte()?, f.time()?);
@@ -246,9 +246,9 @@
         4 => Effect::Keyed { scope: KeyScope::Endpoint, window },
         _ => return None,
     };
-    let order = f.option()?;
-    let (owner, remember) = if owned { (f.option()?, f.time()?) } else { (None, Duration::ZERO) };
-    Some(Routed { version, route, method, path, headers, effect, order, owner, remember })
+    let order_key = f.option()?;
+    let (owner, remember_for) = if owned { (f.option()?, f.time()?) } else { (None, Duration::ZERO) };
+    Some(RoutedRequest { version, route, method, path, headers, effect, order_key, owner, remember_for })
 }
 
 fn put_option(to: &mut Vec<u8>, text: Option<&str>) {
@@ -278,24 +278,24 @@
 }
 
 /// Writes the snapshot of a message.
-fn put_snapshot(to: &mut Vec<u8>, message: u64, live: &Live) {
-    let letter = &live.letter;
-    to.put_u8(match &letter.routed {
+fn put_snapshot(to: &mut Vec<u8>, message: u64, live: &LiveMessage) {
+    let accepted = &live.accepted;
+    to.put_u8(match &accepted.routed {
         None => SNAPSHOT,
         Some(routed) if is_owned(routed) => OWNED,
         Some(_) => ROUTED,
     });
     to.put_u64_le(message);
-    to.put_u64_le(micros(letter.taken));
-    to.put_u64_le(micros(letter.until));
-    to.put_u64_le(letter.destination);
-    put_text(to, &letter.id);
-    put_text(to, &letter.class);
-    put_option(to, letter.key.as_deref());
+    to.put_u64_le(micros(accepted.accepted_at));
+    to.put_u64_le(micros(accepted.deadline));
+    to.put_u64_le(accepted.destination);
+    put_text(to, &accepted.id);
+    put_text(to, &accepted.class);
+    put_option(to, accepted.key.as_deref());
     to.put_u16_le(live.attempts.len().min(usize::from(u16::MAX)) as u16);
     for a in live.attempts.iter().take(usize::from(u16::MAX)) {
         to.put_u8(u8::from(a.may_have_run));
-        to.put_u64_le(micros(a.sent));
+        to.put_u64_le(micros(a.sent_at));
         put_text(to, &a.host);
         put_text(to, &a.zone);
     }
@@ -303,9 +303,9 @@
         None => to.put_u8(0),
         Some(verdict) => put_verdict(to, verdict),
     }
-    to.put_u32_le(letter.body.len() as u32);
-    to.put_slice(&letter.body);
-    if let Some(routed) = &letter.routed {
+    to.put_u32_le(accepted.body.len() as u32);
+    to.put_slice(&accepted.body);
+    if let Some(routed) = &accepted.routed {
         put_routed(to, routed);
     }
 }
@@ -318,7 +318,7 @@
             Record::Snapshot { live, .. } => {
                 let attempts = live.attempts.iter().map(|a| SNAPSHOT_ATTEMPT_BYTES + names(a)).sum::<u64>();
                 let verdict = live.verdict.map_or(0, |_| VERDICT_BYTES - 1);
-                snapshot_bytes(&live.letter) + attempts + verdict
+                snapshot_bytes(&live.accepted) + attempts + verdict
             }
             Record::Attempt { attempt, .. } => attempt_bytes(names(attempt)),
             Record::NeverRan { .. } => NEVER_RAN_BYTES,
@@ -344,7 +344,7 @@
             Record::Attempt { message, index, attempt } => {
                 head(ATTEMPT, *message);
                 to.put_u16_le(*index);
-                to.put_u64_le(micros(attempt.sent));
+                to.put_u64_le(micros(attempt.sent_at));
                 put_text(to, &attempt.host);
                 put_text(to, &attempt.zone);
             }
@@ -395,7 +395,7 @@
                     0 => f.u64().map(|_| None)?,
                     kind => Some(verdict_of(kind, &mut f)?),
                 };
-                let kept = Kept { id, owner, verdict, until: f.time()? };
+                let kept = EndedMessage { id, owner, verdict, until: f.time()? };
                 Record::Kept { message: number, kept: Rc::new(kept) }
             }
             NOTE => {
@@ -405,8 +405,8 @@
                 Record::Note { number, note: Rc::new(note) }
             }
             ATTEMPT => {
-                let (index, sent) = (f.u16()?, f.time()?);
-                let attempt = Attempt { host: f.text()?, zone: f.text()?, sent, may_have_run: true };
+                let (index, sent_at) = (f.u16()?, f.time()?);
+                let attempt = Attempt { host: f.text()?, zone: f.text()?, sent_at, may_have_run: true };
                 Record::Attempt { message: number, index, attempt }
             }
             NEVER_RAN => Record::NeverRan { message: number, index: f.u16()? },
@@ -434,21 +434,21 @@
     }
 }
 
-fn read_snapshot(f: &mut Fields, kind: u8) -> Option<Live> {
-    let (taken, until, destination) = (f.time()?, f.time()?, f.u64()?);
+fn read_snapshot(f: &mut Fields, kind: u8) -> Option<LiveMessage> {
+    let (accepted_at, deadline, destination) = (f.time()?, f.time()?, f.u64()?);
     let (id, class, key) = (f.text()?, f.text()?, f.option()?);
     let attempts = (0..f.u16()?)
         .map(|_| {
-            let (ran, sent) = (f.byte()? == 1, f.time()?);
-            Some(Attempt { host: f.text()?, zone: f.text()?, sent, may_have_run: ran })
+            let (ran, sent_at) = (f.byte()? == 1, f.time()?);
+            Some(Attempt { host: f.text()?, zone: f.text()?, sent_at, may_have_run: ran })
         })
         .collect::<Option<Vec<_>>>()?;
     let verdict = read_verdict(f)?;
     let length = f.u32()? as usize;
     let body = Bytes::copy_from_slice(f.take(length)?);
     let routed = if kind == SNAPSHOT { None } else { Some(read_routed(f, kind == OWNED)?) };
-    let letter = Letter { id, class, destination, key, taken, until, body, routed };
-    Some(Live { letter: Rc::new(letter), attempts, verdict })
+    let accepted = AcceptedMessage { id, class, destination, key, accepted_at, deadline, body, routed };
+    Some(LiveMessage { accepted: Rc::new(accepted), attempts, verdict })
 }
 
 /// None outside: not to be read; None inside: no verdict yet.
--- a/crates/journal/src/record_test.rs
+++ b/crates/journal/src/record_test.rs
@@ -7,47 +7,47 @@
 }
 
 fn all() -> Vec<Record> {
-    let letter = Letter {
+    let accepted = AcceptedMessage {
         id: "id".to_owned(),
         class: "payment".to_owned(),
         destination: 7,
         key: Some(String::new()),
-        taken: Duration::from_micros(1_790_000_000_000_000),
-        until: Duration::from_micros(1_790_000_000_000_001),
+        accepted_at: Duration::from_micros(1_790_000_000_000_000),
+        deadline: Duration::from_micros(1_790_000_000_000_001),
         body: Bytes::from_static(b"bo\0dy"),
         routed: None,
     };
-    let routed = Routed {
+    let routed = RoutedRequest {
         version: 7,
         route: "fuel".to_owned(),
         method: "PUT".to_owned(),
         path: "/a/b".to_owned(),
         headers: vec![("x-note".to_owned(), "1".to_owned())],
         effect: Effect::Keyed { scope: KeyScope::Zone, window: Duration::from_secs(3) },
-        order: Some("car-1".to_owned()),
+        order_key: Some("car-1".to_owned()),
         owner: None,
-        remember: Duration::ZERO,
+        remember_for: Duration::ZERO,
     };
     let owner = Some("station-7".to_owned());
-    let once = Routed { effect: Effect::Once, order: None, headers: Vec::new(), ..routed.clone() };
-    let owned = Routed { owner: owner.clone(), ..once.clone() };
-    let remembered = Routed { remember: Duration::from_secs(60), ..routed.clone() };
-    let with = |routed| Letter { routed: Some(routed), ..letter.clone() };
-    let routed = [routed, once, owned, remembered].map(|r| Live {
-        letter: Rc::new(with(r)),
+    let once = RoutedRequest { effect: Effect::Once, order_key: None, headers: Vec::new(), ..routed.clone() };
+    let owned = RoutedRequest { owner: owner.clone(), ..once.clone() };
+    let remembered = RoutedRequest { remember_for: Duration::from_secs(60), ..routed.clone() };
+    let with = |routed| AcceptedMessage { routed: Some(routed), ..accepted.clone() };
+    let routed = [routed, once, owned, remembered].map(|r| LiveMessage {
+        accepted: Rc::new(with(r)),
         attempts: Vec::new(),
         verdict: None,
     });
-    let sent = Duration::from_micros(1_790_000_000_000_002);
-    let attempt = Attempt { host: "s-1".to_owned(), zone: "a".to_owned(), sent, may_have_run: true };
-    let mut live = Live { letter: Rc::new(letter), attempts: Vec::new(), verdict: None };
+    let sent_at = Duration::from_micros(1_790_000_000_000_002);
+    let attempt = Attempt { host: "s-1".to_owned(), zone: "a".to_owned(), sent_at, may_have_run: true };
+    let mut live = LiveMessage { accepted: Rc::new(accepted), attempts: Vec::new(), verdict: None };
     let fresh = live.clone();
     live.attempts = vec![attempt.clone(), Attempt { may_have_run: false, ..attempt.clone() }];
     live.verdict = Some(Verdict::Bounced { wait: Some(Duration::from_micros(5)) });
     let bounced = Verdict::Bounced { wait: None };
     let [routed, once, owned, remembered] = routed;
-    let kept = Kept { id: "id".to_owned(), owner, verdict: None, until: sent };
-    let told = Kept { owner: None, verdict: Some(bounced), ..kept.clone() };
+    let kept = EndedMessage { id: "id".to_owned(), owner, verdict: None, until: sent_at };
+    let told = EndedMessage { owner: None, verdict: Some(bounced), ..kept.clone() };
     let note = Note { key: "session/7".to_owned(), value: Bytes::from_static(b"\0{}") };
     vec![
         Record::Snapshot { message: 1, live: fresh },
@@ -91,7 +91,7 @@
 #[test]
 fn a_copy_takes_no_more_than_the_records_that_it_replaces() {
     let Record::Snapshot { live, .. } = all().remove(1) else { panic!("the second is a snapshot") };
-    let mut parts = snapshot_bytes(&live.letter) + JUDGED_BYTES;
+    let mut parts = snapshot_bytes(&live.accepted) + JUDGED_BYTES;
     for a in &live.attempts {
         parts += attempt_bytes((a.host.len() + a.zone.len()) as u64);
     }
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -2,10 +2,10 @@
 //! part that had been whole and cannot be read any more.
 
 use crate::error::{Damage, Error};
-use crate::frame::{self, BadHeader, Content, HEADER, Header, VERSION};
+use crate::frame::{self, BadHeader, Content, FORMAT_VERSION, HEADER, Header};
 use crate::log::Segment;
 use crate::options::{Durability, Options};
-use crate::record::{Kept, Live, Note, Record};
+use crate::record::{EndedMessage, LiveMessage, Note, Record};
 use crate::state::{Item, State, lasting};
 use crate::storage::{Storage, read_into};
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,12 +27,12 @@
     pub foreign: Vec<u64>,
     /// The last segment and its sound bytes, where it has more.
     pub cut: Option<(u64, u64)>,
-    pub cut_bytes: u64,
+    pub truncated_bytes: u64,
     pub next_number: u64,
     pub next_seq: u64,
     pub damages: Vec<Damage>,
     /// Messages that were accepted and whose beginning is lost.
-    pub lost: Vec<u64>,
+    pub lost_messages: Vec<u64>,
     /// Sequence number behind the last lost record: messages that begin before it may have been sent.
     pub lost_before: u64,
     /// Whether the last segment can be written on.
@@ -118,7 +118,7 @@
         })
         .collect();
     // Without damage a record without its message can only be one that the next snapshot took in.
-    let lost = match damages.is_empty() {
+    let lost_messages = match damages.is_empty() {
         true => Vec::new(),
         false => first.state.headless().iter().copied().collect(),
     };
@@ -143,9 +143,9 @@
         stale,
         foreign,
         cut: first.cut,
-        cut_bytes: first.cut_bytes,
+        truncated_bytes: first.cut_bytes,
         damages,
-        lost,
+        lost_messages,
         lost_before,
         read: first.read,
     })
@@ -183,7 +183,7 @@
             Ok(header) if header.number == *number => Head::Sound(header),
             Ok(header) => Head::Foreign(header),
             Err(BadHeader::Newer(found)) => {
-                return Err(Error::NewerFormat { file: name, found, known: VERSION });
+                return Err(Error::NewerFormat { file: name, found, known: FORMAT_VERSION });
             }
             Err(BadHeader::Short | BadHeader::Spoilt) => Head::Unreadable,
         };
@@ -411,7 +411,7 @@
                         see(frame.seq, &record);
                     }
                     let weight = match &record {
-                        Record::Snapshot { live, .. } => options.weight(&live.letter),
+                        Record::Snapshot { live, .. } => options.weight(&live.accepted),
                         Record::Kept { .. } | Record::Note { .. } => lasting(bytes),
                         _ => 0,
                     };
@@ -427,18 +427,18 @@
 }
 
 /// What a folder holds, as a reader finds it that changes nothing.
-pub struct Found {
-    pub live: BTreeMap<u64, Live>,
+pub struct JournalContents {
+    pub live: BTreeMap<u64, LiveMessage>,
     /// What stays of messages that have ended, and notes.
-    pub kept: BTreeMap<u64, Rc<Kept>>,
+    pub ended_messages: BTreeMap<u64, Rc<EndedMessage>>,
     pub notes: BTreeMap<u64, Rc<Note>>,
     pub segments: usize,
     /// Bytes of all segments, and of the records among them that are needed.
     pub bytes: u64,
-    pub needed: u64,
-    pub cut_bytes: u64,
+    pub live_bytes: u64,
+    pub truncated_bytes: u64,
     pub damages: Vec<Damage>,
-    pub lost: Vec<u64>,
+    pub lost_messages: Vec<u64>,
 }
 
 /// Reads a folder and changes nothing in it. `see` is shown every record that can be read, with its sequence
@@ -450,25 +450,25 @@
     storage: &dyn Storage,
     options: &Options,
     see: &mut dyn FnMut(u64, &Record),
-) -> Result<Found, Error> {
+) -> Result<JournalContents, Error> {
     let found = recover(storage, options, Some(see))?;
-    let (mut kept, mut notes) = (BTreeMap::new(), BTreeMap::new());
+    let (mut ended_messages, mut notes) = (BTreeMap::new(), BTreeMap::new());
     for (number, item) in found.state.items() {
         match item {
             Item::Live(_) => {}
-            Item::Kept(of) => drop(kept.insert(number, of.clone())),
+            Item::Kept(of) => drop(ended_messages.insert(number, of.clone())),
             Item::Note(note) => drop(notes.insert(number, note.clone())),
         }
     }
-    Ok(Found {
+    Ok(JournalContents {
         live: found.state.live().map(|(message, live)| (message, live.clone())).collect(),
-        kept,
+        ended_messages,
         notes,
         segments: found.segments.len(),
         bytes: found.segments.values().map(|s| s.size).sum(),
-        needed: found.state.bytes(),
-        cut_bytes: found.cut_bytes,
+        live_bytes: found.state.bytes(),
+        truncated_bytes: found.truncated_bytes,
         damages: found.damages,
-        lost: found.lost,
+        lost_messages: found.lost_messages,
     })
 }
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::log::FRAME_BYTES;
 use crate::options::Options;
-use crate::record::{Attempt, ENDED_BYTES, Kept, Live, Note, Record};
+use crate::record::{Attempt, ENDED_BYTES, EndedMessage, LiveMessage, Note, Record};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 /// What a number stands for.
 #[derive(Clone)]
 pub(crate) enum Item {
-    Live(Live),
-    Kept(Rc<Kept>),
+    Live(LiveMessage),
+    Kept(Rc<EndedMessage>),
     Note(Rc<Note>),
 }
 
@@ -26,7 +26,7 @@
         }
     }
 
-    pub fn live(&self) -> Option<&Live> {
+    pub fn live(&self) -> Option<&LiveMessage> {
         match self {
             Item::Live(live) => Some(live),
             Item::Kept(_) | Item::Note(_) => None,
@@ -69,11 +69,13 @@
 
 /// What a row takes in memory: its slot and its place in the order, in B-trees whose nodes are half full, since
 /// numbers rise.
-pub const ROW: u64 = ((size_of::<(u64, Slot)>() + size_of::<(u64, u64)>() + 4) * 11 / 6) as u64;
+pub const STATE_ENTRY_BYTES: u64 = ((size_of::<(u64, Slot)>() + size_of::<(u64, u64)>() + 4) * 11 / 6) as u64;
 
 fn note_bytes(item: &Item) -> u64 {
     match item {
-        Item::Note(note) => ROW + (size_of::<Note>() + note.key.len() + note.value.len()) as u64 + 48,
+        Item::Note(note) => {
+            STATE_ENTRY_BYTES + (size_of::<Note>() + note.key.len() + note.value.len()) as u64 + 48
+        }
         Item::Live(_) | Item::Kept(_) => 0,
     }
 }
@@ -87,11 +89,11 @@
             Record::Snapshot { live, .. } => {
                 self.headless.remove(&message);
                 let before = self.remove(message);
-                let sent = live.attempts.iter().map(|a| a.sent).max();
-                self.latest = self.latest.max(sent.unwrap_or_default()).max(live.letter.taken);
+                let sent = live.attempts.iter().map(|a| a.sent_at).max();
+                self.latest = self.latest.max(sent.unwrap_or_default()).max(live.accepted.accepted_at);
                 // A copy weighs what the message did; it is no longer than what it replaces.
                 let weight =
-                    before.map_or(0, |slot| slot.weight).max(options.weight(&live.letter)).max(bytes);
+                    before.map_or(0, |slot| slot.weight).max(options.weight(&live.accepted)).max(bytes);
                 self.insert(message, Slot { item: Item::Live(live), seq, bytes, weight });
             }
             Record::Kept { kept, .. } => {
@@ -108,11 +110,11 @@
                 self.remove(message);
             }
             Record::Attempt { index, attempt, .. } => {
-                self.latest = self.latest.max(attempt.sent);
+                self.latest = self.latest.max(attempt.sent_at);
                 self.grow(message, bytes, |live| {
                     // Those between were lost with a part of the log.
                     while live.attempts.len() < usize::from(index) {
-                        live.attempts.push(Attempt::unknown(attempt.sent));
+                        live.attempts.push(Attempt::unknown(attempt.sent_at));
                     }
                     if live.attempts.len() == usize::from(index) {
                         live.attempts.push(attempt);
@@ -129,7 +131,7 @@
         }
     }
 
-    fn grow(&mut self, message: u64, bytes: u64, change: impl FnOnce(&mut Live)) {
+    fn grow(&mut self, message: u64, bytes: u64, change: impl FnOnce(&mut LiveMessage)) {
         let Some(slot) = self.slots.get_mut(&message) else {
             self.headless.insert(message);
             return;
@@ -174,7 +176,7 @@
         self.slots.get(&message)
     }
 
-    pub fn live(&self) -> impl Iterator<Item = (u64, &Live)> {
+    pub fn live(&self) -> impl Iterator<Item = (u64, &LiveMessage)> {
         self.items().filter_map(|(message, item)| Some((message, item.live()?)))
     }
 
--- a/crates/journal/src/storage.rs
+++ b/crates/journal/src/storage.rs
@@ -31,7 +31,7 @@
 
     /// Makes a file `bytes` long whose blocks are on the disk already, so that room is set aside; shrinks it
     /// if it is longer. Fails, with the file as it was or anywhere between, if there is no such room.
-    fn set_aside(&self, name: &str, bytes: u64) -> io::Result<()>;
+    fn preallocate(&self, name: &str, bytes: u64) -> io::Result<()>;
 }
 
 /// One file. Can be used from another thread, so that a sync stops nobody.
--- a/crates/journal/src/storage/faulty.rs
+++ b/crates/journal/src/storage/faulty.rs
@@ -2,7 +2,7 @@
 //! images that a killed process or a power cut leaves behind. Every changing call is kept as a [`Step`], so a
 //! test can look at the folder as it stood at any of them, down to the byte.
 
-use super::memory::{Memory, put};
+use super::memory::{MemoryStorage, put};
 use super::{Storage, StoredFile};
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -48,21 +48,21 @@
 
 /// A folder in memory whose calls may fail. Clones share it.
 #[derive(Clone, Default)]
-pub struct Faulty {
-    content: Memory,
+pub struct FaultyStorage {
+    content: MemoryStorage,
     inner: Arc<Mutex<Inner>>,
 }
 
-impl Faulty {
+impl FaultyStorage {
     /// Over a folder with this content.
-    pub fn over(image: BTreeMap<String, Vec<u8>>) -> Self {
+    pub fn from_image(image: BTreeMap<String, Vec<u8>>) -> Self {
         let mut inner = Inner::default();
         for (name, bytes) in &image {
             inner.names.insert(name.clone(), inner.files);
             inner.sizes.insert(inner.files, bytes.len() as u64);
             inner.files += 1;
         }
-        Faulty { content: Memory::with(image), inner: Arc::new(Mutex::new(inner)) }
+        FaultyStorage { content: MemoryStorage::with(image), inner: Arc::new(Mutex::new(inner)) }
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
@@ -70,17 +70,17 @@
     }
 
     /// From now on each changing call is shown to `script`, with its number, before it is done.
-    pub fn script(&self, script: impl FnMut(usize, &Step) -> Option<Fault> + Send + 'static) {
+    pub fn set_fault_script(&self, script: impl FnMut(usize, &Step) -> Option<Fault> + Send + 'static) {
         self.inner().script = Some(Box::new(script));
     }
 
     /// From now on nothing fails but for want of room.
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         self.inner().script = None;
     }
 
     /// The disk holds so many bytes, each file counted in whole 512; None for no bound.
-    pub fn capacity(&self, bytes: Option<u64>) {
+    pub fn set_capacity(&self, bytes: Option<u64>) {
         self.inner().capacity = bytes;
     }
 
@@ -182,12 +182,12 @@
 
 /// A handle of a file.
 struct Handle {
-    folder: Faulty,
+    folder: FaultyStorage,
     file: usize,
     content: Arc<dyn StoredFile>,
 }
 
-impl Storage for Faulty {
+impl Storage for FaultyStorage {
     fn list(&self) -> io::Result<Vec<String>> {
         self.content.list()
     }
@@ -221,7 +221,7 @@
         self.call(Step::SyncNames)
     }
 
-    fn set_aside(&self, name: &str, bytes: u64) -> io::Result<()> {
+    fn preallocate(&self, name: &str, bytes: u64) -> io::Result<()> {
         let handle = match self.open(name) {
             Ok(handle) => handle,
             Err(_) => self.create(name)?,
@@ -275,7 +275,7 @@
 
 impl Replay {
     /// From a folder that is wholly on the device.
-    pub fn over(image: &BTreeMap<String, Vec<u8>>) -> Self {
+    pub fn from_image(image: &BTreeMap<String, Vec<u8>>) -> Self {
         let mut replay = Replay::default();
         for (file, (name, bytes)) in image.iter().enumerate() {
             replay.names.insert(name.clone(), file);
@@ -310,13 +310,13 @@
     }
 
     /// The folder as a process finds it that starts after the one before was killed here.
-    pub fn killed(&self) -> BTreeMap<String, Vec<u8>> {
+    pub fn after_kill(&self) -> BTreeMap<String, Vec<u8>> {
         let bytes = |file: &usize| self.files.get(file).cloned().unwrap_or_default();
         self.names.iter().map(|(name, file)| (name.clone(), bytes(file))).collect()
     }
 
     /// The folder after a power cut here: of what was not synced any part may be there, in any order.
-    pub fn power_cut(&self, rng: &mut impl Rng) -> BTreeMap<String, Vec<u8>> {
+    pub fn after_power_cut(&self, rng: &mut impl Rng) -> BTreeMap<String, Vec<u8>> {
         let mut names = self.synced_names.clone();
         for step in &self.name_steps {
             if rng.random_bool(0.5) {
--- a/crates/journal/src/storage/files.rs
+++ b/crates/journal/src/storage/files.rs
@@ -13,23 +13,23 @@
 pub(crate) const LOCK: &str = "lock";
 
 /// A folder of files. The lock lasts as long as this value.
-pub struct Files {
+pub struct FileStorage {
     folder: PathBuf,
     _lock: Option<File>,
 }
 
-impl Files {
+impl FileStorage {
     /// Takes the folder for this process alone.
     ///
     /// # Errors
-    /// [`Error::InUse`] if another process has it, [`Error::NoFolder`] if there is none.
+    /// [`Error::Locked`] if another process has it, [`Error::NotADirectory`] if there is none.
     pub fn lock(folder: &Path) -> Result<Self, Error> {
         Self::check(folder)?;
         let shown = folder.join(LOCK).display().to_string();
         let lock = OpenOptions::new().write(true).create(true).truncate(false).open(folder.join(LOCK));
         let lock = lock.map_err(|e| Error::io(&shown, "open", e))?;
         Self::hold(lock.try_lock(), folder)?;
-        Ok(Files { folder: folder.to_owned(), _lock: Some(lock) })
+        Ok(FileStorage { folder: folder.to_owned(), _lock: Some(lock) })
     }
 
     /// Opens the folder to read only, if no process has it: nothing is made in it, not even a lock.
@@ -47,19 +47,19 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => None,
             Err(e) => return Err(Error::io(&folder.join(LOCK).display().to_string(), "open", e)),
         };
-        Ok(Files { folder: folder.to_owned(), _lock: lock })
+        Ok(FileStorage { folder: folder.to_owned(), _lock: lock })
     }
 
     fn check(folder: &Path) -> Result<(), Error> {
         match folder.is_dir() {
             true => Ok(()),
-            false => Err(Error::NoFolder { folder: folder.display().to_string() }),
+            false => Err(Error::NotADirectory { folder: folder.display().to_string() }),
         }
     }
 
     fn hold(tried: Result<(), TryLockError>, folder: &Path) -> Result<(), Error> {
         tried.map_err(|e| match e {
-            TryLockError::WouldBlock => Error::InUse { folder: folder.display().to_string() },
+            TryLockError::WouldBlock => Error::Locked { folder: folder.display().to_string() },
             TryLockError::Error(e) => Error::io(&folder.join(LOCK).display().to_string(), "lock", e),
         })
     }
@@ -69,7 +69,7 @@
     }
 }
 
-impl Storage for Files {
+impl Storage for FileStorage {
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
@@ -110,7 +110,7 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    fn set_aside(&self, name: &str, bytes: u64) -> io::Result<()> {
+    fn preallocate(&self, name: &str, bytes: u64) -> io::Result<()> {
         use rustix::fs::{FallocateFlags, fallocate};
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(self.path(name))?;
         let before = file.metadata()?.len();
--- a/crates/journal/src/storage/memory.rs
+++ b/crates/journal/src/storage/memory.rs
@@ -6,23 +6,23 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-pub type Bytes = Arc<Mutex<Vec<u8>>>;
+pub type MemoryFile = Arc<Mutex<Vec<u8>>>;
 
 /// A folder of files in memory. Clones share it.
 #[derive(Clone, Default)]
-pub struct Memory {
-    files: Arc<Mutex<BTreeMap<String, Bytes>>>,
+pub struct MemoryStorage {
+    files: Arc<Mutex<BTreeMap<String, MemoryFile>>>,
 }
 
 fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Memory {
+impl MemoryStorage {
     /// A folder with these files.
     pub fn with(files: impl IntoIterator<Item = (String, Vec<u8>)>) -> Self {
         let files = files.into_iter().map(|(name, bytes)| (name, Arc::new(Mutex::new(bytes))));
-        Memory { files: Arc::new(Mutex::new(files.collect())) }
+        MemoryStorage { files: Arc::new(Mutex::new(files.collect())) }
     }
 
     /// All files as they stand.
@@ -30,17 +30,17 @@
         lock(&self.files).iter().map(|(name, bytes)| (name.clone(), lock(bytes).clone())).collect()
     }
 
-    /// Bytes of all files, each counted in whole 512.
+    /// MemoryFile of all files, each counted in whole 512.
     pub fn used(&self) -> u64 {
         lock(&self.files).values().map(|b| (lock(b).len() as u64).next_multiple_of(512)).sum()
     }
 
-    fn get(&self, name: &str) -> io::Result<Bytes> {
+    fn get(&self, name: &str) -> io::Result<MemoryFile> {
         lock(&self.files).get(name).cloned().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
-impl Storage for Memory {
+impl Storage for MemoryStorage {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(lock(&self.files).keys().cloned().collect())
     }
@@ -50,7 +50,7 @@
         if files.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        let file = Bytes::default();
+        let file = MemoryFile::default();
         files.insert(name.to_owned(), file.clone());
         Ok(Arc::new(file))
     }
@@ -74,13 +74,13 @@
         Ok(())
     }
 
-    fn set_aside(&self, name: &str, bytes: u64) -> io::Result<()> {
+    fn preallocate(&self, name: &str, bytes: u64) -> io::Result<()> {
         let file = lock(&self.files).entry(name.to_owned()).or_default().clone();
         file.set_size(bytes)
     }
 }
 
-impl StoredFile for Bytes {
+impl StoredFile for MemoryFile {
     fn size(&self) -> io::Result<u64> {
         Ok(lock(self).len() as u64)
     }
--- a/crates/journal/src/sync.rs
+++ b/crates/journal/src/sync.rs
@@ -15,17 +15,17 @@
 
 /// What became of a [`SyncJob`].
 #[derive(Debug)]
-pub struct Synced {
+pub struct SyncOutcome {
     pub(crate) upto: u64,
     pub(crate) result: io::Result<()>,
 }
 
 impl SyncJob {
     /// Syncs, and blocks until the device has answered.
-    pub fn run(self) -> Synced {
+    pub fn run(self) -> SyncOutcome {
         let files = self.files.iter().try_for_each(|file| file.sync());
         let result = files.and_then(|()| if self.names { self.storage.sync_names() } else { Ok(()) });
-        Synced { upto: self.upto, result }
+        SyncOutcome { upto: self.upto, result }
     }
 }
 
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -2,16 +2,19 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use stairshed_journal::storage::faulty::Faulty;
-use stairshed_journal::{Attempt, Durability, Journal, Kept, Letter, Live, Note, Options, Report, Verdict};
+use stairshed_journal::storage::faulty::FaultyStorage;
+use stairshed_journal::{
+    AcceptedMessage, Attempt, Durability, EndedMessage, Journal, LiveMessage, Note, Options, RecoveryReport,
+    Verdict,
+};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-pub type Map = BTreeMap<u64, Live>;
+pub type Map = BTreeMap<u64, LiveMessage>;
 /// What stays of messages that have ended, and notes.
-pub type Rest = (BTreeMap<u64, Kept>, BTreeMap<u64, Note>);
+pub type Rest = (BTreeMap<u64, EndedMessage>, BTreeMap<u64, Note>);
 pub type Image = BTreeMap<String, Vec<u8>>;
 
 pub const NOW: Duration = Duration::from_secs(1_790_000_000);
@@ -19,31 +22,31 @@
 /// Small segments, so that a short history has many.
 pub fn small(durability: Durability) -> Options {
     Options {
-        segment: Some(1500),
-        record_most: 600,
+        segment_bytes: Some(1500),
+        max_record_bytes: 600,
         durability,
-        attempts: 3,
-        names: 12,
+        reserved_attempts: 3,
+        reserved_name_bytes: 12,
         ..Options::new(60_000)
     }
 }
 
-pub fn letter(id: u64, body: usize) -> Rc<Letter> {
-    Rc::new(Letter {
+pub fn sample_message(id: u64, body: usize) -> Rc<AcceptedMessage> {
+    Rc::new(AcceptedMessage {
         id: format!("id-{id}"),
         class: "payment".to_owned(),
         destination: id % 3,
         key: id.is_multiple_of(2).then(|| format!("k-{id}")),
-        taken: NOW,
-        until: NOW + Duration::from_secs(30),
+        accepted_at: NOW,
+        deadline: NOW + Duration::from_secs(30),
         body: Bytes::from(vec![id as u8; body]),
         routed: None,
     })
 }
 
 pub fn attempt(n: u64) -> Attempt {
-    let sent = NOW + Duration::from_micros(n);
-    Attempt { host: format!("s-{}", n % 10), zone: "a".to_owned(), sent, may_have_run: true }
+    let sent_at = NOW + Duration::from_micros(n);
+    Attempt { host: format!("s-{}", n % 10), zone: "a".to_owned(), sent_at, may_have_run: true }
 }
 
 pub fn state(journal: &Journal) -> Map {
@@ -51,7 +54,7 @@
 }
 
 pub fn rest(journal: &Journal) -> Rest {
-    let kept = journal.kept().map(|(n, k)| (n, Kept::clone(k))).collect();
+    let kept = journal.ended_messages().map(|(n, k)| (n, EndedMessage::clone(k))).collect();
     (kept, journal.notes().map(|(n, note)| (n, Note::clone(note))).collect())
 }
 
@@ -60,7 +63,7 @@
     (state(journal), rest(journal))
 }
 
-pub fn open(folder: &Faulty, options: Options) -> (Journal, Report) {
+pub fn open(folder: &FaultyStorage, options: Options) -> (Journal, RecoveryReport) {
     Journal::open(Arc::new(folder.clone()), options).expect("the journal opens")
 }
 
@@ -86,7 +89,7 @@
 
 /// A journal and the map beside it.
 pub struct Pair {
-    pub folder: Faulty,
+    pub folder: FaultyStorage,
     pub journal: Journal,
     pub map: Map,
     pub rest: Rest,
@@ -99,10 +102,10 @@
 }
 
 impl Pair {
-    pub fn new(folder: Faulty, options: Options) -> Self {
+    pub fn new(folder: FaultyStorage, options: Options) -> Self {
         let (journal, _) = open(&folder, options);
         let map = state(&journal);
-        let (rest, next) = (rest(&journal), journal.last() + 1);
+        let (rest, next) = (rest(&journal), journal.last_number() + 1);
         Pair { folder, journal, map, rest, next }
     }
 
@@ -118,17 +121,17 @@
     pub fn act(&mut self, what: &Do) -> bool {
         match what {
             Do::Accept(body) => {
-                let (number, letter) = (self.next, letter(self.next, *body));
-                if self.journal.fits(&letter).is_ok() {
+                let (number, accepted) = (self.next, sample_message(self.next, *body));
+                if self.journal.can_accept(&accepted).is_ok() {
                     self.next += 1;
-                    self.journal.accept(number, letter.clone());
-                    self.map.insert(number, Live { letter, attempts: Vec::new(), verdict: None });
+                    self.journal.accept(number, accepted.clone());
+                    self.map.insert(number, LiveMessage { accepted, attempts: Vec::new(), verdict: None });
                 }
             }
             Do::Attempt(n) => {
                 if let Some(number) = self.pick(*n) {
                     let new = attempt(self.next + *n as u64);
-                    if self.journal.attempt(number, new.clone()).is_ok() {
+                    if self.journal.record_attempt(number, new.clone()).is_ok() {
                         self.map.get_mut(&number).expect("it lives").attempts.push(new);
                     }
                 }
@@ -139,7 +142,7 @@
                     if !attempts.is_empty() {
                         let a = a % attempts.len();
                         attempts[a].may_have_run = false;
-                        self.journal.never_ran(number, a as u32);
+                        self.journal.record_never_ran(number, a as u32);
                     }
                 }
             }
@@ -149,13 +152,13 @@
                 {
                     let wait = (*kind == 2).then(|| Duration::from_millis(250));
                     let verdict = if *kind == 0 { Verdict::Dead } else { Verdict::Bounced { wait } };
-                    self.journal.judge(number, verdict);
+                    self.journal.record_verdict(number, verdict);
                     self.map.get_mut(&number).expect("it lives").verdict = Some(verdict);
                 }
             }
             Do::End(n) => {
                 if let Some(number) = self.pick(*n) {
-                    self.journal.end(number);
+                    self.journal.record_end(number);
                     self.map.remove(&number);
                 }
             }
@@ -164,15 +167,16 @@
                     && let Some(live) = self.map.remove(&number)
                 {
                     let owner = owned.then(|| "owner".to_owned());
-                    let id = live.letter.id.clone();
-                    let kept = Kept { id, owner, verdict: live.verdict, until: live.letter.until };
-                    self.journal.keep(number, kept.clone());
+                    let id = live.accepted.id.clone();
+                    let kept =
+                        EndedMessage { id, owner, verdict: live.verdict, until: live.accepted.deadline };
+                    self.journal.replace_with_ended(number, kept.clone());
                     self.rest.0.insert(number, kept);
                 }
             }
             Do::Forget(n) => {
                 if let Some(number) = place(&self.rest.0, *n) {
-                    self.journal.end(number);
+                    self.journal.record_end(number);
                     self.rest.0.remove(&number);
                 }
             }
@@ -180,15 +184,15 @@
                 let number = place(&self.rest.1, *n).filter(|_| n % 2 == 0).unwrap_or(self.next);
                 let note =
                     Note { key: format!("note/{number}"), value: Bytes::from(vec![*n as u8; *length]) };
-                if self.journal.fits_note((note.key.len() + length) as u64).is_ok() {
+                if self.journal.can_store_note((note.key.len() + length) as u64).is_ok() {
                     self.next = self.next.max(number + 1);
-                    self.journal.note(number, note.clone());
+                    self.journal.store_note(number, note.clone());
                     self.rest.1.insert(number, note);
                 }
             }
             Do::Unnote(n) => {
                 if let Some(number) = place(&self.rest.1, *n) {
-                    self.journal.end(number);
+                    self.journal.record_end(number);
                     self.rest.1.remove(&number);
                 }
             }
--- a/crates/journal/tests/faults.rs
+++ b/crates/journal/tests/faults.rs
@@ -3,9 +3,10 @@
 mod common;
 use common::*;
 use stairshed_journal::storage::Storage;
-use stairshed_journal::storage::faulty::{Fault, Faulty, Replay, Step};
+use stairshed_journal::storage::faulty::{Fault, FaultyStorage, Replay, Step};
 use stairshed_journal::{
-    Attempt, Durability, Error, Files, Journal, Letter, Live, OnDamage, Options, Refusal, Verdict,
+    AcceptedMessage, Attempt, Durability, Error, FileStorage, Journal, LiveMessage, OnDamage, Options,
+    Refusal, Verdict,
 };
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -14,8 +15,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// A journal with some messages of which each has an attempt, over several segments, all written.
-fn several(durability: Durability) -> (Faulty, Map) {
-    let folder = Faulty::default();
+fn several(durability: Durability) -> (FaultyStorage, Map) {
+    let folder = FaultyStorage::default();
     let mut pair = Pair::new(folder.clone(), small(durability));
     for n in 0..12 {
         pair.act(&Do::Accept(100 + n * 10));
@@ -31,7 +32,7 @@
 }
 
 fn fails(image: Image, options: Options) -> Error {
-    let folder = Faulty::over(image.clone());
+    let folder = FaultyStorage::from_image(image.clone());
     let error = Journal::open(Arc::new(folder.clone()), options).err().expect("it does not open");
     assert_eq!(folder.image(), image, "nothing was changed");
     error
@@ -49,12 +50,12 @@
         for at in (0..image[name].len()).step_by(step) {
             let mut spoilt = image.clone();
             spoilt.get_mut(name).expect("a segment")[at] ^= 0x10;
-            let folder = Faulty::over(spoilt.clone());
+            let folder = FaultyStorage::from_image(spoilt.clone());
             let (journal, report) = open(&folder, small(Durability::Process));
             let found = state(&journal);
             if report.damages.is_empty() {
                 // Only where it looks like what a crash leaves, at the very end, or in a seal, which hides nothing.
-                let torn = *name == last && report.cut_bytes > 0;
+                let torn = *name == last && report.truncated_bytes > 0;
                 assert!(torn || found == map, "{name}, byte {at} went unnoticed");
                 continue;
             }
@@ -109,7 +110,7 @@
     for (what, spoil) in all {
         let mut spoilt = image.clone();
         spoil(&mut spoilt);
-        let folder = Faulty::over(spoilt);
+        let folder = FaultyStorage::from_image(spoilt);
         let (journal, report) = open(&folder, small(Durability::Process));
         assert!(!report.damages.is_empty(), "{what}");
         for (number, live) in state(&journal) {
@@ -124,7 +125,7 @@
 
 #[test]
 fn another_segments_head_does_not_say_what_is_needed() {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let mut pair = Pair::new(folder.clone(), small(Durability::Process));
     for n in 0..12 {
         pair.act(&Do::Accept(150));
@@ -145,8 +146,8 @@
         let mut spoilt = before.clone();
         spoilt.insert(name.clone(), after[&later].clone());
         for room in [60_000, 64 * 1024 * 1024] {
-            let options = Options { room, ..small(Durability::Process) };
-            let folder = Faulty::over(spoilt.clone());
+            let options = Options { capacity_bytes: room, ..small(Durability::Process) };
+            let folder = FaultyStorage::from_image(spoilt.clone());
             let (journal, report) = open(&folder, options.clone());
             assert!(!report.damages.is_empty(), "in place {place}");
             // One segment's messages are gone, and no more.
@@ -174,9 +175,9 @@
     for (name, at) in [(&names[1], 20), (&names[1], 100), (&names[2], 0)] {
         let mut spoilt = image.clone();
         spoilt.get_mut(name).expect("a segment")[at] ^= 1;
-        let (journal, report) = open(&Faulty::over(spoilt), small(Durability::Machine));
+        let (journal, report) = open(&FaultyStorage::from_image(spoilt), small(Durability::Machine));
         assert!(!report.damages.is_empty(), "{name}, byte {at}");
-        assert_eq!(report.cut_bytes, 0, "{name}, byte {at}");
+        assert_eq!(report.truncated_bytes, 0, "{name}, byte {at}");
         assert!(journal.len() + 1 >= map.len(), "{name}, byte {at}: {} are left", journal.len());
     }
 }
@@ -190,7 +191,7 @@
     for left in [0, 1, 47] {
         let mut spoilt = image.clone();
         spoilt.get_mut(&last).expect("a segment").truncate(left);
-        let folder = Faulty::over(spoilt);
+        let folder = FaultyStorage::from_image(spoilt);
         let (_, report) = open(&folder, small(Durability::Process));
         assert!(!report.damages.is_empty(), "{left} bytes are left");
         let (_, report) = open(&folder, small(Durability::Process));
@@ -200,7 +201,7 @@
 
 #[test]
 fn a_synced_record_that_is_spoilt_is_damage_and_one_that_was_not_synced_is_a_torn_tail() {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let mut pair = Pair::new(folder.clone(), small(Durability::Machine));
     pair.act(&Do::Accept(50));
     assert!(pair.act(&Do::Sync));
@@ -214,27 +215,27 @@
     // relied on.
     let mut image = folder.image();
     image.get_mut(&name).expect("a segment")[one + 60] ^= 1;
-    let (journal, report) = open(&Faulty::over(image), small(Durability::Machine));
+    let (journal, report) = open(&FaultyStorage::from_image(image), small(Durability::Machine));
     assert_eq!((report.damages.len(), journal.len()), (0, 1));
     // The first: the mark behind it says that it was on the device.
     let mut image = folder.image();
     image.get_mut(&name).expect("a segment")[first] ^= 1;
-    let (journal, report) = open(&Faulty::over(image), small(Durability::Machine));
+    let (journal, report) = open(&FaultyStorage::from_image(image), small(Durability::Machine));
     assert_eq!((report.damages.len(), journal.len()), (1, 2));
 }
 
 #[test]
 fn a_full_disk_refuses_new_messages_and_never_the_end_of_an_old_one() {
     // What is accepted is ended, whatever was set aside for it, though others have taken all other room.
-    let options = Options { set_aside: true, ..Options::new(6_000_000) };
-    let folder = Faulty::default();
-    folder.capacity(Some(2_500_000));
+    let options = Options { preallocate: true, ..Options::new(6_000_000) };
+    let folder = FaultyStorage::default();
+    folder.set_capacity(Some(2_500_000));
     let (mut journal, _) = open(&folder, options.clone());
     let (mut number, mut refused) = (0, None);
     while refused.is_none() {
         number += 1;
-        let new = letter(number, 900);
-        match journal.fits(&new) {
+        let new = sample_message(number, 900);
+        match journal.can_accept(&new) {
             Ok(()) => journal.accept(number, new),
             Err(why) => refused = Some(why),
         }
@@ -243,53 +244,57 @@
     }
     assert_eq!(refused, Some(Refusal::DiskFull));
     // Now somebody else takes the rest of the disk, too.
-    folder.capacity(Some(folder.used()));
+    folder.set_capacity(Some(folder.used()));
     for n in 1..number {
         for a in 0..6 {
-            journal.attempt(n, attempt(n)).expect("room was kept for it");
+            journal.record_attempt(n, attempt(n)).expect("room was kept for it");
             if a % 2 == 0 {
-                journal.never_ran(n, a);
+                journal.record_never_ran(n, a);
             }
         }
-        journal.judge(n, Verdict::Dead);
+        journal.record_verdict(n, Verdict::Dead);
         journal.flush().unwrap_or_else(|e| panic!("message {n}: {e}"));
-        journal.end(n);
+        journal.record_end(n);
         journal.flush().unwrap_or_else(|e| panic!("the end of {n}: {e}"));
         journal.compact(64 * 1024);
         journal.flush().unwrap_or_else(|e| panic!("a copy at {n}: {e}"));
     }
     assert_eq!(journal.len(), 0);
     // And it serves again once there is room.
-    folder.capacity(None);
-    assert_eq!(journal.fits(&letter(number, 900)), Ok(()));
+    folder.set_capacity(None);
+    assert_eq!(journal.can_accept(&sample_message(number, 900)), Ok(()));
 }
 
 #[test]
 fn the_room_is_kept_to_while_everything_in_it_is_used() {
     for durability in [Durability::Process, Durability::Machine] {
         let options = Options { durability, ..Options::new(3_000_000) };
-        let folder = Faulty::default();
+        let folder = FaultyStorage::default();
         let (mut journal, _) = open(&folder, options.clone());
         let (mut live, mut refused) = (std::collections::VecDeque::new(), 0);
         for n in 1..6000u64 {
-            let new = letter(n, (n as usize * 37) % 9000);
-            if journal.fits(&new).is_ok() {
+            let new = sample_message(n, (n as usize * 37) % 9000);
+            if journal.can_accept(&new).is_ok() {
                 journal.accept(n, new);
                 for a in 0..6 {
                     let host = "s-of-a-length-that-has-fifty-bytes-with-its-zone-".to_owned();
                     let a2 = Attempt { host, zone: "a".to_owned(), ..attempt(n) };
-                    journal.attempt(n, a2).expect("room was kept for it");
-                    journal.never_ran(n, a);
+                    journal.record_attempt(n, a2).expect("room was kept for it");
+                    journal.record_never_ran(n, a);
                 }
                 live.push_back(n);
             } else {
                 refused += 1;
                 // Not the oldest alone, so that segments keep some that live.
                 let at = (n as usize * 7) % live.len();
-                journal.end(live.remove(at).expect("it lives"));
+                journal.record_end(live.remove(at).expect("it lives"));
             }
             journal.flush().expect("written");
-            assert!(folder.used() <= options.room, "{durability:?}: {} bytes at {n}", folder.used());
+            assert!(
+                folder.used() <= options.capacity_bytes,
+                "{durability:?}: {} bytes at {n}",
+                folder.used()
+            );
             journal.compact(16 * 1024);
             journal.flush().expect("written");
             if n % 50 == 0
@@ -308,11 +313,11 @@
 #[test]
 fn as_many_usual_messages_fit_as_a_courier_holds() {
     // Found on a day with a backlog: the room for later records was counted so high that 580 filled the disk.
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let (mut journal, _) = open(&folder, Options::new(3_000_000));
     for n in 1..=1000u64 {
-        let new = letter(n, 480);
-        assert_eq!(journal.fits(&new), Ok(()), "{n}");
+        let new = sample_message(n, 480);
+        assert_eq!(journal.can_accept(&new), Ok(()), "{n}");
         journal.accept(n, new);
         journal.flush().expect("written");
     }
@@ -331,7 +336,7 @@
         })
         .collect();
     let calls = {
-        let folder = Faulty::default();
+        let folder = FaultyStorage::default();
         let mut pair = Pair::new(folder.clone(), small(Durability::Process));
         for what in &history {
             pair.act(what);
@@ -343,9 +348,9 @@
     {
         // The first calls make the first segment: without one there is no journal.
         for bad in 2..calls {
-            let folder = Faulty::default();
+            let folder = FaultyStorage::default();
             let mut pair = Pair::new(folder.clone(), small(Durability::Process));
-            folder.script(move |n, _| (n == bad).then_some(fault));
+            folder.set_fault_script(move |n, _| (n == bad).then_some(fault));
             let mut failed = false;
             for what in &history {
                 let kept = pair.act(what);
@@ -355,7 +360,8 @@
             let writes = matches!(fault, Fault::Fails(_));
             assert!(failed || !writes, "call {bad} with {fault:?} went unnoticed");
             pair.journal.flush().expect("it works again");
-            let (again, report) = open(&Faulty::over(folder.image()), small(Durability::Process));
+            let (again, report) =
+                open(&FaultyStorage::from_image(folder.image()), small(Durability::Process));
             assert!(report.damages.is_empty() && state(&again) == pair.map, "call {bad} with {fault:?}");
         }
     }
@@ -363,26 +369,28 @@
 
 #[test]
 fn while_the_disk_fails_a_crash_finds_a_state_from_before_and_no_other() {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let mut pair = Pair::new(folder.clone(), small(Durability::Process));
     pair.act(&Do::Accept(100));
     assert!(pair.act(&Do::Flush));
     let before = pair.map.clone();
-    folder.script(|_, step| matches!(step, Step::Write { .. }).then_some(Fault::Torn(50, ErrorKind::Other)));
+    folder.set_fault_script(|_, step| {
+        matches!(step, Step::Write { .. }).then_some(Fault::Torn(50, ErrorKind::Other))
+    });
     pair.act(&Do::Accept(100));
     for _ in 0..20 {
         assert!(!pair.act(&Do::Flush));
     }
-    let (again, report) = open(&Faulty::over(folder.image()), small(Durability::Process));
+    let (again, report) = open(&FaultyStorage::from_image(folder.image()), small(Durability::Process));
     assert!(report.damages.is_empty() && state(&again) == before);
-    folder.heal();
+    folder.clear_faults();
     assert!(pair.act(&Do::Flush));
     assert!(state(&open(&folder, small(Durability::Process)).0) == pair.map);
 }
 
 #[test]
 fn after_a_failed_sync_nothing_counts_as_kept_until_all_is_written_anew() {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let mut pair = Pair::new(folder.clone(), small(Durability::Machine));
     for n in 0..8 {
         pair.act(&Do::Accept(100));
@@ -392,7 +400,9 @@
     let old: Vec<usize> = files(&folder);
     pair.act(&Do::Accept(77));
     pair.journal.flush().expect("written");
-    folder.script(|_, step| matches!(step, Step::Sync { .. }).then_some(Fault::Fails(ErrorKind::Other)));
+    folder.set_fault_script(|_, step| {
+        matches!(step, Step::Sync { .. }).then_some(Fault::Fails(ErrorKind::Other))
+    });
     let before = pair.journal.durable();
     for failures in 1..=4 {
         pair.journal.flush().expect("written");
@@ -400,7 +410,7 @@
         let told = pair.journal.finish_sync(job.run());
         assert_eq!(told.is_err(), failures == 3, "it is told once: {told:?}");
         assert_eq!(pair.journal.durable(), before);
-        assert_eq!(pair.journal.fits(&letter(99, 10)), Err(Refusal::DiskFails));
+        assert_eq!(pair.journal.can_accept(&sample_message(99, 10)), Err(Refusal::DiskUnreliable));
     }
     let used = pair.journal.usage().used;
     for _ in 0..1000 {
@@ -408,7 +418,7 @@
         pair.journal.finish_sync(job.run()).expect("that was told");
     }
     assert_eq!(pair.journal.usage().used, used, "a device that fails for long costs no room");
-    folder.heal();
+    folder.clear_faults();
     let failed = folder.steps().len();
     let mut rounds = 0;
     while !pair.journal.is_durable() {
@@ -420,13 +430,14 @@
     let steps = folder.steps();
     let again = steps[failed..].iter().filter(|s| matches!(s, Step::Sync { file } if old.contains(file)));
     assert_eq!(again.count(), 0, "a file whose sync failed was synced again");
-    assert_eq!(pair.journal.fits(&letter(99, 10)), Ok(()));
+    assert_eq!(pair.journal.can_accept(&sample_message(99, 10)), Ok(()));
     // What was synced since stands alone: the segments from before may hold anything.
     let mut replay = Replay::default();
     folder.steps().iter().for_each(|s| replay.apply(s));
     let mut rng = <rand::rngs::SmallRng as rand::SeedableRng>::seed_from_u64(3);
     for _ in 0..50 {
-        let (journal, report) = open(&Faulty::over(replay.power_cut(&mut rng)), small(Durability::Machine));
+        let (journal, report) =
+            open(&FaultyStorage::from_image(replay.after_power_cut(&mut rng)), small(Durability::Machine));
         assert!(report.damages.is_empty() && state(&journal) == pair.map);
     }
 }
@@ -434,10 +445,10 @@
 #[test]
 fn a_failed_sync_in_a_full_room_is_recovered_from_within_that_room() {
     let options = Options { durability: Durability::Machine, ..Options::new(3_000_000) };
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let mut pair = Pair::new(folder.clone(), options.clone());
     let mut n = 0;
-    while pair.journal.fits(&letter(n, 900)).is_ok() {
+    while pair.journal.can_accept(&sample_message(n, 900)).is_ok() {
         pair.act(&Do::Accept(900));
         // Some dead bytes, too, as long as they are let stand.
         pair.act(&Do::Accept(900));
@@ -448,12 +459,14 @@
             assert!(pair.act(&Do::Sync));
         }
     }
-    folder.script(|_, step| matches!(step, Step::Sync { .. }).then_some(Fault::Fails(ErrorKind::Other)));
+    folder.set_fault_script(|_, step| {
+        matches!(step, Step::Sync { .. }).then_some(Fault::Fails(ErrorKind::Other))
+    });
     pair.act(&Do::Attempt(1));
     assert!(!pair.act(&Do::Sync));
-    folder.heal();
+    folder.clear_faults();
     let mut rounds = 0;
-    while !pair.journal.is_durable() || !pair.journal.is_trusted() {
+    while !pair.journal.is_durable() || !pair.journal.is_disk_trusted() {
         // What is owed goes on meanwhile.
         pair.act(&Do::Attempt(rounds));
         pair.act(&Do::NeverRan(rounds, 0));
@@ -462,22 +475,23 @@
         pair.act(&Do::Sync);
         rounds += 1;
         assert!(rounds < 1000, "it never recovers");
-        assert!(folder.used() <= options.room, "{} bytes in round {rounds}", folder.used());
+        assert!(folder.used() <= options.capacity_bytes, "{} bytes in round {rounds}", folder.used());
     }
-    assert!(state(&open(&Faulty::over(folder.image()), options).0) == pair.map);
+    assert!(state(&open(&FaultyStorage::from_image(folder.image()), options).0) == pair.map);
 }
 
-fn files(folder: &Faulty) -> Vec<usize> {
+fn files(folder: &FaultyStorage) -> Vec<usize> {
     let of = |s: &Step| if let Step::Create { file, .. } = s { Some(*file) } else { None };
     folder.steps().iter().filter_map(of).collect()
 }
 
 #[test]
 fn one_sync_serves_all_that_wait() {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let mut pair =
         Pair::new(folder.clone(), Options { durability: Durability::Machine, ..Options::new(3_000_000) });
-    let syncs = |folder: &Faulty| folder.steps().iter().filter(|s| matches!(s, Step::Sync { .. })).count();
+    let syncs =
+        |folder: &FaultyStorage| folder.steps().iter().filter(|s| matches!(s, Step::Sync { .. })).count();
     let before = syncs(&folder);
     for _ in 0..100 {
         pair.act(&Do::Accept(100));
@@ -498,7 +512,7 @@
 
 #[test]
 fn a_message_that_ends_or_changes_while_its_segment_is_emptied_is_what_it_was_last() {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let mut pair = Pair::new(folder.clone(), small(Durability::Process));
     for n in 0..40 {
         pair.act(&Do::Accept(200));
@@ -510,10 +524,10 @@
             pair.act(&Do::NeverRan(n % 5, 0));
             pair.act(&Do::Compact(1));
         }
-        let (again, _) = open(&Faulty::over(folder.image()), small(Durability::Process));
+        let (again, _) = open(&FaultyStorage::from_image(folder.image()), small(Durability::Process));
         pair.act(&Do::Flush);
         drop(again);
-        let (again, _) = open(&Faulty::over(folder.image()), small(Durability::Process));
+        let (again, _) = open(&FaultyStorage::from_image(folder.image()), small(Durability::Process));
         assert!(state(&again) == pair.map, "after {n}");
     }
 }
@@ -521,11 +535,11 @@
 #[test]
 fn a_hundred_thousand_messages_live_and_are_found_again() {
     let options = Options::new(400_000_000);
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let (mut journal, _) = open(&folder, options.clone());
     for n in 1..=100_000u64 {
-        let new = letter(n, 64);
-        assert_eq!(journal.fits(&new), Ok(()), "{n}");
+        let new = sample_message(n, 64);
+        assert_eq!(journal.can_accept(&new), Ok(()), "{n}");
         journal.accept(n, new);
         if n % 1000 == 0 {
             journal.flush().expect("written");
@@ -533,36 +547,36 @@
     }
     drop(journal);
     let (again, _) = open(&folder, options);
-    assert_eq!((again.len(), again.last()), (100_000, 100_000));
+    assert_eq!((again.len(), again.last_number()), (100_000, 100_000));
 }
 
 #[test]
 fn bodies_of_64_kib_and_none_longer() {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let (mut journal, _) = open(&folder, Options::new(3_000_000));
     for n in 1..=8 {
-        assert_eq!(journal.fits(&letter(n, 64 * 1024)), Ok(()));
-        journal.accept(n, letter(n, 64 * 1024));
+        assert_eq!(journal.can_accept(&sample_message(n, 64 * 1024)), Ok(()));
+        journal.accept(n, sample_message(n, 64 * 1024));
         journal.flush().expect("written");
     }
-    assert_eq!(journal.fits(&letter(9, 100 * 1024)), Err(Refusal::Full));
+    assert_eq!(journal.can_accept(&sample_message(9, 100 * 1024)), Err(Refusal::Full));
     let map = state(&journal);
     assert!(state(&open(&folder, Options::new(3_000_000)).0) == map);
 }
 
 #[test]
 fn names_longer_than_room_was_kept_for_take_other_room_or_are_refused() {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let (mut journal, _) = open(&folder, small(Durability::Process));
     let long = Attempt { host: "h".repeat(5000), ..attempt(1) };
-    journal.accept(1, letter(1, 10));
-    assert_eq!(journal.attempt(1, long.clone()), Ok(0));
+    journal.accept(1, sample_message(1, 10));
+    assert_eq!(journal.record_attempt(1, long.clone()), Ok(0));
     let mut n = 1;
-    while journal.fits(&letter(n + 1, 500)).is_ok() {
+    while journal.can_accept(&sample_message(n + 1, 500)).is_ok() {
         n += 1;
-        journal.accept(n, letter(n, 500));
+        journal.accept(n, sample_message(n, 500));
     }
-    assert_eq!(journal.attempt(1, long), Err(Refusal::Full));
+    assert_eq!(journal.record_attempt(1, long), Err(Refusal::Full));
     journal.flush().expect("written");
     assert!(folder.used() <= 60_000);
 }
@@ -586,15 +600,19 @@
     let (folder, _) = several(Durability::Process);
     let mut image = folder.image();
     image.insert("journal".to_owned(), Vec::new());
-    assert!(matches!(fails(image, small(Durability::Process)), Error::BothFormats));
+    assert!(matches!(fails(image, small(Durability::Process)), Error::ConflictingFormats));
 }
 
 #[test]
 fn too_little_room_is_told_with_what_is_needed() {
     let error = fails(BTreeMap::new(), Options::new(10_000));
-    let Error::RoomTooSmall { least, .. } = error else { panic!("{error}") };
+    let Error::CapacityTooSmall { required, .. } = error else { panic!("{error}") };
     assert!(
-        Journal::open(Arc::new(Faulty::default()), Options { room: least, ..Options::new(10_000) }).is_ok()
+        Journal::open(
+            Arc::new(FaultyStorage::default()),
+            Options { capacity_bytes: required, ..Options::new(10_000) }
+        )
+        .is_ok()
     );
 }
 
@@ -620,11 +638,11 @@
 #[test]
 fn two_on_one_folder_are_kept_apart_and_one_after_the_other_is_not() {
     let real = Real::new();
-    let first = Files::lock(&real.0).expect("the lock");
-    assert!(matches!(Files::lock(&real.0), Err(Error::InUse { .. })));
-    assert!(matches!(Files::read_only(&real.0), Err(Error::InUse { .. })));
+    let first = FileStorage::lock(&real.0).expect("the lock");
+    assert!(matches!(FileStorage::lock(&real.0), Err(Error::Locked { .. })));
+    assert!(matches!(FileStorage::read_only(&real.0), Err(Error::Locked { .. })));
     drop(first);
-    assert!(Files::lock(&real.0).is_ok());
+    assert!(FileStorage::lock(&real.0).is_ok());
 }
 
 #[test]
@@ -633,7 +651,7 @@
     let file = real.0.join("file");
     std::fs::write(&file, b"x").expect("written");
     for path in [file, real.0.join("none")] {
-        let told = Files::lock(&path).err().expect("no folder").to_string();
+        let told = FileStorage::lock(&path).err().expect("no folder").to_string();
         assert!(told.contains(&path.display().to_string()), "{told}");
     }
 }
@@ -642,17 +660,17 @@
 fn real_files_hold_what_memory_holds() {
     for (durability, set_aside) in [(Durability::Process, false), (Durability::Machine, true)] {
         let real = Real::new();
-        let options = Options { durability, set_aside, ..Options::new(12_000_000) };
-        let files: Arc<dyn Storage> = Arc::new(Files::lock(&real.0).expect("the lock"));
+        let options = Options { durability, preallocate: set_aside, ..Options::new(12_000_000) };
+        let files: Arc<dyn Storage> = Arc::new(FileStorage::lock(&real.0).expect("the lock"));
         let (mut journal, _) = Journal::open(files.clone(), options.clone()).expect("opens");
-        let mut map: BTreeMap<u64, Live> = BTreeMap::new();
+        let mut map: BTreeMap<u64, LiveMessage> = BTreeMap::new();
         for n in 1..3000u64 {
-            let new: Rc<Letter> = letter(n, 3000);
-            assert_eq!(journal.fits(&new), Ok(()));
+            let new: Rc<AcceptedMessage> = sample_message(n, 3000);
+            assert_eq!(journal.can_accept(&new), Ok(()));
             journal.accept(n, new.clone());
-            map.insert(n, Live { letter: new, attempts: Vec::new(), verdict: None });
+            map.insert(n, LiveMessage { accepted: new, attempts: Vec::new(), verdict: None });
             if n > 50 {
-                journal.end(n - 50);
+                journal.record_end(n - 50);
                 map.remove(&(n - 50));
             }
             journal.flush().expect("written");
@@ -667,10 +685,10 @@
         }
         assert!(journal.usage().used < 12_000_000);
         drop((journal, files));
-        let files = Arc::new(Files::lock(&real.0).expect("the lock"));
+        let files = Arc::new(FileStorage::lock(&real.0).expect("the lock"));
         let (again, report) = Journal::open(files, options).expect("opens");
         assert!(report.damages.is_empty() && state(&again) == map);
-        assert_eq!(again.last(), 2999);
-        assert_eq!(again.latest(), NOW);
+        assert_eq!(again.last_number(), 2999);
+        assert_eq!(again.latest_time(), NOW);
     }
 }
--- a/crates/journal/tests/model.rs
+++ b/crates/journal/tests/model.rs
@@ -10,7 +10,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use stairshed_journal::Durability;
-use stairshed_journal::storage::faulty::{Faulty, Replay, Step};
+use stairshed_journal::storage::faulty::{FaultyStorage, Replay, Step};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 fn number(name: &str, or: u64) -> u64 {
@@ -44,7 +44,7 @@
 }
 
 fn play(history: &[Do], durability: Durability) -> Result<Played, TestCaseError> {
-    let folder = Faulty::default();
+    let folder = FaultyStorage::default();
     let mut pair = Pair::new(folder.clone(), small(durability));
     let (mut maps, mut kept) = (vec![pair.whole()], 0);
     let mut marks = vec![(folder.steps().len(), 0, 0)];
@@ -71,7 +71,7 @@
     }
 
     fn check(&self, image: Image, step: usize, durability: Durability) -> Result<(), TestCaseError> {
-        let folder = Faulty::over(image.clone());
+        let folder = FaultyStorage::from_image(image.clone());
         let (mut journal, report) = open(&folder, small(durability));
         prop_assert_eq!(&report.damages, &[], "a crash is no damage, step {}", step);
         let found = whole(&journal);
@@ -80,24 +80,24 @@
         prop_assert!(fits, "step {}: {:?} is none of the states {:?}", step, found.0.keys(), allowed);
         // A crash of the start itself changes nothing.
         if step.is_multiple_of(7) {
-            let mut again = Replay::over(&image);
+            let mut again = Replay::from_image(&image);
             let mut rng = SmallRng::seed_from_u64(step as u64);
             for s in folder.steps() {
                 again.apply(&s);
                 let left = match durability {
-                    Durability::Process => again.killed(),
-                    Durability::Machine => again.power_cut(&mut rng),
+                    Durability::Process => again.after_kill(),
+                    Durability::Machine => again.after_power_cut(&mut rng),
                 };
-                let (journal, report) = open(&Faulty::over(left), small(durability));
+                let (journal, report) = open(&FaultyStorage::from_image(left), small(durability));
                 prop_assert_eq!(&report.damages, &[], "step {}, started twice", step);
                 prop_assert!(whole(&journal) == found, "step {}, started twice", step);
             }
         }
         // It goes on from there.
         if step.is_multiple_of(5) {
-            let next = letter(journal.last() + 1, 10);
-            if journal.fits(&next).is_ok() {
-                journal.accept(journal.last() + 1, next);
+            let next = sample_message(journal.last_number() + 1, 10);
+            if journal.can_accept(&next).is_ok() {
+                journal.accept(journal.last_number() + 1, next);
             }
             journal.flush().expect("memory does not fail");
             let (again, report) = open(&folder, small(durability));
@@ -133,7 +133,7 @@
         let mut replay = Replay::default();
         for (n, step) in played.steps.iter().enumerate() {
             replay.apply(step);
-            played.check(replay.killed(), n + 1, Durability::Process)?;
+            played.check(replay.after_kill(), n + 1, Durability::Process)?;
             points.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
@@ -152,7 +152,7 @@
                 for cut in 0..bytes.len() {
                     let mut torn = replay.clone();
                     torn.apply(&Step::Write { file: *file, at: *at, bytes: bytes[..cut].to_vec() });
-                    played.check(torn.killed(), n, Durability::Process)?;
+                    played.check(torn.after_kill(), n, Durability::Process)?;
                     points.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -175,7 +175,7 @@
         for (n, step) in played.steps.iter().enumerate() {
             replay.apply(step);
             for _ in 0..4 {
-                played.check(replay.power_cut(&mut rng), n + 1, Durability::Machine)?;
+                played.check(replay.after_power_cut(&mut rng), n + 1, Durability::Machine)?;
                 points.fetch_add(1, Ordering::Relaxed);
             }
         }
