--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -3,9 +3,7 @@
 //! message.
 
 use crate::clock::unix_time;
-use crate::events::{
-    DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
-};
+use crate::events::{DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
 use crate::ingress::users::Users;
@@ -94,7 +92,7 @@
                 "as many messages that have ended are remembered as may be",
                 default_wait,
             ),
-            Reply::JournalRefused(why @ Refusal::DiskFails) => {
+            Reply::JournalRefused(why @ Refusal::DiskUnreliable) => {
                 refused(code::IMPLEMENTATION_SPECIFIC, refusal_reason(why), default_wait)
             }
             Reply::JournalRefused(why) => refused(code::QUOTA_EXCEEDED, refusal_reason(why), default_wait),
@@ -297,7 +295,7 @@
         self.pending_offers.borrow_mut().insert(token, abandoned.clone());
         let reply = ReplyTo::Ingress { ingress: self.clone(), token, abandoned };
         let offer = Submission {
-            letter: Rc::new(message),
+            accepted: Rc::new(message),
             time_left,
             at: Instant::now(),
             reply,
