--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -8,7 +8,7 @@
 //! has begun cannot, and never ends as cancelled. `docs/mqtt.md` has the table of ends.
 
 use crate::Time;
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::frame::{Reader, encode};
 use crate::packet::{Ack, Connack, Connect, Disconnect, Packet, Publish, Qos, Version, code, property};
 use bytes::{Buf, Bytes, BytesMut};
--- a/crates/mqtt/src/convert.rs
+++ b/crates/mqtt/src/convert.rs
@@ -1,6 +1,6 @@
 //! Between this crate's packets and those of `rmqtt-codec`, whose two versions have types of their own.
 
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::packet::{
     Ack, Connack, Connect, Disconnect, Packet, Properties, Publish, Qos, Subscribe, Version, Will, code,
 };
--- a/crates/mqtt/src/frame.rs
+++ b/crates/mqtt/src/frame.rs
@@ -3,7 +3,7 @@
 //! be set, strings with U+0000, packets with something behind their end.
 
 use crate::convert;
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::packet::{Packet, Version, code};
 use bytes::{Buf, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub mod client;
 mod convert;
-pub mod fault;
+pub mod error;
 pub mod frame;
 pub mod packet;
 pub mod server;
--- a/crates/mqtt/src/server.rs
+++ b/crates/mqtt/src/server.rs
@@ -6,13 +6,13 @@
 //! on and on record ([`Server::replied`]), and with QoS 2 once its packet id is on record, too. What a client is
 //! told of a message that it published goes to its outcome topic ([`Server::outcome`]).
 
-mod connecting;
+mod connection;
 mod outcomes;
-mod records;
-mod taking;
+mod publish;
+mod session_store;
 
 use crate::Time;
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::frame::{Reader, encode};
 use crate::packet::{Connack, Connect, Packet, Properties, Publish, Qos, Version, Will, code};
 use crate::session::Session;
--- a/crates/mqtt/src/server/connecting.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -5,7 +5,7 @@
     silence, wait_property, will_message,
 };
 use crate::Time;
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::frame::Reader;
 use crate::packet::{Connack, Connect, Disconnect, Packet, Properties, Version, code};
 use crate::session::Session;
--- a/crates/mqtt/src/server/outcomes.rs
+++ b/crates/mqtt/src/server/outcomes.rs
@@ -1,7 +1,7 @@
 //! What clients are told of their messages: their subscription, and the outcomes on their way.
 
 use super::{After, Effect, OUTCOMES, Outcome, SENT_MOST, Server, Stage};
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::packet::{Packet, Publish, Qos, Subscribe, Version, code};
 use crate::session::Session;
 use bytes::Bytes;
--- a/crates/mqtt/src/server/taking.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -2,7 +2,7 @@
 
 use super::{After, Answer, Effect, Offer, Pending, RELEASES_MOST, Server, wait_property};
 use crate::Time;
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::packet::{Ack, Packet, Properties, Publish, Qos, Version, code};
 use stairshed_config::topic;
 
