--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -61,14 +61,14 @@
     let seconds = |span: Duration| u32::try_from(span.as_secs()).unwrap_or(u32::MAX - 1);
     let limits = Limits {
         sessions: m.sessions,
-        packet_most: MAX_BODY_BYTES + MAX_PACKET_OVERHEAD_BYTES,
-        payload_most: MAX_BODY_BYTES,
+        max_packet_size: MAX_BODY_BYTES + MAX_PACKET_OVERHEAD_BYTES,
+        max_payload_bytes: MAX_BODY_BYTES,
         receive_maximum: m.receive_maximum,
-        aliases: m.topic_aliases,
-        expiry_most: seconds(m.session_expiry.0),
-        keep_alive_most: u16::try_from(seconds(m.keep_alive.0)).unwrap_or(u16::MAX),
-        connect_time: CONNECT_TIMEOUT,
-        outcomes_most: m.outcomes,
+        topic_alias_max: m.topic_aliases,
+        max_session_expiry_seconds: seconds(m.session_expiry.0),
+        max_keep_alive_seconds: u16::try_from(seconds(m.keep_alive.0)).unwrap_or(u16::MAX),
+        connect_timeout: CONNECT_TIMEOUT,
+        max_outcomes: m.outcomes,
         wills: m.wills == Wills::Deliver,
     };
     let users = m.users.as_ref().map(|f| Users::read(&folder.join(f))).transpose();
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -78,10 +78,10 @@
 impl Ingress for MqttServer {
     fn on_reply(&self, token: u64, reply: Reply) {
         self.remove_pending_offer(token);
-        let refused = |code, why: &str, wait| Answer::Refused { code, why: why.to_owned(), wait };
+        let refused = |code, why: &str, wait| Answer::Refused { code, reason: why.to_owned(), wait };
         let default_wait = Some(DEFAULT_RETRY_AFTER);
         let answer = match reply {
-            Reply::Accepted => Answer::Taken,
+            Reply::Accepted => Answer::Accepted,
             Reply::Refused { wait } => {
                 refused(code::QUOTA_EXCEEDED, "refused: try again later", wait.or(default_wait))
             }
@@ -101,26 +101,26 @@
             }
             Reply::Failed => refused(code::UNSPECIFIED_ERROR, "failed", None),
         };
-        self.with_machine(|machine, now| machine.replied(token, answer, now));
+        self.with_machine(|machine, now| machine.offer_answered(token, answer, now));
     }
 
     fn on_stored(&self, token: u64, kept: Result<(), Refusal>) {
         let kept = kept.map_err(|why| refusal_reason(why).to_owned());
-        self.with_machine(|machine, now| machine.stored(token, kept, now));
+        self.with_machine(|machine, now| machine.record_stored(token, kept, now));
     }
 
     fn accepts_outcomes(&self, owner: &str) -> bool {
-        self.machine.borrow().hears(owner)
+        self.machine.borrow().accepts_outcomes(owner)
     }
 
     fn measure_memory(&self) {
-        let bytes = self.machine.borrow().weigh();
+        let bytes = self.machine.borrow().estimated_bytes();
         self.session_memory.borrow_mut().set(bytes);
     }
 
     fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
         let line = outcomes::outcome_line(id, verdict);
-        self.with_machine(|machine, _| machine.outcome(owner, Outcome { message, line }));
+        self.with_machine(|machine, _| machine.queue_outcome(owner, Outcome { message, line }));
     }
 }
 
@@ -189,7 +189,7 @@
             };
             tokio::select! {
                 () = self.wake.notified() => {}
-                () = timer => self.with_machine(|machine, now| machine.elapsed(now)),
+                () = timer => self.with_machine(|machine, now| machine.handle_timeout(now)),
             }
         }
     }
@@ -207,12 +207,12 @@
                 output.closing.set(true);
                 output.wake.notify_one();
             }
-            Effect::Ready { connection } => {
+            Effect::ResumeReading { connection } => {
                 if let Some(output) = self.outputs.borrow().get(&connection) {
                     output.wake.notify_one();
                 }
             }
-            Effect::Admit { connection, user, password, owner, will } => {
+            Effect::Authorize { connection, user, password, owner, will } => {
                 let admissible = will.as_ref().map_or(Ok(()), |will| {
                     let publish = server::will_message(will);
                     self.active_config.message_from_publish(&publish, &owner).map(|_| ())
@@ -221,22 +221,22 @@
                     admissible.map_err(|error| (error.code, format!("invalid will: {}", error.why)));
                 let admissible = admissible.and_then(|()| self.reserve_session_memory(&owner));
                 if admissible.is_err() {
-                    return self.with_machine(|machine, now| machine.admitted(connection, admissible, now));
+                    return self.with_machine(|machine, now| machine.authorized(connection, admissible, now));
                 }
                 self.check_password(connection, user, password);
             }
             Effect::Offer(offer) => self.submit_offer(*offer).await,
-            Effect::Desert { token } => {
+            Effect::AbandonOffer { token } => {
                 if let Some(left) = self.remove_pending_offer(token) {
                     left.set(true);
                 }
             }
-            Effect::Store { token, owner, record } => {
+            Effect::StoreSession { token, owner, record } => {
                 let key = format!("{SESSION_KEY_PREFIX}{owner}");
                 let store = StateUpdate { token, key, value: record.map(bytes::Bytes::from) };
                 let _ = self.events.send(DispatcherEvent::StoreState(store)).await;
             }
-            Effect::Told { message } | Effect::Untold { message } => {
+            Effect::OutcomeDelivered { message } | Effect::OutcomeDropped { message } => {
                 let _ = self.events.send(DispatcherEvent::OutcomeNotified { message }).await;
             }
             Effect::Log(text) => eprintln!("mqtt: {text}"),
@@ -249,14 +249,14 @@
             return Ok(());
         }
         // An estimate that counts until the sessions are measured again.
-        let fits = self.session_memory.borrow_mut().grow(server::SESSION);
+        let fits = self.session_memory.borrow_mut().grow(server::SESSION_BYTES);
         fits.map_err(|refused| (code::QUOTA_EXCEEDED, refused.to_string()))
     }
 
     /// Checks a password off the serving thread, then admits or refuses the connection.
     fn check_password(self: Rc<Self>, connection: u64, user: Option<String>, password: Option<bytes::Bytes>) {
         let Some(users) = self.users.clone() else {
-            return self.with_machine(|machine, now| machine.admitted(connection, Ok(()), now));
+            return self.with_machine(|machine, now| machine.authorized(connection, Ok(()), now));
         };
         tokio::task::spawn_local(async move {
             let verified = match (user, password, self.password_checks.clone().acquire_owned().await) {
@@ -268,7 +268,7 @@
             };
             let why = (code::BAD_USER_OR_PASSWORD, "unknown user or wrong password".to_owned());
             let verdict = if verified { Ok(()) } else { Err(why) };
-            self.with_machine(|machine, now| machine.admitted(connection, verdict, now));
+            self.with_machine(|machine, now| machine.authorized(connection, verdict, now));
         });
     }
 
@@ -277,8 +277,8 @@
         let (message, time_left) = match self.active_config.message_from_publish(&publish, &owner) {
             Ok(read) => read,
             Err(error) => {
-                let answer = Answer::Refused { code: error.code, why: error.why, wait: None };
-                return self.with_machine(|machine, now| machine.replied(token, answer, now));
+                let answer = Answer::Refused { code: error.code, reason: error.why, wait: None };
+                return self.with_machine(|machine, now| machine.offer_answered(token, answer, now));
             }
         };
         let guest = Some(self.memory_budget.ledger.guest(self.active_config.get().1.telling.session(&owner)));
@@ -353,7 +353,7 @@
 
     /// Evicts the connection that has waited longest without a CONNECT. Returns false if there is none.
     fn evict(&self) -> bool {
-        let silent = self.machine.borrow().silent();
+        let silent = self.machine.borrow().oldest_without_connect();
         let old = silent.filter(|(_, since)| self.origin.elapsed() > *since + MIN_EVICTION_AGE);
         if let Some((connection, _)) = old {
             self.with_machine(|machine, now| machine.shed(connection, now));
@@ -375,11 +375,11 @@
             wake: Notify::new(),
         });
         self.outputs.borrow_mut().insert(connection, output.clone());
-        self.with_machine(|machine, now| machine.accepted(connection, now));
+        self.with_machine(|machine, now| machine.connection_accepted(connection, now));
         let result = self.run_io(connection, &socket, &output).await;
         if result.is_err() {
             self.outputs.borrow_mut().remove(&connection);
-            self.with_machine(|machine, now| machine.lost(connection, now));
+            self.with_machine(|machine, now| machine.connection_lost(connection, now));
         }
         drop(memory);
         // Writes the remaining output, if the client reads it in time.
@@ -400,7 +400,7 @@
                 eprintln!("mqtt: a client that does not read is left");
                 return Err(io::ErrorKind::WriteZero.into());
             }
-            let reads = self.machine.borrow_mut().reads(connection);
+            let reads = self.machine.borrow_mut().wants_input(connection);
             let writes = !output.write_queue.borrow().is_empty();
             let wanted = match (reads, writes) {
                 (true, true) => Interest::READABLE | Interest::WRITABLE,
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -8,7 +8,7 @@
 use stairshed_config::file::{self, MqttVersion};
 use stairshed_decide::interface::{Effect, EndpointId, Outcome};
 use stairshed_journal::Letter;
-use stairshed_mqtt::client::{self, Client, End, Message, Options};
+use stairshed_mqtt::client::{self, AttemptResult, Client, Message, Options};
 use stairshed_mqtt::packet::Publish;
 use stairshed_mqtt::{Qos, Version};
 use std::cell::{Cell, RefCell};
@@ -57,7 +57,7 @@
     pub fn start(
         endpoint: EndpointId,
         (address, topic): (SocketAddr, String),
-        (settings, client, connect_time): (file::Broker, String, Duration),
+        (settings, client, connect_timeout): (file::Broker, String, Duration),
         folder: &Path,
         events: Sender<DispatcherEvent>,
     ) -> Rc<BrokerConnection> {
@@ -83,7 +83,7 @@
             // The configuration check ensures that these values fit.
             keep_alive: u16::try_from(settings.keep_alive.0.as_secs()).unwrap_or(u16::MAX),
             expiry: u32::try_from(settings.session_expiry.0.as_secs()).unwrap_or(u32::MAX - 1),
-            connect_time,
+            connect_timeout,
             in_flight: settings.in_flight,
         };
         let broker = Rc::new(BrokerConnection {
@@ -136,8 +136,8 @@
     /// Publishes a message with a reserved packet id.
     pub fn publish(&self, id: u16, call: Call, effect: Effect) {
         self.attempts.borrow_mut().insert(call.message, call.attempt);
-        let patience = call.deadline.saturating_duration_since(Instant::now());
-        let message = self.message(call.message, &call.letter, patience, effect, None);
+        let response_timeout = call.deadline.saturating_duration_since(Instant::now());
+        let message = self.message(call.message, &call.letter, response_timeout, effect, None);
         self.with_client(|mqtt_client, now| mqtt_client.publish(id, message, now));
     }
 
@@ -151,8 +151,8 @@
         (sent, released): (Duration, bool),
     ) {
         self.attempts.borrow_mut().insert(number, attempt);
-        let patience = letter.until.saturating_sub(unix_time());
-        let message = self.message(number, &letter, patience, effect, Some(sent));
+        let response_timeout = letter.until.saturating_sub(unix_time());
+        let message = self.message(number, &letter, response_timeout, effect, Some(sent));
         self.with_client(|mqtt_client, now| mqtt_client.resume(id, message, released, now));
     }
 
@@ -161,7 +161,7 @@
         &self,
         number: u64,
         letter: &Letter,
-        patience: Duration,
+        response_timeout: Duration,
         effect: Effect,
         sent: Option<Duration>,
     ) -> Message {
@@ -174,7 +174,7 @@
         } else {
             Qos::AtLeastOnce
         };
-        let repeat_until = match effect {
+        let retransmit_until = match effect {
             Effect::Keyed { window, .. } => now + (sent.unwrap_or(unix) + window).saturating_sub(unix),
             Effect::Repeatable | Effect::Once => NEVER,
         };
@@ -187,22 +187,22 @@
             properties,
             ..Publish::new("", qos, None, letter.body.clone())
         };
-        Message { number, publish, patience, until: now + left, repeat_until }
+        Message { number, publish, response_timeout, until: now + left, retransmit_until }
     }
 
     /// Excludes a packet id from use while the session lasts.
     pub fn block_packet_id(&self, id: u16) {
-        self.with_client(|mqtt_client, now| mqtt_client.block(id, now));
+        self.with_client(|mqtt_client, now| mqtt_client.block_packet_id(id, now));
     }
 
     /// Confirms that the PUBREC of a packet id is in the journal, so that PUBREL may be sent.
     pub fn release_recorded(&self, id: u16) {
-        self.with_client(|mqtt_client, now| mqtt_client.recorded(id, now));
+        self.with_client(|mqtt_client, now| mqtt_client.pubrec_recorded(id, now));
     }
 
     /// Confirms that the resumption of the session is in the journal.
     pub fn resume_recorded(&self) {
-        self.with_client(|mqtt_client, now| mqtt_client.resuming(now));
+        self.with_client(|mqtt_client, now| mqtt_client.resuming_recorded(now));
     }
 
     /// Cancels a message if nothing of it has been written; otherwise its delivery goes on.
@@ -212,17 +212,17 @@
 
     /// Stops sending new messages after `grace`. Messages in flight are completed.
     pub fn drain_after(&self, grace: Duration) {
-        self.with_client(|mqtt_client, now| mqtt_client.part(now + grace, now));
+        self.with_client(|mqtt_client, now| mqtt_client.drain_from(now + grace, now));
     }
 
     /// Resumes sending new messages.
     pub fn cancel_drain(&self) {
-        self.with_client(|mqtt_client, _| mqtt_client.join());
+        self.with_client(|mqtt_client, _| mqtt_client.cancel_drain());
     }
 
     /// Disconnects if nothing is in flight. The broker keeps the session as configured.
     pub fn disconnect_if_idle(&self) {
-        self.with_client(|mqtt_client, _| mqtt_client.hang_up());
+        self.with_client(|mqtt_client, _| mqtt_client.close_if_idle());
     }
 
     /// Ends the task once nothing is in flight; the endpoint has been removed.
@@ -244,10 +244,10 @@
                         socket = None;
                         connecting = Some(Box::pin(TcpStream::connect(self.address)));
                     }
-                    client::Effect::Close { farewell } => {
+                    client::Effect::Close { final_bytes } => {
                         if let Some(socket) = socket.take() {
                             // If the socket cannot take it at once, the broker sees an unclean disconnect.
-                            let _ = socket.try_write(&farewell);
+                            let _ = socket.try_write(&final_bytes);
                         }
                         connecting = None;
                     }
@@ -281,17 +281,17 @@
                 }
             };
             tokio::select! {
-                () = self.wake.notified() => self.update_client(|mqtt_client, now| mqtt_client.elapsed(now)),
-                () = timer => self.update_client(|mqtt_client, now| mqtt_client.elapsed(now)),
+                () = self.wake.notified() => self.update_client(|mqtt_client, now| mqtt_client.handle_timeout(now)),
+                () = timer => self.update_client(|mqtt_client, now| mqtt_client.handle_timeout(now)),
                 result = connected => {
                     connecting = None;
                     match result {
                         Ok(stream) => {
                             let _ = stream.set_nodelay(true);
                             socket = Some(stream);
-                            self.update_client(|mqtt_client, now| mqtt_client.opened(now));
+                            self.update_client(|mqtt_client, now| mqtt_client.connection_opened(now));
                         }
-                        Err(_) => self.update_client(|mqtt_client, now| mqtt_client.lost(now)),
+                        Err(_) => self.update_client(|mqtt_client, now| mqtt_client.connection_lost(now)),
                     }
                 }
                 ready = ready => {
@@ -305,7 +305,7 @@
                     };
                     if result.is_err() {
                         socket = None;
-                        self.update_client(|mqtt_client, now| mqtt_client.lost(now));
+                        self.update_client(|mqtt_client, now| mqtt_client.connection_lost(now));
                     }
                 }
             }
@@ -316,12 +316,12 @@
     async fn report(&self, effect: client::Effect, events: &Sender<DispatcherEvent>) {
         let endpoint = self.endpoint;
         let event = match effect {
-            client::Effect::Record { id, message } => {
+            client::Effect::RecordPubrec { id, message } => {
                 DispatcherEvent::PubrecReceived { endpoint, id, message }
             }
-            client::Effect::Resuming => DispatcherEvent::SessionResuming { endpoint, pending: true },
-            client::Effect::Resumed => DispatcherEvent::SessionResuming { endpoint, pending: false },
-            client::Effect::Free { id, .. } => DispatcherEvent::PacketIdFreed { endpoint, id },
+            client::Effect::RecordResuming => DispatcherEvent::SessionResuming { endpoint, pending: true },
+            client::Effect::ClearResuming => DispatcherEvent::SessionResuming { endpoint, pending: false },
+            client::Effect::FreePacketId { id, .. } => DispatcherEvent::PacketIdFreed { endpoint, id },
             client::Effect::Ended { message, end, .. } => {
                 let Some(attempt) = self.attempts.borrow_mut().remove(&message) else { return };
                 DispatcherEvent::CallEnded { message, attempt, endpoint, end: call_end_of(end) }
@@ -349,7 +349,7 @@
         };
         match written {
             Ok(n) => {
-                self.mqtt_client.borrow_mut().wrote(n, self.origin.elapsed());
+                self.mqtt_client.borrow_mut().bytes_written(n, self.origin.elapsed());
                 Ok(())
             }
             Err(e) if is_transient(&e) => Ok(()),
@@ -372,19 +372,23 @@
 }
 
 /// Maps the end of an MQTT delivery to an outcome of the decision module, by the table in docs/mqtt.md.
-fn call_end_of(end: End) -> CallResult {
+fn call_end_of(end: AttemptResult) -> CallResult {
     let outcome = match end {
-        End::Delivered => Outcome::Delivered,
-        End::Error => Outcome::Error,
-        End::Never => Outcome::Moot,
-        End::Full { wait } => Outcome::Full { wait },
-        End::Unsent => Outcome::ConnectFailed,
-        End::Lost => Outcome::Reset,
-        End::TimedOut => Outcome::TimedOut,
+        AttemptResult::Delivered => Outcome::Delivered,
+        AttemptResult::Error => Outcome::Error,
+        AttemptResult::Rejected => Outcome::Moot,
+        AttemptResult::Busy { wait } => Outcome::Full { wait },
+        AttemptResult::Unsent => Outcome::ConnectFailed,
+        AttemptResult::Lost => Outcome::Reset,
+        AttemptResult::TimedOut => Outcome::TimedOut,
     };
     CallResult {
         outcome,
-        after: if end == End::Delivered { AfterAttempt::Settled } else { AfterAttempt::RetryAllowed },
+        after: if end == AttemptResult::Delivered {
+            AfterAttempt::Settled
+        } else {
+            AfterAttempt::RetryAllowed
+        },
         report: None,
         at: Instant::now(),
         proof: "the broker's word",
--- a/crates/courier/tests/mqtt.rs
+++ b/crates/courier/tests/mqtt.rs
@@ -303,7 +303,7 @@
         while bad.hear().is_some() {}
         let mut bad = connected(version);
         let filters = vec![("#".to_owned(), Qos::AtMostOnce)];
-        bad.send(Packet::Subscribe(Subscribe { id: 1, identified: false, filters }));
+        bad.send(Packet::Subscribe(Subscribe { id: 1, has_subscription_id: false, filters }));
         let Some(Packet::Suback { codes, .. }) = bad.acked() else { panic!("no SUBACK") };
         assert!(codes[0] >= 0x80);
     }
--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -1,6 +1,6 @@
 //! The courier as a client of one broker: many messages over one connection. What comes from the socket, from the
 //! courier and from the clock goes in; [`Client::poll`] gives what is to be done, [`Client::output`] what is to be
-//! written, [`Client::timeout`] when to call [`Client::elapsed`] next.
+//! written, [`Client::timeout`] when to call [`Client::handle_timeout`] next.
 //!
 //! An attempt begins when the last byte of its PUBLISH is handed over, and its fate stays open until the broker has
 //! acknowledged it, or has lost the session. Whatever happens in between is the same attempt: after a reconnect with
@@ -8,7 +8,7 @@
 //! has begun cannot, and never ends as cancelled. `docs/mqtt.md` has the table of ends.
 
 use crate::Time;
-use crate::error::Fault;
+use crate::error::ConnectionError;
 use crate::frame::{Reader, encode};
 use crate::packet::{Ack, Connack, Connect, Disconnect, Packet, Publish, Qos, Version, code, property};
 use bytes::{Buf, Bytes, BytesMut};
@@ -17,16 +17,16 @@
 use std::time::Duration;
 
 /// A packet of a broker may be no longer: it sends acknowledgements only.
-const PACKET_MOST: usize = 64 * 1024;
+const MAX_PACKET_BYTES: usize = 64 * 1024;
 /// Pauses between connections that fail: first, and most.
-const BACKOFF_FIRST: Time = Duration::from_millis(50);
-const BACKOFF_MOST: Time = Duration::from_secs(2);
+const INITIAL_BACKOFF: Time = Duration::from_millis(50);
+const MAX_BACKOFF: Time = Duration::from_secs(2);
 /// A broker that answers no PING within this time is gone.
-const PING_TIME: Time = Duration::from_secs(5);
+const PING_TIMEOUT: Time = Duration::from_secs(5);
 /// Chunks that are handed over with one call.
-const SLICES_MOST: usize = 64;
+const MAX_OUTPUT_SLICES: usize = 64;
 /// Longest wait that a broker may tell, s: a slip must not shut an endpoint for good.
-const WAIT_MOST: f64 = 86_400.0;
+const MAX_RETRY_AFTER_SECONDS: f64 = 86_400.0;
 
 #[derive(Clone, Debug)]
 pub struct Options {
@@ -41,7 +41,7 @@
     /// Seconds that the broker is asked to keep the session for.
     pub expiry: u32,
     /// A connection that is not up within this time has failed.
-    pub connect_time: Time,
+    pub connect_timeout: Time,
     /// Messages on their way at once, whatever the broker allows.
     pub in_flight: usize,
 }
@@ -54,46 +54,46 @@
     /// message: what must not be repeated goes at QoS 2.
     pub publish: Publish,
     /// With nothing at all heard for so long the connection is given up.
-    pub patience: Time,
+    pub response_timeout: Time,
     /// When its time is up.
     pub until: Time,
     /// Until then it may go again at QoS 1.
-    pub repeat_until: Time,
+    pub retransmit_until: Time,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// [`Client::opened`] or [`Client::lost`] is owed.
+    /// [`Client::connection_opened`] or [`Client::connection_lost`] is owed.
     Open,
     /// The connection is of no more use: to be closed behind these bytes, if there are any. What is told of it
     /// later is not to be told here.
-    Close { farewell: BytesMut },
-    /// A session with open fates is about to be resumed, which must be on record until [`Effect::Resumed`]:
-    /// [`Client::resuming`] is owed. A process that finds such a record must not resume: see [`Client::opened`].
-    Resuming,
+    Close { final_bytes: BytesMut },
+    /// A session with open fates is about to be resumed, which must be on record until [`Effect::ClearResuming`]:
+    /// [`Client::resuming_recorded`] is owed. A process that finds such a record must not resume: see [`Client::connection_opened`].
+    RecordResuming,
     /// What became of the session is known.
-    Resumed,
+    ClearResuming,
     /// The broker has this message and waits for its release, which goes out once this is on record:
-    /// [`Client::recorded`] is owed.
-    Record { id: u16, message: u64 },
+    /// [`Client::pubrec_recorded`] is owed.
+    RecordPubrec { id: u16, message: u64 },
     /// The packet id is free: nothing about it needs to be on record.
-    Free { id: u16, message: u64 },
+    FreePacketId { id: u16, message: u64 },
     /// How the attempt ended.
-    Ended { id: u16, message: u64, end: End },
+    Ended { id: u16, message: u64, end: AttemptResult },
     /// A line for the operators' log.
     Log(String),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptResult {
     Delivered,
     /// Refused in a way that may have come after it ran.
     Error,
     /// Refused before it could run.
-    Never,
+    Rejected,
     /// Turned away for now, unseen.
-    Full {
+    Busy {
         wait: Option<Duration>,
     },
     /// It never left.
@@ -130,9 +130,9 @@
     queued: Time,
     /// Since when its acknowledgement is owed on this connection.
     sent: Time,
-    patience: Time,
+    response_timeout: Time,
     until: Time,
-    repeat_until: Time,
+    retransmit_until: Time,
     /// Its end has been told; only its packet id is still in use.
     abandoned: bool,
 }
@@ -153,7 +153,7 @@
     Opening {
         since: Time,
     },
-    /// There, and waits for [`Client::resuming`].
+    /// There, and waits for [`Client::resuming_recorded`].
     Recording {
         since: Time,
     },
@@ -180,7 +180,7 @@
     backoff: Time,
     /// As the broker allows on this connection.
     receive_maximum: usize,
-    packet_most: Option<u32>,
+    max_packet_size: Option<u32>,
     keep_alive: u16,
     heard: Time,
     wrote: Time,
@@ -198,7 +198,7 @@
 
 impl Client {
     pub fn new(options: Options) -> Self {
-        let reader = Reader::client(options.version, PACKET_MOST);
+        let reader = Reader::client(options.version, MAX_PACKET_BYTES);
         let keep_alive = options.keep_alive;
         Client {
             options,
@@ -208,9 +208,9 @@
             chunks: VecDeque::new(),
             next_id: 1,
             next_order: 0,
-            backoff: BACKOFF_FIRST,
+            backoff: INITIAL_BACKOFF,
             receive_maximum: usize::from(u16::MAX),
-            packet_most: None,
+            max_packet_size: None,
             keep_alive,
             heard: Time::ZERO,
             wrote: Time::ZERO,
@@ -263,17 +263,22 @@
     }
 
     /// Keeps an id from being used as long as the session lasts: it is that of a message that has ended.
-    pub fn block(&mut self, id: u16, now: Time) {
+    pub fn block_packet_id(&mut self, id: u16, now: Time) {
         let publish = Publish::new("", Qos::ExactlyOnce, None, Bytes::new());
-        let (patience, until, repeat_until) = (Time::MAX, Time::MAX, Time::ZERO);
-        self.insert(id, Message { number: 0, publish, patience, until, repeat_until }, Stage::Sent, now);
+        let (response_timeout, until, retransmit_until) = (Time::MAX, Time::MAX, Time::ZERO);
+        self.insert(
+            id,
+            Message { number: 0, publish, response_timeout, until, retransmit_until },
+            Stage::Sent,
+            now,
+        );
         if let Some(flight) = self.flights.get_mut(&id) {
             flight.abandoned = true;
         }
     }
 
     fn insert(&mut self, id: u16, message: Message, stage: Stage, now: Time) {
-        let Message { number, publish, patience, until, repeat_until } = message;
+        let Message { number, publish, response_timeout, until, retransmit_until } = message;
         let qos = publish.qos;
         let topic = self.options.topic.clone();
         let publish = Publish { topic, id: Some(id), dup: false, retain: false, alias: None, ..publish };
@@ -285,9 +290,9 @@
             order: self.next_order,
             queued: now,
             sent: now,
-            patience,
+            response_timeout,
             until,
-            repeat_until,
+            retransmit_until,
             abandoned: false,
         };
         self.next_order += 1;
@@ -299,7 +304,7 @@
     pub fn cancel(&mut self, message: u64) {
         let of = self.flights.iter().find(|(_, f)| f.message == message && !f.abandoned).map(|(id, _)| *id);
         if let Some(id) = of.filter(|id| self.untouched(*id)) {
-            self.take_back(id, End::Never);
+            self.take_back(id, AttemptResult::Rejected);
         }
     }
 
@@ -312,12 +317,12 @@
         }
     }
 
-    fn take_back(&mut self, id: u16, end: End) {
+    fn take_back(&mut self, id: u16, end: AttemptResult) {
         self.chunks.retain(|c| c.publish != Some(id));
         self.ended(id, end);
     }
 
-    fn take_all_back(&mut self, end: End) {
+    fn take_all_back(&mut self, end: AttemptResult) {
         let all: Vec<u16> = self.flights.keys().copied().filter(|id| self.untouched(*id)).collect();
         for id in all {
             self.take_back(id, end);
@@ -325,22 +330,22 @@
     }
 
     /// The attempt has ended, and its packet id is free.
-    fn ended(&mut self, id: u16, end: End) {
+    fn ended(&mut self, id: u16, end: AttemptResult) {
         let Some(flight) = self.flights.remove(&id) else { return };
-        self.effects.push_back(Effect::Free { id, message: flight.message });
+        self.effects.push_back(Effect::FreePacketId { id, message: flight.message });
         if !flight.abandoned {
             self.effects.push_back(Effect::Ended { id, message: flight.message, end });
         }
     }
 
     /// Nothing new goes to the broker from `at` on: it drains, or is gone. What is on its way is let finish.
-    pub fn part(&mut self, at: Time, now: Time) {
+    pub fn drain_from(&mut self, at: Time, now: Time) {
         self.parted.get_or_insert(at);
         self.carry_on(now);
     }
 
     /// It takes messages again.
-    pub fn join(&mut self) {
+    pub fn cancel_drain(&mut self) {
         self.parted = None;
     }
 
@@ -348,7 +353,7 @@
 
     /// What is to be handed over next, as many chunks as fit one call.
     pub fn output<'a>(&'a self, into: &mut Vec<IoSlice<'a>>) {
-        into.extend(self.chunks.iter().take(SLICES_MOST).map(|c| IoSlice::new(&c.bytes)));
+        into.extend(self.chunks.iter().take(MAX_OUTPUT_SLICES).map(|c| IoSlice::new(&c.bytes)));
     }
 
     pub fn has_output(&self) -> bool {
@@ -356,7 +361,7 @@
     }
 
     /// So many bytes of it are handed over.
-    pub fn wrote(&mut self, mut bytes: usize, now: Time) {
+    pub fn bytes_written(&mut self, mut bytes: usize, now: Time) {
         self.wrote = now;
         while bytes > 0 {
             let Some(chunk) = self.chunks.front_mut() else { return };
@@ -380,7 +385,7 @@
     /// A CONNECT that resumes makes a broker that has lost the session begin another. If its CONNACK is lost, too, the
     /// next one says that a session is present, and it is not ours: what goes again there would take effect twice. So
     /// once such a CONNECT has left, no CONNACK means that the session counts as lost, also over a restart.
-    pub fn opened(&mut self, now: Time) {
+    pub fn connection_opened(&mut self, now: Time) {
         let Link::Opening { since } = self.link else { return };
         // With no fate open the session has nothing for us; whatever it may still hold from an earlier life would
         // take a new message under an old id for a repeat.
@@ -397,11 +402,11 @@
         }
         self.link = Link::Recording { since };
         self.attested = true;
-        self.effects.push_back(Effect::Resuming);
+        self.effects.push_back(Effect::RecordResuming);
     }
 
     /// That the session is being resumed is on record.
-    pub fn resuming(&mut self, now: Time) {
+    pub fn resuming_recorded(&mut self, now: Time) {
         if let Link::Recording { since } = self.link {
             self.greet(since, false, now);
         }
@@ -415,17 +420,17 @@
             expiry: o.expiry,
             user: o.user.clone(),
             password: o.password.clone(),
-            packet_most: Some(PACKET_MOST as u32),
+            max_packet_size: Some(MAX_PACKET_BYTES as u32),
             ..Connect::new(o.version, &o.client)
         };
-        self.reader = Reader::client(o.version, PACKET_MOST);
+        self.reader = Reader::client(o.version, MAX_PACKET_BYTES);
         self.link = Link::Greeting { since, clean };
         (self.heard, self.wrote, self.pinged) = (now, now, None);
         self.write(Packet::Connect(Box::new(connect)), None);
     }
 
     /// The connection has ended, or could not be had.
-    pub fn lost(&mut self, now: Time) {
+    pub fn connection_lost(&mut self, now: Time) {
         if !matches!(self.link, Link::None | Link::Pause { .. }) {
             self.unlink(now);
         }
@@ -434,7 +439,7 @@
     /// What became of the session is known.
     fn attest_no_more(&mut self) {
         if std::mem::take(&mut self.attested) {
-            self.effects.push_back(Effect::Resumed);
+            self.effects.push_back(Effect::ClearResuming);
         }
     }
 
@@ -453,10 +458,10 @@
         let cut: Vec<u16> =
             self.flights.iter().filter(|(_, f)| f.stage == Stage::Writing).map(|(id, _)| *id).collect();
         for id in cut {
-            self.ended(id, End::Unsent);
+            self.ended(id, AttemptResult::Unsent);
         }
         self.link = Link::Pause { until: (now + self.backoff).max(self.wait_until) };
-        self.backoff = (self.backoff * 2).min(BACKOFF_MOST);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.carry_on(now);
     }
 
@@ -469,12 +474,12 @@
     fn close(&mut self, code: Option<u8>) {
         let between = self.chunks.front().is_none_or(|c| !c.begun);
         let packet = code.filter(|_| between).map(|code| Packet::Disconnect(Disconnect::new(code)));
-        let farewell = packet.and_then(|p| encode(self.options.version, p, self.packet_most).ok());
-        self.effects.push_back(Effect::Close { farewell: farewell.unwrap_or_default() });
+        let final_bytes = packet.and_then(|p| encode(self.options.version, p, self.max_packet_size).ok());
+        self.effects.push_back(Effect::Close { final_bytes: final_bytes.unwrap_or_default() });
     }
 
     fn write(&mut self, packet: Packet, publish: Option<u16>) -> bool {
-        match encode(self.options.version, packet, self.packet_most) {
+        match encode(self.options.version, packet, self.max_packet_size) {
             Ok(bytes) => {
                 self.chunks.push_back(Chunk { bytes, begun: false, publish });
                 true
@@ -497,13 +502,13 @@
                     self.pinged = None;
                     self.packet(packet, now)
                 }
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
-            if let Err(fault) = done {
-                let text = format!("the broker is at fault: {fault}");
+            if let Err(error) = done {
+                let text = format!("the broker is at fault: {error}");
                 self.effects.push_back(Effect::Log(text));
                 let up = self.link == Link::Up && self.options.version == Version::V5;
-                self.close(up.then_some(fault.code));
+                self.close(up.then_some(error.code));
                 return self.unlink(now);
             }
             if !matches!(self.link, Link::Greeting { .. } | Link::Up) {
@@ -513,10 +518,10 @@
         self.carry_on(now);
     }
 
-    fn packet(&mut self, packet: Packet, now: Time) -> Result<(), Fault> {
+    fn packet(&mut self, packet: Packet, now: Time) -> Result<(), ConnectionError> {
         match (self.link, packet) {
             (Link::Greeting { clean, .. }, Packet::Connack(connack)) => self.greeted(clean, &connack, now),
-            (Link::Greeting { .. }, _) => Err(Fault::protocol("something before the CONNACK")),
+            (Link::Greeting { .. }, _) => Err(ConnectionError::protocol("something before the CONNACK")),
             (_, Packet::Puback(ack)) => self.acked(&ack, now),
             (_, Packet::Pubrec(ack)) => self.pubrec(&ack, now),
             (_, Packet::Pubcomp(ack)) => self.pubcomp(&ack),
@@ -527,11 +532,11 @@
             }
             // Of an earlier subscription of somebody's under this name: nothing here reads it.
             (_, Packet::Publish(publish)) if publish.qos == Qos::AtMostOnce => Ok(()),
-            _ => Err(Fault::protocol("a packet that no broker sends here")),
+            _ => Err(ConnectionError::protocol("a packet that no broker sends here")),
         }
     }
 
-    fn greeted(&mut self, clean: bool, connack: &Connack, now: Time) -> Result<(), Fault> {
+    fn greeted(&mut self, clean: bool, connack: &Connack, now: Time) -> Result<(), ConnectionError> {
         // Also a refusal says so: it begins no session.
         self.attest_no_more();
         if connack.code != code::SUCCESS {
@@ -539,22 +544,22 @@
             return Ok(());
         }
         if clean && connack.session_present {
-            return Err(Fault::protocol("a session for a clean start [MQTT-3.2.2-4]"));
+            return Err(ConnectionError::protocol("a session for a clean start [MQTT-3.2.2-4]"));
         }
         self.link = Link::Up;
-        self.backoff = BACKOFF_FIRST;
+        self.backoff = INITIAL_BACKOFF;
         self.receive_maximum = usize::from(connack.receive_maximum);
-        self.packet_most = connack.packet_most;
+        self.max_packet_size = connack.max_packet_size;
         self.keep_alive = connack.keep_alive.unwrap_or(self.options.keep_alive);
-        let too_high = |f: &Flight| f.stage == Stage::Queued && f.qos > connack.qos_most;
+        let too_high = |f: &Flight| f.stage == Stage::Queued && f.qos > connack.max_qos;
         let refused: Vec<u16> = self.flights.iter().filter(|(_, f)| too_high(f)).map(|(id, _)| *id).collect();
         for id in refused {
             let text = format!(
                 "the broker takes QoS {} at most, which is less than a message needs",
-                connack.qos_most.value()
+                connack.max_qos.value()
             );
             self.effects.push_back(Effect::Log(text));
-            self.take_back(id, End::Never);
+            self.take_back(id, AttemptResult::Rejected);
         }
         if !connack.session_present {
             self.lose_session();
@@ -576,10 +581,10 @@
                 // Its message has ended, and nothing more is sent for that. The id stays in use.
                 (Stage::Sent, _) if flight.abandoned => {}
                 // The receivers behind the broker know its key no more.
-                (Stage::Sent, _) if flight.qos == Qos::AtLeastOnce && now >= flight.repeat_until => {
+                (Stage::Sent, _) if flight.qos == Qos::AtLeastOnce && now >= flight.retransmit_until => {
                     flight.abandoned = true;
                     let message = flight.message;
-                    self.effects.push_back(Effect::Ended { id, message, end: End::Lost });
+                    self.effects.push_back(Effect::Ended { id, message, end: AttemptResult::Lost });
                 }
                 (Stage::Sent, Some(publish)) => {
                     let publish = Publish { dup: true, ..publish.clone() };
@@ -596,7 +601,7 @@
     fn lose_session(&mut self) {
         let open: Vec<u16> = self.flights.iter().filter(|(_, f)| is_open(f)).map(|(id, _)| *id).collect();
         for id in open {
-            self.ended(id, End::Lost);
+            self.ended(id, AttemptResult::Lost);
         }
     }
 
@@ -617,7 +622,7 @@
         self.effects.push_back(Effect::Log(text));
         let wait = told_wait(&connack.properties);
         self.wait(wait, now);
-        self.take_all_back(if busy { End::Full { wait } } else { End::Unsent });
+        self.take_all_back(if busy { AttemptResult::Busy { wait } } else { AttemptResult::Unsent });
         self.drop_link(now);
     }
 
@@ -633,7 +638,7 @@
         let wait = told_wait(&disconnect.properties);
         self.wait(wait, now);
         if matches!(code, code::RECEIVE_MAXIMUM_EXCEEDED | code::QUOTA_EXCEEDED | code::SERVER_BUSY | 0x96) {
-            self.take_all_back(End::Full { wait });
+            self.take_all_back(AttemptResult::Busy { wait });
         }
         self.drop_link(now);
     }
@@ -646,7 +651,7 @@
 
     // ---- acknowledgements ------------------------------------------------------------------------------------
 
-    fn acked(&mut self, ack: &Ack, now: Time) -> Result<(), Fault> {
+    fn acked(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
         let Some(flight) = self.flights.get(&ack.id) else {
             // Of one that has ended: a repeat, which says nothing new.
             return Ok(());
@@ -656,12 +661,14 @@
                 self.judged(ack, now);
                 Ok(())
             }
-            Stage::Queued | Stage::Writing => Err(Fault::protocol("an acknowledgement of what was not sent")),
-            _ => Err(Fault::protocol("a PUBACK for a PUBLISH at QoS 2")),
+            Stage::Queued | Stage::Writing => {
+                Err(ConnectionError::protocol("an acknowledgement of what was not sent"))
+            }
+            _ => Err(ConnectionError::protocol("a PUBACK for a PUBLISH at QoS 2")),
         }
     }
 
-    fn pubrec(&mut self, ack: &Ack, now: Time) -> Result<(), Fault> {
+    fn pubrec(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
         let Some(flight) = self.flights.get_mut(&ack.id) else {
             let code =
                 if self.options.version == Version::V5 { code::PACKET_ID_NOT_FOUND } else { code::SUCCESS };
@@ -673,20 +680,20 @@
             Stage::Sent if flight.qos == Qos::ExactlyOnce => {
                 // The PUBLISH must not go again from now on [MQTT-4.3.3-6], and PUBREL is owed: on record first.
                 (flight.stage, flight.publish) = (Stage::Releasing, None);
-                self.effects.push_back(Effect::Record { id: ack.id, message: flight.message });
+                self.effects.push_back(Effect::RecordPubrec { id: ack.id, message: flight.message });
             }
             Stage::Releasing => {}
             Stage::Released => drop(self.write(Packet::Pubrel(Ack::new(ack.id, code::SUCCESS)), None)),
-            Stage::Sent => return Err(Fault::protocol("a PUBREC for a PUBLISH at QoS 1")),
+            Stage::Sent => return Err(ConnectionError::protocol("a PUBREC for a PUBLISH at QoS 1")),
             Stage::Queued | Stage::Writing => {
-                return Err(Fault::protocol("an acknowledgement of what was not sent"));
+                return Err(ConnectionError::protocol("an acknowledgement of what was not sent"));
             }
         }
         Ok(())
     }
 
     /// PUBREC is on record: its release goes out.
-    pub fn recorded(&mut self, id: u16, now: Time) {
+    pub fn pubrec_recorded(&mut self, id: u16, now: Time) {
         let Some(flight) = self.flights.get_mut(&id).filter(|f| f.stage == Stage::Releasing) else { return };
         (flight.stage, flight.sent) = (Stage::Released, now);
         if self.link == Link::Up {
@@ -694,12 +701,12 @@
         }
     }
 
-    fn pubcomp(&mut self, ack: &Ack) -> Result<(), Fault> {
+    fn pubcomp(&mut self, ack: &Ack) -> Result<(), ConnectionError> {
         match self.flights.get(&ack.id).map(|f| f.stage) {
             // Also with "packet identifier not found": it had the release before, and its PUBCOMP was lost.
-            Some(Stage::Released) => self.ended(ack.id, End::Delivered),
+            Some(Stage::Released) => self.ended(ack.id, AttemptResult::Delivered),
             None => {}
-            Some(_) => return Err(Fault::protocol("a PUBCOMP without a PUBREL")),
+            Some(_) => return Err(ConnectionError::protocol("a PUBCOMP without a PUBREL")),
         }
         Ok(())
     }
@@ -708,10 +715,12 @@
     fn judged(&mut self, ack: &Ack, now: Time) {
         let wait = told_wait(&ack.properties);
         let end = match ack.code {
-            0..0x80 => End::Delivered,
-            code::QUOTA_EXCEEDED => End::Full { wait },
-            code::NOT_AUTHORIZED | code::TOPIC_NAME_INVALID | code::PAYLOAD_FORMAT_INVALID => End::Never,
-            _ => End::Error,
+            0..0x80 => AttemptResult::Delivered,
+            code::QUOTA_EXCEEDED => AttemptResult::Busy { wait },
+            code::NOT_AUTHORIZED | code::TOPIC_NAME_INVALID | code::PAYLOAD_FORMAT_INVALID => {
+                AttemptResult::Rejected
+            }
+            _ => AttemptResult::Error,
         };
         if ack.code >= 0x80 && ack.code != code::QUOTA_EXCEEDED {
             let reason = ack.reason.as_deref().unwrap_or("no reason told");
@@ -721,17 +730,17 @@
             )));
         }
         self.ended(ack.id, end);
-        if let Some(told) = wait.filter(|_| matches!(end, End::Full { .. })) {
+        if let Some(told) = wait.filter(|_| matches!(end, AttemptResult::Busy { .. })) {
             // Those that are on their way are let go, and nothing after them.
             self.wait(wait, now);
-            self.take_all_back(End::Full { wait: Some(told) });
+            self.take_all_back(AttemptResult::Busy { wait: Some(told) });
         }
     }
 
     // ---- going on --------------------------------------------------------------------------------------------
 
     /// Does what is due by now.
-    pub fn elapsed(&mut self, now: Time) {
+    pub fn handle_timeout(&mut self, now: Time) {
         self.carry_on(now);
     }
 
@@ -739,11 +748,11 @@
         self.give_up(now);
         let parted = self.parted.is_some_and(|at| at <= now);
         if parted {
-            self.take_all_back(End::Unsent);
+            self.take_all_back(AttemptResult::Unsent);
         }
         if self.wait_until > now {
             let wait = Some(self.wait_until - now);
-            self.take_all_back(End::Full { wait });
+            self.take_all_back(AttemptResult::Busy { wait });
         }
         let wanted = self.wanted();
         match self.link {
@@ -753,11 +762,11 @@
                 false => self.link = Link::None,
             },
             Link::Opening { since } | Link::Recording { since } | Link::Greeting { since, .. }
-                if now >= since + self.options.connect_time =>
+                if now >= since + self.options.connect_timeout =>
             {
                 self.drop_link(now);
             }
-            Link::Up if !wanted && parted => self.hang_up(),
+            Link::Up if !wanted && parted => self.close_if_idle(),
             Link::Up => self.serve(now),
             _ => {}
         }
@@ -775,7 +784,7 @@
     }
 
     /// Ends a connection that nobody needs; the session stays with the broker as long as it was asked to keep it.
-    pub fn hang_up(&mut self) {
+    pub fn close_if_idle(&mut self) {
         if self.link == Link::Up && !self.wanted() {
             self.close(Some(code::SUCCESS));
             self.chunks.clear();
@@ -786,7 +795,7 @@
     /// What has waited too long: for a connection, or for its acknowledgement.
     fn give_up(&mut self, now: Time) {
         let late = |f: &Flight| now >= f.until && !f.abandoned;
-        let unsent = |f: &Flight| now >= f.until.min(f.queued + self.options.connect_time);
+        let unsent = |f: &Flight| now >= f.until.min(f.queued + self.options.connect_timeout);
         let over: Vec<u16> =
             self.flights.iter().filter(|(_, f)| late(f) || unsent(f)).map(|(id, _)| *id).collect();
         for id in over {
@@ -795,10 +804,14 @@
                 // Up and within the broker's bounds, or not up: either way it has no place in time.
                 Stage::Queued => self.take_back(
                     id,
-                    if self.link == Link::Up { End::Full { wait: None } } else { End::Unsent },
+                    if self.link == Link::Up {
+                        AttemptResult::Busy { wait: None }
+                    } else {
+                        AttemptResult::Unsent
+                    },
                 ),
                 Stage::Writing if self.untouched(id) && now >= flight.until => {
-                    self.take_back(id, End::Unsent)
+                    self.take_back(id, AttemptResult::Unsent)
                 }
                 _ if flight.abandoned || now < flight.until => {}
                 _ => {
@@ -806,7 +819,7 @@
                     if let Some(flight) = self.flights.get_mut(&id) {
                         flight.abandoned = true;
                     }
-                    self.effects.push_back(Effect::Ended { id, message, end: End::TimedOut });
+                    self.effects.push_back(Effect::Ended { id, message, end: AttemptResult::TimedOut });
                 }
             }
         }
@@ -816,8 +829,9 @@
         // A connection on which nothing comes while something is owed is given up; its session is resumed.
         let owed =
             self.flights.values().filter(|f| is_open(f) && !f.abandoned && f.stage != Stage::Releasing);
-        let mute = owed.map(|f| f.sent.max(self.heard) + f.patience).min().is_some_and(|at| at <= now);
-        let unheard = self.pinged.is_some_and(|at| now >= at + PING_TIME);
+        let mute =
+            owed.map(|f| f.sent.max(self.heard) + f.response_timeout).min().is_some_and(|at| at <= now);
+        let unheard = self.pinged.is_some_and(|at| now >= at + PING_TIMEOUT);
         if mute || unheard {
             self.effects.push_back(Effect::Log(
                 "the broker has fallen silent: the connection is given up".to_owned(),
@@ -851,14 +865,14 @@
                 out += 1;
             } else {
                 self.effects.push_back(Effect::Log("a message is longer than the broker takes".to_owned()));
-                self.ended(id, End::Never);
+                self.ended(id, AttemptResult::Rejected);
             }
         }
     }
 
-    /// When [`Client::elapsed`] is to be called.
+    /// When [`Client::handle_timeout`] is to be called.
     pub fn timeout(&self) -> Option<Time> {
-        let connect = self.options.connect_time;
+        let connect = self.options.connect_timeout;
         let link = match self.link {
             Link::Opening { since } | Link::Recording { since } | Link::Greeting { since, .. } => {
                 Some(since + connect)
@@ -867,7 +881,7 @@
             Link::Up => {
                 let ping = self.wrote + Duration::from_secs(u64::from(self.keep_alive));
                 let ping = (self.keep_alive > 0).then_some(ping);
-                self.pinged.map(|at| at + PING_TIME).or(ping)
+                self.pinged.map(|at| at + PING_TIMEOUT).or(ping)
             }
             Link::None => None,
         };
@@ -875,7 +889,7 @@
             _ if f.abandoned => None,
             Stage::Queued => Some(f.until.min(f.queued + connect)),
             Stage::Sent | Stage::Released if self.link == Link::Up => {
-                Some(f.until.min(f.sent.max(self.heard).saturating_add(f.patience)))
+                Some(f.until.min(f.sent.max(self.heard).saturating_add(f.response_timeout)))
             }
             _ => Some(f.until),
         };
@@ -893,7 +907,7 @@
 /// `retry-after`, in seconds, as this courier tells it, too.
 fn told_wait(properties: &crate::packet::Properties) -> Option<Duration> {
     let seconds: f64 = property(properties, "retry-after")?.trim().parse().ok()?;
-    (seconds > 0.0 && seconds <= WAIT_MOST).then(|| Duration::from_secs_f64(seconds))
+    (seconds > 0.0 && seconds <= MAX_RETRY_AFTER_SECONDS).then(|| Duration::from_secs_f64(seconds))
 }
 
 #[cfg(test)]
--- a/crates/mqtt/src/client_test.rs
+++ b/crates/mqtt/src/client_test.rs
@@ -12,7 +12,7 @@
         topic: "fuel".to_owned(),
         keep_alive: 30,
         expiry: 3600,
-        connect_time: 1000 * MS,
+        connect_timeout: 1000 * MS,
         in_flight: 65_535,
     }
 }
@@ -35,7 +35,7 @@
     fn message(&self, number: u64) -> Message {
         let publish = Publish::new("", self.qos, None, Bytes::from_static(b"42 EUR"));
         let until = self.now + 20_000 * MS;
-        Message { number, publish, patience: 5000 * MS, until, repeat_until: Time::MAX }
+        Message { number, publish, response_timeout: 5000 * MS, until, retransmit_until: Time::MAX }
     }
 
     fn send(&mut self, number: u64) -> u16 {
@@ -46,11 +46,11 @@
     }
 
     fn effects(&mut self) -> Vec<Effect> {
-        let told = |e: &Effect| !matches!(e, Effect::Log(_) | Effect::Resuming | Effect::Resumed);
+        let told = |e: &Effect| !matches!(e, Effect::Log(_) | Effect::RecordResuming | Effect::ClearResuming);
         std::iter::from_fn(|| self.client.poll()).filter(told).collect()
     }
 
-    fn ends(&mut self) -> Vec<(u64, End)> {
+    fn ends(&mut self) -> Vec<(u64, AttemptResult)> {
         let of = |e| if let Effect::Ended { message, end, .. } = e { Some((message, end)) } else { None };
         self.effects().into_iter().filter_map(of).collect()
     }
@@ -62,7 +62,7 @@
             self.client.output(&mut slices);
             slices.iter().flat_map(|s| s.to_vec()).collect()
         };
-        self.client.wrote(bytes.len(), self.now);
+        self.client.bytes_written(bytes.len(), self.now);
         self.broker.push(&bytes);
         std::iter::from_fn(|| self.broker.packet().expect("sound")).collect()
     }
@@ -75,8 +75,8 @@
     /// Opens the connection that was asked for; the CONNECT.
     fn open(&mut self) -> Connect {
         self.broker = Reader::server(1 << 20);
-        self.client.opened(self.now);
-        self.client.resuming(self.now);
+        self.client.connection_opened(self.now);
+        self.client.resuming_recorded(self.now);
         match self.take().remove(0) {
             Packet::Connect(connect) => *connect,
             other => panic!("{other:?}"),
@@ -88,7 +88,7 @@
         self.tell(Packet::Connack(Box::new(Connack { session_present, ..Connack::new(0) })));
         if self.version == Version::V311 && connect.clean {
             self.now += MS;
-            self.client.elapsed(self.now);
+            self.client.handle_timeout(self.now);
             let again = self.open();
             assert!(!again.clean, "the second begins a session that lasts");
             self.tell(Packet::Connack(Box::new(Connack::new(0))));
@@ -98,9 +98,9 @@
 
     /// The connection breaks, and the pause behind it passes.
     fn break_off(&mut self) {
-        self.client.lost(self.now);
+        self.client.connection_lost(self.now);
         self.now += 3000 * MS;
-        self.client.elapsed(self.now);
+        self.client.handle_timeout(self.now);
     }
 }
 
@@ -122,19 +122,19 @@
         assert!(play.up(false).clean);
         assert_eq!(published(&play.take()), [(id, false)]);
         play.tell(Packet::Puback(Ack::new(id, 0)));
-        assert!(play.ends().contains(&(1, End::Delivered)));
+        assert!(play.ends().contains(&(1, AttemptResult::Delivered)));
         let mut play = Play::new(version, Qos::ExactlyOnce);
         let id = play.send(1);
         play.up(false);
         assert_eq!(published(&play.take()), [(id, false)]);
         play.effects();
         play.tell(Packet::Pubrec(Ack::new(id, 0)));
-        assert_eq!(play.effects(), [Effect::Record { id, message: 1 }]);
+        assert_eq!(play.effects(), [Effect::RecordPubrec { id, message: 1 }]);
         assert_eq!(play.take(), [], "no PUBREL before it is on record");
-        play.client.recorded(id, play.now);
+        play.client.pubrec_recorded(id, play.now);
         assert_eq!(play.take(), [Packet::Pubrel(Ack::new(id, 0))]);
         play.tell(Packet::Pubcomp(Ack::new(id, 0)));
-        assert_eq!(play.ends(), [(1, End::Delivered)]);
+        assert_eq!(play.ends(), [(1, AttemptResult::Delivered)]);
         assert_eq!(play.client.in_use(), 0);
     }
 }
@@ -149,7 +149,7 @@
         play.up(false);
         assert_eq!(published(&play.take()), [(a, false), (b, false)]);
         play.tell(Packet::Pubrec(Ack::new(a, 0)));
-        play.client.recorded(a, play.now);
+        play.client.pubrec_recorded(a, play.now);
         play.effects();
         play.break_off();
         assert_eq!(play.effects(), [Effect::Open], "its fate is open: no end, and nothing new");
@@ -159,9 +159,9 @@
         assert_eq!(published(&again), [(b, true)], "the same packet with DUP [MQTT-3.3.1-1]");
         play.tell(Packet::Pubcomp(Ack::new(a, code::SUCCESS)));
         play.tell(Packet::Pubrec(Ack::new(b, 0)));
-        play.client.recorded(b, play.now);
+        play.client.pubrec_recorded(b, play.now);
         play.tell(Packet::Pubcomp(Ack::new(b, 0)));
-        assert_eq!(play.ends(), [(1, End::Delivered), (2, End::Delivered)]);
+        assert_eq!(play.ends(), [(1, AttemptResult::Delivered), (2, AttemptResult::Delivered)]);
     }
 }
 
@@ -174,23 +174,23 @@
         play.take();
         play.break_off();
         play.effects();
-        play.client.opened(play.now);
-        assert_eq!(play.client.poll(), Some(Effect::Resuming));
+        play.client.connection_opened(play.now);
+        assert_eq!(play.client.poll(), Some(Effect::RecordResuming));
         assert_eq!(play.take(), [], "no CONNECT before that is on record");
         // Lost before CONNECT has left nothing is in doubt.
-        play.client.lost(play.now);
-        assert_eq!(play.client.poll(), Some(Effect::Resumed));
+        play.client.connection_lost(play.now);
+        assert_eq!(play.client.poll(), Some(Effect::ClearResuming));
         play.now += 3000 * MS;
-        play.client.elapsed(play.now);
+        play.client.handle_timeout(play.now);
         assert_eq!(play.effects(), [Effect::Open]);
         let connect = play.open();
         assert!(!connect.clean);
-        play.client.lost(play.now);
-        assert_eq!(play.ends(), [(1, End::Lost)]);
+        play.client.connection_lost(play.now);
+        assert_eq!(play.ends(), [(1, AttemptResult::Lost)]);
         // The next begins anew.
         play.send(2);
         play.now += 3000 * MS;
-        play.client.elapsed(play.now);
+        play.client.handle_timeout(play.now);
         play.send(3);
         assert!(play.up(false).clean);
     }
@@ -200,14 +200,14 @@
 fn at_qos_1_nothing_goes_again_once_its_key_is_forgotten() {
     let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
     let id = play.client.reserve().expect("an id");
-    let message = Message { repeat_until: play.now + 1000 * MS, ..play.message(1) };
+    let message = Message { retransmit_until: play.now + 1000 * MS, ..play.message(1) };
     play.client.publish(id, message, play.now);
     play.up(false);
     play.take();
     play.break_off();
     play.effects();
     play.up(true);
-    assert_eq!(play.ends(), [(1, End::Lost)]);
+    assert_eq!(play.ends(), [(1, AttemptResult::Lost)]);
     assert_eq!(published(&play.take()), []);
 }
 
@@ -222,7 +222,7 @@
         play.break_off();
         play.effects();
         assert!(!play.up(false).clean);
-        assert_eq!(play.ends(), [(1, End::Lost)]);
+        assert_eq!(play.ends(), [(1, AttemptResult::Lost)]);
         assert_eq!(published(&play.take()), []);
     }
 }
@@ -243,12 +243,12 @@
             play.send(1);
             play.up(false);
             play.effects();
-            play.client.wrote(cut, play.now);
-            play.client.lost(play.now);
-            let wanted: &[(u64, End)] = match cut {
+            play.client.bytes_written(cut, play.now);
+            play.client.connection_lost(play.now);
+            let wanted: &[(u64, AttemptResult)] = match cut {
                 // All of it, and its fate is open.
                 cut if cut == whole => &[],
-                _ => &[(1, End::Unsent)],
+                _ => &[(1, AttemptResult::Unsent)],
             };
             assert_eq!(play.ends(), wanted, "cut at {cut} of {whole}");
         }
@@ -266,12 +266,12 @@
     // Heard of now and then, so that the connection is no mute one.
     for _ in 0..4 {
         play.now += 4000 * MS;
-        play.client.elapsed(play.now);
+        play.client.handle_timeout(play.now);
         play.tell(Packet::Pingresp);
         assert_eq!(play.ends(), [], "nothing ends while its fate is open");
     }
     play.tell(Packet::Puback(Ack::new(id, 0)));
-    assert_eq!(play.ends(), [(1, End::Delivered)]);
+    assert_eq!(play.ends(), [(1, AttemptResult::Delivered)]);
 }
 
 #[test]
@@ -282,20 +282,20 @@
     play.take();
     play.effects();
     play.now += 20_000 * MS;
-    play.client.elapsed(play.now);
-    assert_eq!(play.ends(), [(1, End::TimedOut)]);
+    play.client.handle_timeout(play.now);
+    assert_eq!(play.ends(), [(1, AttemptResult::TimedOut)]);
     assert_eq!(play.client.in_use(), 1);
     // Another begins, so that the session must be kept.
     let other = play.send(2);
     assert_ne!(other, id);
     assert_eq!(published(&play.take()), [(other, false)]);
-    play.client.lost(play.now);
+    play.client.connection_lost(play.now);
     play.now += 100 * MS;
-    play.client.elapsed(play.now);
+    play.client.handle_timeout(play.now);
     play.up(true);
     assert_eq!(published(&play.take()), [(other, true)], "not the one that has ended");
     play.tell(Packet::Puback(Ack::new(other, 0)));
-    assert!(play.ends().contains(&(2, End::Delivered)));
+    assert!(play.ends().contains(&(2, AttemptResult::Delivered)));
 }
 
 #[test]
@@ -308,10 +308,10 @@
     let at = play.client.timeout().expect("a time");
     assert_eq!(at, play.now + 5000 * MS, "its patience");
     play.now = at;
-    play.client.elapsed(play.now);
-    assert_eq!(play.effects(), [Effect::Close { farewell: BytesMut::new() }]);
+    play.client.handle_timeout(play.now);
+    assert_eq!(play.effects(), [Effect::Close { final_bytes: BytesMut::new() }]);
     play.now += 100 * MS;
-    play.client.elapsed(play.now);
+    play.client.handle_timeout(play.now);
     assert_eq!(play.effects(), [Effect::Open]);
     play.up(true);
     assert_eq!(published(&play.take()), [(id, true)]);
@@ -328,7 +328,7 @@
         play.tell(Packet::Puback(Ack::new(b, 0)));
         play.tell(Packet::Puback(Ack::new(b, 0)));
         play.tell(Packet::Puback(Ack::new(999, 0)));
-        assert_eq!(play.ends(), [(2, End::Delivered)]);
+        assert_eq!(play.ends(), [(2, AttemptResult::Delivered)]);
         // The next does not take the id that is free again.
         let c = play.send(3);
         assert!(c != a && c != b);
@@ -337,7 +337,7 @@
         assert_eq!(play.ends(), []);
         play.tell(Packet::Puback(Ack::new(c, 0)));
         play.tell(Packet::Puback(Ack::new(a, 0)));
-        assert_eq!(play.ends(), [(3, End::Delivered), (1, End::Delivered)]);
+        assert_eq!(play.ends(), [(3, AttemptResult::Delivered), (1, AttemptResult::Delivered)]);
     }
 }
 
@@ -360,7 +360,7 @@
         play.tell(lie.clone());
         let effects = play.effects();
         assert!(
-            matches!(&effects[..], [Effect::Close { farewell }] if farewell.len() >= 2),
+            matches!(&effects[..], [Effect::Close { final_bytes }] if final_bytes.len() >= 2),
             "{lie:?} {effects:?}"
         );
     }
@@ -370,22 +370,22 @@
     play.up(false);
     play.effects();
     play.tell(Packet::Puback(Ack::new(1, 0)));
-    assert!(!play.ends().contains(&(1, End::Delivered)));
+    assert!(!play.ends().contains(&(1, AttemptResult::Delivered)));
 }
 
 // Of 5.0: MQTT-4.4.0-2
 #[test]
 fn reason_codes_end_an_attempt_as_the_table_says() {
     for (code, end) in [
-        (0x00, End::Delivered),
-        (0x10, End::Delivered),
-        (0x80, End::Error),
-        (0x83, End::Error),
-        (0x87, End::Never),
-        (0x90, End::Never),
-        (0x91, End::Error),
-        (0x97, End::Full { wait: None }),
-        (0x99, End::Never),
+        (0x00, AttemptResult::Delivered),
+        (0x10, AttemptResult::Delivered),
+        (0x80, AttemptResult::Error),
+        (0x83, AttemptResult::Error),
+        (0x87, AttemptResult::Rejected),
+        (0x90, AttemptResult::Rejected),
+        (0x91, AttemptResult::Error),
+        (0x97, AttemptResult::Busy { wait: None }),
+        (0x99, AttemptResult::Rejected),
     ] {
         for qos in [Qos::AtLeastOnce, Qos::ExactlyOnce] {
             let mut play = Play::new(Version::V5, qos);
@@ -396,7 +396,7 @@
             let ack = Ack::new(id, code);
             play.tell(if qos == Qos::AtLeastOnce { Packet::Puback(ack) } else { Packet::Pubrec(ack) });
             if code < 0x80 && qos == Qos::ExactlyOnce {
-                assert_eq!(play.effects(), [Effect::Record { id, message: 1 }]);
+                assert_eq!(play.effects(), [Effect::RecordPubrec { id, message: 1 }]);
                 continue;
             }
             assert_eq!(play.ends(), [(1, end)], "0x{code:02X}");
@@ -412,13 +412,13 @@
     play.up(false);
     // So much is handed over that the 64 of one call are, and some bytes of the next.
     assert_eq!(published(&play.take()).len(), 64);
-    play.client.wrote(3, play.now);
+    play.client.bytes_written(3, play.now);
     play.effects();
     let wait = vec![("retry-after".to_owned(), "2.5".to_owned())];
     play.tell(Packet::Puback(Ack { properties: wait, ..Ack::new(ids[0], code::QUOTA_EXCEEDED) }));
     let told = Duration::from_millis(2500);
     let ends = play.ends();
-    assert_eq!(ends[0], (0, End::Full { wait: Some(told) }));
+    assert_eq!(ends[0], (0, AttemptResult::Busy { wait: Some(told) }));
     let taken_back: BTreeSet<u64> = ends.iter().map(|(m, _)| *m).collect();
     assert_eq!(taken_back, std::iter::once(0).chain(65..200).collect(), "all but those that had begun");
     // What had begun goes out to its end, and nothing else.
@@ -429,11 +429,11 @@
         assert_eq!(slices.len(), 1);
         slices[0].len()
     };
-    play.client.wrote(rest, play.now);
+    play.client.bytes_written(rest, play.now);
     // A new one within the wait is turned away with what is left of it.
     play.now += 500 * MS;
     play.send(500);
-    assert_eq!(play.ends(), [(500, End::Full { wait: Some(Duration::from_millis(2000)) })]);
+    assert_eq!(play.ends(), [(500, AttemptResult::Busy { wait: Some(Duration::from_millis(2000)) })]);
     for id in &ids[1..65] {
         play.tell(Packet::Puback(Ack::new(*id, 0)));
     }
@@ -462,7 +462,7 @@
     play.effects();
     // The place is free with PUBCOMP, or a PUBREC that refuses [MQTT-4.9.0-1].
     play.tell(Packet::Pubrec(Ack::new(ids[0], 0)));
-    play.client.recorded(ids[0], play.now);
+    play.client.pubrec_recorded(ids[0], play.now);
     assert_eq!(published(&play.take()).len(), 0);
     play.tell(Packet::Pubcomp(Ack::new(ids[0], 0)));
     assert_eq!(published(&play.take()), [(ids[3], false)]);
@@ -481,7 +481,7 @@
         play.client.insert(id, message, Stage::Sent, play.now);
     }
     assert_eq!(play.client.reserve(), None);
-    play.client.ended(700, End::Delivered);
+    play.client.ended(700, AttemptResult::Delivered);
     assert_eq!(play.client.reserve(), Some(700));
 }
 
@@ -490,13 +490,13 @@
     let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
     let (a, _) = (play.send(1), play.send(2));
     play.client.cancel(2);
-    assert!(play.ends().contains(&(2, End::Never)));
+    assert!(play.ends().contains(&(2, AttemptResult::Rejected)));
     play.up(false);
     play.take();
     play.client.cancel(1);
     assert_eq!(play.ends(), [], "it is on its way, and no cancel ends it");
     play.tell(Packet::Puback(Ack::new(a, 0)));
-    assert_eq!(play.ends(), [(1, End::Delivered)]);
+    assert_eq!(play.ends(), [(1, AttemptResult::Delivered)]);
 }
 
 #[test]
@@ -506,18 +506,18 @@
     play.up(false);
     play.take();
     play.effects();
-    play.client.part(play.now + 900 * MS, play.now);
+    play.client.drain_from(play.now + 900 * MS, play.now);
     let b = play.send(2);
     assert_eq!(published(&play.take()), [(b, false)], "within the grace");
     play.now += 900 * MS;
-    play.client.elapsed(play.now);
+    play.client.handle_timeout(play.now);
     play.send(3);
-    assert_eq!(play.ends(), [(3, End::Unsent)]);
+    assert_eq!(play.ends(), [(3, AttemptResult::Unsent)]);
     play.tell(Packet::Puback(Ack::new(a, 0)));
     play.tell(Packet::Puback(Ack::new(b, 0)));
     let effects = play.effects();
     assert!(
-        matches!(effects.last(), Some(Effect::Close { farewell }) if !farewell.is_empty()),
+        matches!(effects.last(), Some(Effect::Close { final_bytes }) if !final_bytes.is_empty()),
         "{effects:?}"
     );
 }
@@ -525,11 +525,11 @@
 #[test]
 fn a_broker_that_redirects_or_refuses_is_not_followed_and_what_waits_never_ran() {
     for (code, end) in [
-        (code::USE_ANOTHER_SERVER, End::Unsent),
-        (code::SERVER_MOVED, End::Unsent),
-        (code::BAD_USER_OR_PASSWORD, End::Unsent),
-        (code::SERVER_BUSY, End::Full { wait: None }),
-        (code::QUOTA_EXCEEDED, End::Full { wait: None }),
+        (code::USE_ANOTHER_SERVER, AttemptResult::Unsent),
+        (code::SERVER_MOVED, AttemptResult::Unsent),
+        (code::BAD_USER_OR_PASSWORD, AttemptResult::Unsent),
+        (code::SERVER_BUSY, AttemptResult::Busy { wait: None }),
+        (code::QUOTA_EXCEEDED, AttemptResult::Busy { wait: None }),
     ] {
         let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
         play.send(1);
@@ -546,7 +546,7 @@
     play.tell(Packet::Disconnect(Disconnect::new(code::SERVER_MOVED)));
     assert_eq!(play.ends(), []);
     play.now += 100 * MS;
-    play.client.elapsed(play.now);
+    play.client.handle_timeout(play.now);
     play.up(true);
     assert_eq!(published(&play.take()), [(id, true)]);
 }
@@ -566,7 +566,7 @@
         let code = if version == Version::V5 { code::PACKET_ID_NOT_FOUND } else { code::SUCCESS };
         play.tell(Packet::Pubcomp(Ack::new(9, code)));
         assert_eq!(play.client.reserve(), Some(10), "no id that a late acknowledgement may name");
-        assert_eq!(play.ends(), [(2, End::Delivered)]);
+        assert_eq!(play.ends(), [(2, AttemptResult::Delivered)]);
     }
 }
 
@@ -581,10 +581,10 @@
     play.tell(Packet::Puback(Ack::new(id, 0)));
     play.effects();
     play.now = play.client.timeout().expect("the keep alive");
-    play.client.elapsed(play.now);
+    play.client.handle_timeout(play.now);
     assert_eq!(play.take(), [Packet::Pingreq], "[MQTT-3.1.2-20]");
     play.now = play.client.timeout().expect("the answer's limit");
-    play.client.elapsed(play.now);
+    play.client.handle_timeout(play.now);
     assert!(matches!(play.effects()[..], [Effect::Close { .. }]));
 }
 
@@ -593,8 +593,8 @@
     let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
     play.send(1);
     play.now += 1000 * MS;
-    play.client.elapsed(play.now);
-    assert!(play.ends().contains(&(1, End::Unsent)));
+    play.client.handle_timeout(play.now);
+    assert!(play.ends().contains(&(1, AttemptResult::Unsent)));
     // And one that the broker's bound keeps waiting was turned away, and not the connection.
     let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
     play.send(1);
@@ -604,8 +604,8 @@
     play.take();
     play.effects();
     play.now += 1000 * MS;
-    play.client.elapsed(play.now);
-    assert_eq!(play.ends(), [(2, End::Full { wait: None })]);
+    play.client.handle_timeout(play.now);
+    assert_eq!(play.ends(), [(2, AttemptResult::Busy { wait: None })]);
 }
 
 // Of 5.0: MQTT-3.2.2-11
@@ -614,8 +614,8 @@
     let mut play = Play::new(Version::V5, Qos::ExactlyOnce);
     play.send(1);
     play.open();
-    let qos_most = Qos::AtLeastOnce;
-    play.tell(Packet::Connack(Box::new(Connack { qos_most, ..Connack::new(0) })));
-    assert_eq!(play.ends(), [(1, End::Never)]);
+    let max_qos = Qos::AtLeastOnce;
+    play.tell(Packet::Connack(Box::new(Connack { max_qos, ..Connack::new(0) })));
+    assert_eq!(play.ends(), [(1, AttemptResult::Rejected)]);
     assert_eq!(play.take(), []);
 }
--- a/crates/mqtt/src/convert.rs
+++ b/crates/mqtt/src/convert.rs
@@ -1,6 +1,6 @@
 //! Between this crate's packets and those of `rmqtt-codec`, whose two versions have types of their own.
 
-use crate::error::Fault;
+use crate::error::ConnectionError;
 use crate::packet::{
     Ack, Connack, Connect, Disconnect, Packet, Properties, Publish, Qos, Subscribe, Version, Will, code,
 };
@@ -11,38 +11,38 @@
 use rmqtt_codec::{v3, v5};
 use std::num::{NonZeroU16, NonZeroU32};
 
-type Read = Result<Packet, Fault>;
+type Read = Result<Packet, ConnectionError>;
 
 /// What of a packet that cannot be read is told to the other side.
-pub fn fault(e: &DecodeError) -> Fault {
+pub fn decode_error(e: &DecodeError) -> ConnectionError {
     let code = match e {
         DecodeError::InvalidClientId => code::CLIENT_ID_NOT_VALID,
         DecodeError::UnsupportedProtocolLevel => code::UNSUPPORTED_VERSION,
         _ => code::MALFORMED_PACKET,
     };
-    let why = match e {
+    let reason = match e {
         DecodeError::InvalidClientId => "no client id, and no clean session",
         DecodeError::Utf8Error => "a string that is no UTF-8",
         DecodeError::InvalidTopicName => "an empty topic",
         DecodeError::InvalidTopicFilter => "no topic filter",
         _ => "a packet that cannot be read",
     };
-    Fault { code, why }
+    ConnectionError { code, reason }
 }
 
 /// A string, without the one character that none may have [MQTT-1.5.4-2].
-fn text(text: &ByteString) -> Result<String, Fault> {
+fn text(text: &ByteString) -> Result<String, ConnectionError> {
     match text.contains('\0') {
-        true => Err(Fault::malformed("a string with U+0000")),
+        true => Err(ConnectionError::malformed("a string with U+0000")),
         false => Ok(text.to_string()),
     }
 }
 
-fn option(of: Option<&ByteString>) -> Result<Option<String>, Fault> {
+fn option(of: Option<&ByteString>) -> Result<Option<String>, ConnectionError> {
     of.map(text).transpose()
 }
 
-fn properties(of: &v5::UserProperties) -> Result<Properties, Fault> {
+fn properties(of: &v5::UserProperties) -> Result<Properties, ConnectionError> {
     of.iter().map(|(name, value)| Ok((text(name)?, text(value)?))).collect()
 }
 
@@ -55,15 +55,15 @@
     Bytes::copy_from_slice(bytes)
 }
 
-fn id(id: u16) -> Result<NonZeroU16, Fault> {
-    NonZeroU16::new(id).ok_or(Fault::protocol("packet id 0"))
+fn id(id: u16) -> Result<NonZeroU16, ConnectionError> {
+    NonZeroU16::new(id).ok_or(ConnectionError::protocol("packet id 0"))
 }
 
 fn publish(p: &Sent) -> Read {
     let of = p.properties.as_ref();
     let properties = of.map(|o| properties(&o.user_properties)).transpose()?.unwrap_or_default();
     if of.is_some_and(|o| !o.subscription_ids.is_empty()) {
-        return Err(Fault::protocol("a subscription identifier in a PUBLISH to a server"));
+        return Err(ConnectionError::protocol("a subscription identifier in a PUBLISH to a server"));
     }
     Ok(Packet::Publish(Box::new(Publish {
         dup: p.dup,
@@ -105,9 +105,9 @@
                 password: c.password.as_ref().map(body),
                 will: will.transpose()?,
                 receive_maximum: u16::MAX,
-                packet_most: None,
-                method: None,
-                problem_info: false,
+                max_packet_size: None,
+                auth_method: None,
+                request_problem_info: false,
             }))
         }
         v3::Packet::ConnectAck(c) => {
@@ -121,7 +121,7 @@
         v3::Packet::PublishComplete { packet_id } => Packet::Pubcomp(ack(packet_id)),
         v3::Packet::Subscribe { packet_id, topic_filters } => Packet::Subscribe(Subscribe {
             id: packet_id.get(),
-            identified: false,
+            has_subscription_id: false,
             filters: topic_filters.iter().map(|(f, q)| Ok((text(f)?, *q))).collect::<Result<_, _>>()?,
         }),
         v3::Packet::SubscribeAck { packet_id, status } => {
@@ -148,7 +148,7 @@
 /// PUBCOMP, which differ in the reason codes that they may carry.
 macro_rules! acknowledgement {
     ($of:ident, $to:ident, $type:ident) => {
-        fn $of(p: &v5::$type) -> Result<Ack, Fault> {
+        fn $of(p: &v5::$type) -> Result<Ack, ConnectionError> {
             Ok(Ack {
                 id: p.packet_id.get(),
                 code: p.reason_code.into(),
@@ -157,7 +157,7 @@
             })
         }
 
-        fn $to(a: Ack) -> Result<v5::$type, Fault> {
+        fn $to(a: Ack) -> Result<v5::$type, ConnectionError> {
             Ok(v5::$type {
                 packet_id: id(a.id)?,
                 reason_code: known(a.code)?,
@@ -171,7 +171,7 @@
 acknowledgement!(ack_of, to_ack, PublishAck);
 acknowledgement!(ack2_of, to_ack2, PublishAck2);
 
-fn connect(c: &v5::Connect) -> Result<Connect, Fault> {
+fn connect(c: &v5::Connect) -> Result<Connect, ConnectionError> {
     let will = c.last_will.as_ref().map(|w| {
         Ok(Will {
             topic: text(&w.topic)?,
@@ -194,9 +194,9 @@
         password: c.password.as_ref().map(body),
         will: will.transpose()?,
         receive_maximum: c.receive_max.map_or(u16::MAX, NonZeroU16::get),
-        packet_most: c.max_packet_size.map(NonZeroU32::get),
-        method: option(c.auth_method.as_ref())?,
-        problem_info: c.request_problem_info,
+        max_packet_size: c.max_packet_size.map(NonZeroU32::get),
+        auth_method: option(c.auth_method.as_ref())?,
+        request_problem_info: c.request_problem_info,
     })
 }
 
@@ -209,11 +209,11 @@
             client: option(c.assigned_client_id.as_ref())?,
             expiry: c.session_expiry_interval_secs,
             receive_maximum: c.receive_max.get(),
-            qos_most: c.max_qos,
-            packet_most: c.max_packet_size,
-            alias_most: c.topic_alias_max,
+            max_qos: c.max_qos,
+            max_packet_size: c.max_packet_size,
+            topic_alias_max: c.topic_alias_max,
             keep_alive: c.server_keepalive_sec,
-            full_broker: c.retain_available,
+            optional_features: c.retain_available,
             reference: option(c.server_reference.as_ref())?,
             reason: option(c.reason_string.as_ref())?,
             properties: properties(&c.user_properties)?,
@@ -225,7 +225,7 @@
         v5::Packet::PublishComplete(p) => Packet::Pubcomp(ack2_of(&p)?),
         v5::Packet::Subscribe(s) => Packet::Subscribe(Subscribe {
             id: s.packet_id.get(),
-            identified: s.id.is_some(),
+            has_subscription_id: s.id.is_some(),
             filters: s.topic_filters.iter().map(|(f, o)| Ok((text(f)?, o.qos))).collect::<Result<_, _>>()?,
         }),
         v5::Packet::SubscribeAck(s) => Packet::Suback {
@@ -255,7 +255,7 @@
 }
 
 /// The packet without what may be left out of it.
-pub fn bare(packet: Packet) -> Packet {
+pub fn without_optional_properties(packet: Packet) -> Packet {
     let ack = |a: Ack| Ack { reason: None, properties: Properties::new(), ..a };
     match packet {
         Packet::Puback(a) => Packet::Puback(ack(a)),
@@ -273,7 +273,7 @@
     }
 }
 
-fn to_publish(p: Publish, version: Version) -> Result<Box<Sent>, Fault> {
+fn to_publish(p: Publish, version: Version) -> Result<Box<Sent>, ConnectionError> {
     let of = v5::PublishProperties {
         topic_alias: p.alias.and_then(NonZeroU16::new),
         message_expiry_interval: p.expiry.and_then(NonZeroU32::new),
@@ -292,7 +292,7 @@
     }))
 }
 
-pub fn to_v3(packet: Packet) -> Result<v3::Packet, Fault> {
+pub fn to_v3(packet: Packet) -> Result<v3::Packet, ConnectionError> {
     Ok(match packet {
         Packet::Connect(c) => {
             let will = c.will.map(|w| v3::LastWill {
@@ -313,7 +313,7 @@
         }
         Packet::Connack(c) => {
             let code = v3::ConnectAckReason::try_from(c.code);
-            let return_code = code.map_err(|_| Fault::protocol("no return code of 3.1.1"))?;
+            let return_code = code.map_err(|_| ConnectionError::protocol("no return code of 3.1.1"))?;
             v3::Packet::ConnectAck(v3::ConnectAck { return_code, session_present: c.session_present })
         }
         Packet::Publish(p) => v3::Packet::Publish(to_publish(*p, Version::V311)?),
@@ -341,16 +341,16 @@
         Packet::Pingreq => v3::Packet::PingRequest,
         Packet::Pingresp => v3::Packet::PingResponse,
         Packet::Disconnect(_) => v3::Packet::Disconnect,
-        Packet::Auth => return Err(Fault::protocol("AUTH in 3.1.1")),
+        Packet::Auth => return Err(ConnectionError::protocol("AUTH in 3.1.1")),
     })
 }
 
 /// A reason code that the packet may carry.
-fn known<T: TryFrom<u8>>(code: u8) -> Result<T, Fault> {
-    T::try_from(code).map_err(|_| Fault::protocol("no reason code of this packet"))
+fn known<T: TryFrom<u8>>(code: u8) -> Result<T, ConnectionError> {
+    T::try_from(code).map_err(|_| ConnectionError::protocol("no reason code of this packet"))
 }
 
-pub fn to_v5(packet: Packet) -> Result<v5::Packet, Fault> {
+pub fn to_v5(packet: Packet) -> Result<v5::Packet, ConnectionError> {
     Ok(match packet {
         Packet::Connect(c) => {
             let will = c.will.map(|w| v5::LastWill {
@@ -370,10 +370,10 @@
                 clean_start: c.clean,
                 keep_alive: c.keep_alive,
                 session_expiry_interval_secs: c.expiry,
-                auth_method: c.method.map(Into::into),
-                request_problem_info: c.problem_info,
+                auth_method: c.auth_method.map(Into::into),
+                request_problem_info: c.request_problem_info,
                 receive_max: NonZeroU16::new(c.receive_maximum).filter(|m| m.get() < u16::MAX),
-                max_packet_size: c.packet_most.and_then(NonZeroU32::new),
+                max_packet_size: c.max_packet_size.and_then(NonZeroU32::new),
                 last_will: will,
                 client_id: c.client.into(),
                 username: c.user.map(Into::into),
@@ -386,14 +386,14 @@
             reason_code: known(c.code)?,
             session_expiry_interval_secs: c.expiry,
             receive_max: NonZeroU16::new(c.receive_maximum).unwrap_or(NonZeroU16::MAX),
-            max_qos: c.qos_most,
-            max_packet_size: c.packet_most,
+            max_qos: c.max_qos,
+            max_packet_size: c.max_packet_size,
             assigned_client_id: c.client.map(Into::into),
-            topic_alias_max: c.alias_most,
-            retain_available: c.full_broker,
-            wildcard_subscription_available: c.full_broker,
-            subscription_identifiers_available: c.full_broker,
-            shared_subscription_available: c.full_broker,
+            topic_alias_max: c.topic_alias_max,
+            retain_available: c.optional_features,
+            wildcard_subscription_available: c.optional_features,
+            subscription_identifiers_available: c.optional_features,
+            shared_subscription_available: c.optional_features,
             server_keepalive_sec: c.keep_alive,
             server_reference: c.reference.map(Into::into),
             reason_string: c.reason.map(Into::into),
@@ -409,7 +409,7 @@
             let of = |qos| v5::SubscriptionOptions { qos, ..v5::SubscriptionOptions::default() };
             v5::Packet::Subscribe(v5::Subscribe {
                 packet_id: id(s.id)?,
-                id: NonZeroU32::new(u32::from(s.identified)),
+                id: NonZeroU32::new(u32::from(s.has_subscription_id)),
                 user_properties: Vec::new(),
                 topic_filters: s.filters.into_iter().map(|(f, q)| (f.into(), of(q))).collect(),
             })
@@ -441,7 +441,10 @@
             user_properties: to_properties(d.properties),
         }),
         Packet::Auth => {
-            return Err(Fault { code: code::BAD_AUTHENTICATION_METHOD, why: "no AUTH is ever sent" });
+            return Err(ConnectionError {
+                code: code::BAD_AUTHENTICATION_METHOD,
+                reason: "no AUTH is ever sent",
+            });
         }
     })
 }
--- a/crates/mqtt/src/error.rs
+++ b/crates/mqtt/src/error.rs
@@ -4,19 +4,19 @@
 
 /// Why a connection cannot go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{why} (0x{code:02X})")]
-pub struct Fault {
+#[error("{reason} (0x{code:02X})")]
+pub struct ConnectionError {
     /// As version 5 numbers it.
     pub code: u8,
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
-impl Fault {
-    pub const fn malformed(why: &'static str) -> Self {
-        Fault { code: code::MALFORMED_PACKET, why }
+impl ConnectionError {
+    pub const fn malformed(reason: &'static str) -> Self {
+        ConnectionError { code: code::MALFORMED_PACKET, reason }
     }
 
-    pub const fn protocol(why: &'static str) -> Self {
-        Fault { code: code::PROTOCOL_ERROR, why }
+    pub const fn protocol(reason: &'static str) -> Self {
+        ConnectionError { code: code::PROTOCOL_ERROR, reason }
     }
 }
--- a/crates/mqtt/src/frame.rs
+++ b/crates/mqtt/src/frame.rs
@@ -3,7 +3,7 @@
 //! be set, strings with U+0000, packets with something behind their end.
 
 use crate::convert;
-use crate::error::Fault;
+use crate::error::ConnectionError;
 use crate::packet::{Packet, Version, code};
 use bytes::{Buf, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
@@ -50,7 +50,7 @@
     }
 
     /// Bytes that are kept.
-    pub fn kept(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// What is wrong with it: nothing that follows can be read.
-    pub fn packet(&mut self) -> Result<Option<Packet>, Fault> {
+    pub fn packet(&mut self) -> Result<Option<Packet>, ConnectionError> {
         let Some((head, length)) = self.frame()? else {
             if self.buffer.is_empty() {
                 // Thousands of idle connections must not keep what their busy moment took.
@@ -69,7 +69,7 @@
         let kind = self.buffer[0] >> 4;
         if self.version.is_none() {
             if kind != CONNECT {
-                return Err(Fault::protocol("the first packet is no CONNECT"));
+                return Err(ConnectionError::protocol("the first packet is no CONNECT"));
             }
             if self.buffer.len() < head + length {
                 return Ok(None);
@@ -92,23 +92,23 @@
         };
         match packet {
             Ok(Some(packet)) => packet.map(Some),
-            Ok(None) => Err(Fault::malformed("a length that does not hold")),
-            Err(e) => Err(convert::fault(&e)),
+            Ok(None) => Err(ConnectionError::malformed("a length that does not hold")),
+            Err(e) => Err(convert::decode_error(&e)),
         }
     }
 
     /// Bytes of the fixed header and of what follows; None until it has come.
-    fn frame(&self) -> Result<Option<(usize, usize)>, Fault> {
+    fn frame(&self) -> Result<Option<(usize, usize)>, ConnectionError> {
         let Some(first) = self.buffer.first() else { return Ok(None) };
         let (kind, flags) = (first >> 4, first & 0x0F);
         let wanted = match kind {
-            0 => return Err(Fault::malformed("packet type 0")),
+            0 => return Err(ConnectionError::malformed("packet type 0")),
             PUBLISH => flags,
             PUBREL | SUBSCRIBE | UNSUBSCRIBE => 0x02,
             _ => 0,
         };
         if flags != wanted {
-            return Err(Fault::malformed("reserved flags of the fixed header"));
+            return Err(ConnectionError::malformed("reserved flags of the fixed header"));
         }
         let mut length = 0usize;
         for n in 0..4 {
@@ -116,65 +116,73 @@
             length |= usize::from(byte & 0x7F) << (7 * n);
             if byte & 0x80 == 0 {
                 if 2 + n + length > self.most {
-                    return Err(Fault { code: code::PACKET_TOO_LARGE, why: "longer than a packet may be" });
+                    return Err(ConnectionError {
+                        code: code::PACKET_TOO_LARGE,
+                        reason: "longer than a packet may be",
+                    });
                 }
                 return Ok(Some((2 + n, length)));
             }
         }
-        Err(Fault::malformed("a remaining length of more than four bytes"))
+        Err(ConnectionError::malformed("a remaining length of more than four bytes"))
     }
 }
 
 /// The version that a CONNECT asks for.
-fn level(body: &[u8]) -> Result<Version, Fault> {
+fn level(body: &[u8]) -> Result<Version, ConnectionError> {
     let mut body = body;
     if body.len() < 7 || body.get_u16() != 4 || &body[..4] != b"MQTT" {
-        return Err(Fault { code: code::UNSUPPORTED_VERSION, why: "a protocol name that is not MQTT" });
+        return Err(ConnectionError {
+            code: code::UNSUPPORTED_VERSION,
+            reason: "a protocol name that is not MQTT",
+        });
     }
     match body[4] {
         4 => Ok(Version::V311),
         5 => Ok(Version::V5),
-        _ => Err(Fault { code: code::UNSUPPORTED_VERSION, why: "neither MQTT 3.1.1 nor 5.0" }),
+        _ => Err(ConnectionError { code: code::UNSUPPORTED_VERSION, reason: "neither MQTT 3.1.1 nor 5.0" }),
     }
 }
 
 /// What the codec lets pass.
-fn check(version: Version, first: u8, body: &[u8]) -> Result<(), Fault> {
+fn check(version: Version, first: u8, body: &[u8]) -> Result<(), ConnectionError> {
     match first >> 4 {
         CONNECT => {
-            let flags = *body.get(7).ok_or(Fault::malformed("a CONNECT that is too short"))?;
+            let flags = *body.get(7).ok_or(ConnectionError::malformed("a CONNECT that is too short"))?;
             let will = flags & 0x04 != 0;
             if flags & 0x01 != 0 {
-                return Err(Fault::malformed("the reserved flag of CONNECT"));
+                return Err(ConnectionError::malformed("the reserved flag of CONNECT"));
             }
             if !will && flags & 0x38 != 0 {
-                return Err(Fault::malformed("a will's QoS or Retain without a will"));
+                return Err(ConnectionError::malformed("a will's QoS or Retain without a will"));
             }
             if version == Version::V311 && flags & 0xC0 == 0x40 {
-                return Err(Fault::malformed("a password without a user name"));
+                return Err(ConnectionError::malformed("a password without a user name"));
             }
             Ok(())
         }
-        PUBLISH if first & 0x06 == 0x06 => Err(Fault::malformed("QoS 3")),
-        PUBLISH if first & 0x0E == 0x08 => Err(Fault::malformed("DUP at QoS 0")),
+        PUBLISH if first & 0x06 == 0x06 => Err(ConnectionError::malformed("QoS 3")),
+        PUBLISH if first & 0x0E == 0x08 => Err(ConnectionError::malformed("DUP at QoS 0")),
         SUBSCRIBE if version == Version::V311 => reserved_bits(body),
-        PINGREQ | PINGRESP if !body.is_empty() => Err(Fault::malformed("a ping with something in it")),
+        PINGREQ | PINGRESP if !body.is_empty() => {
+            Err(ConnectionError::malformed("a ping with something in it"))
+        }
         DISCONNECT if version == Version::V311 && !body.is_empty() => {
-            Err(Fault::malformed("a DISCONNECT with something in it"))
+            Err(ConnectionError::malformed("a DISCONNECT with something in it"))
         }
-        AUTH if version == Version::V311 => Err(Fault::malformed("packet type 15")),
+        AUTH if version == Version::V311 => Err(ConnectionError::malformed("packet type 15")),
         _ => Ok(()),
     }
 }
 
 /// In 3.1.1 the upper six bits of a requested QoS must be 0, section 3.8.3.
-fn reserved_bits(body: &[u8]) -> Result<(), Fault> {
+fn reserved_bits(body: &[u8]) -> Result<(), ConnectionError> {
     let mut rest = body.get(2..).unwrap_or_default();
     while rest.len() > 2 {
         let filter = usize::from(rest.get_u16());
         let Some(options) = rest.get(filter) else { break };
         if options & 0xFC != 0 {
-            return Err(Fault::malformed("reserved bits of a requested QoS"));
+            return Err(ConnectionError::malformed("reserved bits of a requested QoS"));
         }
         rest.advance(filter + 1);
     }
@@ -186,27 +194,30 @@
 ///
 /// # Errors
 /// It is longer without them, too, or a string in it is: it must not be sent.
-pub fn encode(version: Version, packet: Packet, most: Option<u32>) -> Result<BytesMut, Fault> {
+pub fn encode(version: Version, packet: Packet, most: Option<u32>) -> Result<BytesMut, ConnectionError> {
     let most = most.map_or(usize::MAX, |m| m as usize);
     let whole = write(version, packet.clone())?;
     if whole.len() <= most {
         return Ok(whole);
     }
-    let bare = write(version, convert::bare(packet))?;
-    if bare.len() <= most {
-        return Ok(bare);
+    let reduced = write(version, convert::without_optional_properties(packet))?;
+    if reduced.len() <= most {
+        return Ok(reduced);
     }
-    Err(Fault { code: code::PACKET_TOO_LARGE, why: "longer than the other side takes" })
+    Err(ConnectionError { code: code::PACKET_TOO_LARGE, reason: "longer than the other side takes" })
 }
 
-fn write(version: Version, packet: Packet) -> Result<BytesMut, Fault> {
+fn write(version: Version, packet: Packet) -> Result<BytesMut, ConnectionError> {
     let mut out = BytesMut::new();
     // The codec's own bound on what goes out is not used: with a small one it reckons below zero.
     let done = match version {
         Version::V311 => rmqtt_codec::v3::Codec::new(0).encode(convert::to_v3(packet)?, &mut out),
         Version::V5 => rmqtt_codec::v5::Codec::new(0, 0).encode(convert::to_v5(packet)?, &mut out),
     };
-    done.map_err(|_| Fault { code: code::PACKET_TOO_LARGE, why: "a field that is too long to be written" })?;
+    done.map_err(|_| ConnectionError {
+        code: code::PACKET_TOO_LARGE,
+        reason: "a field that is too long to be written",
+    })?;
     Ok(out)
 }
 
--- a/crates/mqtt/src/frame_test.rs
+++ b/crates/mqtt/src/frame_test.rs
@@ -9,7 +9,7 @@
         user: Some("u".to_owned()),
         password: Some(Bytes::from_static(b"p")),
         will: Some(will),
-        problem_info: version == Version::V5,
+        request_problem_info: version == Version::V5,
         ..Connect::new(version, "c-1")
     };
     let publish = Publish::new("a/b", Qos::ExactlyOnce, Some(7), Bytes::from_static(b"body"));
@@ -32,7 +32,7 @@
         Packet::Pubcomp(Ack::new(65535, 0)),
         Packet::Subscribe(Subscribe {
             id: 4,
-            identified: false,
+            has_subscription_id: false,
             filters: vec![("a/+".to_owned(), Qos::AtLeastOnce), ("#".to_owned(), Qos::ExactlyOnce)],
         }),
         Packet::Suback { id: 4, codes: vec![1, 0x80], reason: None },
@@ -66,7 +66,7 @@
                 }
             }
             assert_eq!(read, all(version));
-            assert_eq!(reader.kept(), 0);
+            assert_eq!(reader.buffered_bytes(), 0);
         }
     }
 }
@@ -194,7 +194,7 @@
     assert!(short.len() <= 20);
     // [MQTT-3.1.2-24]; a bound that the codec itself could not bear.
     for most in 1..5 {
-        let fault = encode(Version::V5, Packet::Puback(ack.clone()), Some(most)).expect_err("too long");
-        assert_eq!(fault.code, code::PACKET_TOO_LARGE);
+        let error = encode(Version::V5, Packet::Puback(ack.clone()), Some(most)).expect_err("too long");
+        assert_eq!(error.code, code::PACKET_TOO_LARGE);
     }
 }
--- a/crates/mqtt/src/packet.rs
+++ b/crates/mqtt/src/packet.rs
@@ -74,11 +74,11 @@
     pub password: Option<Bytes>,
     pub will: Option<Will>,
     pub receive_maximum: u16,
-    pub packet_most: Option<u32>,
+    pub max_packet_size: Option<u32>,
     /// The authentication method, where the client wants an exchange of AUTH packets.
-    pub method: Option<String>,
+    pub auth_method: Option<String>,
     /// Reason strings and user properties may be sent to it in any packet.
-    pub problem_info: bool,
+    pub request_problem_info: bool,
 }
 
 impl Connect {
@@ -94,9 +94,9 @@
             password: None,
             will: None,
             receive_maximum: u16::MAX,
-            packet_most: None,
-            method: None,
-            problem_info: true,
+            max_packet_size: None,
+            auth_method: None,
+            request_problem_info: true,
         }
     }
 }
@@ -142,12 +142,12 @@
     /// What the server takes for Session Expiry Interval, where it differs.
     pub expiry: Option<u32>,
     pub receive_maximum: u16,
-    pub qos_most: Qos,
-    pub packet_most: Option<u32>,
-    pub alias_most: u16,
+    pub max_qos: Qos,
+    pub max_packet_size: Option<u32>,
+    pub topic_alias_max: u16,
     pub keep_alive: Option<u16>,
     /// Of Retain, wildcard subscriptions, subscription identifiers and shared subscriptions: all, or none.
-    pub full_broker: bool,
+    pub optional_features: bool,
     pub reference: Option<String>,
     pub reason: Option<String>,
     pub properties: Properties,
@@ -161,11 +161,11 @@
             client: None,
             expiry: None,
             receive_maximum: u16::MAX,
-            qos_most: Qos::ExactlyOnce,
-            packet_most: None,
-            alias_most: 0,
+            max_qos: Qos::ExactlyOnce,
+            max_packet_size: None,
+            topic_alias_max: 0,
             keep_alive: None,
-            full_broker: true,
+            optional_features: true,
             reference: None,
             reason: None,
             properties: Properties::new(),
@@ -229,7 +229,7 @@
 pub struct Subscribe {
     pub id: u16,
     /// It has a subscription identifier.
-    pub identified: bool,
+    pub has_subscription_id: bool,
     pub filters: Vec<(String, Qos)>,
 }
 
--- a/crates/mqtt/src/server.rs
+++ b/crates/mqtt/src/server.rs
@@ -1,10 +1,10 @@
 //! The courier as the server of publishers: all their connections and sessions in one state machine. What comes
 //! from sockets, from the courier and from the clock goes in; [`Server::poll`] gives what is to be done, and
-//! [`Server::timeout`] when to call [`Server::elapsed`] next.
+//! [`Server::timeout`] when to call [`Server::handle_timeout`] next.
 //!
 //! A PUBLISH becomes an [`Effect::Offer`]; it is acknowledged once the courier has said that the message is taken
-//! on and on record ([`Server::replied`]), and with QoS 2 once its packet id is on record, too. What a client is
-//! told of a message that it published goes to its outcome topic ([`Server::outcome`]).
+//! on and on record ([`Server::offer_answered`]), and with QoS 2 once its packet id is on record, too. What a client is
+//! told of a message that it published goes to its outcome topic ([`Server::queue_outcome`]).
 
 mod connection;
 mod outcomes;
@@ -12,29 +12,29 @@
 mod session_store;
 
 use crate::Time;
-use crate::error::Fault;
+use crate::error::ConnectionError;
 use crate::frame::{Reader, encode};
 use crate::packet::{Connack, Connect, Packet, Properties, Publish, Qos, Version, Will, code};
 use crate::session::Session;
-pub use crate::session::{Outcome, SESSION};
+pub use crate::session::{Outcome, SESSION_BYTES};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
 /// The topic under which a client reads its own outcomes, without its id.
-pub const OUTCOMES: &str = "$stairshed/outcomes/";
+pub const OUTCOME_TOPIC_PREFIX: &str = "$stairshed/outcomes/";
 /// Longest client id, bytes.
-const CLIENT_MOST: usize = 128;
+const MAX_CLIENT_ID_BYTES: usize = 128;
 /// Outcomes that are on their way to one client, whatever it allows.
-const SENT_MOST: usize = 32;
+const MAX_OUTCOMES_IN_FLIGHT: usize = 32;
 /// PUBLISHes at QoS 0 of one connection that are being judged; more are not read meanwhile.
-const LOOSE_MOST: usize = 64;
+const MAX_PENDING_QOS0: usize = 64;
 /// Packet ids of a session that wait for their PUBREL: a client that never sends one must not fill the record.
-const RELEASES_MOST: usize = 4096;
+const MAX_UNRELEASED_PACKET_IDS: usize = 4096;
 
 /// What a connection takes here, and an offer that is being judged.
-const CONNECTION: u64 = 600;
-const PENDING: u64 = 150;
+const CONNECTION_BYTES: u64 = 600;
+const PENDING_OFFER_BYTES: u64 = 150;
 
 /// What an operator allows.
 #[derive(Clone, Debug)]
@@ -42,19 +42,19 @@
     /// Sessions, connected or not.
     pub sessions: usize,
     /// Bytes of a packet, and of a payload.
-    pub packet_most: usize,
-    pub payload_most: usize,
+    pub max_packet_size: usize,
+    pub max_payload_bytes: usize,
     /// PUBLISHes of one client that wait for their acknowledgement.
     pub receive_maximum: u16,
-    pub aliases: u16,
+    pub topic_alias_max: u16,
     /// Seconds that a session may outlive its connection.
-    pub expiry_most: u32,
+    pub max_session_expiry_seconds: u32,
     /// Longest keep alive, seconds; in 5.0 also for those that ask for none.
-    pub keep_alive_most: u16,
+    pub max_keep_alive_seconds: u16,
     /// A connection without a CONNECT is closed after this time.
-    pub connect_time: Time,
+    pub connect_timeout: Time,
     /// Outcomes that wait for one client.
-    pub outcomes_most: usize,
+    pub max_outcomes: usize,
     /// Wills are taken; else a CONNECT with one is refused.
     pub wills: bool,
 }
@@ -76,7 +76,7 @@
     /// reads its outcomes.
     pub bounce: bool,
     /// Its client may turn away before the answer, and counts it as not taken then. Not so at QoS 0.
-    pub answered: bool,
+    pub expects_ack: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -89,36 +89,36 @@
     Close {
         connection: u64,
     },
-    /// More may be read from it: see [`Server::reads`].
-    Ready {
+    /// More may be read from it: see [`Server::wants_input`].
+    ResumeReading {
         connection: u64,
     },
-    /// Whether this client may connect: [`Server::admitted`] is owed.
-    Admit {
+    /// Whether this client may connect: [`Server::authorized`] is owed.
+    Authorize {
         connection: u64,
         user: Option<String>,
         password: Option<Bytes>,
         owner: Owner,
         will: Option<Will>,
     },
-    /// [`Server::replied`] is owed.
+    /// [`Server::offer_answered`] is owed.
     Offer(Box<Offer>),
     /// The client counts this offer as not taken, if it is not taken on yet.
-    Desert {
+    AbandonOffer {
         token: u64,
     },
-    /// The session's record from now on; None if there is none. [`Server::stored`] is owed.
-    Store {
+    /// The session's record from now on; None if there is none. [`Server::record_stored`] is owed.
+    StoreSession {
         token: u64,
         owner: Owner,
         record: Option<String>,
     },
     /// The client has the outcome of this message.
-    Told {
+    OutcomeDelivered {
         message: u64,
     },
     /// It never will have it.
-    Untold {
+    OutcomeDropped {
         message: u64,
     },
     /// A line for the operators' log.
@@ -129,9 +129,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// On record; also where it had been before, or was bounced at once as [`Offer::bounce`] asks.
-    Taken,
+    Accepted,
     /// Why not, as version 5 numbers it, and when to come again.
-    Refused { code: u8, why: String, wait: Option<Duration> },
+    Refused { code: u8, reason: String, wait: Option<Duration> },
 }
 
 #[derive(Debug)]
@@ -159,8 +159,8 @@
     owner: Owner,
     aliases: HashMap<u16, String>,
     receive_maximum: u16,
-    packet_most: Option<u32>,
-    problem_info: bool,
+    max_packet_size: Option<u32>,
+    request_problem_info: bool,
     /// At QoS 0, being judged.
     loose: usize,
     /// Where it stands in the agenda.
@@ -251,9 +251,9 @@
 }
 
 /// What a client whose CONNECT is refused is told in its version; None where 3.1.1 has no code and is just closed.
-pub fn refusal(version: Version, code: u8, why: &str, properties: Properties) -> Option<Connack> {
+pub fn refusal(version: Version, code: u8, reason: &str, properties: Properties) -> Option<Connack> {
     if version == Version::V5 {
-        return Some(Connack { reason: Some(why.to_owned()), properties, ..Connack::new(code) });
+        return Some(Connack { reason: Some(reason.to_owned()), properties, ..Connack::new(code) });
     }
     let of = match code {
         code::CLIENT_ID_NOT_VALID => 2,
@@ -296,7 +296,7 @@
         self.effects.pop_front()
     }
 
-    /// When [`Server::elapsed`] is to be called.
+    /// When [`Server::handle_timeout`] is to be called.
     pub fn timeout(&self) -> Option<Time> {
         self.agenda.first().map(|(at, _)| *at)
     }
@@ -307,10 +307,12 @@
     }
 
     /// Bytes that sessions, connections and what waits for clients take, estimated from what is in them.
-    pub fn weigh(&self) -> u64 {
-        let sessions: u64 = self.sessions.iter().map(|(owner, s)| owner.len() as u64 + s.weigh()).sum();
-        let connections: u64 = self.connections.values().map(|c| CONNECTION + c.reader.kept() as u64).sum();
-        sessions + connections + self.pending.len() as u64 * PENDING
+    pub fn estimated_bytes(&self) -> u64 {
+        let sessions: u64 =
+            self.sessions.iter().map(|(owner, s)| owner.len() as u64 + s.estimated_bytes()).sum();
+        let connections: u64 =
+            self.connections.values().map(|c| CONNECTION_BYTES + c.reader.buffered_bytes() as u64).sum();
+        sessions + connections + self.pending.len() as u64 * PENDING_OFFER_BYTES
     }
 
     /// Sessions, and connections.
@@ -318,8 +320,8 @@
         (self.sessions.len(), self.connections.len())
     }
 
-    /// Whether more is to be read from a connection; else what comes waits in its socket until [`Effect::Ready`].
-    pub fn reads(&mut self, connection: u64) -> bool {
+    /// Whether more is to be read from a connection; else what comes waits in its socket until [`Effect::ResumeReading`].
+    pub fn wants_input(&mut self, connection: u64) -> bool {
         let reads = self.may_read(connection);
         if let Some(c) = self.connections.get_mut(&connection) {
             c.paused = !reads;
@@ -336,7 +338,7 @@
                 let judged = self.sessions.get(&c.owner).map_or(0, |s| s.pending.len());
                 let most = usize::from(self.limits.receive_maximum);
                 // One of 5.0 that goes beyond what it was told is at fault, and must be heard to be told.
-                c.loose < LOOSE_MOST && (c.version == Version::V5 || judged < most)
+                c.loose < MAX_PENDING_QOS0 && (c.version == Version::V5 || judged < most)
             }
         }
     }
@@ -356,7 +358,7 @@
             && may
             && std::mem::take(&mut c.paused)
         {
-            self.effects.push_back(Effect::Ready { connection });
+            self.effects.push_back(Effect::ResumeReading { connection });
         }
     }
 
@@ -368,26 +370,26 @@
                 Ok(None) => return,
                 Ok(Some(packet)) => {
                     c.heard = now;
-                    if let Err(fault) = self.packet(connection, packet, now) {
-                        return self.fail(connection, fault, now);
+                    if let Err(error) = self.packet(connection, packet, now) {
+                        return self.fail(connection, error, now);
                     }
                 }
-                Err(fault) => {
+                Err(error) => {
                     if let Some(version) = c.reader.version() {
                         c.version = version;
                     }
-                    return self.fail(connection, fault, now);
+                    return self.fail(connection, error, now);
                 }
             }
         }
     }
 
-    fn packet(&mut self, connection: u64, packet: Packet, now: Time) -> Result<(), Fault> {
+    fn packet(&mut self, connection: u64, packet: Packet, now: Time) -> Result<(), ConnectionError> {
         let open = self.connections.get(&connection).is_some_and(|c| matches!(c.stage, Stage::Open));
         match packet {
-            Packet::Connect(_) if open => Err(Fault::protocol("a second CONNECT")),
+            Packet::Connect(_) if open => Err(ConnectionError::protocol("a second CONNECT")),
             Packet::Connect(connect) => self.connect(connection, *connect),
-            _ if !open => Err(Fault::protocol("no CONNECT yet")),
+            _ if !open => Err(ConnectionError::protocol("no CONNECT yet")),
             Packet::Publish(publish) => self.publish(connection, *publish, now),
             Packet::Pubrel(ack) => self.pubrel(connection, ack.id),
             Packet::Puback(ack) => self.outcome_acked(connection, ack.id),
@@ -400,14 +402,14 @@
             Packet::Disconnect(disconnect) => self.disconnect(connection, &disconnect, now),
             // Outcomes go out at QoS 1 at most.
             Packet::Pubrec(_) | Packet::Pubcomp(_) => {
-                Err(Fault::protocol("an acknowledgement of QoS 2, which was never sent"))
+                Err(ConnectionError::protocol("an acknowledgement of QoS 2, which was never sent"))
             }
-            Packet::Auth => Err(Fault {
+            Packet::Auth => Err(ConnectionError {
                 code: code::BAD_AUTHENTICATION_METHOD,
-                why: "no authentication exchange was begun",
+                reason: "no authentication exchange was begun",
             }),
             Packet::Connack(_) | Packet::Suback { .. } | Packet::Unsuback { .. } | Packet::Pingresp => {
-                Err(Fault::protocol("a packet that only servers send"))
+                Err(ConnectionError::protocol("a packet that only servers send"))
             }
         }
     }
@@ -417,23 +419,23 @@
         // What may be left out is left out for a client that wants no more than it must have [MQTT-3.1.2-29].
         let packet = match packet {
             Packet::Connack(_) | Packet::Disconnect(_) | Packet::Publish(_) => packet,
-            packet if c.problem_info => packet,
-            packet => crate::convert::bare(packet),
+            packet if c.request_problem_info => packet,
+            packet => crate::convert::without_optional_properties(packet),
         };
-        match encode(c.version, packet, c.packet_most) {
+        match encode(c.version, packet, c.max_packet_size) {
             Ok(bytes) => self.effects.push_back(Effect::Write { connection, bytes }),
             // The client takes no packet of this length, and must do without it [MQTT-3.1.2-24].
-            Err(fault) => self.effects.push_back(Effect::Log(format!("{}: not told: {fault}", c.owner))),
+            Err(error) => self.effects.push_back(Effect::Log(format!("{}: not told: {error}", c.owner))),
         }
     }
 
     /// Ends a connection for a fault, which the client is told where its version has a way.
-    fn fail(&mut self, connection: u64, fault: Fault, now: Time) {
-        self.end(connection, fault.code, fault.why, Properties::new(), now);
+    fn fail(&mut self, connection: u64, error: ConnectionError, now: Time) {
+        self.end(connection, error.code, error.reason, Properties::new(), now);
     }
 
     /// Does what is due by now.
-    pub fn elapsed(&mut self, now: Time) {
+    pub fn handle_timeout(&mut self, now: Time) {
         while let Some((at, due)) = self.agenda.first().copied().filter(|(at, _)| *at <= now) {
             self.agenda.remove(&(at, due));
             match due {
--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -1,11 +1,11 @@
 //! Connections from their first byte to their last: CONNECT and its answer, keep alive, wills, takeover.
 
 use super::{
-    After, CLIENT_MOST, Connection, Due, Effect, Outcome, Owner, Server, Stage, Timer, owner, refusal,
-    silence, wait_property, will_message,
+    After, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer, owner,
+    refusal, silence, wait_property, will_message,
 };
 use crate::Time;
-use crate::error::Fault;
+use crate::error::ConnectionError;
 use crate::frame::Reader;
 use crate::packet::{Connack, Connect, Disconnect, Packet, Properties, Version, code};
 use crate::session::Session;
@@ -15,14 +15,14 @@
 
 impl Server {
     /// The connection that has been without a CONNECT for longest, and since when.
-    pub fn silent(&self) -> Option<(u64, Time)> {
+    pub fn oldest_without_connect(&self) -> Option<(u64, Time)> {
         let of = self.connections.iter().filter(|(_, c)| matches!(c.stage, Stage::New));
         of.map(|(id, c)| (*id, c.since)).min_by_key(|(_, since)| *since)
     }
 
-    pub fn accepted(&mut self, connection: u64, now: Time) {
+    pub fn connection_accepted(&mut self, connection: u64, now: Time) {
         let of = Connection {
-            reader: Reader::server(self.limits.packet_most),
+            reader: Reader::server(self.limits.max_packet_size),
             stage: Stage::New,
             since: now,
             heard: now,
@@ -31,14 +31,14 @@
             owner: Owner::new(),
             aliases: HashMap::new(),
             receive_maximum: u16::MAX,
-            packet_most: None,
-            problem_info: true,
+            max_packet_size: None,
+            request_problem_info: true,
             loose: 0,
             due: None,
             paused: false,
         };
         self.connections.insert(connection, of);
-        self.look_after(connection, now + self.limits.connect_time);
+        self.look_after(connection, now + self.limits.connect_timeout);
     }
 
     /// Looks after a connection's silence at that time, and at no other.
@@ -50,12 +50,12 @@
         self.agenda.insert((at, Due::Connection(connection)));
     }
 
-    pub(super) fn end(&mut self, connection: u64, code: u8, why: &str, properties: Properties, now: Time) {
+    pub(super) fn end(&mut self, connection: u64, code: u8, reason: &str, properties: Properties, now: Time) {
         let Some(c) = self.connections.get(&connection) else { return };
         let known = c.reader.version();
         match (&c.stage, c.version) {
             (Stage::Open, Version::V5) => {
-                let reason = Some(why.to_owned());
+                let reason = Some(reason.to_owned());
                 let packet = Disconnect { reason, properties, ..Disconnect::new(code) };
                 self.write(connection, Packet::Disconnect(packet));
             }
@@ -70,25 +70,25 @@
                 self.write(connection, Packet::Connack(Box::new(Connack::new(1))));
             }
             (_, version) => {
-                if let Some(connack) = refusal(version, code, why, properties) {
+                if let Some(connack) = refusal(version, code, reason, properties) {
                     self.write(connection, Packet::Connack(Box::new(connack)));
                 }
             }
         }
         self.effects.push_back(Effect::Close { connection });
-        self.lost(connection, now);
+        self.connection_lost(connection, now);
     }
 
-    pub(super) fn connect(&mut self, connection: u64, mut connect: Connect) -> Result<(), Fault> {
+    pub(super) fn connect(&mut self, connection: u64, mut connect: Connect) -> Result<(), ConnectionError> {
         let Some(c) = self.connections.get_mut(&connection) else { return Ok(()) };
         c.version = connect.version;
-        c.packet_most = connect.packet_most;
-        c.problem_info = connect.problem_info;
+        c.max_packet_size = connect.max_packet_size;
+        c.request_problem_info = connect.request_problem_info;
         c.receive_maximum = connect.receive_maximum;
-        if connect.method.is_some() {
-            return Err(Fault {
+        if connect.auth_method.is_some() {
+            return Err(ConnectionError {
                 code: code::BAD_AUTHENTICATION_METHOD,
-                why: "no authentication method is supported",
+                reason: "no authentication method is supported",
             });
         }
         let assigned = connect.client.is_empty();
@@ -97,42 +97,54 @@
             connect.client = format!("auto-{:016x}{:08x}", self.nonce, self.next);
             self.next += 1;
         }
-        if connect.client.len() > CLIENT_MOST || connect.client.contains(['+', '#', '/']) {
-            return Err(Fault {
+        if connect.client.len() > MAX_CLIENT_ID_BYTES || connect.client.contains(['+', '#', '/']) {
+            return Err(ConnectionError {
                 code: code::CLIENT_ID_NOT_VALID,
-                why: "a client id has 1 to 128 bytes without + # /",
+                reason: "a client id has 1 to 128 bytes without + # /",
             });
         }
         if let Some(will) = &connect.will {
             if !topic::is_name(&will.topic) || will.topic.starts_with('$') {
-                return Err(Fault { code: code::TOPIC_NAME_INVALID, why: "no topic for a will" });
+                return Err(ConnectionError {
+                    code: code::TOPIC_NAME_INVALID,
+                    reason: "no topic for a will",
+                });
             }
             if will.retain && connect.version == Version::V5 {
-                return Err(Fault { code: code::RETAIN_NOT_SUPPORTED, why: "nothing is retained here" });
+                return Err(ConnectionError {
+                    code: code::RETAIN_NOT_SUPPORTED,
+                    reason: "nothing is retained here",
+                });
             }
             if !self.limits.wills {
-                return Err(Fault { code: code::IMPLEMENTATION_SPECIFIC, why: "wills are not taken here" });
+                return Err(ConnectionError {
+                    code: code::IMPLEMENTATION_SPECIFIC,
+                    reason: "wills are not taken here",
+                });
             }
-            if will.payload.len() > self.limits.payload_most {
-                return Err(Fault { code: code::QUOTA_EXCEEDED, why: "a will that is too long" });
+            if will.payload.len() > self.limits.max_payload_bytes {
+                return Err(ConnectionError {
+                    code: code::QUOTA_EXCEEDED,
+                    reason: "a will that is too long",
+                });
             }
         }
         let owner = owner(connect.user.as_deref(), &connect.client);
         let (user, password, will) = (connect.user.clone(), connect.password.take(), connect.will.clone());
         c.owner = owner.clone();
         c.stage = Stage::Judged { connect: Box::new(connect), assigned };
-        self.effects.push_back(Effect::Admit { connection, user, password, owner, will });
+        self.effects.push_back(Effect::Authorize { connection, user, password, owner, will });
         Ok(())
     }
 
     /// What was found out about a client; if it must not connect, why, as version 5 numbers it.
-    pub fn admitted(&mut self, connection: u64, verdict: Result<(), (u8, String)>, now: Time) {
+    pub fn authorized(&mut self, connection: u64, verdict: Result<(), (u8, String)>, now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         let Stage::Judged { connect, assigned } = std::mem::replace(&mut c.stage, Stage::Opening) else {
             return;
         };
-        if let Err((code, why)) = verdict {
-            return self.end(connection, code, &why, Properties::new(), now);
+        if let Err((code, reason)) = verdict {
+            return self.end(connection, code, &reason, Properties::new(), now);
         }
         let owner = c.owner.clone();
         // A second connection of the same client takes over from the first [MQTT-3.1.4-3].
@@ -155,11 +167,11 @@
         }
         // Its will is not sent: the client is back before it was due [MQTT-3.1.3-9].
         self.unschedule(&owner);
-        let expiry_most = self.limits.expiry_most;
+        let max_session_expiry_seconds = self.limits.max_session_expiry_seconds;
         let was = self.sessions.remove(&owner);
         let mut session = was.unwrap_or_else(|| Session::new(&connect.client, connect.version));
         session.version = connect.version;
-        session.expiry = connect.expiry.min(expiry_most);
+        session.expiry = connect.expiry.min(max_session_expiry_seconds);
         session.connection = Some(connection);
         session.gone = None;
         session.will = connect.will.clone();
@@ -176,12 +188,12 @@
         let connack = Connack {
             session_present: present,
             client: assigned.then(|| connect.client.clone()),
-            expiry: (connect.expiry > expiry_most).then_some(expiry_most),
+            expiry: (connect.expiry > max_session_expiry_seconds).then_some(max_session_expiry_seconds),
             receive_maximum: self.limits.receive_maximum,
-            packet_most: Some(self.limits.packet_most as u32),
-            alias_most: self.limits.aliases,
+            max_packet_size: Some(self.limits.max_packet_size as u32),
+            topic_alias_max: self.limits.topic_alias_max,
             keep_alive: (keep_alive != connect.keep_alive).then_some(keep_alive),
-            full_broker: false,
+            optional_features: false,
             ..Connack::new(code::SUCCESS)
         };
         let lasts = self.sessions.get(&owner).is_some_and(Session::lasts);
@@ -193,7 +205,7 @@
     }
 
     pub(super) fn keep_alive(&self, connect: &Connect) -> u16 {
-        let most = self.limits.keep_alive_most;
+        let most = self.limits.max_keep_alive_seconds;
         match (connect.version, connect.keep_alive) {
             // 3.1.1 has no way to tell a client of another one.
             (Version::V311, asked) => asked,
@@ -202,7 +214,7 @@
         }
     }
 
-    pub(super) fn opened(&mut self, connection: u64, connack: Box<Connack>, now: Time) {
+    pub(super) fn connection_opened(&mut self, connection: u64, connack: Box<Connack>, now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         c.stage = Stage::Open;
         let owner = c.owner.clone();
@@ -224,28 +236,28 @@
         connection: u64,
         packet: &Disconnect,
         now: Time,
-    ) -> Result<(), Fault> {
-        let expiry_most = self.limits.expiry_most;
+    ) -> Result<(), ConnectionError> {
+        let max_session_expiry_seconds = self.limits.max_session_expiry_seconds;
         let Some(c) = self.connections.get(&connection) else { return Ok(()) };
         let owner = c.owner.clone();
         if let Some(session) = self.sessions.get_mut(&owner) {
             if let Some(expiry) = packet.expiry {
                 if expiry > 0 && session.expiry == 0 {
-                    return Err(Fault::protocol("a session that was to end cannot be prolonged"));
+                    return Err(ConnectionError::protocol("a session that was to end cannot be prolonged"));
                 }
-                session.expiry = expiry.min(expiry_most);
+                session.expiry = expiry.min(max_session_expiry_seconds);
             }
             if packet.code != code::DISCONNECT_WITH_WILL {
                 session.will = None;
             }
         }
         self.effects.push_back(Effect::Close { connection });
-        self.lost(connection, now);
+        self.connection_lost(connection, now);
         Ok(())
     }
 
     /// A connection has ended, whoever ended it.
-    pub fn lost(&mut self, connection: u64, now: Time) {
+    pub fn connection_lost(&mut self, connection: u64, now: Time) {
         let Some(c) = self.connections.remove(&connection) else { return };
         if let Some(due) = c.due {
             self.agenda.remove(&(due, Due::Connection(connection)));
@@ -256,7 +268,7 @@
         };
         session.connection = None;
         session.gone = Some(self.origin + now);
-        self.part(&c.owner, now);
+        self.schedule_session_end(&c.owner, now);
         // Recorded also to say since when it is gone.
         if self.sessions.get(&c.owner).is_some_and(Session::lasts) && !self.wills_out.contains(&c.owner) {
             self.store(&c.owner, After::Nothing);
@@ -264,7 +276,7 @@
     }
 
     /// A session is without a connection: its will and its end come due.
-    pub(super) fn part(&mut self, owner: &str, now: Time) {
+    pub(super) fn schedule_session_end(&mut self, owner: &str, now: Time) {
         let Some(session) = self.sessions.get(owner) else { return };
         let unix = self.origin + now;
         let gone = session.gone.unwrap_or(unix);
@@ -296,12 +308,15 @@
         match (&c.stage, c.silence) {
             (Stage::New, _) => {
                 self.effects.push_back(Effect::Close { connection });
-                self.lost(connection, now);
+                self.connection_lost(connection, now);
             }
             (_, Some(silence)) if now > c.heard + silence => {
                 self.fail(
                     connection,
-                    Fault { code: code::KEEP_ALIVE_TIMEOUT, why: "silent for longer than its keep alive" },
+                    ConnectionError {
+                        code: code::KEEP_ALIVE_TIMEOUT,
+                        reason: "silent for longer than its keep alive",
+                    },
                     now,
                 );
             }
@@ -317,7 +332,7 @@
     /// Closes a connection to make room.
     pub fn shed(&mut self, connection: u64, now: Time) {
         self.effects.push_back(Effect::Close { connection });
-        self.lost(connection, now);
+        self.connection_lost(connection, now);
     }
 
     /// The process is about to end: every client is told, and wills that their clients left are sent.
--- a/crates/mqtt/src/server/outcomes.rs
+++ b/crates/mqtt/src/server/outcomes.rs
@@ -1,18 +1,18 @@
 //! What clients are told of their messages: their subscription, and the outcomes on their way.
 
-use super::{After, Effect, OUTCOMES, Outcome, SENT_MOST, Server, Stage};
-use crate::error::Fault;
+use super::{After, Effect, MAX_OUTCOMES_IN_FLIGHT, OUTCOME_TOPIC_PREFIX, Outcome, Server, Stage};
+use crate::error::ConnectionError;
 use crate::packet::{Packet, Publish, Qos, Subscribe, Version, code};
 use crate::session::Session;
 use bytes::Bytes;
 use stairshed_config::topic;
 
 impl Server {
-    pub(super) fn subscribe(&mut self, connection: u64, subscribe: Subscribe) -> Result<(), Fault> {
+    pub(super) fn subscribe(&mut self, connection: u64, subscribe: Subscribe) -> Result<(), ConnectionError> {
         let Some(c) = self.connections.get(&connection) else { return Ok(()) };
         let (owner, version) = (c.owner.clone(), c.version);
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
-        let own = format!("{OUTCOMES}{}", session.client);
+        let own = format!("{OUTCOME_TOPIC_PREFIX}{}", session.client);
         let (mut codes, mut changed) = (Vec::new(), false);
         for (filter, qos) in &subscribe.filters {
             let refused = if !topic::is_filter(filter) {
@@ -21,7 +21,7 @@
                 code::SHARED_NOT_SUPPORTED
             } else if filter.contains(['+', '#']) {
                 code::WILDCARDS_NOT_SUPPORTED
-            } else if subscribe.identified {
+            } else if subscribe.has_subscription_id {
                 code::SUBSCRIPTION_IDS_NOT_SUPPORTED
             } else if *filter != own {
                 code::NOT_AUTHORIZED
@@ -45,11 +45,16 @@
         Ok(())
     }
 
-    pub(super) fn unsubscribe(&mut self, connection: u64, id: u16, filters: &[String]) -> Result<(), Fault> {
+    pub(super) fn unsubscribe(
+        &mut self,
+        connection: u64,
+        id: u16,
+        filters: &[String],
+    ) -> Result<(), ConnectionError> {
         let Some(c) = self.connections.get(&connection) else { return Ok(()) };
         let owner = c.owner.clone();
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
-        let own = format!("{OUTCOMES}{}", session.client);
+        let own = format!("{OUTCOME_TOPIC_PREFIX}{}", session.client);
         let mut codes = Vec::new();
         for filter in filters {
             let had = *filter == own && session.subscribed.take().is_some();
@@ -60,7 +65,7 @@
             None => session.outcomes.drain(..).collect(),
             Some(_) => Vec::new(),
         };
-        self.effects.extend(gone.into_iter().map(|o| Effect::Untold { message: o.message }));
+        self.effects.extend(gone.into_iter().map(|o| Effect::OutcomeDropped { message: o.message }));
         let packet = Packet::Unsuback { id, codes };
         match self.sessions.get(&owner).is_some_and(Session::lasts) {
             true => self.store(&owner, After::Write { connection, packet }),
@@ -70,17 +75,17 @@
     }
 
     /// Whether this client reads its outcomes, now or when it comes back, and has room for one more.
-    pub fn hears(&self, owner: &str) -> bool {
+    pub fn accepts_outcomes(&self, owner: &str) -> bool {
         let session = self.sessions.get(owner).filter(|s| s.subscribed.is_some());
-        session.is_some_and(|s| s.outcomes.len() + s.sent.len() < self.limits.outcomes_most)
+        session.is_some_and(|s| s.outcomes.len() + s.sent.len() < self.limits.max_outcomes)
     }
 
-    /// Tells a client how its message ended. Ask [`Server::hears`] first. [`Effect::Told`] or [`Effect::Untold`]
+    /// Tells a client how its message ended. Ask [`Server::accepts_outcomes`] first. [`Effect::OutcomeDelivered`] or [`Effect::OutcomeDropped`]
     /// follows in time.
-    pub fn outcome(&mut self, owner: &str, outcome: Outcome) {
+    pub fn queue_outcome(&mut self, owner: &str, outcome: Outcome) {
         match self.sessions.get_mut(owner).filter(|s| s.subscribed.is_some()) {
             Some(session) => session.outcomes.push_back(outcome),
-            None => self.effects.push_back(Effect::Untold { message: outcome.message }),
+            None => self.effects.push_back(Effect::OutcomeDropped { message: outcome.message }),
         }
         self.flush(owner);
     }
@@ -91,13 +96,13 @@
             let Some((connection, qos)) = session.connection.zip(session.subscribed) else { return };
             let Some(c) = self.connections.get(&connection) else { return };
             let open = matches!(c.stage, Stage::Open);
-            if !open || session.sent.len() >= SENT_MOST.min(usize::from(c.receive_maximum)) {
+            if !open || session.sent.len() >= MAX_OUTCOMES_IN_FLIGHT.min(usize::from(c.receive_maximum)) {
                 return;
             }
             let Some(outcome) = session.outcomes.pop_front() else { return };
             if qos == Qos::AtMostOnce {
                 self.publish_outcome(owner, connection, 0, &outcome, false);
-                self.effects.push_back(Effect::Told { message: outcome.message });
+                self.effects.push_back(Effect::OutcomeDelivered { message: outcome.message });
             } else {
                 let id = session.id();
                 session.sent.insert(id, outcome.clone());
@@ -115,20 +120,20 @@
         dup: bool,
     ) {
         let Some(session) = self.sessions.get(owner) else { return };
-        let topic = format!("{OUTCOMES}{}", session.client);
+        let topic = format!("{OUTCOME_TOPIC_PREFIX}{}", session.client);
         let (qos, id) = if id == 0 { (Qos::AtMostOnce, None) } else { (Qos::AtLeastOnce, Some(id)) };
         let payload = Bytes::from(outcome.line.clone());
         let publish = Publish { dup, utf8: true, ..Publish::new(&topic, qos, id, payload) };
         self.write(connection, Packet::Publish(Box::new(publish)));
     }
 
-    pub(super) fn outcome_acked(&mut self, connection: u64, id: u16) -> Result<(), Fault> {
+    pub(super) fn outcome_acked(&mut self, connection: u64, id: u16) -> Result<(), ConnectionError> {
         let Some(c) = self.connections.get(&connection) else { return Ok(()) };
         let owner = c.owner.clone();
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
         // One for an id that is not in use is a repeat, and says nothing.
         if let Some(outcome) = session.sent.remove(&id) {
-            self.effects.push_back(Effect::Told { message: outcome.message });
+            self.effects.push_back(Effect::OutcomeDelivered { message: outcome.message });
             self.flush(&owner);
         }
         Ok(())
--- a/crates/mqtt/src/server/publish.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -1,36 +1,49 @@
 //! What clients hand in: PUBLISH, the offer made of it, and its acknowledgements.
 
-use super::{After, Answer, Effect, Offer, Pending, RELEASES_MOST, Server, wait_property};
+use super::{After, Answer, Effect, MAX_UNRELEASED_PACKET_IDS, Offer, Pending, Server, wait_property};
 use crate::Time;
-use crate::error::Fault;
+use crate::error::ConnectionError;
 use crate::packet::{Ack, Packet, Properties, Publish, Qos, Version, code};
 use stairshed_config::topic;
 
 impl Server {
-    pub(super) fn publish(&mut self, connection: u64, mut publish: Publish, now: Time) -> Result<(), Fault> {
+    pub(super) fn publish(
+        &mut self,
+        connection: u64,
+        mut publish: Publish,
+        now: Time,
+    ) -> Result<(), ConnectionError> {
         let (limits, Some(c)) = (&self.limits, self.connections.get_mut(&connection)) else { return Ok(()) };
         if let Some(alias) = publish.alias {
-            if alias > limits.aliases {
-                return Err(Fault {
+            if alias > limits.topic_alias_max {
+                return Err(ConnectionError {
                     code: code::TOPIC_ALIAS_INVALID,
-                    why: "a topic alias above the maximum",
+                    reason: "a topic alias above the maximum",
                 });
             }
             if publish.topic.is_empty() {
-                let known =
-                    c.aliases.get(&alias).ok_or(Fault::protocol("a topic alias that stands for nothing"))?;
+                let known = c
+                    .aliases
+                    .get(&alias)
+                    .ok_or(ConnectionError::protocol("a topic alias that stands for nothing"))?;
                 publish.topic.clone_from(known);
             } else {
                 c.aliases.insert(alias, publish.topic.clone());
             }
         } else if publish.topic.is_empty() {
-            return Err(Fault::protocol("neither a topic nor an alias"));
+            return Err(ConnectionError::protocol("neither a topic nor an alias"));
         }
         if !topic::is_name(&publish.topic) {
-            return Err(Fault { code: code::TOPIC_NAME_INVALID, why: "a topic with wildcards, or too long" });
+            return Err(ConnectionError {
+                code: code::TOPIC_NAME_INVALID,
+                reason: "a topic with wildcards, or too long",
+            });
         }
         if publish.retain && c.version == Version::V5 {
-            return Err(Fault { code: code::RETAIN_NOT_SUPPORTED, why: "nothing is retained here" });
+            return Err(ConnectionError {
+                code: code::RETAIN_NOT_SUPPORTED,
+                reason: "nothing is retained here",
+            });
         }
         let owner = c.owner.clone();
         let most = usize::from(limits.receive_maximum);
@@ -43,26 +56,26 @@
             }
             if session.releases.contains(&id) {
                 if publish.qos != Qos::ExactlyOnce {
-                    return Err(Fault::protocol("a packet id that is in use"));
+                    return Err(ConnectionError::protocol("a packet id that is in use"));
                 }
                 // Known already: it is not taken on once more [MQTT-4.3.3-10].
                 self.write(connection, Packet::Pubrec(Ack::new(id, code::SUCCESS)));
                 return Ok(());
             }
             if v5 && session.pending.len() + session.releases.len() >= most {
-                return Err(Fault {
+                return Err(ConnectionError {
                     code: code::RECEIVE_MAXIMUM_EXCEEDED,
-                    why: "more PUBLISHes than the Receive Maximum",
+                    reason: "more PUBLISHes than the Receive Maximum",
                 });
             }
-            if session.releases.len() >= RELEASES_MOST {
-                return Err(Fault {
+            if session.releases.len() >= MAX_UNRELEASED_PACKET_IDS {
+                return Err(ConnectionError {
                     code: code::QUOTA_EXCEEDED,
-                    why: "too many packet ids wait for their PUBREL",
+                    reason: "too many packet ids wait for their PUBREL",
                 });
             }
         }
-        let unfit = if publish.payload.len() > self.limits.payload_most {
+        let unfit = if publish.payload.len() > self.limits.max_payload_bytes {
             Some((code::QUOTA_EXCEEDED, "the payload is longer than is taken"))
         } else if publish.topic.starts_with('$') {
             Some((code::TOPIC_NAME_INVALID, "topics that begin with $ are the courier's own"))
@@ -72,15 +85,16 @@
             None
         };
         let (id, qos) = (publish.id, publish.qos);
-        let Some((code, why)) = unfit else {
+        let Some((code, reason)) = unfit else {
             self.offer(&owner, connection, publish, id, false);
             return Ok(());
         };
         let Some(id) = id else {
-            self.effects.push_back(Effect::Log(format!("{owner}: a message at QoS 0 is not taken: {why}")));
+            self.effects
+                .push_back(Effect::Log(format!("{owner}: a message at QoS 0 is not taken: {reason}")));
             return Ok(());
         };
-        let answer = Answer::Refused { code, why: why.to_owned(), wait: None };
+        let answer = Answer::Refused { code, reason: reason.to_owned(), wait: None };
         self.answer(&owner, Some(connection), id, qos, answer, now);
         Ok(())
     }
@@ -108,13 +122,13 @@
             c.loose += 1;
         }
         self.pending.insert(token, Pending { owner: owner.to_owned(), connection, id, qos, will });
-        let answered = id.is_some();
-        let offer = Offer { token, owner: owner.to_owned(), publish, will, bounce, answered };
+        let expects_ack = id.is_some();
+        let offer = Offer { token, owner: owner.to_owned(), publish, will, bounce, expects_ack };
         self.effects.push_back(Effect::Offer(Box::new(offer)));
     }
 
     /// What became of an offer.
-    pub fn replied(&mut self, token: u64, answer: Answer, now: Time) {
+    pub fn offer_answered(&mut self, token: u64, answer: Answer, now: Time) {
         let Some(Pending { owner, connection, id, qos, will }) = self.pending.remove(&token) else { return };
         if will {
             self.wills_out.remove(&owner);
@@ -124,9 +138,9 @@
             }
         }
         let Some(id) = id else {
-            if let Answer::Refused { why, .. } = &answer {
+            if let Answer::Refused { reason, .. } = &answer {
                 self.effects.push_back(Effect::Log(format!(
-                    "{owner}: a message without acknowledgement is not taken: {why}"
+                    "{owner}: a message without acknowledgement is not taken: {reason}"
                 )));
             }
             if let Some(c) = self.connections.get_mut(&connection) {
@@ -157,7 +171,7 @@
         let Some(session) = self.sessions.get_mut(owner) else { return };
         let made = |ack| if qos == Qos::ExactlyOnce { Packet::Pubrec(ack) } else { Packet::Puback(ack) };
         match answer {
-            Answer::Taken if qos == Qos::ExactlyOnce => {
+            Answer::Accepted if qos == Qos::ExactlyOnce => {
                 session.releases.insert(id);
                 let lasts = session.expiry > 0;
                 let packet = made(Ack::new(id, code::SUCCESS));
@@ -168,30 +182,30 @@
                     false => self.after(after, now),
                 }
             }
-            Answer::Taken => {
+            Answer::Accepted => {
                 if let Some(connection) = connection {
                     self.write(connection, made(Ack::new(id, code::SUCCESS)));
                 }
             }
-            Answer::Refused { code, why, wait } => {
+            Answer::Refused { code, reason, wait } => {
                 let Some(connection) = connection else { return };
                 if session.version == Version::V5 {
                     let ack =
-                        Ack { reason: Some(why), properties: wait_property(wait), ..Ack::new(id, code) };
+                        Ack { reason: Some(reason), properties: wait_property(wait), ..Ack::new(id, code) };
                     self.write(connection, made(ack));
                 } else {
                     // No acknowledgement, so the client knows that it is not taken on; and a close, since else it
                     // would wait for one. See docs/mqtt.md.
                     self.effects.push_back(Effect::Log(format!(
-                        "{owner}: closed, since 3.1.1 has no refusal: {why}"
+                        "{owner}: closed, since 3.1.1 has no refusal: {reason}"
                     )));
-                    self.end(connection, code, &why, Properties::new(), now);
+                    self.end(connection, code, &reason, Properties::new(), now);
                 }
             }
         }
     }
 
-    pub(super) fn pubrel(&mut self, connection: u64, id: u16) -> Result<(), Fault> {
+    pub(super) fn pubrel(&mut self, connection: u64, id: u16) -> Result<(), ConnectionError> {
         let Some(c) = self.connections.get(&connection) else { return Ok(()) };
         let owner = c.owner.clone();
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
--- a/crates/mqtt/src/server/session_store.rs
+++ b/crates/mqtt/src/server/session_store.rs
@@ -13,7 +13,7 @@
         let Some(mut session) = Session::restore(record) else { return false };
         session.gone.get_or_insert(self.origin + now);
         self.sessions.insert(owner.to_owned(), session);
-        self.part(owner, now);
+        self.schedule_session_end(owner, now);
         true
     }
 
@@ -26,10 +26,10 @@
         let Some(session) = self.sessions.remove(owner) else { return };
         for token in session.pending.values() {
             self.pending.remove(token);
-            self.effects.push_back(Effect::Desert { token: *token });
+            self.effects.push_back(Effect::AbandonOffer { token: *token });
         }
         for outcome in session.outcomes.iter().chain(session.sent.values()) {
-            self.effects.push_back(Effect::Untold { message: outcome.message });
+            self.effects.push_back(Effect::OutcomeDropped { message: outcome.message });
         }
         if session.recorded && !self.wills_out.contains(owner) {
             self.erase(owner);
@@ -39,7 +39,7 @@
     pub(super) fn erase(&mut self, owner: &str) {
         let token = self.token();
         self.storing.insert(token, (owner.to_owned(), After::Nothing));
-        self.effects.push_back(Effect::Store { token, owner: owner.to_owned(), record: None });
+        self.effects.push_back(Effect::StoreSession { token, owner: owner.to_owned(), record: None });
     }
 
     pub(super) fn schedule(&mut self, owner: &str, at: Time, timer: Timer) {
@@ -66,21 +66,21 @@
         session.recorded = record.is_some();
         let token = self.token();
         self.storing.insert(token, (owner.to_owned(), after));
-        self.effects.push_back(Effect::Store { token, owner: owner.to_owned(), record });
+        self.effects.push_back(Effect::StoreSession { token, owner: owner.to_owned(), record });
     }
 
     /// What became of a record; if it cannot be kept, why.
-    pub fn stored(&mut self, token: u64, kept: Result<(), String>, now: Time) {
+    pub fn record_stored(&mut self, token: u64, kept: Result<(), String>, now: Time) {
         let Some((owner, after)) = self.storing.remove(&token) else { return };
         match kept {
             Ok(()) => self.after(after, now),
-            Err(why) => self.not_stored(&owner, after, &why, now),
+            Err(reason) => self.not_stored(&owner, after, &reason, now),
         }
     }
 
     pub(super) fn after(&mut self, after: After, now: Time) {
         match after {
-            After::Open { connection, connack } => self.opened(connection, connack, now),
+            After::Open { connection, connack } => self.connection_opened(connection, connack, now),
             After::Write { connection, packet } => self.write(connection, packet),
             After::Release { connection, id } => {
                 self.write(connection, Packet::Pubcomp(Ack::new(id, code::SUCCESS)));
@@ -89,8 +89,9 @@
         }
     }
 
-    pub(super) fn not_stored(&mut self, owner: &str, after: After, why: &str, now: Time) {
-        self.effects.push_back(Effect::Log(format!("{owner}: its session cannot be put on record: {why}")));
+    pub(super) fn not_stored(&mut self, owner: &str, after: After, reason: &str, now: Time) {
+        self.effects
+            .push_back(Effect::Log(format!("{owner}: its session cannot be put on record: {reason}")));
         match after {
             After::Open { connection, connack } => {
                 if !connack.session_present
--- a/crates/mqtt/src/server_test.rs
+++ b/crates/mqtt/src/server_test.rs
@@ -7,14 +7,14 @@
 fn limits() -> Limits {
     Limits {
         sessions: 100,
-        packet_most: 80 * 1024,
-        payload_most: 64 * 1024,
+        max_packet_size: 80 * 1024,
+        max_payload_bytes: 64 * 1024,
         receive_maximum: 8,
-        aliases: 4,
-        expiry_most: 3600,
-        keep_alive_most: 300,
-        connect_time: 2500 * MS,
-        outcomes_most: 10,
+        topic_alias_max: 4,
+        max_session_expiry_seconds: 3600,
+        max_keep_alive_seconds: 300,
+        connect_timeout: 2500 * MS,
+        max_outcomes: 10,
         wills: true,
     }
 }
@@ -71,22 +71,22 @@
                     }
                 }
                 Effect::Close { connection } => self.closed.push(connection),
-                Effect::Admit { connection, .. } => self.server.admitted(connection, Ok(()), self.now),
+                Effect::Authorize { connection, .. } => self.server.authorized(connection, Ok(()), self.now),
                 Effect::Offer(offer) => self.offers.push(*offer),
-                Effect::Desert { token } => self.deserted.push(token),
-                Effect::Store { token, owner, record } => {
+                Effect::AbandonOffer { token } => self.deserted.push(token),
+                Effect::StoreSession { token, owner, record } => {
                     match record {
                         Some(record) => drop(self.records.insert(owner, record)),
                         None => drop(self.records.remove(&owner)),
                     }
                     match self.stores {
-                        true => self.server.stored(token, Ok(()), self.now),
+                        true => self.server.record_stored(token, Ok(()), self.now),
                         false => self.owed.push(token),
                     }
                 }
-                Effect::Told { message } => self.told.push(message),
-                Effect::Untold { message } => self.untold.push(message),
-                Effect::Ready { .. } | Effect::Log(_) => {}
+                Effect::OutcomeDelivered { message } => self.told.push(message),
+                Effect::OutcomeDropped { message } => self.untold.push(message),
+                Effect::ResumeReading { .. } | Effect::Log(_) => {}
             }
         }
     }
@@ -96,7 +96,7 @@
         let connection = self.next;
         self.next += 1;
         self.readers.insert(connection, Reader::client(version, 1 << 20));
-        self.server.accepted(connection, self.now);
+        self.server.connection_accepted(connection, self.now);
         connection
     }
 
@@ -135,24 +135,28 @@
     }
 
     fn reply(&mut self, token: u64, answer: Answer) {
-        self.server.replied(token, answer, self.now);
+        self.server.offer_answered(token, answer, self.now);
         self.obey();
     }
 
     fn lose(&mut self, connection: u64) {
-        self.server.lost(connection, self.now);
+        self.server.connection_lost(connection, self.now);
         self.obey();
     }
 
     fn pass(&mut self, time: Time) {
         self.now += time;
-        self.server.elapsed(self.now);
+        self.server.handle_timeout(self.now);
         self.obey();
     }
 
     fn subscribe(&mut self, connection: u64, version: Version, filter: &str) -> u8 {
         let filters = vec![(filter.to_owned(), Qos::ExactlyOnce)];
-        self.send(connection, version, Packet::Subscribe(Subscribe { id: 9, identified: false, filters }));
+        self.send(
+            connection,
+            version,
+            Packet::Subscribe(Subscribe { id: 9, has_subscription_id: false, filters }),
+        );
         match self.hear(connection).into_iter().next() {
             Some(Packet::Suback { id: 9, codes, .. }) => codes[0],
             other => panic!("no SUBACK: {other:?}"),
@@ -165,7 +169,7 @@
 }
 
 fn refused() -> Answer {
-    Answer::Refused { code: code::QUOTA_EXCEEDED, why: "full".to_owned(), wait: Some(1500 * MS) }
+    Answer::Refused { code: code::QUOTA_EXCEEDED, reason: "full".to_owned(), wait: Some(1500 * MS) }
 }
 
 // Of 5.0: MQTT-2.2.1-5, MQTT-3.1.4-5, MQTT-3.2.0-2, MQTT-3.3.4-1, MQTT-3.7.2-1, MQTT-4.3.2-4, MQTT-4.3.2-5,
@@ -180,13 +184,13 @@
         play.publish(c, version, Qos::AtLeastOnce, Some(5));
         let offer = play.offered();
         assert_eq!(offer.publish.topic, "fuel/pay");
-        assert!(offer.answered && play.hear(c).is_empty(), "[MQTT-4.3.2-4]");
-        play.reply(offer.token, Answer::Taken);
+        assert!(offer.expects_ack && play.hear(c).is_empty(), "[MQTT-4.3.2-4]");
+        play.reply(offer.token, Answer::Accepted);
         assert_eq!(play.hear(c), [Packet::Puback(Ack::new(5, 0))]);
         // QoS 2: PUBREC, then PUBREL and PUBCOMP; a PUBLISH under an id that waits for its PUBREL is a repeat.
         play.publish(c, version, Qos::ExactlyOnce, Some(6));
         let offer = play.offered();
-        play.reply(offer.token, Answer::Taken);
+        play.reply(offer.token, Answer::Accepted);
         assert_eq!(play.hear(c), [Packet::Pubrec(Ack::new(6, 0))]);
         play.publish(c, version, Qos::ExactlyOnce, Some(6));
         assert!(play.offers.is_empty(), "[MQTT-4.3.3-10]");
@@ -199,7 +203,7 @@
         // QoS 0 is answered by nothing, and its client may leave.
         play.offers.clear();
         play.publish(c, version, Qos::AtMostOnce, None);
-        assert!(!play.offered().answered);
+        assert!(!play.offered().expects_ack);
     }
 }
 
@@ -244,22 +248,22 @@
     play.send(c, Version::V5, Packet::Connect(Box::new(lasting(Version::V5, "van"))));
     assert!(play.hear(c).is_empty(), "no CONNACK yet");
     let token = play.owed.remove(0);
-    play.server.stored(token, Ok(()), play.now);
+    play.server.record_stored(token, Ok(()), play.now);
     play.obey();
     assert!(matches!(play.hear(c)[..], [Packet::Connack(_)]));
     // So are packet ids at QoS 2, taken and released: PUBREC and PUBCOMP wait for that.
     play.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
     let offer = play.offered();
-    play.reply(offer.token, Answer::Taken);
+    play.reply(offer.token, Answer::Accepted);
     assert!(play.hear(c).is_empty());
     let token = play.owed.remove(0);
-    play.server.stored(token, Ok(()), play.now);
+    play.server.record_stored(token, Ok(()), play.now);
     play.obey();
     assert_eq!(play.hear(c), [Packet::Pubrec(Ack::new(6, 0))]);
     play.send(c, Version::V5, Packet::Pubrel(Ack::new(6, 0)));
     assert!(play.hear(c).is_empty(), "a crash now must not leave an id that is free for its client");
     let token = play.owed.remove(0);
-    play.server.stored(token, Err("full".to_owned()), play.now);
+    play.server.record_stored(token, Err("full".to_owned()), play.now);
     play.obey();
     assert!(matches!(play.hear(c)[..], [Packet::Disconnect(Disconnect { code: 0x89, .. })]));
     // It is still known when the client comes back.
@@ -279,7 +283,7 @@
         let (c, _) = play.connect(lasting(version, "van"));
         play.publish(c, version, Qos::ExactlyOnce, Some(6));
         let offer = play.offered();
-        play.reply(offer.token, Answer::Taken);
+        play.reply(offer.token, Answer::Accepted);
         play.hear(c);
         play.subscribe(c, version, "$stairshed/outcomes/van");
         // The process dies; PUBREC may not have arrived.
@@ -288,7 +292,7 @@
         for (owner, record) in &records {
             assert!(play.server.restore(owner, record, play.now));
         }
-        assert!(play.server.hears("/van"));
+        assert!(play.server.accepts_outcomes("/van"));
         let (c, connack) = play.connect(lasting(version, "van"));
         assert!(connack.session_present, "[MQTT-3.2.2-3]");
         play.hear(c);
@@ -318,7 +322,7 @@
         let publish = Publish::new("fuel/pay", Qos::AtLeastOnce, Some(5), Bytes::from_static(b"42"));
         play.send(b, version, Packet::Publish(Box::new(Publish { dup: true, ..publish })));
         assert!(play.offers.is_empty(), "it is one message");
-        play.reply(offer.token, Answer::Taken);
+        play.reply(offer.token, Answer::Accepted);
         assert_eq!(play.hear(b), [Packet::Puback(Ack::new(5, 0))]);
         assert!(play.deserted.is_empty());
         // A clean start instead leaves the message: nobody is owed an answer.
@@ -327,7 +331,7 @@
         let (c, connack) = play.connect(Connect::new(version, "van"));
         assert!(!connack.session_present);
         assert_eq!(play.deserted, [offer.token]);
-        play.reply(offer.token, Answer::Taken);
+        play.reply(offer.token, Answer::Accepted);
         assert!(play.hear(c).is_empty());
     }
 }
@@ -346,14 +350,14 @@
         play.subscribe(b, version, "$stairshed/outcomes/b");
         play.lose(b);
         let line = "{}".to_owned();
-        play.server.outcome("/b", Outcome { message: 3, line });
+        play.server.queue_outcome("/b", Outcome { message: 3, line });
         let lasts = if version == Version::V5 { 600 } else { 3600 };
         play.pass(Duration::from_secs(lasts) - MS);
         assert_eq!((play.server.counts().0, play.records.len()), (1, 1));
         play.pass(MS);
         assert_eq!((play.server.counts().0, play.records.len()), (0, 0), "3.1.1 is held to the longest time");
         assert_eq!(play.untold, [3], "its outcomes are told to nobody");
-        assert!(!play.server.hears("/b"));
+        assert!(!play.server.accepts_outcomes("/b"));
     }
 }
 
@@ -377,10 +381,10 @@
     let (c, _) = play.connect(Connect { receive_maximum: 2, ..lasting(Version::V5, "van") });
     assert_eq!(play.subscribe(c, Version::V5, "$stairshed/outcomes/van"), 1, "QoS 1 at most");
     for message in 1..=10 {
-        assert!(play.server.hears("/van"));
-        play.server.outcome("/van", Outcome { message, line: format!("{message}") });
+        assert!(play.server.accepts_outcomes("/van"));
+        play.server.queue_outcome("/van", Outcome { message, line: format!("{message}") });
     }
-    assert!(!play.server.hears("/van"), "the bound: a slow reader takes no more memory than that");
+    assert!(!play.server.accepts_outcomes("/van"), "the bound: a slow reader takes no more memory than that");
     play.obey();
     let out = |packets: Vec<Packet>| -> Vec<(Bytes, u16, bool)> {
         let of = |p: Packet| {
@@ -402,7 +406,7 @@
     let mut play = Play::new();
     let (c, _) = play.connect(lasting(Version::V5, "van"));
     play.subscribe(c, Version::V5, "$stairshed/outcomes/van");
-    play.server.outcome("/van", Outcome { message: 1, line: "one".to_owned() });
+    play.server.queue_outcome("/van", Outcome { message: 1, line: "one".to_owned() });
     play.obey();
     let Packet::Publish(sent) = play.hear(c).remove(0) else { panic!("an outcome") };
     play.lose(c);
@@ -446,7 +450,7 @@
     let filters = vec!["$stairshed/outcomes/van".to_owned(), "x".to_owned()];
     play.send(c, Version::V5, Packet::Unsubscribe { id: 3, filters });
     assert_eq!(play.hear(c), [Packet::Unsuback { id: 3, codes: vec![0, 0x11] }], "[MQTT-3.11.3-1]");
-    assert!(!play.server.hears("/van"));
+    assert!(!play.server.accepts_outcomes("/van"));
 }
 
 // Of 5.0: MQTT-3.1.2-7, MQTT-3.1.2-8, MQTT-3.1.2-10, MQTT-3.1.3-9, MQTT-3.14.4-3
@@ -463,7 +467,7 @@
         let offer = play.offered();
         assert!(offer.will && offer.publish.topic == "gone/van", "[MQTT-3.1.2-8]");
         assert_eq!(play.records.len(), 1, "until it is a message on record");
-        play.reply(offer.token, Answer::Taken);
+        play.reply(offer.token, Answer::Accepted);
         assert!(play.records.is_empty());
         let (c, _) = play.connect(Connect { will: Some(will(0)), ..Connect::new(version, "van") });
         play.send(c, version, Packet::Disconnect(Disconnect::new(0)));
@@ -547,7 +551,7 @@
 fn thousands_that_say_nothing_are_closed_and_cost_one_entry_each() {
     let mut play = Play::new();
     let all: Vec<u64> = (0..10_000).map(|_| play.open(Version::V5)).collect();
-    assert!(play.server.silent().is_some());
+    assert!(play.server.oldest_without_connect().is_some());
     play.pass(2499 * MS);
     assert!(play.closed.is_empty());
     play.pass(MS);
@@ -612,15 +616,15 @@
     let (c, _) = play.connect(Connect::new(Version::V311, "van"));
     (1..=9).for_each(|id| play.publish(c, Version::V311, Qos::AtLeastOnce, Some(id)));
     assert_eq!(play.offers.len(), 8);
-    assert!(!play.server.reads(c), "nothing more is read");
+    assert!(!play.server.wants_input(c), "nothing more is read");
     let token = play.offers[0].token;
-    play.reply(token, Answer::Taken);
+    play.reply(token, Answer::Accepted);
     assert_eq!(play.offers.len(), 9, "what had come is worked off");
     // At QoS 0 there is no such number, and a bound all the same.
     let mut play = Play::new();
     let (c, _) = play.connect(Connect::new(Version::V5, "van"));
-    (0..LOOSE_MOST + 5).for_each(|_| play.publish(c, Version::V5, Qos::AtMostOnce, None));
-    assert_eq!(play.offers.len(), LOOSE_MOST);
+    (0..MAX_PENDING_QOS0 + 5).for_each(|_| play.publish(c, Version::V5, Qos::AtMostOnce, None));
+    assert_eq!(play.offers.len(), MAX_PENDING_QOS0);
 }
 
 #[test]
@@ -643,7 +647,7 @@
 fn an_alias_stands_for_its_topic_on_its_connection_only() {
     let mut play = Play::new();
     let (c, connack) = play.connect(lasting(Version::V5, "van"));
-    assert_eq!(connack.alias_most, 4);
+    assert_eq!(connack.topic_alias_max, 4);
     let alias =
         |topic: &str| Publish { alias: Some(4), ..Publish::new(topic, Qos::AtMostOnce, None, Bytes::new()) };
     play.send(c, Version::V5, Packet::Publish(Box::new(alias("fuel/pay"))));
@@ -682,7 +686,7 @@
     );
     // An exchange of AUTH packets is refused [MQTT-4.12.0-1].
     let (_, connack) =
-        play.connect(Connect { method: Some("SCRAM".to_owned()), ..Connect::new(Version::V5, "x") });
+        play.connect(Connect { auth_method: Some("SCRAM".to_owned()), ..Connect::new(Version::V5, "x") });
     assert_eq!(connack.code, 0x8C);
 }
 
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// What a session takes: its tables' entries and its strings of usual length, bytes.
-pub const SESSION: u64 = 700;
+pub const SESSION_BYTES: u64 = 700;
 
 /// How a message ended that the client published.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -80,14 +80,14 @@
     }
 
     /// Bytes that it takes, estimated from what is in it.
-    pub fn weigh(&self) -> u64 {
+    pub fn estimated_bytes(&self) -> u64 {
         let outcome = |o: &Outcome| (size_of::<Outcome>() + o.line.len() + 16) as u64;
         let outcomes: u64 = self.outcomes.iter().chain(self.sent.values()).map(outcome).sum();
         let will = self.will.as_ref().map_or(0, |w| (w.payload.len() + w.topic.len() + 200) as u64);
         // Entries of sets of packet ids, and the first node of each.
         let ids = |n: usize, entry: u64| if n == 0 { 0 } else { 11 * entry + n as u64 * entry * 2 };
         let ids = ids(self.releases.len(), 2) + ids(self.pending.len(), 10);
-        SESSION + self.client.len() as u64 + outcomes + will + ids
+        SESSION_BYTES + self.client.len() as u64 + outcomes + will + ids
     }
 
     pub fn record(&self) -> String {
--- a/crates/mqtt/tests/drops.rs
+++ b/crates/mqtt/tests/drops.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use stairshed_mqtt::client::{Client, Effect, End, Message, Options};
+use stairshed_mqtt::client::{AttemptResult, Client, Effect, Message, Options};
 use stairshed_mqtt::packet::{Ack, Connack, Packet, Publish, Qos, Version};
 use stairshed_mqtt::{Reader, Time, encode};
 use std::collections::{BTreeMap, BTreeSet};
@@ -80,7 +80,7 @@
     record: Record,
     /// That a session is being resumed is on record, too.
     resuming: bool,
-    ends: BTreeMap<u64, Vec<End>>,
+    ends: BTreeMap<u64, Vec<AttemptResult>>,
     next: u64,
     drops: u64,
     /// Whether brokers lose sessions in this world.
@@ -96,7 +96,7 @@
         topic: "t".to_owned(),
         keep_alive: 0,
         expiry: 3600,
-        connect_time: 60_000 * MS,
+        connect_timeout: 60_000 * MS,
         in_flight: 100,
     })
 }
@@ -124,9 +124,9 @@
         Message {
             number,
             publish: Publish::new("", self.qos, None, payload),
-            patience: 600_000 * MS,
+            response_timeout: 600_000 * MS,
             until: Duration::from_secs(1 << 30),
-            repeat_until: Time::MAX,
+            retransmit_until: Time::MAX,
         }
     }
 
@@ -147,16 +147,16 @@
             match effect {
                 Effect::Open => (open, close) = (true, false),
                 Effect::Close { .. } => close = true,
-                Effect::Resuming => {
+                Effect::RecordResuming => {
                     self.resuming = true;
-                    self.client.resuming(self.now);
+                    self.client.resuming_recorded(self.now);
                 }
-                Effect::Resumed => self.resuming = false,
-                Effect::Record { id, message } => {
+                Effect::ClearResuming => self.resuming = false,
+                Effect::RecordPubrec { id, message } => {
                     self.record.insert(id, (message, true));
-                    self.client.recorded(id, self.now);
+                    self.client.pubrec_recorded(id, self.now);
                 }
-                Effect::Free { id, .. } => drop(self.record.remove(&id)),
+                Effect::FreePacketId { id, .. } => drop(self.record.remove(&id)),
                 Effect::Ended { message, end, .. } => self.ends.entry(message).or_default().push(end),
                 Effect::Log(_) => {}
             }
@@ -170,7 +170,7 @@
         if std::mem::take(&mut self.resuming) {
             for (number, _) in std::mem::take(&mut self.record).into_values() {
                 // Those that had ended only kept their id from use.
-                self.ends.entry(number).or_insert_with(|| vec![End::Lost]);
+                self.ends.entry(number).or_insert_with(|| vec![AttemptResult::Lost]);
             }
         }
         for (id, (number, released)) in self.record.clone() {
@@ -181,7 +181,7 @@
 
     /// One connection, until it is dropped at a random byte of either way.
     fn connection(&mut self) {
-        self.client.opened(self.now);
+        self.client.connection_opened(self.now);
         self.obey();
         let (mut reader, mut left) = (Reader::server(1 << 20), self.rng.random_range(0..400usize));
         let mut answers: Vec<u8> = Vec::new();
@@ -196,7 +196,7 @@
             };
             // A part is handed over, and perhaps less of it arrives: the rest was in the kernel's hands.
             let over = bytes.len().min(left);
-            self.client.wrote(over, self.now);
+            self.client.bytes_written(over, self.now);
             left -= over;
             let lost = left == 0 && self.rng.random_bool(0.5);
             let arrives = if lost { self.rng.random_range(0..=over) } else { over };
@@ -227,7 +227,7 @@
             return self.restart();
         }
         if !died {
-            self.client.lost(self.now);
+            self.client.connection_lost(self.now);
         }
     }
 
@@ -258,7 +258,7 @@
                 return true;
             }
             self.now = self.client.timeout().unwrap_or(self.now).max(self.now) + MS;
-            self.client.elapsed(self.now);
+            self.client.handle_timeout(self.now);
             open = self.obey().0;
         }
         false
@@ -274,7 +274,7 @@
         if !self.wanted() {
             return;
         }
-        self.client.opened(self.now);
+        self.client.connection_opened(self.now);
         self.obey();
         let mut reader = Reader::server(1 << 20);
         loop {
@@ -283,7 +283,7 @@
                 self.client.output(&mut slices);
                 slices.iter().flat_map(|s| s.to_vec()).collect()
             };
-            self.client.wrote(bytes.len(), self.now);
+            self.client.bytes_written(bytes.len(), self.now);
             reader.push(&bytes);
             while let Some(packet) = reader.packet().expect("sound") {
                 if let Some(answer) = self.broker.hear(packet) {
@@ -296,7 +296,7 @@
                 return;
             }
             if bytes.is_empty() {
-                self.client.lost(self.now);
+                self.client.connection_lost(self.now);
                 return;
             }
         }
--- a/crates/mqtt/tests/hostile.rs
+++ b/crates/mqtt/tests/hostile.rs
@@ -14,7 +14,7 @@
 use stairshed_mqtt::{Reader, Time, client, encode};
 use std::time::Duration;
 
-const MOST: usize = 2000;
+const MAX_PACKET_BYTES: usize = 2000;
 
 fn figure(name: &str, or: u64) -> u64 {
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
@@ -52,14 +52,14 @@
                 expiry: rng.random_range(0..4),
                 will,
                 receive_maximum: rng.random_range(1..4),
-                packet_most: rng.random_bool(0.2).then(|| rng.random_range(1..40)),
+                max_packet_size: rng.random_bool(0.2).then(|| rng.random_range(1..40)),
                 ..Connect::new(version, &client)
             }))
         }
         3 => Packet::Connack(Box::new(Connack {
             session_present: rng.random_bool(0.5),
             receive_maximum: rng.random_range(1..4),
-            packet_most: rng.random_bool(0.2).then(|| rng.random_range(1..40)),
+            max_packet_size: rng.random_bool(0.2).then(|| rng.random_range(1..40)),
             ..Connack::new(if rng.random_bool(0.7) { 0 } else { code(rng) })
         })),
         4..7 => {
@@ -77,7 +77,7 @@
         10 => Packet::Pubcomp(ack(rng)),
         11 => Packet::Subscribe(Subscribe {
             id: 3,
-            identified: false,
+            has_subscription_id: false,
             filters: vec![(text(rng), Qos::AtLeastOnce)],
         }),
         12 => Packet::Unsubscribe { id: 4, filters: vec![text(rng)] },
@@ -115,14 +115,14 @@
     let mut server = Server::new(
         Limits {
             sessions: 3,
-            packet_most: MOST,
-            payload_most: 150,
+            max_packet_size: MAX_PACKET_BYTES,
+            max_payload_bytes: 150,
             receive_maximum: 3,
-            aliases: 4,
-            expiry_most: 3,
-            keep_alive_most: 3,
-            connect_time: Duration::from_millis(2500),
-            outcomes_most: 3,
+            topic_alias_max: 4,
+            max_session_expiry_seconds: 3,
+            max_keep_alive_seconds: 3,
+            connect_timeout: Duration::from_millis(2500),
+            max_outcomes: 3,
             wills: rng.random_bool(0.9),
         },
         Duration::from_secs(1_790_000_000),
@@ -130,7 +130,7 @@
     );
     let mut now = Duration::from_secs(1);
     for connection in 1..=3 {
-        server.accepted(connection, now);
+        server.connection_accepted(connection, now);
         let first = rng.random_bool(0.9).then(|| Packet::Connect(Box::new(Connect::new(version, "c"))));
         let bytes = stream(rng, version, first);
         let piece = rng.random_range(1..=bytes.len().max(1));
@@ -139,10 +139,10 @@
             obey(&mut server, rng, now);
         }
         now += Duration::from_millis(rng.random_range(0..4000));
-        server.elapsed(now);
+        server.handle_timeout(now);
         obey(&mut server, rng, now);
         if rng.random_bool(0.5) {
-            server.lost(connection, now);
+            server.connection_lost(connection, now);
         }
     }
     let (sessions, connections) = server.counts();
@@ -157,21 +157,25 @@
         let Some(effect) = server.poll() else { return };
         match effect {
             Effect::Write { bytes, .. } => assert!(!bytes.is_empty()),
-            Effect::Admit { connection, .. } => {
+            Effect::Authorize { connection, .. } => {
                 let verdict = if rng.random_bool(0.9) { Ok(()) } else { Err((0x86, "no".to_owned())) };
-                server.admitted(connection, verdict, now);
+                server.authorized(connection, verdict, now);
             }
             Effect::Offer(offer) => {
-                if server.hears(&offer.owner) {
+                if server.accepts_outcomes(&offer.owner) {
                     let line = "{}".to_owned();
-                    server.outcome(&offer.owner, Outcome { message: offer.token, line });
+                    server.queue_outcome(&offer.owner, Outcome { message: offer.token, line });
                 }
-                let refused = Answer::Refused { code: 0x97, why: "full".to_owned(), wait: None };
-                server.replied(offer.token, if rng.random_bool(0.7) { Answer::Taken } else { refused }, now);
+                let refused = Answer::Refused { code: 0x97, reason: "full".to_owned(), wait: None };
+                server.offer_answered(
+                    offer.token,
+                    if rng.random_bool(0.7) { Answer::Accepted } else { refused },
+                    now,
+                );
             }
-            Effect::Store { token, .. } => {
+            Effect::StoreSession { token, .. } => {
                 let kept = if rng.random_bool(0.9) { Ok(()) } else { Err("full".to_owned()) };
-                server.stored(token, kept, now);
+                server.record_stored(token, kept, now);
             }
             _ => {}
         }
@@ -189,7 +193,7 @@
         topic: "t".to_owned(),
         keep_alive: 2,
         expiry: 60,
-        connect_time: Duration::from_secs(1),
+        connect_timeout: Duration::from_secs(1),
         in_flight: 5,
     });
     let mut now = Duration::from_secs(1);
@@ -197,14 +201,14 @@
         let qos = if rng.random() { Qos::AtLeastOnce } else { Qos::ExactlyOnce };
         let publish = Publish::new("", qos, None, Bytes::from_static(b"x"));
         let until = now + Duration::from_millis(rng.random_range(1..9000));
-        let (patience, repeat_until) = (Duration::from_secs(1), Time::MAX);
+        let (response_timeout, retransmit_until) = (Duration::from_secs(1), Time::MAX);
         if let Some(id) = client.reserve() {
-            client.publish(id, Message { number, publish, patience, until, repeat_until }, now);
+            client.publish(id, Message { number, publish, response_timeout, until, retransmit_until }, now);
         }
     }
     for _ in 0..3 {
-        client.opened(now);
-        client.resuming(now);
+        client.connection_opened(now);
+        client.resuming_recorded(now);
         let first = rng
             .random_bool(0.9)
             .then(|| Packet::Connack(Box::new(Connack { session_present: rng.random(), ..Connack::new(0) })));
@@ -216,28 +220,32 @@
                 client.output(&mut slices);
                 slices.iter().map(|s| s.len()).sum()
             };
-            client.wrote(rng.random_range(0..=waits), now);
+            client.bytes_written(rng.random_range(0..=waits), now);
             client.received(part, now);
             for _ in 0..200 {
                 match client.poll() {
-                    Some(client::Effect::Record { id, .. }) => client.recorded(id, now),
+                    Some(client::Effect::RecordPubrec { id, .. }) => client.pubrec_recorded(id, now),
                     Some(_) => {}
                     None => break,
                 }
             }
         }
         if rng.random_bool(0.5) {
-            client.lost(now);
+            client.connection_lost(now);
         }
         now = client.timeout().unwrap_or(now).max(now) + Duration::from_millis(1);
-        client.elapsed(now);
+        client.handle_timeout(now);
     }
     assert!(client.in_use() <= 5);
 }
 
 fn reader(rng: &mut SmallRng) {
     let version = if rng.random() { Version::V5 } else { Version::V311 };
-    let mut reader = if rng.random() { Reader::server(MOST) } else { Reader::client(version, MOST) };
+    let mut reader = if rng.random() {
+        Reader::server(MAX_PACKET_BYTES)
+    } else {
+        Reader::client(version, MAX_PACKET_BYTES)
+    };
     let first = rng.random_bool(0.5).then(|| Packet::Connect(Box::new(Connect::new(version, "c"))));
     let bytes = stream(rng, version, first);
     let piece = rng.random_range(1..=bytes.len().max(1));
@@ -250,7 +258,7 @@
                 Err(_) => return,
             }
         }
-        assert!(reader.kept() <= MOST, "{} bytes are kept", reader.kept());
+        assert!(reader.buffered_bytes() <= MAX_PACKET_BYTES, "{} bytes are kept", reader.buffered_bytes());
     }
 }
 
--- a/crates/rig/src/publisher.rs
+++ b/crates/rig/src/publisher.rs
@@ -115,7 +115,7 @@
     /// Subscribes to its outcomes.
     pub fn read_outcomes(&mut self, client: &str) {
         let filters = vec![(format!("$stairshed/outcomes/{client}"), Qos::AtLeastOnce)];
-        self.send(Packet::Subscribe(Subscribe { id: 60_000, identified: false, filters }));
+        self.send(Packet::Subscribe(Subscribe { id: 60_000, has_subscription_id: false, filters }));
         match self.acked() {
             Some(Packet::Suback { codes, .. }) => assert_eq!(codes, [1]),
             other => panic!("no SUBACK: {other:?}"),
