--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -7,7 +7,7 @@
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use stairshed_memory::partings::{DRAINED, How, LINGER, LISTEN, MOST};
+use stairshed_memory::rejected_connections::{DRAINED, How, LINGER, LISTEN, MOST};
 use stairshed_memory::{Purpose, Reason, Reserve};
 use stairshed_mqtt::frame::encode;
 use stairshed_mqtt::packet::{Packet, Version, code};
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -7,7 +7,7 @@
 use stairshed_config::Installation;
 use stairshed_config::installation;
 use stairshed_memory::caps::Bytes;
-use stairshed_memory::partings::Counts;
+use stairshed_memory::rejected_connections::Counts;
 use stairshed_memory::{Caps, Ledger, Level, Partings, Purpose, Refused, State};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/courier/tests/farewell.rs
+++ b/crates/courier/tests/farewell.rs
@@ -211,7 +211,10 @@
         .collect();
     let most = open_files(&courier);
     // The bound on those that are told, the listener's and the pages' own.
-    assert!(most <= before + stairshed_memory::partings::MOST + 10, "{before} descriptors, then {most}");
+    assert!(
+        most <= before + stairshed_memory::rejected_connections::MOST + 10,
+        "{before} descriptors, then {most}"
+    );
     let mut other = connect_from([127, 0, 0, 9], courier.address);
     other.write_all(pay("other", "x").as_bytes()).expect("sent");
     assert_eq!(answer(&other).expect("an answer").status(), 202, "another client is served");
--- a/crates/memory/src/telling.rs
+++ b/crates/memory/src/client_identification.rs
@@ -54,5 +54,5 @@
 }
 
 #[cfg(test)]
-#[path = "telling_test.rs"]
+#[path = "client_identification_test.rs"]
 mod tests;
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -3,9 +3,9 @@
 use crate::Time;
 use crate::caps::Caps;
 use crate::level::{Change, FULL, Level, TIGHT};
-use crate::pace::{LOOK, Pace};
 use crate::purpose::{ByPurpose, Purpose};
 use crate::reason::Reason;
+use crate::release_rate::{LOOK, Pace};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -6,34 +6,34 @@
 //!   Caps ----------> Ledger ---- take, reserve ---> Charge, Reserve   guards: what they hold goes back when dropped
 //!   (caps)             |   \---- tick(now) -------> level changes     (level)
 //!                      |--- Guest: what one client holds              (ledger)
-//!                      \--- pace: how fast a purpose empties -> wait  (pace)
-//!   Refused ----> Reason, as clients are told (reason); Partings: connections until they have been told (partings)
-//!   Telling: whose share something counts against             (telling)
+//!                      \--- pace: how fast a purpose empties -> wait  (release_rate)
+//!   Refused ----> Reason, as clients are told (reason); Partings: connections until they have been told (rejected_connections)
+//!   Telling: whose share something counts against             (client_identification)
 //! ```
 //!
 //! A *charge* is memory in use. A *reserve* is memory that an accepted message may still need; it is taken when the
 //! message is accepted, so that nothing done on its behalf later can be refused. Both count against the cap.
 //! Whoever holds a guard needs not give anything back by hand, so nothing is counted twice or left behind.
 //!
-//! Read in this order: [`caps`], [`ledger`], [`level`], [`pace`], [`reason`], [`partings`], [`telling`].
+//! Read in this order: [`caps`], [`ledger`], [`level`], [`release_rate`], [`reason`], [`rejected_connections`], [`client_identification`].
 //! `docs/memory.md` tells why it is so.
 
 pub mod caps;
+pub mod client_identification;
 pub mod ledger;
 pub mod level;
-pub mod pace;
-pub mod partings;
 mod purpose;
 pub mod reason;
-pub mod telling;
+pub mod rejected_connections;
+pub mod release_rate;
 
 pub use caps::{CapFault, Caps, Portion};
+pub use client_identification::Telling;
 pub use ledger::{Charge, Client, Guest, Ledger, Refused, Reserve, State, Why};
 pub use level::{Change, Level};
-pub use partings::Partings;
 pub use purpose::{ByPurpose, Purpose};
 pub use reason::Reason;
-pub use telling::Telling;
+pub use rejected_connections::Partings;
 
 /// A point on a monotonic clock, as the time since an arbitrary origin.
 pub type Time = std::time::Duration;
--- a/crates/memory/src/partings.rs
+++ b/crates/memory/src/rejected_connections.rs
@@ -128,5 +128,5 @@
 }
 
 #[cfg(test)]
-#[path = "partings_test.rs"]
+#[path = "rejected_connections_test.rs"]
 mod tests;
--- a/crates/memory/src/pace.rs
+++ b/crates/memory/src/release_rate.rs
@@ -64,5 +64,5 @@
 }
 
 #[cfg(test)]
-#[path = "pace_test.rs"]
+#[path = "release_rate_test.rs"]
 mod tests;
