--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -10,7 +10,7 @@
 use crate::tree::{self, Entry, Node, Value, place_of};
 use crate::units::{Rate, Span};
 use stairshed_decide::interface as decide;
-use stairshed_memory::{ByPurpose, CapFault, Caps, Portion, Purpose, Telling};
+use stairshed_memory::{ByPurpose, CapError, CapSetting, Caps, ClientIdentification, Purpose};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -85,7 +85,7 @@
     pub discovery: Option<SocketAddr>,
     pub resolver: Option<SocketAddr>,
     /// How clients are told apart.
-    pub telling: Telling,
+    pub client_identification: ClientIdentification,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -261,14 +261,14 @@
 ///
 /// # Errors
 /// All that is wrong with them.
-pub fn caps(file: &File, otherwise: Option<u64>) -> Result<Caps, Vec<CapFault>> {
+pub fn caps(file: &File, otherwise: Option<u64>) -> Result<Caps, Vec<CapError>> {
     let total = file.memory.total.map(|size| size.0).or(otherwise);
     let stated = file.memory.stated();
     let bodies = file.limits.bodies.0;
     let usual = |purpose| {
         (purpose == Purpose::BodiesRead).then(|| {
             let share = Caps::new(total, &ByPurpose::default()).map(|caps| caps.of[Purpose::BodiesRead]);
-            Portion::Size(share.map_or(bodies, |share| share.min(bodies)))
+            CapSetting::Size(share.map_or(bodies, |share| share.min(bodies)))
         })
     };
     Caps::new(total, &ByPurpose::new(|purpose| stated[purpose].map(|p| p.0).or_else(|| usual(purpose))))
@@ -376,7 +376,7 @@
         let topics: Vec<Option<Topic>> = file.topics.iter().map(|(n, t)| self.topic(n, t, &file)).collect();
         let topics = self.topics(&file, topics);
         self.limits(&file.limits);
-        let telling = self.memory(&file);
+        let client_identification = self.memory(&file);
         let outcomes = file.outcomes.url.as_ref().and_then(|u| self.url(path(&["outcomes", "url"]), u));
         let control = file.control.as_ref().map(|c| self.control(c));
         let discovery = file.discovery.as_ref().and_then(|d| match &d.address {
@@ -407,7 +407,7 @@
             control: control.flatten(),
             discovery,
             resolver,
-            telling,
+            client_identification,
             file,
         })
     }
@@ -801,7 +801,7 @@
         }
     }
 
-    fn memory(&mut self, file: &File) -> Telling {
+    fn memory(&mut self, file: &File) -> ClientIdentification {
         let at = path(&["memory"]);
         let share = file.memory.client_share;
         self.must(share > 0.0 && share <= 1.0, at.key("client_share"), "above 0 and 1 at most");
@@ -825,7 +825,7 @@
             at.key("client_header"),
             "is believed from proxies only: name them in memory.proxies",
         );
-        Telling { proxies, header, by_user: m.by_user }
+        ClientIdentification { proxies, header, by_user: m.by_user }
     }
 
     fn control(&mut self, c: &file::Control) -> Option<Url> {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -51,17 +51,17 @@
 
 /// A part of the memory: a share, `"30%"`, or a size, `"16MB"`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Portion(pub memory::Portion);
+pub struct Portion(pub memory::CapSetting);
 
 fn portion(text: &str) -> Result<Portion, String> {
     let why = |_| {
         format!("{text:?} is no part of the memory: write a share or a size, such as \"30%\" or \"16MB\"")
     };
     match text.trim().strip_suffix('%') {
-        None => size(text).map(|size| Portion(memory::Portion::Size(size.0))).map_err(why),
+        None => size(text).map(|size| Portion(memory::CapSetting::Size(size.0))).map_err(why),
         Some(number) => {
             let share = number.trim().parse::<f64>().map_err(|e| why(e.to_string()))?;
-            Ok(Portion(memory::Portion::Share(share / 100.0)))
+            Ok(Portion(memory::CapSetting::Share(share / 100.0)))
         }
     }
 }
@@ -95,8 +95,8 @@
 impl fmt::Display for Portion {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.0 {
-            memory::Portion::Share(share) => write!(f, "{}%", share * 100.0),
-            memory::Portion::Size(bytes) => write!(f, "{}", Size(bytes)),
+            memory::CapSetting::Share(share) => write!(f, "{}%", share * 100.0),
+            memory::CapSetting::Size(bytes) => write!(f, "{}", Size(bytes)),
         }
     }
 }
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -8,7 +8,7 @@
 use crate::process_memory;
 use stairshed_decide::memory_usage;
 use stairshed_journal::{Attempt, Kept, Letter, ROW};
-use stairshed_memory::{Charge, Guest, Level, Purpose, Refused, Reserve};
+use stairshed_memory::{Charge, ClientAccount, Level, Purpose, Refused, Reserve};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -97,7 +97,7 @@
 
 impl Memory {
     pub(super) fn new(budget: MemoryBudget) -> Memory {
-        let empty = |purpose| budget.ledger.force(purpose, 0);
+        let empty = |purpose| budget.ledger.force_charge(purpose, 0);
         Memory {
             module: empty(Purpose::Module),
             journal: empty(Purpose::Journal),
@@ -114,7 +114,7 @@
     /// When [`Dispatcher::check_memory`] is due without any event.
     pub(super) fn due(&self) -> Option<Instant> {
         // Checked until the level is ample: otherwise the level would stay up after the last message.
-        let elevated = self.budget.ledger.worst() > Level::Ample;
+        let elevated = self.budget.ledger.max_level() > Level::Ample;
         let sample = self.last_sample.filter(|_| elevated).map(|at| at + SAMPLE_INTERVAL);
         sample.into_iter().chain(self.release_at).min()
     }
@@ -124,16 +124,16 @@
         &self,
         letter: &Letter,
         body: Charge,
-        (guest, accepts_outcomes): (Option<&Guest>, bool),
+        (guest, accepts_outcomes): (Option<&ClientAccount>, bool),
     ) -> Result<MessageMemory, Refused> {
         let ledger = &self.budget.ledger;
-        let body = body.turn_into(Purpose::BodiesHeld).map_err(|(_, refused)| refused)?;
+        let body = body.transfer_to(Purpose::BodiesHeld).map_err(|(_, refused)| refused)?;
         let needs = MemoryNeeds::of(letter, accepts_outcomes);
         // Its record is buffered until the batch is written.
-        ledger.fits(Purpose::Journal, body.bytes() + needs.rows, None)?;
+        ledger.check_room(Purpose::Journal, body.bytes() + needs.rows, None)?;
         Ok(MessageMemory {
             _body: body,
-            _rows: ledger.take(Purpose::Messages, needs.rows, guest)?,
+            _rows: ledger.try_charge(Purpose::Messages, needs.rows, guest)?,
             _attempts: ledger.reserve(Purpose::Messages, ATTEMPTS_BYTES)?,
             notice: ledger.reserve(Purpose::Notices, needs.notice)?,
             notice_charge: None,
@@ -147,8 +147,8 @@
         let ledger = &self.budget.ledger;
         let needs = MemoryNeeds::of(letter, true);
         let memory = MessageMemory {
-            _body: ledger.force(Purpose::BodiesHeld, letter.body.len() as u64),
-            _rows: ledger.force(Purpose::Messages, needs.rows),
+            _body: ledger.force_charge(Purpose::BodiesHeld, letter.body.len() as u64),
+            _rows: ledger.force_charge(Purpose::Messages, needs.rows),
             _attempts: ledger.force_reserve(Purpose::Messages, ATTEMPTS_BYTES),
             notice: ledger.force_reserve(Purpose::Notices, needs.notice),
             notice_charge: None,
@@ -178,7 +178,7 @@
         let reserve = self.messages.remove(&message).and_then(|memory| memory.kept);
         let charge = match reserve {
             Some(mut reserve) => reserve.draw(bytes),
-            None => self.budget.ledger.force(Purpose::Remembered, bytes),
+            None => self.budget.ledger.force_charge(Purpose::Remembered, bytes),
         };
         self.remembered.insert(message, charge);
     }
@@ -191,7 +191,7 @@
 
     /// Sets the size of the configuration in effect, in bytes.
     pub(super) fn set_configuration_bytes(&mut self, bytes: u64) {
-        self.configuration.set(bytes);
+        self.configuration.resize(bytes);
     }
 }
 
@@ -276,7 +276,7 @@
     /// The reply, if there is not enough.
     pub(super) fn reserve_memory(&mut self, submission: &mut Submission) -> Result<MessageMemory, Reply> {
         // The submission keeps an empty charge: the memory of its body passes to the message.
-        let empty = self.memory.budget.ledger.force(Purpose::BodiesRead, 0);
+        let empty = self.memory.budget.ledger.force_charge(Purpose::BodiesRead, 0);
         let body = std::mem::replace(&mut submission.body_charge, empty);
         let owner = submission.letter.routed.as_ref().and_then(|r| r.owner.as_ref());
         let accepts_outcomes = owner.is_some_and(|owner| self.accepts_outcomes(owner));
@@ -306,8 +306,8 @@
 
     fn sample(&mut self) {
         let (module, journal) = (self.scheduler.memory_usage().endpoints, self.journal.memory());
-        self.memory.module.set(module);
-        self.memory.journal.set(journal);
+        self.memory.module.resize(module);
+        self.memory.journal.resize(journal);
         if let Some(ingress) = &self.ingress {
             ingress.measure_memory();
         }
@@ -315,18 +315,20 @@
         if budget.ledger.total().is_some()
             && let Some(resident) = process_memory::resident_bytes()
         {
-            budget.ledger.weighed(resident);
+            budget.ledger.set_resident(resident);
         }
         for change in budget.ledger.tick(budget.now()) {
             eprintln!("{change}");
         }
         // Idle connections are released first: they are only a cache.
-        if budget.ledger.level(Purpose::Endpoints) > Level::Ample || budget.ledger.whole() > Level::Ample {
+        if budget.ledger.level(Purpose::Endpoints) > Level::Ample
+            || budget.ledger.process_level() > Level::Ample
+        {
             self.attempts.calls.close_half_of_idle();
         }
         // Free memory in the allocator must not cause refusals. Releasing it takes some milliseconds if it is
         // fragmented, so it is not done at each check.
-        let under_pressure = budget.ledger.whole() > Level::Ample;
+        let under_pressure = budget.ledger.process_level() > Level::Ample;
         if under_pressure && self.memory.last_trim.is_none_or(|at| at.elapsed() > MIN_TRIM_INTERVAL) {
             self.memory.last_trim = Some(Instant::now());
             self.release_memory();
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -7,7 +7,7 @@
 use stairshed_config::Installation;
 use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
 use stairshed_journal::{Letter, Refusal, Synced, Verdict};
-use stairshed_memory::{Caps, Charge, Guest};
+use stairshed_memory::{Caps, Charge, ClientAccount};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -171,7 +171,7 @@
     /// The memory charged for its body until it is accepted or refused.
     pub body_charge: Charge,
     /// The client whose share of memory it uses.
-    pub guest: Option<Guest>,
+    pub guest: Option<ClientAccount>,
 }
 
 /// What a configuration changes among endpoints and destinations.
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -16,7 +16,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use stairshed_journal::Letter;
-use stairshed_memory::{Charge, Guest, Purpose, Telling};
+use stairshed_memory::{Charge, ClientAccount, ClientIdentification, Purpose};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -326,11 +326,14 @@
                 Ok((stream, from)) => {
                     let rejecter = this.rejecter.as_ref();
                     let from = from.ip();
-                    let client =
-                        rejecter.and_then(|_| this.with_client_rules(|telling| telling.connection(from)));
-                    let guest = client.map(|client| this.room.ledger.guest(client));
+                    let client = rejecter.and_then(|_| {
+                        this.with_client_rules(|client_identification| {
+                            client_identification.for_connection(from)
+                        })
+                    });
+                    let guest = client.map(|client| this.room.ledger.client_account(client));
                     // A client that has used up its share is rejected; others are still admitted.
-                    match this.room.ledger.take(Purpose::Clients, CONNECTION_BYTES, guest.as_ref()) {
+                    match this.room.ledger.try_charge(Purpose::Clients, CONNECTION_BYTES, guest.as_ref()) {
                         Ok(memory) => {
                             drop(tokio::task::spawn_local(this.clone().serve(stream, from, guest, memory)))
                         }
@@ -352,7 +355,13 @@
         }
     }
 
-    async fn serve(self: Rc<Self>, stream: TcpStream, from: IpAddr, guest: Option<Guest>, memory: Charge) {
+    async fn serve(
+        self: Rc<Self>,
+        stream: TcpStream,
+        from: IpAddr,
+        guest: Option<ClientAccount>,
+        memory: Charge,
+    ) {
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(ClientConnection::new(memory));
         let id = self.server_state.next_id.get();
@@ -406,7 +415,7 @@
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
-        (from, guest): (IpAddr, Option<Guest>),
+        (from, guest): (IpAddr, Option<ClientAccount>),
     ) -> Response<Full<Bytes>> {
         let mut answer = match (request.method(), request.uri().path()) {
             (&Method::GET, "/-/ready") => match self.server_state.ready.get() {
@@ -430,7 +439,7 @@
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
-        (from, guest): (IpAddr, Option<Guest>),
+        (from, guest): (IpAddr, Option<ClientAccount>),
     ) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
         let guest = self.proxied_guest(from, &parts.headers).or(guest);
@@ -444,7 +453,8 @@
         }
         // Concurrent large bodies must not exhaust the memory: together they have a fixed budget.
         let kept = if length > MAX_BODY_BYTES as u64 { 0 } else { length as usize };
-        let body_charge = match self.room.ledger.take(Purpose::BodiesRead, kept as u64, guest.as_ref()) {
+        let body_charge = match self.room.ledger.try_charge(Purpose::BodiesRead, kept as u64, guest.as_ref())
+        {
             Ok(charge) => charge,
             Err(_) if self.is_duplicate(&parts.headers).await => {
                 // The body of a repeated message is discarded, so it is answered even without memory.
@@ -505,20 +515,26 @@
 
 impl HttpServer {
     /// Calls `ask` with the rules that tell clients apart; `None` where clients are not told apart.
-    fn with_client_rules<T>(&self, ask: impl FnOnce(&Telling) -> Option<T>) -> Option<T> {
+    fn with_client_rules<T>(&self, ask: impl FnOnce(&ClientIdentification) -> Option<T>) -> Option<T> {
         match &self.routing {
             Routing::Platform { .. } => None,
-            Routing::Routes(active_config) => ask(&active_config.get().1.telling),
+            Routing::Routes(active_config) => ask(&active_config.get().1.client_identification),
         }
     }
 
     /// The client to account a proxied request to; `None` if the peer is not a trusted proxy.
-    fn proxied_guest(&self, from: IpAddr, headers: &HeaderMap) -> Option<Guest> {
-        let client = self.with_client_rules(|telling| {
-            let header = telling.header.as_deref().filter(|_| telling.trusts(from))?;
-            Some(telling.request(from, headers.get_all(header).iter().map(HeaderValue::as_bytes)))
+    fn proxied_guest(&self, from: IpAddr, headers: &HeaderMap) -> Option<ClientAccount> {
+        let client = self.with_client_rules(|client_identification| {
+            let header = client_identification
+                .header
+                .as_deref()
+                .filter(|_| client_identification.is_trusted_proxy(from))?;
+            Some(
+                client_identification
+                    .for_request(from, headers.get_all(header).iter().map(HeaderValue::as_bytes)),
+            )
         })?;
-        Some(self.room.ledger.guest(client))
+        Some(self.room.ledger.client_account(client))
     }
 
     /// Whether a request repeats an accepted message.
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -115,7 +115,7 @@
 
     fn measure_memory(&self) {
         let bytes = self.machine.borrow().weigh();
-        self.session_memory.borrow_mut().set(bytes);
+        self.session_memory.borrow_mut().resize(bytes);
     }
 
     fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
@@ -145,7 +145,7 @@
             origin: Instant::now(),
             outputs: RefCell::default(),
             pending_offers: RefCell::default(),
-            session_memory: RefCell::new(memory_budget.ledger.force(Purpose::Sessions, 0)),
+            session_memory: RefCell::new(memory_budget.ledger.force_charge(Purpose::Sessions, 0)),
             memory_budget,
             buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             wake: Notify::new(),
@@ -281,17 +281,24 @@
                 return self.with_machine(|machine, now| machine.replied(token, answer, now));
             }
         };
-        let guest = Some(self.memory_budget.ledger.guest(self.active_config.get().1.telling.session(&owner)));
+        let guest = Some(
+            self.memory_budget
+                .ledger
+                .client_account(self.active_config.get().1.client_identification.for_session(&owner)),
+        );
         // Concurrent large payloads must not exhaust the memory: together they have a fixed budget.
         let size = publish.payload.len() as u64;
-        let body_charge = match self.memory_budget.ledger.take(Purpose::BodiesRead, size, guest.as_ref()) {
-            Ok(charge) => charge,
-            // A duplicate of an accepted message is acknowledged even without memory.
-            Err(_) if self.is_duplicate(&message.id).await => return self.on_reply(token, Reply::Accepted),
-            Err(refused) => {
-                return self.on_reply(token, Reply::OutOfMemory(self.memory_budget.refusal(refused)));
-            }
-        };
+        let body_charge =
+            match self.memory_budget.ledger.try_charge(Purpose::BodiesRead, size, guest.as_ref()) {
+                Ok(charge) => charge,
+                // A duplicate of an accepted message is acknowledged even without memory.
+                Err(_) if self.is_duplicate(&message.id).await => {
+                    return self.on_reply(token, Reply::Accepted);
+                }
+                Err(refused) => {
+                    return self.on_reply(token, Reply::OutOfMemory(self.memory_budget.refusal(refused)));
+                }
+            };
         let abandoned = Rc::new(Cell::new(false));
         self.pending_offers.borrow_mut().insert(token, abandoned.clone());
         let reply = ReplyTo::Ingress { ingress: self.clone(), token, abandoned };
@@ -326,10 +333,13 @@
             }
             match listener.accept().await {
                 Ok((socket, from)) => {
-                    let client = self.active_config.get().1.telling.connection(from.ip());
-                    let guest = client.map(|client| self.memory_budget.ledger.guest(client));
-                    let memory =
-                        self.memory_budget.ledger.take(Purpose::Clients, CONNECTION_BYTES, guest.as_ref());
+                    let client = self.active_config.get().1.client_identification.for_connection(from.ip());
+                    let guest = client.map(|client| self.memory_budget.ledger.client_account(client));
+                    let memory = self.memory_budget.ledger.try_charge(
+                        Purpose::Clients,
+                        CONNECTION_BYTES,
+                        guest.as_ref(),
+                    );
                     // An address that has used up its share is rejected; others are still admitted.
                     match memory {
                         Ok(memory) => {
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -7,7 +7,9 @@
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use stairshed_memory::rejected_connections::{DRAINED, How, LINGER, LISTEN, MOST};
+use stairshed_memory::rejected_connections::{
+    LINGER_TIMEOUT, MAX_CONCURRENT, MAX_DISCARDED_BYTES, REQUEST_TIMEOUT, RejectionOutcome,
+};
 use stairshed_memory::{Purpose, Reason, Reserve};
 use stairshed_mqtt::frame::encode;
 use stairshed_mqtt::packet::{Packet, Version, code};
@@ -87,10 +89,11 @@
     /// Starts the task that serves all rejections.
     pub fn start(memory_budget: &MemoryBudget) -> Rc<ConnectionRejecter> {
         // The queue may also hold as many connections again that have already lost their slot.
-        let (queue, receiver) = channel(2 * MOST);
-        let reserve = memory_budget
-            .ledger
-            .force_reserve(Purpose::Clients, REJECTION_BYTES * MOST as u64 + DISCARD_BUFFER_BYTES as u64);
+        let (queue, receiver) = channel(2 * MAX_CONCURRENT);
+        let reserve = memory_budget.ledger.force_reserve(
+            Purpose::Clients,
+            REJECTION_BYTES * MAX_CONCURRENT as u64 + DISCARD_BUFFER_BYTES as u64,
+        );
         let this = Rc::new(ConnectionRejecter {
             memory_budget: memory_budget.clone(),
             queue,
@@ -106,12 +109,12 @@
     /// request was already read from it. At the limit of concurrent rejections the connection is closed
     /// without an answer.
     pub fn reject(&self, stream: TcpStream, protocol: Protocol, rejection: Rejection, request_started: bool) {
-        let mut partings = self.memory_budget.partings.borrow_mut();
-        let Some(slot) = partings.admit(request_started) else {
-            return partings.ended(None, rejection.reason, How::Untold);
+        let mut rejected_connections = self.memory_budget.rejected_connections.borrow_mut();
+        let Some(slot) = rejected_connections.admit(request_started) else {
+            return rejected_connections.closed(None, rejection.reason, RejectionOutcome::Untold);
         };
         let mut open = self.displaced.borrow_mut();
-        if let Some(displaced) = slot.instead_of.and_then(|id| open.remove(&id)) {
+        if let Some(displaced) = slot.evicted.and_then(|id| open.remove(&id)) {
             displaced.notify_one();
         }
         let (id, reason, displaced) = (slot.id, rejection.reason, Rc::new(Notify::new()));
@@ -124,7 +127,7 @@
             displaced: displaced.clone(),
         }) {
             Ok(()) => drop(open.insert(id, displaced)),
-            Err(_) => partings.ended(Some(id), reason, How::Untold),
+            Err(_) => rejected_connections.closed(Some(id), reason, RejectionOutcome::Untold),
         }
     }
 
@@ -133,8 +136,8 @@
         loop {
             let now = self.memory_budget.now();
             let (log_line, next_log) = {
-                let mut partings = self.memory_budget.partings.borrow_mut();
-                (partings.line(now), partings.log_due())
+                let mut rejected_connections = self.memory_budget.rejected_connections.borrow_mut();
+                (rejected_connections.take_log_line(now), rejected_connections.log_due())
             };
             if let Some(log_line) = log_line {
                 eprintln!("{log_line}");
@@ -156,43 +159,43 @@
             (connection.id, connection.rejection.reason, connection.displaced.clone());
         let outcome = tokio::select! {
             biased;
-            () = displaced.notified() => How::Silent,
+            () = displaced.notified() => RejectionOutcome::Silent,
             outcome = self.send_rejection(&mut connection) => outcome,
         };
         drop(connection);
         self.displaced.borrow_mut().remove(&id);
-        self.memory_budget.partings.borrow_mut().ended(Some(id), reason, outcome);
+        self.memory_budget.rejected_connections.borrow_mut().closed(Some(id), reason, outcome);
     }
 
     /// Waits until the client has sent part of a request, then answers. An answer sent before any request
     /// would be taken for the answer to the next request, or for a protocol error.
-    async fn send_rejection(&self, connection: &mut RejectedConnection) -> How {
+    async fn send_rejection(&self, connection: &mut RejectedConnection) -> RejectionOutcome {
         let RejectedConnection { stream, protocol, rejection, .. } = connection;
         let (mut prefix, mut prefix_len) = ([0; PREFIX_BYTES], 0);
         let answer = loop {
             if connection.request_started || prefix_len > 0 {
                 match rejection_bytes(*protocol, &prefix[..prefix_len], rejection) {
-                    Some(text) if text.is_empty() => return How::Silent,
+                    Some(text) if text.is_empty() => return RejectionOutcome::Silent,
                     Some(text) => break text,
                     None => {}
                 }
             }
-            match timeout(LISTEN, read(stream, &mut prefix[prefix_len..])).await {
+            match timeout(REQUEST_TIMEOUT, read(stream, &mut prefix[prefix_len..])).await {
                 Ok(Ok(n)) if n > 0 => prefix_len += n,
-                _ => return How::Silent,
+                _ => return RejectionOutcome::Silent,
             }
         };
-        self.memory_budget.partings.borrow_mut().heard(connection.id);
-        let sent = timeout(LINGER, async {
+        self.memory_budget.rejected_connections.borrow_mut().request_started(connection.id);
+        let sent = timeout(LINGER_TIMEOUT, async {
             stream.write_all(&answer).await?;
             stream.shutdown().await
         });
         if !matches!(sent.await, Ok(Ok(()))) {
-            return How::Untold;
+            return RejectionOutcome::Untold;
         }
         // Closing with unread input makes TCP send a reset, which destroys an answer that is not read yet.
-        let _ = timeout(LINGER, self.drain(stream)).await;
-        How::Told
+        let _ = timeout(LINGER_TIMEOUT, self.drain(stream)).await;
+        RejectionOutcome::Told
     }
 }
 
@@ -200,7 +203,7 @@
     /// Reads and discards further input, up to `DRAINED` bytes.
     async fn drain(&self, stream: &TcpStream) -> io::Result<()> {
         let mut total = 0;
-        while total < DRAINED {
+        while total < MAX_DISCARDED_BYTES {
             stream.readable().await?;
             match stream.try_read(&mut self.discard_buffer.borrow_mut()) {
                 Ok(0) => break,
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -8,7 +8,7 @@
 use stairshed_config::installation;
 use stairshed_memory::caps::Bytes;
 use stairshed_memory::rejected_connections::Counts;
-use stairshed_memory::{Caps, Ledger, Level, Partings, Purpose, Refused, State};
+use stairshed_memory::{Caps, Ledger, Level, Purpose, PurposeUsage, Refused, RejectedConnections};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 pub struct MemoryBudget {
     pub ledger: Ledger,
     /// Connections that were refused and wait to be told so.
-    pub partings: Rc<RefCell<Partings>>,
+    pub rejected_connections: Rc<RefCell<RejectedConnections>>,
     origin: Instant,
 }
 
@@ -43,7 +43,7 @@
     turned_away: BTreeMap<String, Counts>,
     #[serde(flatten)]
     process: Option<Process>,
-    purposes: Vec<State>,
+    purposes: Vec<PurposeUsage>,
 }
 
 #[derive(Debug, Serialize)]
@@ -75,7 +75,11 @@
 
 impl MemoryBudget {
     pub fn new(caps: &Caps, share: f64) -> MemoryBudget {
-        MemoryBudget { ledger: Ledger::new(caps, share), partings: Rc::default(), origin: Instant::now() }
+        MemoryBudget {
+            ledger: Ledger::new(caps, share),
+            rejected_connections: Rc::default(),
+            origin: Instant::now(),
+        }
     }
 
     /// Replaces the caps.
@@ -90,7 +94,7 @@
 
     /// Adds the time to wait to a refusal.
     pub fn refusal(&self, refused: Refused) -> MemoryRefusal {
-        MemoryRefusal { refused, wait: self.ledger.wait(&refused, self.now()) }
+        MemoryRefusal { refused, wait: self.ledger.retry_after(&refused, self.now()) }
     }
 
     /// The content of `/-/memory`.
@@ -104,13 +108,13 @@
             },
         );
         json!(Page {
-            level: self.ledger.worst(),
+            level: self.ledger.max_level(),
             total: self.ledger.total(),
             accounted,
             clients: self.ledger.clients(),
-            turned_away: self.partings.borrow().counts(),
+            turned_away: self.rejected_connections.borrow().counts(),
             process,
-            purposes: self.ledger.states(),
+            purposes: self.ledger.usage(),
         })
     }
 }
--- a/crates/courier/src/upstream/connection_pool.rs
+++ b/crates/courier/src/upstream/connection_pool.rs
@@ -212,7 +212,7 @@
     fn reserve_memory(&self) -> Charge {
         let ledger = &self.memory_budget.ledger;
         while ledger.room(Purpose::Endpoints) < CONNECTION_BYTES && self.close_oldest() {}
-        ledger.force(Purpose::Endpoints, CONNECTION_BYTES)
+        ledger.force_charge(Purpose::Endpoints, CONNECTION_BYTES)
     }
 
     /// Acquires a permit for one more socket. If none is left, closes the oldest idle connection and waits
--- a/crates/courier/tests/farewell.rs
+++ b/crates/courier/tests/farewell.rs
@@ -212,7 +212,7 @@
     let most = open_files(&courier);
     // The bound on those that are told, the listener's and the pages' own.
     assert!(
-        most <= before + stairshed_memory::rejected_connections::MOST + 10,
+        most <= before + stairshed_memory::rejected_connections::MAX_CONCURRENT + 10,
         "{before} descriptors, then {most}"
     );
     let mut other = connect_from([127, 0, 0, 9], courier.address);
--- a/crates/memory/benches/ledger.rs
+++ b/crates/memory/benches/ledger.rs
@@ -1,7 +1,7 @@
 //! What a charge costs, beside a plain counter that is raised and lowered, in one run; and what the books weigh.
 //! `cargo bench -p stairshed-memory`
 
-use stairshed_memory::{ByPurpose, Caps, Charge, Client, Guest, Ledger, Purpose};
+use stairshed_memory::{ByPurpose, Caps, Charge, Client, ClientAccount, Ledger, Purpose};
 use std::cell::Cell;
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -21,20 +21,21 @@
 
 fn main() {
     let ledger = Ledger::new(&Caps::new(Some(192_000_000), &ByPurpose::default()).expect("sound"), 0.5);
-    let guest = ledger.guest(Client::at([127, 0, 0, 1].into()));
+    let guest = ledger.client_account(Client::at([127, 0, 0, 1].into()));
     let plain = Cell::new(0u64);
     time("a plain counter, raised and lowered", |n| {
         plain.set(plain.get() + n as u64);
         black_box(&plain);
         plain.set(plain.get() - n as u64);
     });
-    let take =
-        |p: Purpose, n: usize, guest: Option<&Guest>| ledger.take(p, (n % 1000) as u64, guest).expect("room");
+    let take = |p: Purpose, n: usize, guest: Option<&ClientAccount>| {
+        ledger.try_charge(p, (n % 1000) as u64, guest).expect("room")
+    };
     time("a charge, taken and given back", |n| drop(black_box(take(Purpose::BodiesRead, n, None))));
     time("the same for a client", |n| drop(black_box(take(Purpose::BodiesRead, n, Some(&guest)))));
     time("a message: read, held, its rows, two reserves; all given back", |n| {
         let read = take(Purpose::BodiesRead, n, Some(&guest));
-        let held = read.turn_into(Purpose::BodiesHeld).expect("room");
+        let held = read.transfer_to(Purpose::BodiesHeld).expect("room");
         let rows = take(Purpose::Messages, n, Some(&guest));
         let notice = ledger.reserve(Purpose::Notices, 100).expect("room");
         let kept = ledger.reserve(Purpose::Remembered, 100).expect("room");
@@ -45,5 +46,5 @@
         now += Duration::from_millis(100);
         black_box(ledger.tick(now));
     });
-    println!("a charge has {} bytes, a client's guest {}", size_of::<Charge>(), size_of::<Guest>());
+    println!("a charge has {} bytes, a client's guest {}", size_of::<Charge>(), size_of::<ClientAccount>());
 }
--- a/crates/memory/src/caps.rs
+++ b/crates/memory/src/caps.rs
@@ -5,11 +5,11 @@
 
 /// What the program itself takes beside all purposes: its text and tables as far as they are mapped, stacks, the
 /// runtime, what the allocator holds in reserve. Measured: an idle courier has 5 to 7 MB resident.
-pub const PROGRAM: u64 = 8_000_000;
+pub const PROGRAM_BYTES: u64 = 8_000_000;
 
 /// A cap, as an operator states it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Portion {
+pub enum CapSetting {
     /// Of what the total leaves beside the program, above 0 and 1 at most.
     Share(f64),
     /// Bytes.
@@ -18,31 +18,31 @@
 
 /// What is wrong with one cap, or with all together.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum CapFault {
+pub enum CapError {
     #[error("{least} at least, for {needs}", least = Bytes(*least))]
     TooSmall { purpose: Purpose, least: u64, needs: &'static str },
     #[error("a share is above 0 and 1 at most")]
-    NoShare { purpose: Purpose },
+    InvalidShare { purpose: Purpose },
     #[error("a share needs memory.total to be a share of; state a size, or the total")]
-    ShareOfNothing { purpose: Purpose },
+    ShareWithoutTotal { purpose: Purpose },
     #[error(
         "the caps come to {sum}, and {room} are left beside the {program} for the program itself: raise the \
          total by {more}, or lower caps; the largest are {largest}",
-        sum = Bytes(*sum), room = Bytes(*room), program = Bytes(PROGRAM), more = Bytes(sum - room)
+        sum = Bytes(*sum), room = Bytes(*room), program = Bytes(PROGRAM_BYTES), more = Bytes(sum - room)
     )]
-    Sum { sum: u64, room: u64, largest: String },
+    ExceedsTotal { sum: u64, room: u64, largest: String },
     #[error("{least} at least: what the program and the least caps take", least = Bytes(*least))]
-    Total { least: u64 },
+    TotalTooSmall { least: u64 },
 }
 
-impl CapFault {
+impl CapError {
     /// Whose cap is wrong; None for the total.
     pub fn purpose(&self) -> Option<Purpose> {
         match self {
-            CapFault::TooSmall { purpose, .. }
-            | CapFault::NoShare { purpose }
-            | CapFault::ShareOfNothing { purpose } => Some(*purpose),
-            CapFault::Sum { .. } | CapFault::Total { .. } => None,
+            CapError::TooSmall { purpose, .. }
+            | CapError::InvalidShare { purpose }
+            | CapError::ShareWithoutTotal { purpose } => Some(*purpose),
+            CapError::ExceedsTotal { .. } | CapError::TotalTooSmall { .. } => None,
         }
     }
 }
@@ -79,7 +79,7 @@
 
     /// The share that a purpose has where none is stated, in thousandths: they come to 1,000. Bodies and messages are
     /// what a busy morning is made of; the rest is bounded by counts of its own, and its caps stand behind those.
-    pub const fn usual(purpose: Purpose) -> u64 {
+    pub const fn default_permille(purpose: Purpose) -> u64 {
         match purpose {
             Purpose::BodiesRead => 125,
             Purpose::BodiesHeld => 280,
@@ -96,7 +96,7 @@
     }
 
     /// With less a courier could not go on, and what that is for.
-    pub const fn least(purpose: Purpose) -> (u64, &'static str) {
+    pub const fn minimum(purpose: Purpose) -> (u64, &'static str) {
         match purpose {
             Purpose::BodiesRead | Purpose::BodiesHeld => (64 * 1024, "one body of 64 KiB"),
             Purpose::Messages => (64_000, "some 20 messages"),
@@ -112,41 +112,41 @@
     }
 
     /// Least total that the usual shares can be made of.
-    pub fn total_least() -> u64 {
+    pub fn min_total() -> u64 {
         // A share is rounded down.
-        let of = |p: Purpose| (Caps::least(p).0 + 1) * 1000 / Caps::usual(p) + 1;
-        PROGRAM + Purpose::ALL.into_iter().map(of).max().unwrap_or_default()
+        let of = |p: Purpose| (Caps::minimum(p).0 + 1) * 1000 / Caps::default_permille(p) + 1;
+        PROGRAM_BYTES + Purpose::ALL.into_iter().map(of).max().unwrap_or_default()
     }
 
     /// Caps as an operator asks for them; what is not stated has its usual share of the total, or none without one.
     ///
     /// # Errors
     /// All that is wrong with them.
-    pub fn new(total: Option<u64>, asked: &ByPurpose<Option<Portion>>) -> Result<Caps, Vec<CapFault>> {
+    pub fn new(total: Option<u64>, asked: &ByPurpose<Option<CapSetting>>) -> Result<Caps, Vec<CapError>> {
         let mut faults = Vec::new();
         if let Some(total) = total
-            && total < Caps::total_least()
+            && total < Caps::min_total()
         {
-            return Err(vec![CapFault::Total { least: Caps::total_least() }]);
+            return Err(vec![CapError::TotalTooSmall { least: Caps::min_total() }]);
         }
-        let room = total.map(|total| total - PROGRAM);
+        let room = total.map(|total| total - PROGRAM_BYTES);
         let of = ByPurpose::new(|purpose| {
             let share = |share: f64| room.map(|room| (room as f64 * share) as u64);
             let cap = match asked[purpose] {
-                None => share(Caps::usual(purpose) as f64 / 1000.0).unwrap_or(u64::MAX),
-                Some(Portion::Size(bytes)) => bytes,
-                Some(Portion::Share(s)) if !(s > 0.0 && s <= 1.0) => {
-                    faults.push(CapFault::NoShare { purpose });
+                None => share(Caps::default_permille(purpose) as f64 / 1000.0).unwrap_or(u64::MAX),
+                Some(CapSetting::Size(bytes)) => bytes,
+                Some(CapSetting::Share(s)) if !(s > 0.0 && s <= 1.0) => {
+                    faults.push(CapError::InvalidShare { purpose });
                     return u64::MAX;
                 }
-                Some(Portion::Share(s)) => share(s).unwrap_or_else(|| {
-                    faults.push(CapFault::ShareOfNothing { purpose });
+                Some(CapSetting::Share(s)) => share(s).unwrap_or_else(|| {
+                    faults.push(CapError::ShareWithoutTotal { purpose });
                     u64::MAX
                 }),
             };
-            let (least, needs) = Caps::least(purpose);
+            let (least, needs) = Caps::minimum(purpose);
             if cap < least {
-                faults.push(CapFault::TooSmall { purpose, least, needs });
+                faults.push(CapError::TooSmall { purpose, least, needs });
             }
             cap
         });
@@ -159,7 +159,7 @@
                 all.sort_unstable_by(|a, b| b.cmp(a));
                 let largest: Vec<String> =
                     all.iter().take(3).map(|(cap, p)| format!("{p} with {}", Bytes(*cap))).collect();
-                faults.push(CapFault::Sum { sum, room, largest: largest.join(", ") });
+                faults.push(CapError::ExceedsTotal { sum, room, largest: largest.join(", ") });
             }
         }
         if faults.is_empty() { Ok(Caps { total, of }) } else { Err(faults) }
--- a/crates/memory/src/client_identification_test.rs
+++ b/crates/memory/src/client_identification_test.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-fn telling() -> Telling {
+fn client_identification() -> ClientIdentification {
     let proxies = ["10.2.0.0/16", "fd00::/8"].map(|net| net.parse().expect("a network")).into();
-    Telling { proxies, header: Some("x-client".to_owned()), by_user: true }
+    ClientIdentification { proxies, header: Some("x-client".to_owned()), by_user: true }
 }
 
 #[test]
 fn only_a_proxy_names_another_and_only_in_one_fit_name() {
-    let (telling, proxy) = (telling(), "10.2.7.1".parse().expect("an address"));
+    let (client_identification, proxy) = (client_identification(), "10.2.7.1".parse().expect("an address"));
     let long = [b'x'; 65_536];
-    let of = |from: IpAddr, named: &[&[u8]]| telling.request(from, named.iter().copied());
+    let of = |from: IpAddr, named: &[&[u8]]| client_identification.for_request(from, named.iter().copied());
     assert_eq!(of(proxy, &[b"van-7"]), Client::Name("client van-7".into()));
     let unfit: [&[&[u8]]; 6] = [&[], &[b""], &[b"a", b"a"], &[&long], &[b"\xff"], &[b"a b"]];
     for named in unfit {
@@ -22,10 +22,16 @@
 
 #[test]
 fn a_proxy_has_no_share_of_its_own_and_sessions_count_by_their_user() {
-    let (telling, plain) = (telling(), Telling::default());
+    let (client_identification, plain) = (client_identification(), ClientIdentification::default());
     let [proxy, other]: [IpAddr; 2] = ["fd00::1", "2001:db8::1"].map(|a| a.parse().expect("an address"));
-    assert_eq!((telling.connection(proxy), telling.connection(other)), (None, Some(Client::at(other))));
-    assert_eq!(plain.connection(proxy), Some(Client::at(proxy)));
-    assert_eq!(telling.session("depot/van-1"), telling.session("depot/van-2"));
-    assert_ne!(plain.session("depot/van-1"), plain.session("depot/van-2"));
+    assert_eq!(
+        (client_identification.for_connection(proxy), client_identification.for_connection(other)),
+        (None, Some(Client::at(other)))
+    );
+    assert_eq!(plain.for_connection(proxy), Some(Client::at(proxy)));
+    assert_eq!(
+        client_identification.for_session("depot/van-1"),
+        client_identification.for_session("depot/van-2")
+    );
+    assert_ne!(plain.for_session("depot/van-1"), plain.for_session("depot/van-2"));
 }
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -2,10 +2,10 @@
 
 use crate::Time;
 use crate::caps::Caps;
-use crate::level::{Change, FULL, Level, TIGHT};
+use crate::level::{FULL_THRESHOLDS, Level, LevelChange, TIGHT_THRESHOLDS};
 use crate::purpose::{ByPurpose, Purpose};
 use crate::reason::Reason;
-use crate::release_rate::{LOOK, Pace};
+use crate::release_rate::{MIN_UPDATE_INTERVAL, ReleaseRate};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
 /// Why there is no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum RefusalCause {
     /// The purpose is at its cap.
     Cap,
     /// The purpose is tight, and this client has more of it than its share.
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     pub purpose: Purpose,
-    pub why: Why,
+    pub why: RefusalCause,
     /// Bytes that were asked for.
     pub bytes: u64,
 }
@@ -58,9 +58,9 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let words = self.purpose.words();
         match self.why {
-            Why::Cap => write!(f, "no memory for {words}"),
-            Why::Share => write!(f, "this client has its share of the memory for {words}"),
-            Why::Total => write!(f, "no memory for anything new"),
+            RefusalCause::Cap => write!(f, "no memory for {words}"),
+            RefusalCause::Share => write!(f, "this client has its share of the memory for {words}"),
+            RefusalCause::Total => write!(f, "no memory for anything new"),
         }
     }
 }
@@ -69,9 +69,9 @@
     /// The reason as one word, for a header: `memory-bodies_held`, `share-clients`, `memory-total`.
     pub fn reason(&self) -> Reason {
         match self.why {
-            Why::Cap => Reason::Memory(self.purpose),
-            Why::Share => Reason::Share(self.purpose),
-            Why::Total => Reason::Total,
+            RefusalCause::Cap => Reason::Memory(self.purpose),
+            RefusalCause::Share => Reason::Share(self.purpose),
+            RefusalCause::Total => Reason::Total,
         }
     }
 }
@@ -89,7 +89,7 @@
     forced: Cell<u64>,
     refused: [Cell<u64>; 3],
     level: Cell<Level>,
-    pace: RefCell<Pace>,
+    release_rate: RefCell<ReleaseRate>,
 }
 
 fn add(cell: &Cell<u64>, bytes: u64) {
@@ -151,11 +151,11 @@
 
 /// A client while it is connected, or while something of its is held.
 #[derive(Clone)]
-pub struct Guest(Rc<Row>);
+pub struct ClientAccount(Rc<Row>);
 
 /// How an account stands.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct State {
+pub struct PurposeUsage {
     pub purpose: Purpose,
     pub in_use: u64,
     pub reserved: u64,
@@ -199,10 +199,10 @@
     }
 
     /// The client's guest, the same row for all connections of one client.
-    pub fn guest(&self, client: Client) -> Guest {
+    pub fn client_account(&self, client: Client) -> ClientAccount {
         let mut clients = self.0.clients.borrow_mut();
         let known = clients.get(&client).and_then(Weak::upgrade);
-        Guest(known.unwrap_or_else(|| {
+        ClientAccount(known.unwrap_or_else(|| {
             let (books, held) = (Rc::downgrade(&self.0), ByPurpose::default());
             let row = Rc::new(Row { held, client: client.clone(), books });
             clients.insert(client, Rc::downgrade(&row));
@@ -219,17 +219,23 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn fits(&self, purpose: Purpose, bytes: u64, guest: Option<&Guest>) -> Result<(), Refused> {
+    pub fn check_room(
+        &self,
+        purpose: Purpose,
+        bytes: u64,
+        guest: Option<&ClientAccount>,
+    ) -> Result<(), Refused> {
         let account = &self.0.accounts[purpose];
         let (cap, after) = (account.cap.get(), account.held().saturating_add(bytes));
-        let crowds = |guest: &Guest| {
+        let crowds = |guest: &ClientAccount| {
             let most = cap as f64 * self.0.share.get();
-            after as f64 > cap as f64 * TIGHT.1 && (guest.0.held[purpose].get() + bytes) as f64 > most
+            after as f64 > cap as f64 * TIGHT_THRESHOLDS.1
+                && (guest.0.held[purpose].get() + bytes) as f64 > most
         };
         let why = match guest {
-            _ if self.0.level.get() == Level::Full && purpose.is_new_work() => Why::Total,
-            _ if after > cap => Why::Cap,
-            Some(guest) if cap < u64::MAX && crowds(guest) => Why::Share,
+            _ if self.0.level.get() == Level::Full && purpose.is_new_work() => RefusalCause::Total,
+            _ if after > cap => RefusalCause::Cap,
+            Some(guest) if cap < u64::MAX && crowds(guest) => RefusalCause::Share,
             _ => return Ok(()),
         };
         add(&account.refused[why as usize], 1);
@@ -240,8 +246,13 @@
     ///
     /// # Errors
     /// There is no room; nothing is taken then.
-    pub fn take(&self, purpose: Purpose, bytes: u64, guest: Option<&Guest>) -> Result<Charge, Refused> {
-        self.fits(purpose, bytes, guest)?;
+    pub fn try_charge(
+        &self,
+        purpose: Purpose,
+        bytes: u64,
+        guest: Option<&ClientAccount>,
+    ) -> Result<Charge, Refused> {
+        self.check_room(purpose, bytes, guest)?;
         Ok(self.charge(purpose, bytes, guest))
     }
 
@@ -250,13 +261,13 @@
     /// # Errors
     /// There is no room; nothing is set aside then.
     pub fn reserve(&self, purpose: Purpose, bytes: u64) -> Result<Reserve, Refused> {
-        self.fits(purpose, bytes, None)?;
+        self.check_room(purpose, bytes, None)?;
         Ok(self.set_aside(purpose, bytes))
     }
 
     /// Puts on the books what is there already, or cannot be refused: what an earlier life has accepted, what is
     /// measured.
-    pub fn force(&self, purpose: Purpose, bytes: u64) -> Charge {
+    pub fn force_charge(&self, purpose: Purpose, bytes: u64) -> Charge {
         let account = &self.0.accounts[purpose];
         let charge = self.charge(purpose, bytes, None);
         let over = account.held().saturating_sub(account.cap.get()).min(bytes);
@@ -269,7 +280,7 @@
         self.set_aside(purpose, bytes)
     }
 
-    fn charge(&self, purpose: Purpose, bytes: u64, guest: Option<&Guest>) -> Charge {
+    fn charge(&self, purpose: Purpose, bytes: u64, guest: Option<&ClientAccount>) -> Charge {
         let account = &self.0.accounts[purpose];
         add(&account.used, bytes);
         account.rise();
@@ -287,23 +298,23 @@
     }
 
     /// What the process holds all in all, as the system tells it, bytes.
-    pub fn weighed(&self, resident: u64) {
+    pub fn set_resident(&self, resident: u64) {
         self.0.resident.set(resident);
     }
 
     /// Looks at all purposes. Cheap, and more often than each 100 ms of no use.
-    pub fn tick(&self, now: Time) -> Vec<Change> {
+    pub fn tick(&self, now: Time) -> Vec<LevelChange> {
         let mut changes = Vec::new();
-        if now < self.0.ticked.get() + LOOK && self.0.ticked.get() > Time::ZERO {
+        if now < self.0.ticked.get() + MIN_UPDATE_INTERVAL && self.0.ticked.get() > Time::ZERO {
             return changes;
         }
         self.0.ticked.set(now);
         for (purpose, account) in self.0.accounts.iter() {
-            account.pace.borrow_mut().look(account.emptied.get(), now);
+            account.release_rate.borrow_mut().update(account.emptied.get(), now);
             let (before, cap) = (account.level.get(), account.cap.get());
             let level = before.next(if cap == u64::MAX { 0.0 } else { account.share() });
             if account.level.replace(level) != level {
-                changes.push(Change {
+                changes.push(LevelChange {
                     purpose: Some(purpose),
                     before,
                     now: level,
@@ -316,7 +327,7 @@
             let (before, resident) = (self.0.level.get(), self.0.resident.get());
             let level = before.next(resident as f64 / total as f64);
             if self.0.level.replace(level) != level {
-                changes.push(Change { purpose: None, before, now: level, held: resident, cap: total });
+                changes.push(LevelChange { purpose: None, before, now: level, held: resident, cap: total });
             }
         } else {
             self.0.level.set(Level::Ample);
@@ -326,19 +337,24 @@
 
     /// When somebody who was refused may come back: from how fast the purpose empties, and behind those who were
     /// told before.
-    pub fn wait(&self, refused: &Refused, now: Time) -> Duration {
+    pub fn retry_after(&self, refused: &Refused, now: Time) -> Duration {
         let account = &self.0.accounts[refused.purpose];
         let cap = account.cap.get();
         // A client over its share finds room when the purpose is not tight any more, or it has less itself.
         let room = match refused.why {
-            Why::Cap | Why::Total => cap,
-            Why::Share => (cap as f64 * TIGHT.1) as u64,
+            RefusalCause::Cap | RefusalCause::Total => cap,
+            RefusalCause::Share => (cap as f64 * TIGHT_THRESHOLDS.1) as u64,
         };
         let mut over = account.held().saturating_add(refused.bytes).saturating_sub(room);
-        if let (Why::Total, Some(total)) = (refused.why, self.0.total.get()) {
-            over = self.0.resident.get().saturating_sub((total as f64 * FULL.1) as u64).max(refused.bytes);
+        if let (RefusalCause::Total, Some(total)) = (refused.why, self.0.total.get()) {
+            over = self
+                .0
+                .resident
+                .get()
+                .saturating_sub((total as f64 * FULL_THRESHOLDS.1) as u64)
+                .max(refused.bytes);
         }
-        account.pace.borrow_mut().wait(over, refused.bytes, now)
+        account.release_rate.borrow_mut().retry_after(over, refused.bytes, now)
     }
 
     /// The level of one purpose, as of the last tick.
@@ -347,13 +363,13 @@
     }
 
     /// The highest level of all, and of the process.
-    pub fn worst(&self) -> Level {
+    pub fn max_level(&self) -> Level {
         let all = self.0.accounts.iter().map(|(_, account)| account.level.get());
         all.fold(self.0.level.get(), Level::max)
     }
 
     /// The level of the process as a whole.
-    pub fn whole(&self) -> Level {
+    pub fn process_level(&self) -> Level {
         self.0.level.get()
     }
 
@@ -381,8 +397,8 @@
         self.0.accounts.iter().map(|(_, account)| account.used.get()).sum()
     }
 
-    pub fn states(&self) -> Vec<State> {
-        let of = self.0.accounts.iter().map(|(purpose, account)| State {
+    pub fn usage(&self) -> Vec<PurposeUsage> {
+        let of = self.0.accounts.iter().map(|(purpose, account)| PurposeUsage {
             purpose,
             in_use: account.used.get(),
             reserved: account.reserved.get(),
@@ -393,7 +409,7 @@
             refused_cap: account.refused[0].get(),
             refused_share: account.refused[1].get(),
             refused_total: account.refused[2].get(),
-            empties: account.pace.borrow().rate() as u64,
+            empties: account.release_rate.borrow().rate() as u64,
         });
         of.collect()
     }
@@ -404,7 +420,7 @@
     ledger: Ledger,
     purpose: Purpose,
     bytes: u64,
-    guest: Option<Guest>,
+    guest: Option<ClientAccount>,
 }
 
 impl Charge {
@@ -421,7 +437,7 @@
     }
 
     /// Holds this much from now on, whatever the cap says: for what is measured.
-    pub fn set(&mut self, bytes: u64) {
+    pub fn resize(&mut self, bytes: u64) {
         if bytes > self.bytes {
             add(&self.account().used, bytes - self.bytes);
             self.account().rise();
@@ -439,8 +455,8 @@
     /// # Errors
     /// There is no room; it holds what it did.
     pub fn grow(&mut self, bytes: u64) -> Result<(), Refused> {
-        self.ledger.fits(self.purpose, bytes, self.guest.as_ref())?;
-        self.set(self.bytes + bytes);
+        self.ledger.check_room(self.purpose, bytes, self.guest.as_ref())?;
+        self.resize(self.bytes + bytes);
         Ok(())
     }
 
@@ -448,8 +464,8 @@
     ///
     /// # Errors
     /// There is no room for that; the charge stays as it was.
-    pub fn turn_into(self, purpose: Purpose) -> Result<Charge, (Charge, Refused)> {
-        match self.ledger.fits(purpose, self.bytes, self.guest.as_ref()) {
+    pub fn transfer_to(self, purpose: Purpose) -> Result<Charge, (Charge, Refused)> {
+        match self.ledger.check_room(purpose, self.bytes, self.guest.as_ref()) {
             Ok(()) => Ok(self.ledger.charge(purpose, self.bytes, self.guest.as_ref())),
             Err(refused) => Err((self, refused)),
         }
@@ -496,7 +512,7 @@
         sub(&self.ledger.0.accounts[self.purpose].reserved, of);
         match bytes - of {
             0 => self.ledger.charge(self.purpose, bytes, None),
-            _ => self.ledger.force(self.purpose, bytes),
+            _ => self.ledger.force_charge(self.purpose, bytes),
         }
     }
 }
--- a/crates/memory/src/ledger_test.rs
+++ b/crates/memory/src/ledger_test.rs
@@ -1,28 +1,28 @@
 use super::*;
-use crate::caps::Portion;
+use crate::caps::CapSetting;
 
 const KB: u64 = 1000;
 
 fn ledger(of: &[(Purpose, u64)], share: f64) -> Ledger {
-    let asked = ByPurpose::new(|p| of.iter().find(|(q, _)| *q == p).map(|(_, cap)| Portion::Size(*cap)));
+    let asked = ByPurpose::new(|p| of.iter().find(|(q, _)| *q == p).map(|(_, cap)| CapSetting::Size(*cap)));
     Ledger::new(&Caps::new(None, &asked).expect("sound"), share)
 }
 
 #[test]
 fn what_is_taken_goes_back_when_its_guard_is_dropped_and_never_twice() {
     let ledger = ledger(&[(Purpose::BodiesRead, 100 * KB), (Purpose::BodiesHeld, 100 * KB)], 1.0);
-    let read = ledger.take(Purpose::BodiesRead, 60 * KB, None).expect("room");
-    let refused = ledger.take(Purpose::BodiesRead, 41 * KB, None).expect_err("none");
-    assert_eq!((refused.purpose, refused.why), (Purpose::BodiesRead, Why::Cap));
+    let read = ledger.try_charge(Purpose::BodiesRead, 60 * KB, None).expect("room");
+    let refused = ledger.try_charge(Purpose::BodiesRead, 41 * KB, None).expect_err("none");
+    assert_eq!((refused.purpose, refused.why), (Purpose::BodiesRead, RefusalCause::Cap));
     assert_eq!(refused.reason().to_string(), "memory-bodies_read");
-    let held = read.turn_into(Purpose::BodiesHeld).expect("room");
+    let held = read.transfer_to(Purpose::BodiesHeld).expect("room");
     assert_eq!((ledger.held(Purpose::BodiesRead), ledger.held(Purpose::BodiesHeld)), (0, 60 * KB));
-    let other = ledger.take(Purpose::BodiesRead, 50 * KB, None).expect("room again");
-    let (other, refused) = other.turn_into(Purpose::BodiesHeld).expect_err("no room there");
+    let other = ledger.try_charge(Purpose::BodiesRead, 50 * KB, None).expect("room again");
+    let (other, refused) = other.transfer_to(Purpose::BodiesHeld).expect_err("no room there");
     assert_eq!((refused.purpose, ledger.held(Purpose::BodiesRead)), (Purpose::BodiesHeld, 50 * KB));
     drop((held, other));
     assert!(Purpose::ALL.into_iter().all(|p| ledger.held(p) == 0));
-    let states = ledger.states();
+    let states = ledger.usage();
     let of = |p: Purpose| states[p as usize];
     assert_eq!((of(Purpose::BodiesRead).most, of(Purpose::BodiesRead).refused_cap), (60 * KB, 1));
 }
@@ -31,13 +31,15 @@
 fn what_was_set_aside_is_there_at_the_cap_and_more_than_that_is_put_on_the_books() {
     let ledger = ledger(&[(Purpose::Notices, 10 * KB)], 1.0);
     let mut reserve = ledger.reserve(Purpose::Notices, 4 * KB).expect("room");
-    let fill = ledger.take(Purpose::Notices, 6 * KB, None).expect("room");
-    assert!(ledger.take(Purpose::Notices, 1, None).is_err() && ledger.reserve(Purpose::Notices, 1).is_err());
+    let fill = ledger.try_charge(Purpose::Notices, 6 * KB, None).expect("room");
+    assert!(
+        ledger.try_charge(Purpose::Notices, 1, None).is_err() && ledger.reserve(Purpose::Notices, 1).is_err()
+    );
     let drawn = reserve.draw(3 * KB);
     assert_eq!(ledger.held(Purpose::Notices), 10 * KB);
     let more = reserve.draw(2 * KB);
     assert_eq!((ledger.held(Purpose::Notices), reserve.bytes()), (11 * KB, 0));
-    assert_eq!(ledger.states()[Purpose::Notices as usize].forced, KB);
+    assert_eq!(ledger.usage()[Purpose::Notices as usize].forced, KB);
     drop((reserve, drawn, more, fill));
     assert_eq!(ledger.held(Purpose::Notices), 0);
 }
@@ -45,15 +47,18 @@
 #[test]
 fn one_client_cannot_take_all_and_its_connections_count_as_one() {
     let ledger = ledger(&[(Purpose::BodiesRead, 100 * KB)], 0.4);
-    let at = |text: &str| ledger.guest(Client::at(text.parse().expect("an address")));
+    let at = |text: &str| ledger.client_account(Client::at(text.parse().expect("an address")));
     let (greedy, again, other) = (at("2001:db8::1"), at("2001:db8::2:1"), at("2001:db8:0:1::1"));
-    let take = |guest: &Guest, kb: u64| ledger.take(Purpose::BodiesRead, kb * KB, Some(guest));
+    let take = |guest: &ClientAccount, kb: u64| ledger.try_charge(Purpose::BodiesRead, kb * KB, Some(guest));
     // Alone it may have what nobody else asks for, up to where it gets tight.
     let held: Vec<Charge> = (0..6).map(|_| take(&greedy, 10).expect("room")).collect();
     let refused = take(&again, 10).expect_err("the same client");
-    assert_eq!((refused.why, refused.reason().to_string().as_str()), (Why::Share, "share-bodies_read"));
+    assert_eq!(
+        (refused.why, refused.reason().to_string().as_str()),
+        (RefusalCause::Share, "share-bodies_read")
+    );
     let others: Vec<Charge> = (0..4).map(|_| take(&other, 10).expect("others get in")).collect();
-    assert_eq!(take(&other, 1).expect_err("at the cap").why, Why::Cap);
+    assert_eq!(take(&other, 1).expect_err("at the cap").why, RefusalCause::Cap);
     assert_eq!(ledger.clients(), 2);
     drop((held, others, greedy, other));
     assert_eq!(ledger.clients(), 1, "one guest of it is left");
@@ -65,12 +70,12 @@
 fn a_cap_that_is_lowered_below_what_is_in_use_drops_nothing_and_refuses_until_it_is_met() {
     let ledger = ledger(&[(Purpose::Messages, 1000 * KB)], 1.0);
     let mut held: Vec<Charge> =
-        (0..9).map(|_| ledger.take(Purpose::Messages, 100 * KB, None).expect("room")).collect();
-    let lower = ByPurpose::new(|p| (p == Purpose::Messages).then_some(Portion::Size(100 * KB)));
+        (0..9).map(|_| ledger.try_charge(Purpose::Messages, 100 * KB, None).expect("room")).collect();
+    let lower = ByPurpose::new(|p| (p == Purpose::Messages).then_some(CapSetting::Size(100 * KB)));
     ledger.set_caps(&Caps::new(None, &lower).expect("sound"), 1.0);
     assert_eq!(ledger.held(Purpose::Messages), 900 * KB);
     while held.pop().is_some() {
-        let fits = ledger.take(Purpose::Messages, 50 * KB, None).is_ok();
+        let fits = ledger.try_charge(Purpose::Messages, 50 * KB, None).is_ok();
         assert_eq!(fits, ledger.held(Purpose::Messages) <= 50 * KB);
     }
 }
@@ -79,18 +84,18 @@
 fn a_process_that_holds_as_much_as_it_may_refuses_whatever_its_purposes_say() {
     let ledger = Ledger::new(&Caps::new(Some(32_000_000), &ByPurpose::default()).expect("sound"), 1.0);
     let second = |n: u64| Time::from_secs(n);
-    ledger.weighed(31_000_000);
+    ledger.set_resident(31_000_000);
     let changes = ledger.tick(second(1));
     assert_eq!(changes.len(), 1);
     assert!(changes[0].to_string().contains("total is full, was ample: 31 MB of 32 MB"), "{}", changes[0]);
-    let refused = ledger.take(Purpose::Messages, 10, None).expect_err("full");
-    assert_eq!((refused.why, refused.reason().to_string().as_str()), (Why::Total, "memory-total"));
-    assert!(ledger.wait(&refused, second(1)) >= Duration::from_millis(50));
+    let refused = ledger.try_charge(Purpose::Messages, 10, None).expect_err("full");
+    assert_eq!((refused.why, refused.reason().to_string().as_str()), (RefusalCause::Total, "memory-total"));
+    assert!(ledger.retry_after(&refused, second(1)) >= Duration::from_millis(50));
     // What was accepted goes on.
-    drop(ledger.force(Purpose::Messages, 10));
-    ledger.weighed(29_000_000);
+    drop(ledger.force_charge(Purpose::Messages, 10));
+    ledger.set_resident(29_000_000);
     assert!(ledger.tick(second(2)).is_empty(), "still above the lower mark");
-    ledger.weighed(20_000_000);
+    ledger.set_resident(20_000_000);
     assert_eq!(ledger.tick(second(3))[0].now, Level::Ample);
-    assert!(ledger.take(Purpose::Messages, 10, None).is_ok());
+    assert!(ledger.try_charge(Purpose::Messages, 10, None).is_ok());
 }
--- a/crates/memory/src/level.rs
+++ b/crates/memory/src/level.rs
@@ -17,17 +17,17 @@
 }
 
 /// Share of the cap from which a purpose is tight, and under which it is ample again.
-pub const TIGHT: (f64, f64) = (0.75, 0.65);
+pub const TIGHT_THRESHOLDS: (f64, f64) = (0.75, 0.65);
 /// Share of the cap from which a purpose is full, and under which it is only tight again.
-pub const FULL: (f64, f64) = (0.95, 0.85);
+pub const FULL_THRESHOLDS: (f64, f64) = (0.95, 0.85);
 
 impl Level {
     /// The level after this one, for a share of the cap in use.
     pub fn next(self, share: f64) -> Level {
         let at = |(from, under): (f64, f64), holds: bool| share >= if holds { under } else { from };
         match () {
-            () if at(FULL, self == Level::Full) => Level::Full,
-            () if at(TIGHT, self >= Level::Tight) => Level::Tight,
+            () if at(FULL_THRESHOLDS, self == Level::Full) => Level::Full,
+            () if at(TIGHT_THRESHOLDS, self >= Level::Tight) => Level::Tight,
             () => Level::Ample,
         }
     }
@@ -45,7 +45,7 @@
 
 /// A purpose has another level. Its text is the log's line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct LevelChange {
     /// None: the process as a whole.
     pub purpose: Option<Purpose>,
     pub before: Level,
@@ -54,9 +54,9 @@
     pub cap: u64,
 }
 
-impl fmt::Display for Change {
+impl fmt::Display for LevelChange {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Change { purpose, before, now, held, cap } = self;
+        let LevelChange { purpose, before, now, held, cap } = self;
         let name = purpose.map_or("total", Purpose::name);
         let (held, cap) = (crate::caps::Bytes(*held), crate::caps::Bytes(*cap));
         write!(f, "memory: {name} is {now}, was {before}: {held} of {cap}")?;
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -6,16 +6,16 @@
 //!   Caps ----------> Ledger ---- take, reserve ---> Charge, Reserve   guards: what they hold goes back when dropped
 //!   (caps)             |   \---- tick(now) -------> level changes     (level)
 //!                      |--- Guest: what one client holds              (ledger)
-//!                      \--- pace: how fast a purpose empties -> wait  (release_rate)
-//!   Refused ----> Reason, as clients are told (reason); Partings: connections until they have been told (rejected_connections)
-//!   Telling: whose share something counts against             (client_identification)
+//!                      \--- pace: how fast a purpose empties -> wait  (pace)
+//!   Refused ----> Reason, as clients are told (reason); Partings: connections until they have been told (partings)
+//!   Telling: whose share something counts against             (telling)
 //! ```
 //!
 //! A *charge* is memory in use. A *reserve* is memory that an accepted message may still need; it is taken when the
 //! message is accepted, so that nothing done on its behalf later can be refused. Both count against the cap.
 //! Whoever holds a guard needs not give anything back by hand, so nothing is counted twice or left behind.
 //!
-//! Read in this order: [`caps`], [`ledger`], [`level`], [`release_rate`], [`reason`], [`rejected_connections`], [`client_identification`].
+//! Read in this order: [`caps`], [`ledger`], [`level`], [`pace`], [`reason`], [`partings`], [`telling`].
 //! `docs/memory.md` tells why it is so.
 
 pub mod caps;
@@ -27,13 +27,13 @@
 pub mod rejected_connections;
 pub mod release_rate;
 
-pub use caps::{CapFault, Caps, Portion};
-pub use client_identification::Telling;
-pub use ledger::{Charge, Client, Guest, Ledger, Refused, Reserve, State, Why};
-pub use level::{Change, Level};
+pub use caps::{CapError, CapSetting, Caps};
+pub use client_identification::ClientIdentification;
+pub use ledger::{Charge, Client, ClientAccount, Ledger, PurposeUsage, RefusalCause, Refused, Reserve};
+pub use level::{Level, LevelChange};
 pub use purpose::{ByPurpose, Purpose};
 pub use reason::Reason;
-pub use rejected_connections::Partings;
+pub use rejected_connections::RejectedConnections;
 
 /// A point on a monotonic clock, as the time since an arbitrary origin.
 pub type Time = std::time::Duration;
--- a/crates/memory/src/rejected_connections.rs
+++ b/crates/memory/src/rejected_connections.rs
@@ -10,19 +10,19 @@
 use std::time::Duration;
 
 /// How many are seen off at once: what one client of 64 connections may open in one go, twice.
-pub const MOST: usize = 128;
+pub const MAX_CONCURRENT: usize = 128;
 /// For so long a client that is turned away may say nothing: as long as one that is let in.
-pub const LISTEN: Duration = Duration::from_millis(2500);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// So long it may take to read its answer and to stop sending.
-pub const LINGER: Duration = Duration::from_millis(1000);
+pub const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// So much of what it sends meanwhile is read, so that no reset overtakes the answer, bytes.
-pub const DRAINED: u64 = 1024 * 1024;
+pub const MAX_DISCARDED_BYTES: u64 = 1024 * 1024;
 /// Log lines about them are no closer together than this.
 const LOG_PAUSE: Duration = Duration::from_secs(10);
 
 /// How it ended for one that was turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum RejectionOutcome {
     /// It has its answer, with the reason and when to come back.
     Told,
     /// It had asked for nothing, so a close takes nothing from it.
@@ -40,61 +40,61 @@
 }
 
 impl Counts {
-    fn add(&mut self, how: How) {
+    fn add(&mut self, how: RejectionOutcome) {
         *match how {
-            How::Told => &mut self.told,
-            How::Silent => &mut self.silent,
-            How::Untold => &mut self.untold,
+            RejectionOutcome::Told => &mut self.told,
+            RejectionOutcome::Silent => &mut self.silent,
+            RejectionOutcome::Untold => &mut self.untold,
         } += 1;
     }
 }
 
 /// One that may be seen off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct RejectionSlot {
     pub id: u64,
     /// Its place is that of this one, which is to be closed at once.
-    pub instead_of: Option<u64>,
+    pub evicted: Option<u64>,
 }
 
 /// The book of those who are being turned away.
 #[derive(Debug, Default)]
-pub struct Partings {
+pub struct RejectedConnections {
     next: u64,
     /// Nothing has come from these yet; by age.
     listening: BTreeSet<u64>,
-    telling: BTreeSet<u64>,
+    client_identification: BTreeSet<u64>,
     counts: BTreeMap<Reason, Counts>,
     /// Since the last line of the log.
     fresh: BTreeMap<Reason, Counts>,
     logged: Option<Time>,
 }
 
-impl Partings {
+impl RejectedConnections {
     /// A place for one more, if there is one. Who has said nothing for longest goes first: nothing is owed to it.
     /// `heard` says whether part of a request has come already.
-    pub fn admit(&mut self, heard: bool) -> Option<Place> {
-        let full = self.listening.len() + self.telling.len() >= MOST;
-        let instead_of = if full { Some(self.listening.pop_first()?) } else { None };
+    pub fn admit(&mut self, request_started: bool) -> Option<RejectionSlot> {
+        let full = self.listening.len() + self.client_identification.len() >= MAX_CONCURRENT;
+        let evicted = if full { Some(self.listening.pop_first()?) } else { None };
         let id = self.next;
         self.next += 1;
-        let stage = if heard { &mut self.telling } else { &mut self.listening };
+        let stage = if request_started { &mut self.client_identification } else { &mut self.listening };
         stage.insert(id);
-        Some(Place { id, instead_of })
+        Some(RejectionSlot { id, evicted })
     }
 
     /// It has asked for something, and is owed an answer: it gives way to nobody from now on.
-    pub fn heard(&mut self, id: u64) {
+    pub fn request_started(&mut self, id: u64) {
         if self.listening.remove(&id) {
-            self.telling.insert(id);
+            self.client_identification.insert(id);
         }
     }
 
     /// It is closed. None for one that never had a place.
-    pub fn ended(&mut self, id: Option<u64>, reason: Reason, how: How) {
+    pub fn closed(&mut self, id: Option<u64>, reason: Reason, how: RejectionOutcome) {
         if let Some(id) = id {
             self.listening.remove(&id);
-            self.telling.remove(&id);
+            self.client_identification.remove(&id);
         }
         self.counts.entry(reason).or_default().add(how);
         self.fresh.entry(reason).or_default().add(how);
@@ -102,7 +102,7 @@
 
     /// How many are being seen off.
     pub fn open(&self) -> usize {
-        self.listening.len() + self.telling.len()
+        self.listening.len() + self.client_identification.len()
     }
 
     /// By reason, since the start.
@@ -116,7 +116,7 @@
     }
 
     /// The line that is due: what ended since the last one.
-    pub fn line(&mut self, now: Time) -> Option<String> {
+    pub fn take_log_line(&mut self, now: Time) -> Option<String> {
         self.log_due().filter(|due| *due <= now)?;
         self.logged = Some(now);
         let mut text = "clients: connections turned away:".to_owned();
--- a/crates/memory/tests/model.rs
+++ b/crates/memory/tests/model.rs
@@ -2,7 +2,9 @@
 //! past a cap, clients' rows agree, and all is zero at the end.
 
 use proptest::prelude::*;
-use stairshed_memory::{ByPurpose, Caps, Charge, Client, Guest, Ledger, Portion, Purpose, Reserve, Why};
+use stairshed_memory::{
+    ByPurpose, CapSetting, Caps, Charge, Client, ClientAccount, Ledger, Purpose, RefusalCause, Reserve,
+};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -61,19 +63,19 @@
         self.charges.iter().filter(|c| c.0 == purpose && c.2 == Some(client)).map(|c| c.1).sum()
     }
 
-    fn why(&self, purpose: usize, bytes: u64, client: Option<usize>) -> Option<Why> {
+    fn why(&self, purpose: usize, bytes: u64, client: Option<usize>) -> Option<RefusalCause> {
         let (cap, after) = (self.caps[&purpose], self.held(purpose) + bytes);
         if after > cap {
-            return Some(Why::Cap);
+            return Some(RefusalCause::Cap);
         }
         let over = |c| (self.client(purpose, c) + bytes) as f64 > cap as f64 * SHARE;
         let tight = after as f64 > cap as f64 * 0.65;
-        client.is_some_and(|c| tight && over(c)).then_some(Why::Share)
+        client.is_some_and(|c| tight && over(c)).then_some(RefusalCause::Share)
     }
 }
 
 fn caps(of: &BTreeMap<usize, u64>) -> Caps {
-    let asked = ByPurpose::new(|p| Some(Portion::Size(of[&(p as usize)])));
+    let asked = ByPurpose::new(|p| Some(CapSetting::Size(of[&(p as usize)])));
     Caps::new(None, &asked).expect("sound")
 }
 
@@ -81,13 +83,13 @@
     let mut model = Model { caps: (0..PURPOSES).map(|p| (p, 300_000)).collect(), ..Model::default() };
     let ledger = Ledger::new(&caps(&model.caps), SHARE);
     let name = |n: usize| Client::Name(format!("client {n}").into());
-    let mut guests: Vec<Guest> = (0..CLIENTS).map(|n| ledger.guest(name(n))).collect();
+    let mut guests: Vec<ClientAccount> = (0..CLIENTS).map(|n| ledger.client_account(name(n))).collect();
     let (mut charges, mut reserves): (Vec<Charge>, Vec<Reserve>) = (Vec::new(), Vec::new());
     for op in ops {
         let purpose_of = |n: usize| Purpose::ALL[n];
         match op {
             Op::Take { purpose, bytes, client } => {
-                let taken = ledger.take(purpose_of(purpose), bytes, client.map(|c| &guests[c]));
+                let taken = ledger.try_charge(purpose_of(purpose), bytes, client.map(|c| &guests[c]));
                 assert_eq!(taken.as_ref().err().map(|r| r.why), model.why(purpose, bytes, client));
                 if let Ok(charge) = taken {
                     charges.push(charge);
@@ -103,7 +105,7 @@
                 }
             }
             Op::Force { purpose, bytes } => {
-                charges.push(ledger.force(purpose_of(purpose), bytes));
+                charges.push(ledger.force_charge(purpose_of(purpose), bytes));
                 model.charges.push((purpose, bytes, None));
             }
             Op::Draw { of, bytes } if of < reserves.len() => {
@@ -127,7 +129,7 @@
                 // It stands on the old account while the new one is asked.
                 model.charges.push((before, bytes, client));
                 let why = model.why(purpose, bytes, client);
-                match charge.turn_into(purpose_of(purpose)) {
+                match charge.transfer_to(purpose_of(purpose)) {
                     Ok(charge) => {
                         assert_eq!(why, None);
                         charges.push(charge);
@@ -141,7 +143,7 @@
                 }
             }
             Op::Set { of, bytes } if of < charges.len() => {
-                charges[of].set(bytes);
+                charges[of].resize(bytes);
                 model.charges[of].1 = bytes;
             }
             Op::Grow { of, bytes } if of < charges.len() => {
@@ -156,7 +158,7 @@
             }
             Op::Leave { client } => {
                 // It comes back at once: what it holds still counts as its own.
-                guests[client] = ledger.guest(name(client));
+                guests[client] = ledger.client_account(name(client));
             }
             _ => {}
         }
