--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -19,21 +19,21 @@
 //! `docs/memory.md` tells why it is so.
 
 pub mod caps;
+pub mod client_identification;
 pub mod ledger;
 pub mod level;
-pub mod pace;
-pub mod partings;
 mod purpose;
 pub mod reason;
-pub mod telling;
+pub mod rejected_connections;
+pub mod release_rate;
 
-pub use caps::{CapFault, Caps, Portion};
-pub use ledger::{Charge, Client, Guest, Ledger, Refused, Reserve, State, Why};
-pub use level::{Change, Level};
-pub use partings::Partings;
+pub use caps::{CapError, CapSetting, Caps};
+pub use client_identification::ClientIdentification;
+pub use ledger::{Charge, Client, ClientAccount, Ledger, PurposeUsage, RefusalCause, Refused, Reserve};
+pub use level::{Level, LevelChange};
 pub use purpose::{ByPurpose, Purpose};
 pub use reason::Reason;
-pub use telling::Telling;
+pub use rejected_connections::RejectedConnections;
 
 /// A point on a monotonic clock, as the time since an arbitrary origin.
 pub type Time = std::time::Duration;
