--- a/crates/config/src/classes.rs
+++ b/crates/config/src/classes.rs
@@ -42,7 +42,7 @@
     }
 
     /// For a courier that has no configuration yet: the module must have a class, and nothing is of it.
-    pub fn none() -> Self {
+    pub fn placeholder() -> Self {
         let class = gone(Effect::Once, Duration::from_secs(1));
         ClassTable { rows: vec![Row { name: String::new(), class, current: false }] }
     }
@@ -65,14 +65,14 @@
     }
 
     /// The class that new messages of this name are of.
-    pub fn named(&self, name: &str) -> Option<usize> {
+    pub fn current(&self, name: &str) -> Option<usize> {
         self.rows.iter().position(|r| r.current && r.name == name)
     }
 
     /// The class of a message that was taken when a repeat did `effect`. With `deadline` for a class that is
     /// no more.
-    pub fn recorded(&mut self, name: &str, effect: Effect, deadline: Duration) -> usize {
-        let now = self.named(name).map(|n| &self.rows[n].class);
+    pub fn for_recorded_message(&mut self, name: &str, effect: Effect, deadline: Duration) -> usize {
+        let now = self.current(name).map(|n| &self.rows[n].class);
         let class = match now {
             Some(class) => Class { effect: stricter(class.effect, effect), ..class.clone() },
             None => gone(effect, deadline),
@@ -87,7 +87,7 @@
 
     /// Other classes from now on. Rows in use keep their numbers, and become as strict as what has taken
     /// their name.
-    pub fn change(&mut self, classes: impl IntoIterator<Item = (String, Class)>, in_use: &BTreeSet<usize>) {
+    pub fn update(&mut self, classes: impl IntoIterator<Item = (String, Class)>, in_use: &BTreeSet<usize>) {
         for row in &mut self.rows {
             row.current = false;
         }
--- a/crates/config/src/classes_test.rs
+++ b/crates/config/src/classes_test.rs
@@ -26,30 +26,30 @@
 #[test]
 fn a_class_that_becomes_unsafe_is_unsafe_for_what_is_out() {
     let mut table = ClassTable::new(one(keyed(KeyScope::All, 9)));
-    table.change(one(Effect::Once), &BTreeSet::from([0]));
+    table.update(one(Effect::Once), &BTreeSet::from([0]));
     assert_eq!(table.get(0).map(|c| c.effect), Some(Effect::Once));
 }
 
 #[test]
 fn a_class_that_becomes_safe_is_unsafe_for_what_is_out() {
     let mut table = ClassTable::new(one(Effect::Once));
-    table.change(one(Effect::Repeatable), &BTreeSet::from([0]));
+    table.update(one(Effect::Repeatable), &BTreeSet::from([0]));
     assert_eq!(table.get(0).map(|c| c.effect), Some(Effect::Once));
-    let now = table.named("pay").expect("the class");
+    let now = table.current("pay").expect("the class");
     assert_ne!(now, 0);
     assert_eq!(table.get(now).map(|c| c.effect), Some(Effect::Repeatable));
     // What was taken before comes back after a restart.
     let mut table = ClassTable::new(one(Effect::Repeatable));
-    let n = table.recorded("pay", Effect::Once, Duration::from_secs(5));
+    let n = table.for_recorded_message("pay", Effect::Once, Duration::from_secs(5));
     assert_eq!(table.get(n).map(|c| c.effect), Some(Effect::Once));
-    assert_eq!(table.recorded("pay", Effect::Repeatable, Duration::from_secs(5)), 0);
+    assert_eq!(table.for_recorded_message("pay", Effect::Repeatable, Duration::from_secs(5)), 0);
 }
 
 #[test]
 fn the_table_does_not_grow_with_versions_and_rows_in_use_are_not_taken() {
     let mut table = ClassTable::new(one(Effect::Once));
     for n in 1..1000 {
-        table.change(one(keyed(KeyScope::All, n)), &BTreeSet::from([0]));
+        table.update(one(keyed(KeyScope::All, n)), &BTreeSet::from([0]));
     }
     assert!(table.classes().len() <= 3, "{} rows", table.classes().len());
     assert_eq!(table.get(0).map(|c| c.effect), Some(Effect::Once));
@@ -58,9 +58,9 @@
 #[test]
 fn a_class_that_is_gone_is_what_it_was_for_what_is_out() {
     let mut table = ClassTable::new(one(Effect::Once));
-    table.change(Vec::new(), &BTreeSet::from([0]));
-    assert_eq!(table.named("pay"), None);
+    table.update(Vec::new(), &BTreeSet::from([0]));
+    assert_eq!(table.current("pay"), None);
     assert_eq!(table.get(0).map(|c| c.effect), Some(Effect::Once));
-    let n = table.recorded("other", Effect::Once, Duration::from_secs(5));
+    let n = table.for_recorded_message("other", Effect::Once, Duration::from_secs(5));
     assert_eq!(table.get(n).map(|c| c.effect), Some(Effect::Once));
 }
--- a/crates/config/src/decode.rs
+++ b/crates/config/src/decode.rs
@@ -2,13 +2,13 @@
 //! path, taken out, and the rest read again. No crate on the registry does this for TOML: each stops at the
 //! first fault.
 
-use crate::problem::{Path, Problem, Step, suggest};
+use crate::problem::{Path, PathStep, Problem, suggest};
 use crate::tree::{Entry, Node, Value};
 use serde::de::{self, DeserializeSeed, IntoDeserializer, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
 /// Faults that are told of one document; more would be noise.
-pub const MOST: usize = 100;
+pub const MAX_PROBLEMS: usize = 100;
 
 /// Reads `tree`. With faults the rest stands in what is returned, each fault's value as its default; and the
 /// paths of what was taken out, so that nothing else is said about them.
@@ -21,10 +21,10 @@
             Err(fault) => fault,
         };
         let path = Path(fault.steps.into_iter().rev().collect());
-        let whole = path.0.is_empty() || problems.len() >= MOST;
-        problems.push(Problem::new(path.clone(), fault.why));
+        let whole = path.0.is_empty() || problems.len() >= MAX_PROBLEMS;
+        problems.push(Problem::new(path.clone(), fault.reason));
         match tree.at_mut(&path).filter(|_| !whole) {
-            Some(node) => node.value = Value::Cut,
+            Some(node) => node.value = Value::Removed,
             None => return (T::default(), problems),
         }
     }
@@ -32,29 +32,29 @@
 
 /// Why a value cannot be read; the steps to it, last first.
 #[derive(Debug)]
-pub struct Fault {
-    why: String,
-    steps: Vec<Step>,
+pub struct DecodeError {
+    reason: String,
+    steps: Vec<PathStep>,
 }
 
-impl Fault {
-    fn within(mut self, step: Step) -> Self {
+impl DecodeError {
+    fn within(mut self, step: PathStep) -> Self {
         self.steps.push(step);
         self
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(&self.why)
+        f.write_str(&self.reason)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for DecodeError {}
 
-impl de::Error for Fault {
-    fn custom<T: fmt::Display>(why: T) -> Self {
-        Fault { why: why.to_string(), steps: Vec::new() }
+impl de::Error for DecodeError {
+    fn custom<T: fmt::Display>(reason: T) -> Self {
+        DecodeError { reason: reason.to_string(), steps: Vec::new() }
     }
 
     fn unknown_field(field: &str, expected: &'static [&'static str]) -> Self {
@@ -70,11 +70,11 @@
 }
 
 impl<'de> de::Deserializer<'de> for &Node {
-    type Error = Fault;
+    type Error = DecodeError;
 
-    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, DecodeError> {
         match &self.value {
-            Value::Cut | Value::Null => visitor.visit_unit(),
+            Value::Removed | Value::Null => visitor.visit_unit(),
             Value::Bool(b) => visitor.visit_bool(*b),
             Value::Int(n) => visitor.visit_i64(*n),
             Value::Float(n) => visitor.visit_f64(*n),
@@ -84,7 +84,7 @@
         }
     }
 
-    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, DecodeError> {
         match self.value {
             Value::Null => visitor.visit_none(),
             _ => visitor.visit_some(self),
@@ -95,7 +95,7 @@
         self,
         _: &'static str,
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, DecodeError> {
         visitor.visit_newtype_struct(self)
     }
 
@@ -104,7 +104,7 @@
         _: &'static str,
         _: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, DecodeError> {
         match &self.value {
             Value::Text(text) => visitor.visit_enum(text.as_str().into_deserializer()),
             _ => self.deserialize_any(visitor),
@@ -116,7 +116,7 @@
         _: &'static str,
         _: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, DecodeError> {
         match &self.value {
             Value::Table(_) => self.deserialize_any(visitor),
             // Serde's structs would take a list for their fields in order.
@@ -133,11 +133,14 @@
 struct Items<'a>(std::iter::Enumerate<std::slice::Iter<'a, Node>>);
 
 impl<'de> SeqAccess<'de> for Items<'_> {
-    type Error = Fault;
-
-    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, Fault> {
-        let Some((index, node)) = self.0.find(|(_, n)| n.value != Value::Cut) else { return Ok(None) };
-        seed.deserialize(node).map(Some).map_err(|e| e.within(Step::Item(index)))
+    type Error = DecodeError;
+
+    fn next_element_seed<T: DeserializeSeed<'de>>(
+        &mut self,
+        seed: T,
+    ) -> Result<Option<T::Value>, DecodeError> {
+        let Some((index, node)) = self.0.find(|(_, n)| n.value != Value::Removed) else { return Ok(None) };
+        seed.deserialize(node).map(Some).map_err(|e| e.within(PathStep::Item(index)))
     }
 }
 
@@ -147,17 +150,17 @@
 }
 
 impl<'de> MapAccess<'de> for Entries<'_> {
-    type Error = Fault;
+    type Error = DecodeError;
 
-    fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, Fault> {
-        let Some(entry) = self.entries.find(|e| e.node.value != Value::Cut) else { return Ok(None) };
+    fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, DecodeError> {
+        let Some(entry) = self.entries.find(|e| e.node.value != Value::Removed) else { return Ok(None) };
         self.value = Some(entry);
-        let key: de::value::StrDeserializer<Fault> = entry.key.as_str().into_deserializer();
-        seed.deserialize(key).map(Some).map_err(|e| e.within(Step::Key(entry.key.clone())))
+        let key: de::value::StrDeserializer<DecodeError> = entry.key.as_str().into_deserializer();
+        seed.deserialize(key).map(Some).map_err(|e| e.within(PathStep::Key(entry.key.clone())))
     }
 
-    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Fault> {
+    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, DecodeError> {
         let Some(entry) = self.value.take() else { return Err(de::Error::custom("a value without its key")) };
-        seed.deserialize(&entry.node).map_err(|e| e.within(Step::Key(entry.key.clone())))
+        seed.deserialize(&entry.node).map_err(|e| e.within(PathStep::Key(entry.key.clone())))
     }
 }
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -39,7 +39,8 @@
 }
 
 /// Sections that a version may hold; the others stand in the file and need a restart.
-pub const VERSIONED: [&str; 7] = ["listen", "classes", "pools", "routes", "topics", "limits", "memory"];
+pub const VERSIONED_SECTIONS: [&str; 7] =
+    ["listen", "classes", "pools", "routes", "topics", "limits", "memory"];
 
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
@@ -466,7 +467,7 @@
 
 impl Memory {
     /// What is stated for each purpose.
-    pub fn stated(&self) -> ByPurpose<Option<Portion>> {
+    pub fn portions_by_purpose(&self) -> ByPurpose<Option<Portion>> {
         ByPurpose::new(|purpose| match purpose {
             Purpose::BodiesRead => self.bodies_read,
             Purpose::BodiesHeld => self.bodies_held,
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -2,12 +2,12 @@
 //! numbers, defaults are filled in. Made of the operator's file, and of a version's sections in their place.
 
 use crate::decode::decode;
-use crate::file::{self, File, VERSIONED};
+use crate::file::{self, File, VERSIONED_SECTIONS};
 use crate::problem::{Path, Problem, Problems, path, suggest};
-use crate::route::{Condition, Conflict, NoRoute, Pattern, Request, Router, normal_path};
+use crate::route::{Condition, Conflict, NoRoute, Pattern, Request, Router, normalize_path};
 pub use crate::topic::Topic;
 use crate::topic::{self, Topics};
-use crate::tree::{self, Entry, Node, Value, place_of};
+use crate::tree::{self, Entry, Node, Value, line_and_column};
 use crate::units::{Rate, Span};
 use stairshed_decide::interface as decide;
 use stairshed_memory::{ByPurpose, CapFault, Caps, Portion, Purpose, Telling};
@@ -102,7 +102,7 @@
 pub struct Pool {
     pub name: String,
     pub destination: u64,
-    pub members: Vec<Member>,
+    pub members: Vec<PoolMember>,
     pub discovery: bool,
     pub limit: Option<Rate>,
     /// How brokers among its endpoints are spoken to.
@@ -111,10 +111,10 @@
 
 /// An endpoint, or several under one name that is looked up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct PoolMember {
     /// What it is known by, for good: pool and name.
     pub host: String,
-    pub at: At,
+    pub address: MemberAddress,
     pub zone: String,
     pub limit: Option<Rate>,
     /// For a broker: the topic that is published to.
@@ -122,7 +122,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum At {
+pub enum MemberAddress {
     Address(SocketAddr),
     Name(String, u16),
 }
@@ -150,7 +150,7 @@
 
 /// Where a request goes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Chosen<'a> {
+pub struct RouteMatch<'a> {
     pub route: &'a Route,
     pub pool: &'a Pool,
     /// The path towards the endpoint.
@@ -159,7 +159,7 @@
 
 impl Installation {
     /// Bytes that it takes with the document that it is of, estimated from what is in it.
-    pub fn weigh(&self) -> u64 {
+    pub fn estimated_bytes(&self) -> u64 {
         let members: usize = self.pools.iter().map(|p| p.members.len()).sum();
         let all = [
             (self.pools.len(), POOL),
@@ -193,7 +193,7 @@
 }
 
 /// The number of a pool that is given none. FNV-1a: it is on record, and must stay what it is.
-pub fn destination(name: &str) -> u64 {
+pub fn default_destination(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
 }
 
@@ -228,28 +228,28 @@
             Some(made) => Ok(made),
             None => {
                 for problem in &mut all {
-                    problem.place = tree.start(&problem.path).map(|at| place_of(&self.text, at));
+                    problem.position = tree.start(&problem.path).map(|at| line_and_column(&self.text, at));
                 }
-                all.sort_by_key(|p| p.place);
+                all.sort_by_key(|p| p.position);
                 Err(Problems { source: self.source.clone(), all })
             }
         }
     }
 
     /// For looking up many lines.
-    pub fn lines(&self) -> Lines<'_> {
-        Lines { tree: &self.tree, ends: self.text.match_indices('\n').map(|(at, _)| at).collect() }
+    pub fn lines(&self) -> LineIndex<'_> {
+        LineIndex { tree: &self.tree, ends: self.text.match_indices('\n').map(|(at, _)| at).collect() }
     }
 }
 
 /// The lines of a document's values.
-pub struct Lines<'a> {
+pub struct LineIndex<'a> {
     tree: &'a Node,
     /// Where each line ends.
     ends: Vec<usize>,
 }
 
-impl Lines<'_> {
+impl LineIndex<'_> {
     /// Where a value stands, if it stands in the file: its line, from 1.
     pub fn line(&self, path: &Path) -> Option<usize> {
         self.tree.at(path)?;
@@ -261,9 +261,9 @@
 ///
 /// # Errors
 /// All that is wrong with them.
-pub fn caps(file: &File, otherwise: Option<u64>) -> Result<Caps, Vec<CapFault>> {
+pub fn memory_caps(file: &File, otherwise: Option<u64>) -> Result<Caps, Vec<CapFault>> {
     let total = file.memory.total.map(|size| size.0).or(otherwise);
-    let stated = file.memory.stated();
+    let stated = file.memory.portions_by_purpose();
     let bodies = file.limits.bodies.0;
     let usual = |purpose| {
         (purpose == Purpose::BodiesRead).then(|| {
@@ -281,9 +281,9 @@
     };
     let Value::Table(entries) = &mut tree.value else { return };
     for section in sections {
-        if !VERSIONED.contains(&section.key.as_str()) {
-            let why = format!("no section of a version{}", suggest(&section.key, VERSIONED));
-            problems.push(Problem::new(path(&[&section.key]), why));
+        if !VERSIONED_SECTIONS.contains(&section.key.as_str()) {
+            let reason = format!("no section of a version{}", suggest(&section.key, VERSIONED_SECTIONS));
+            problems.push(Problem::new(path(&[&section.key]), reason));
             continue;
         }
         let own = entries.iter_mut().find(|e| e.key == section.key);
@@ -296,7 +296,7 @@
                 listen.extend(fields.iter().filter(|f| !stays(&f.key)).cloned());
             }
             (Some(own), _) => *own = section,
-            (None, _) => entries.push(Entry { key_place: None, ..section }),
+            (None, _) => entries.push(Entry { key_span: None, ..section }),
         }
     }
 }
@@ -307,13 +307,13 @@
 }
 
 impl Check<'_> {
-    fn wrong(&mut self, path: Path, why: impl Into<String>) {
-        self.problems.push(Problem::new(path, why));
+    fn wrong(&mut self, path: Path, reason: impl Into<String>) {
+        self.problems.push(Problem::new(path, reason));
     }
 
-    fn must(&mut self, holds: bool, path: Path, why: &str) {
+    fn must(&mut self, holds: bool, path: Path, reason: &str) {
         if !holds {
-            self.wrong(path, why);
+            self.wrong(path, reason);
         }
     }
 
@@ -329,7 +329,7 @@
         let rest = text.strip_prefix("http://");
         let (address, path) = rest.map(|r| r.split_at(r.find('/').unwrap_or(r.len()))).unwrap_or_default();
         let path = if path.is_empty() { "/" } else { path };
-        let url = address.parse().ok().filter(|_| normal_path(path).as_deref() == Some(path));
+        let url = address.parse().ok().filter(|_| normalize_path(path).as_deref() == Some(path));
         if url.is_none() {
             self.wrong(at, format!("{text:?} is no URL such as \"http://127.0.0.1:9000/path\""));
         }
@@ -447,14 +447,14 @@
         for (name, pool) in &file.pools {
             let at = path(&["pools", name]);
             self.name(at.clone(), name);
-            let number = pool.destination.unwrap_or_else(|| destination(name));
+            let number = pool.destination.unwrap_or_else(|| default_destination(name));
             if let Some(other) = numbers.insert(number, name.clone()) {
-                let why = format!("{number} is the destination of pools.{other}, too");
-                self.wrong(at.key("destination"), why);
+                let reason = format!("{number} is the destination of pools.{other}, too");
+                self.wrong(at.key("destination"), reason);
             }
             let found = !pool.discovery || file.discovery.is_some();
             self.must(found, at.key("discovery"), "there is no [discovery] to take endpoints from");
-            let mut members: Vec<Member> = Vec::new();
+            let mut members: Vec<PoolMember> = Vec::new();
             let mut taken: HashMap<String, usize> = HashMap::new();
             for (n, endpoint) in pool.endpoints.iter().enumerate() {
                 let at = at.key("endpoints").item(n);
@@ -484,38 +484,38 @@
         (pools, zones)
     }
 
-    fn member(&mut self, at: &Path, pool: &str, endpoint: &file::Endpoint) -> Option<Member> {
+    fn member(&mut self, at: &Path, pool: &str, endpoint: &file::Endpoint) -> Option<PoolMember> {
         let Some(text) = &endpoint.address else {
             self.wrong(at.clone(), "address: it is missing");
             return None;
         };
         let (text, topic) = match text.strip_prefix("mqtt://").map(|rest| rest.split_once('/')) {
             None => (text.as_str(), None),
-            Some(Some((place, topic))) if topic::is_name(topic) && !topic.starts_with('$') => {
+            Some(Some((place, topic))) if topic::is_topic_name(topic) && !topic.starts_with('$') => {
                 (place, Some(topic.to_owned()))
             }
             Some(_) => {
-                let why = format!("{text:?} names no topic: mqtt://address:port/topic, without wildcards");
-                self.wrong(at.key("address"), why);
+                let reason = format!("{text:?} names no topic: mqtt://address:port/topic, without wildcards");
+                self.wrong(at.key("address"), reason);
                 return None;
             }
         };
-        let place = text.parse::<SocketAddr>().ok().map(At::Address).or_else(|| {
+        let place = text.parse::<SocketAddr>().ok().map(MemberAddress::Address).or_else(|| {
             let (name, port) = text.rsplit_once(':')?;
             let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
             let good = !name.is_empty() && name.len() <= 253 && name.chars().all(plain);
             // Numbers and dots alone are a broken address and no name.
             let named = name.chars().any(|c| c.is_ascii_alphabetic());
-            Some(At::Name(name.to_ascii_lowercase(), port.parse().ok()?)).filter(|_| good && named)
+            Some(MemberAddress::Name(name.to_ascii_lowercase(), port.parse().ok()?)).filter(|_| good && named)
         });
         let zero = match &place {
-            Some(At::Address(a)) => a.port() == 0,
-            Some(At::Name(_, port)) => *port == 0,
+            Some(MemberAddress::Address(a)) => a.port() == 0,
+            Some(MemberAddress::Name(_, port)) => *port == 0,
             None => true,
         };
         if zero {
-            let why = format!("{text:?} is neither address:port nor name:port");
-            self.wrong(at.key("address"), why);
+            let reason = format!("{text:?} is neither address:port nor name:port");
+            self.wrong(at.key("address"), reason);
         }
         let long = endpoint.name.as_ref().is_none_or(|n| !n.is_empty() && n.len() <= NAME_MOST);
         self.must(long, at.key("name"), "a name has 1 to 64 bytes");
@@ -528,7 +528,7 @@
             at.key("address"),
             "an endpoint's name with its pool's has 180 bytes at most: set name",
         );
-        Some(Member { host, at: place?, zone: endpoint.zone.clone(), limit: endpoint.limit, topic })
+        Some(PoolMember { host, address: place?, zone: endpoint.zone.clone(), limit: endpoint.limit, topic })
     }
 
     fn broker(&mut self, at: &Path, b: &file::Broker) {
@@ -547,7 +547,7 @@
 
     fn mqtt(&mut self, m: &file::Mqtt) {
         let at = path(&["mqtt"]);
-        for (good, key, why) in [
+        for (good, key, reason) in [
             ((1..=1_000_000).contains(&m.connections), "connections", "from 1 to 1000000"),
             ((1..=10_000_000).contains(&m.sessions), "sessions", "from 1 to 10000000"),
             (m.session_expiry.0.as_secs() < u64::from(u32::MAX), "session_expiry", "136 years at most"),
@@ -555,7 +555,7 @@
             (m.receive_maximum > 0, "receive_maximum", "1 at least"),
             ((1..=1_000_000).contains(&m.outcomes), "outcomes", "from 1 to 1000000"),
         ] {
-            self.must(good, at.key(key), why);
+            self.must(good, at.key(key), reason);
         }
     }
 
@@ -563,7 +563,9 @@
         let at = path(&["topics", name]);
         self.name(at.clone(), name);
         let pattern = match &t.filter {
-            Some(filter) => topic::pattern(filter).map_err(|why| self.wrong(at.key("filter"), why)).ok(),
+            Some(filter) => {
+                topic::parse_filter(filter).map_err(|reason| self.wrong(at.key("filter"), reason)).ok()
+            }
             None => {
                 self.wrong(at.clone(), "filter: it is missing");
                 None
@@ -576,15 +578,15 @@
             let named = [pick.property.is_some(), pick.level.is_some(), pick.pointer.is_some()];
             let one = named.iter().filter(|n| **n).count() == 1;
             self.must(one, at.key(key), "one of property, level and pointer");
-            let level = pick.level.is_none_or(|l| (1..=crate::route::SEGMENTS_MOST).contains(&l));
+            let level = pick.level.is_none_or(|l| (1..=crate::route::MAX_SEGMENTS).contains(&l));
             self.must(level, at.key(key).key("level"), "levels are counted from 1, to 64");
             let pointer = pick.pointer.as_ref().is_none_or(|p| p.is_empty() || p.starts_with('/'));
             self.must(pointer, at.key(key).key("pointer"), "a JSON pointer begins with /");
         }
         let harmless = t.class.as_ref().and_then(|c| file.classes.get(c)).map(|c| c.effect);
         let needs = harmless.is_some_and(|e| e != file::Effect::Repeatable) && t.identity.is_none();
-        let why = "identity: messages of this class must be told apart, since a repeat is not harmless";
-        self.must(!needs, at.clone(), why);
+        let reason = "identity: messages of this class must be told apart, since a repeat is not harmless";
+        self.must(!needs, at.clone(), reason);
         let (pass, set) = self.rewrite(&at.key("rewrite"), &t.rewrite, pattern.as_ref());
         Some(Topic {
             name: name.to_owned(),
@@ -592,7 +594,7 @@
             class: class?,
             pattern: pattern?,
             identity: t.identity.clone(),
-            scope: t.identity_scope,
+            identity_scope: t.identity_scope,
             key: t.key.clone(),
             time_out: t.time_out.clone(),
             rewrite: t.rewrite.path.clone(),
@@ -626,8 +628,8 @@
             Err(conflicts) => {
                 for (a, b) in conflicts {
                     for (name, other) in [(&a, &b), (&b, &a)] {
-                        let why = format!("the same filter as topics.{other}");
-                        self.wrong(path(&["topics", name]), why);
+                        let reason = format!("the same filter as topics.{other}");
+                        self.wrong(path(&["topics", name]), reason);
                     }
                 }
                 None
@@ -669,7 +671,7 @@
                 ("path", "/", true)
             }
         };
-        let pattern = Pattern::read(text, prefix).map_err(|why| self.wrong(at.key(key), why)).ok();
+        let pattern = Pattern::read(text, prefix).map_err(|reason| self.wrong(at.key(key), reason)).ok();
         let mut methods = Vec::new();
         for (n, method) in r.methods.iter().enumerate() {
             let good = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
@@ -733,7 +735,7 @@
                 rest = after;
             }
             plain.push_str(rest);
-            let good = normal_path(&plain).is_some() && !plain.contains(['{', '}', '?', '#']);
+            let good = normalize_path(&plain).is_some() && !plain.contains(['{', '}', '?', '#']);
             self.must(good, at.key("path"), "no plain path with {names}");
         }
         let mut pass = Vec::new();
@@ -779,13 +781,13 @@
     }
 
     fn conflict(&mut self, name: &str, other: &str) {
-        let why = format!("one request could match routes.{other}, too, and neither comes first");
-        self.wrong(path(&["routes", name]), why);
+        let reason = format!("one request could match routes.{other}, too, and neither comes first");
+        self.wrong(path(&["routes", name]), reason);
     }
 
     fn limits(&mut self, l: &file::Limits) {
         let at = path(&["limits"]);
-        for (good, key, why) in [
+        for (good, key, reason) in [
             ((1..=1_000_000).contains(&l.held), "held", "from 1 to 1000000"),
             ((1..=100_000).contains(&l.calls), "calls", "from 1 to 100000"),
             ((1..=100).contains(&l.attempts), "attempts", "from 1 to 100"),
@@ -797,7 +799,7 @@
             (l.cold_from > 0.0 && l.cold_from <= 1.0, "cold_from", "above 0 and 1 at most"),
             (l.fall_multiple > 0.0 && l.fall_multiple <= 100.0, "fall_multiple", "above 0 and 100 at most"),
         ] {
-            self.must(good, at.key(key), why);
+            self.must(good, at.key(key), reason);
         }
     }
 
@@ -805,7 +807,7 @@
         let at = path(&["memory"]);
         let share = file.memory.client_share;
         self.must(share > 0.0 && share <= 1.0, at.key("client_share"), "above 0 and 1 at most");
-        for fault in caps(file, None).err().into_iter().flatten() {
+        for fault in memory_caps(file, None).err().into_iter().flatten() {
             let key = fault.purpose().map_or("total", Purpose::name);
             self.wrong(at.key(key), fault.to_string());
         }
@@ -851,8 +853,8 @@
 }
 
 /// Endpoints of a kind share the pool's limit, or each has its own.
-pub const SHARED: usize = 0;
-pub const OWN: usize = 1;
+pub const SHARED_LIMIT_KIND: usize = 0;
+pub const OWN_LIMIT_KIND: usize = 1;
 
 /// What the decision module is told.
 fn settings(file: &File, zones: &[String]) -> decide::Settings {
@@ -921,9 +923,9 @@
     ///
     /// # Errors
     /// Why it has none.
-    pub fn choose(&self, request: &impl Request) -> Result<Chosen<'_>, NoRoute> {
+    pub fn match_request(&self, request: &impl Request) -> Result<RouteMatch<'_>, NoRoute> {
         let route = &self.routes[self.router.route(request)?];
         let path = route.path(request.path());
-        Ok(Chosen { route, pool: &self.pools[route.pool], path })
+        Ok(RouteMatch { route, pool: &self.pools[route.pool], path })
     }
 }
--- a/crates/config/src/lines.rs
+++ b/crates/config/src/lines.rs
@@ -2,7 +2,7 @@
 
 /// Cuts a stream of bytes into lines, with a bound on each.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LineBuffer {
     bytes: Vec<u8>,
     /// Up to here there is no end of a line.
     seen: usize,
@@ -13,37 +13,37 @@
 
 /// A line is longer than the bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooLong;
+pub struct LineTooLong;
 
-impl Lines {
+impl LineBuffer {
     pub fn new(most: usize) -> Self {
-        Lines { bytes: Vec::new(), seen: 0, open: 0, most }
+        LineBuffer { bytes: Vec::new(), seen: 0, open: 0, most }
     }
 
     /// # Errors
     /// [`TooLong`]; the rest of the stream means nothing then.
-    pub fn push(&mut self, piece: &[u8]) -> Result<(), TooLong> {
+    pub fn push(&mut self, piece: &[u8]) -> Result<(), LineTooLong> {
         self.bytes.extend_from_slice(piece);
         // Only what is new is looked at: a long line comes in many pieces.
         self.open = match piece.iter().rposition(|b| *b == b'\n') {
             Some(end) => piece.len() - end - 1,
             None => self.open + piece.len(),
         };
-        if self.open > self.most { Err(TooLong) } else { Ok(()) }
+        if self.open > self.most { Err(LineTooLong) } else { Ok(()) }
     }
 
     /// Whether anything is here that was not taken yet.
-    pub fn is_open(&self) -> bool {
+    pub fn has_buffered_bytes(&self) -> bool {
         !self.bytes.is_empty()
     }
 
     /// Bytes that are here and were not taken yet.
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.bytes.len()
     }
 }
 
-impl Iterator for Lines {
+impl Iterator for LineBuffer {
     type Item = Vec<u8>;
 
     fn next(&mut self) -> Option<Vec<u8>> {
--- a/crates/config/src/lines_test.rs
+++ b/crates/config/src/lines_test.rs
@@ -2,10 +2,10 @@
 
 #[test]
 fn a_line_without_end_is_cut_off_at_its_bound() {
-    let mut lines = Lines::new(10);
+    let mut lines = LineBuffer::new(10);
     assert_eq!(lines.push(b"one\ntwo\nthree"), Ok(()));
     assert_eq!(lines.by_ref().collect::<Vec<_>>(), [b"one".to_vec(), b"two".to_vec()]);
-    assert!(lines.is_open());
+    assert!(lines.has_buffered_bytes());
     assert_eq!(lines.push(b"45678"), Ok(()));
-    assert_eq!(lines.push(b"9"), Err(TooLong));
+    assert_eq!(lines.push(b"9"), Err(LineTooLong));
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -4,22 +4,22 @@
 
 /// One step down a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum PathStep {
     Key(String),
     Item(usize),
 }
 
 /// The way to a value from the document's root.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Path(pub Vec<Step>);
+pub struct Path(pub Vec<PathStep>);
 
 impl Path {
     pub fn key(&self, name: &str) -> Path {
-        Path(self.0.iter().cloned().chain([Step::Key(name.to_owned())]).collect())
+        Path(self.0.iter().cloned().chain([PathStep::Key(name.to_owned())]).collect())
     }
 
     pub fn item(&self, index: usize) -> Path {
-        Path(self.0.iter().cloned().chain([Step::Item(index)]).collect())
+        Path(self.0.iter().cloned().chain([PathStep::Item(index)]).collect())
     }
 
     /// Whether this is `other`, or stands within it.
@@ -30,15 +30,15 @@
 
 /// The path of these keys.
 pub fn path(keys: &[&str]) -> Path {
-    Path(keys.iter().map(|k| Step::Key((*k).to_owned())).collect())
+    Path(keys.iter().map(|k| PathStep::Key((*k).to_owned())).collect())
 }
 
 impl fmt::Display for Path {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (n, step) in self.0.iter().enumerate() {
             match step {
-                Step::Item(index) => write!(f, "[{index}]")?,
-                Step::Key(key) => {
+                PathStep::Item(index) => write!(f, "[{index}]")?,
+                PathStep::Key(key) => {
                     let bare = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
                     let dot = if n > 0 { "." } else { "" };
                     match !key.is_empty() && key.chars().all(bare) {
@@ -58,21 +58,21 @@
     /// The value that is at fault; the root where the text itself cannot be read.
     pub path: Path,
     /// Line and column, from 1; None for a document without lines.
-    pub place: Option<(usize, usize)>,
-    pub why: String,
+    pub position: Option<(usize, usize)>,
+    pub reason: String,
 }
 
 impl Problem {
-    pub fn new(path: Path, why: impl Into<String>) -> Self {
-        Problem { path, place: None, why: why.into() }
+    pub fn new(path: Path, reason: impl Into<String>) -> Self {
+        Problem { path, position: None, reason: reason.into() }
     }
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.path.0.is_empty() {
-            true => write!(f, "{}", self.why),
-            false => write!(f, "{}: {}", self.path, self.why),
+            true => write!(f, "{}", self.reason),
+            false => write!(f, "{}: {}", self.path, self.reason),
         }
     }
 }
@@ -96,7 +96,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (n, problem) in self.all.iter().enumerate() {
             let line = if n > 0 { "\n" } else { "" };
-            match problem.place {
+            match problem.position {
                 Some((row, column)) => write!(f, "{line}{}:{row}:{column}: {problem}", self.source)?,
                 None => write!(f, "{line}{}: {problem}", self.source)?,
             }
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Path segments that are looked at; a path with more is no route's.
-pub const SEGMENTS_MOST: usize = 64;
+pub const MAX_SEGMENTS: usize = 64;
 
 /// What a request must be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -40,8 +40,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Segment {
-    Text(String),
-    Any(String),
+    Literal(String),
+    Wildcard(String),
 }
 
 impl Pattern {
@@ -59,8 +59,8 @@
         }
         let mut segments: Vec<Segment> = Vec::new();
         let parts: Vec<&str> = if prefix && rest.is_empty() { Vec::new() } else { rest.split('/').collect() };
-        if parts.len() > SEGMENTS_MOST {
-            return Err(format!("more than {SEGMENTS_MOST} segments"));
+        if parts.len() > MAX_SEGMENTS {
+            return Err(format!("more than {MAX_SEGMENTS} segments"));
         }
         let last = parts.len().saturating_sub(1);
         for (n, part) in parts.iter().enumerate() {
@@ -73,18 +73,18 @@
                 Some(name) if name.contains(['{', '}']) => {
                     return Err(format!("{part:?} is neither text nor one {{name}}"));
                 }
-                Some(name) => Segment::Any(name.to_owned()),
+                Some(name) => Segment::Wildcard(name.to_owned()),
                 None if part.contains(['{', '}']) => {
                     return Err(format!("{part:?}: {{name}} stands for a whole segment"));
                 }
                 None if part.is_empty() && n < last => return Err("an empty segment".to_owned()),
                 None => {
                     let plain =
-                        normal_path(&format!("/{part}")).ok_or(format!("{part:?} is no plain segment"))?;
-                    Segment::Text(plain[1..].to_owned())
+                        normalize_path(&format!("/{part}")).ok_or(format!("{part:?} is no plain segment"))?;
+                    Segment::Literal(plain[1..].to_owned())
                 }
             };
-            if segments.contains(&segment) && matches!(segment, Segment::Any(_)) {
+            if segments.contains(&segment) && matches!(segment, Segment::Wildcard(_)) {
                 return Err(format!("{part} comes twice"));
             }
             segments.push(segment);
@@ -95,8 +95,8 @@
     /// Names that a rewrite may use.
     pub fn names(&self) -> Vec<&str> {
         let any = self.segments.iter().filter_map(|s| match s {
-            Segment::Any(name) => Some(name.as_str()),
-            Segment::Text(_) => None,
+            Segment::Wildcard(name) => Some(name.as_str()),
+            Segment::Literal(_) => None,
         });
         any.chain(self.prefix.then_some("rest")).collect()
     }
@@ -107,7 +107,7 @@
         let mut found = Vec::new();
         for segment in &self.segments {
             let (part, behind) = rest.split_once('/').unwrap_or((rest, ""));
-            if let Segment::Any(name) = segment {
+            if let Segment::Wildcard(name) = segment {
                 found.push((name.as_str(), part));
             }
             rest = behind;
@@ -120,7 +120,7 @@
 /// A path as it is compared: percent-encoded characters that need no encoding are decoded, the others in
 /// upper case (RFC 3986, 6.2.2). None for one that readers take for different paths: an empty segment before
 /// the end, `.` and `..`, an encoded slash, a control character, an encoding that is none.
-pub fn normal_path(path: &str) -> Option<String> {
+pub fn normalize_path(path: &str) -> Option<String> {
     let mut out = String::with_capacity(path.len());
     let mut rest = path.as_bytes();
     while let Some((byte, behind)) = rest.split_first() {
@@ -237,8 +237,8 @@
             };
             for segment in &condition.path.segments {
                 tree = match segment {
-                    Segment::Text(text) => tree.texts.entry(text.clone()).or_default(),
-                    Segment::Any(_) => tree.segment.get_or_insert_default(),
+                    Segment::Literal(text) => tree.texts.entry(text.clone()).or_default(),
+                    Segment::Wildcard(_) => tree.segment.get_or_insert_default(),
                 };
             }
             let leaf = if condition.path.prefix { &mut tree.prefix } else { &mut tree.whole };
@@ -253,7 +253,7 @@
     /// Why it has none.
     pub fn route(&self, request: &impl Request) -> Result<usize, NoRoute> {
         let path = request.path().strip_prefix('/').unwrap_or_default();
-        let segments: Vec<&str> = path.split('/').take(SEGMENTS_MOST + 1).collect();
+        let segments: Vec<&str> = path.split('/').take(MAX_SEGMENTS + 1).collect();
         let mut miss = Miss::default();
         let mut found = None;
         if let Some(tree) = self.hosts.get(request.host()) {
--- a/crates/config/src/route_test.rs
+++ b/crates/config/src/route_test.rs
@@ -43,8 +43,8 @@
     };
     let path = long
         && c.path.segments.iter().zip(&parts).all(|(s, p)| match s {
-            Segment::Text(t) => t == p,
-            Segment::Any(_) => !p.is_empty(),
+            Segment::Literal(t) => t == p,
+            Segment::Wildcard(_) => !p.is_empty(),
         });
     let headers = c.headers.iter().all(|(n, v)| asked.header(n) == Some(v));
     host && path && headers && c.methods.iter().any(|m| m == asked.method)
@@ -59,7 +59,7 @@
     };
     let path = |c: &Condition| {
         let mut ranks: Vec<u8> =
-            c.path.segments.iter().map(|s| u8::from(matches!(s, Segment::Any(_)))).collect();
+            c.path.segments.iter().map(|s| u8::from(matches!(s, Segment::Wildcard(_)))).collect();
         // Behind the last segment: the end, or anything.
         ranks.push(if c.path.prefix { 3 } else { 2 });
         ranks
@@ -73,7 +73,7 @@
 /// Two of equal precedence that one request could both match.
 fn conflict(a: &Condition, b: &Condition) -> bool {
     let texts = |c: &Condition| -> Vec<Option<String>> {
-        let text = |s: &Segment| if let Segment::Text(t) = s { Some(t.clone()) } else { None };
+        let text = |s: &Segment| if let Segment::Literal(t) = s { Some(t.clone()) } else { None };
         c.path.segments.iter().map(text).collect()
     };
     let methods = a.methods.iter().any(|m| b.methods.contains(m));
@@ -210,7 +210,7 @@
         ("/a%+1", None),
         ("/a b", None),
     ] {
-        assert_eq!(normal_path(path).as_deref(), normal, "{path}");
+        assert_eq!(normalize_path(path).as_deref(), normal, "{path}");
     }
 }
 
--- a/crates/config/src/topic.rs
+++ b/crates/config/src/topic.rs
@@ -5,19 +5,19 @@
 //! `#`. So a topic has one entry whatever the order in which they were written. Two with the same filter are an error.
 
 use crate::file::{IdentityScope, Pick};
-use crate::route::{Condition, Pattern, Request, Router, SEGMENTS_MOST, Segment, normal_path};
+use crate::route::{Condition, MAX_SEGMENTS, Pattern, Request, Router, Segment, normalize_path};
 use std::borrow::Cow;
 
 /// Longest topic, bytes: it is on record with each message.
-pub const TOPIC_MOST: usize = 1024;
+pub const MAX_TOPIC_BYTES: usize = 1024;
 
 /// Whether a topic can be published to.
-pub fn is_name(topic: &str) -> bool {
-    !topic.is_empty() && topic.len() <= TOPIC_MOST && !topic.contains(['+', '#', '\0'])
+pub fn is_topic_name(topic: &str) -> bool {
+    !topic.is_empty() && topic.len() <= MAX_TOPIC_BYTES && !topic.contains(['+', '#', '\0'])
 }
 
 /// Whether it is a filter.
-pub fn is_filter(filter: &str) -> bool {
+pub fn is_topic_filter(filter: &str) -> bool {
     let levels: Vec<&str> = filter.split('/').collect();
     let last = levels.len() - 1;
     let level = |(n, level): (usize, &&str)| match *level {
@@ -25,7 +25,7 @@
         "#" => n == last,
         text => !text.contains(['+', '#', '\0']),
     };
-    !filter.is_empty() && filter.len() <= TOPIC_MOST && levels.iter().enumerate().all(level)
+    !filter.is_empty() && filter.len() <= MAX_TOPIC_BYTES && levels.iter().enumerate().all(level)
 }
 
 /// Whether a topic matches a filter.
@@ -54,7 +54,7 @@
     pub class: usize,
     pub pattern: Pattern,
     pub identity: Option<Pick>,
-    pub scope: IdentityScope,
+    pub identity_scope: IdentityScope,
     pub key: Option<Pick>,
     pub time_out: Option<Pick>,
     /// The path towards the endpoint; None for the topic itself.
@@ -71,8 +71,8 @@
 ///
 /// # Errors
 /// It is none.
-pub fn pattern(filter: &str) -> Result<Pattern, String> {
-    if !is_filter(filter) {
+pub fn parse_filter(filter: &str) -> Result<Pattern, String> {
+    if !is_topic_filter(filter) {
         return Err(format!("{filter:?} is no topic filter, such as \"fuel/+/pay\" or \"fuel/#\""));
     }
     if filter.starts_with('$') {
@@ -84,14 +84,14 @@
             "#" => prefix = true,
             "+" => {
                 wild += 1;
-                segments.push(Segment::Any(wild.to_string()));
+                segments.push(Segment::Wildcard(wild.to_string()));
             }
-            "" => segments.push(Segment::Text(EMPTY.to_owned())),
-            text => segments.push(Segment::Text(text.to_owned())),
+            "" => segments.push(Segment::Literal(EMPTY.to_owned())),
+            text => segments.push(Segment::Literal(text.to_owned())),
         }
     }
-    if segments.len() > SEGMENTS_MOST {
-        return Err(format!("more than {SEGMENTS_MOST} levels"));
+    if segments.len() > MAX_SEGMENTS {
+        return Err(format!("more than {MAX_SEGMENTS} levels"));
     }
     Ok(Pattern { segments, prefix })
 }
@@ -119,13 +119,13 @@
 }
 
 /// A message, as far as it is looked at.
-pub struct Published<'a> {
+pub struct PublishedMessage<'a> {
     pub topic: &'a str,
     pub payload: &'a [u8],
     pub properties: &'a [(String, String)],
 }
 
-impl Published<'_> {
+impl PublishedMessage<'_> {
     /// The value of a user property, if it is there once.
     pub fn property(&self, name: &str) -> Option<&str> {
         let mut of =
@@ -134,7 +134,7 @@
     }
 
     /// What stands where `pick` says; None if there is nothing, or it is neither text nor a number.
-    pub fn pick(&self, pick: &Pick) -> Option<Cow<'_, str>> {
+    pub fn extract(&self, pick: &Pick) -> Option<Cow<'_, str>> {
         let text = if let Some(name) = &pick.property {
             Cow::Borrowed(self.property(name)?)
         } else if let Some(level) = pick.level {
@@ -156,7 +156,7 @@
     pub fn path(&self, topic: &str) -> Option<String> {
         let Some(rewrite) = &self.rewrite else {
             let levels: Vec<String> = topic.split('/').map(encoded).collect();
-            return normal_path(&format!("/{}", levels.join("/")));
+            return normalize_path(&format!("/{}", levels.join("/")));
         };
         let mut path = rewrite.clone();
         let tree = in_tree(topic);
@@ -164,7 +164,7 @@
             let levels: Vec<String> = value.split('/').map(|l| encoded(l.trim_matches('\0'))).collect();
             path = path.replace(&format!("{{{name}}}"), &levels.join("/"));
         }
-        normal_path(&path)
+        normalize_path(&path)
     }
 }
 
@@ -218,7 +218,7 @@
     }
 
     /// What becomes of a message that is published to a topic; None if it is not taken.
-    pub fn choose(&self, topic: &str) -> Option<&Topic> {
+    pub fn match_topic(&self, topic: &str) -> Option<&Topic> {
         if topic.starts_with('$') {
             return None;
         }
--- a/crates/config/src/topic_test.rs
+++ b/crates/config/src/topic_test.rs
@@ -22,7 +22,7 @@
         ("$SYS/#", "$SYS/", true),
         ("ACCOUNTS", "Accounts", false),
     ] {
-        assert!(is_filter(filter) && is_name(topic), "{filter} {topic}");
+        assert!(is_topic_filter(filter) && is_topic_name(topic), "{filter} {topic}");
         assert_eq!(matches(filter, topic), holds, "{filter} {topic}");
     }
 }
@@ -32,9 +32,9 @@
         name: name.to_owned(),
         pool: 0,
         class: 0,
-        pattern: pattern(filter).expect("a filter"),
+        pattern: parse_filter(filter).expect("a filter"),
         identity: None,
-        scope: IdentityScope::All,
+        identity_scope: IdentityScope::All,
         key: None,
         time_out: None,
         rewrite: None,
@@ -82,18 +82,18 @@
             }
             filters.push(levels.join("/"));
         }
-        filters.retain(|f| is_filter(f));
+        filters.retain(|f| is_topic_filter(f));
         filters.sort();
         filters.dedup();
         let table = Topics::new(filters.iter().map(|f| topic(f, f)).collect()).expect("no conflict");
         for n in 0..30 {
             let name = (0..n % 5 + 1).map(|_| level(false)).collect::<Vec<_>>().join("/");
-            if !is_name(&name) {
+            if !is_topic_name(&name) {
                 continue;
             }
             let scan = filters.iter().filter(|f| matches(f, &name));
             let best = scan.reduce(|a, b| if before(b, a) { b } else { a });
-            let chosen = table.choose(&name).map(|t| &t.name);
+            let chosen = table.match_topic(&name).map(|t| &t.name);
             assert_eq!(chosen, best, "seed {seed}: {name:?} of {filters:?}");
         }
     }
@@ -120,18 +120,18 @@
         ("twice".to_owned(), "2".to_owned()),
     ];
     let payload = br#"{"payment": {"id": "p-2", "number": 7, "list": []}}"#;
-    let of = Published { topic: "fuel/st-3/pay", payload, properties: &properties };
+    let of = PublishedMessage { topic: "fuel/st-3/pay", payload, properties: &properties };
     let property = |name: &str| Pick { property: Some(name.to_owned()), ..Pick::default() };
     let pointer = |text: &str| Pick { pointer: Some(text.to_owned()), ..Pick::default() };
-    assert_eq!(of.pick(&property("ID")).as_deref(), Some("p-1"));
-    assert_eq!(of.pick(&property("twice")), None, "which of them?");
-    assert_eq!(of.pick(&Pick { level: Some(2), ..Pick::default() }).as_deref(), Some("st-3"));
-    assert_eq!(of.pick(&Pick { level: Some(4), ..Pick::default() }), None);
-    assert_eq!(of.pick(&pointer("/payment/id")).as_deref(), Some("p-2"));
-    assert_eq!(of.pick(&pointer("/payment/number")).as_deref(), Some("7"));
-    assert_eq!(of.pick(&pointer("/payment/list")), None);
-    let no_json = Published { payload: b"42", ..of };
-    assert_eq!(no_json.pick(&pointer("/payment/id")), None);
+    assert_eq!(of.extract(&property("ID")).as_deref(), Some("p-1"));
+    assert_eq!(of.extract(&property("twice")), None, "which of them?");
+    assert_eq!(of.extract(&Pick { level: Some(2), ..Pick::default() }).as_deref(), Some("st-3"));
+    assert_eq!(of.extract(&Pick { level: Some(4), ..Pick::default() }), None);
+    assert_eq!(of.extract(&pointer("/payment/id")).as_deref(), Some("p-2"));
+    assert_eq!(of.extract(&pointer("/payment/number")).as_deref(), Some("7"));
+    assert_eq!(of.extract(&pointer("/payment/list")), None);
+    let no_json = PublishedMessage { payload: b"42", ..of };
+    assert_eq!(no_json.extract(&pointer("/payment/id")), None);
 }
 
 // Of 5.0: MQTT-4.7.1-1, MQTT-4.7.1-2
@@ -139,9 +139,9 @@
 #[test]
 fn what_is_no_filter_and_no_name_is_refused() {
     for bad in ["", "sport/tennis#", "sport/tennis/#/ranking", "sport+", "a/b+/c", "a\0b"] {
-        assert!(!is_filter(bad), "{bad}");
+        assert!(!is_topic_filter(bad), "{bad}");
     }
-    for bad in ["", "a/+", "#", "a\0b", &"x".repeat(TOPIC_MOST + 1)] {
-        assert!(!is_name(bad), "{bad}");
+    for bad in ["", "a/+", "#", "a\0b", &"x".repeat(MAX_TOPIC_BYTES + 1)] {
+        assert!(!is_topic_name(bad), "{bad}");
     }
 }
--- a/crates/config/src/tree.rs
+++ b/crates/config/src/tree.rs
@@ -1,6 +1,6 @@
 //! A document as a tree, from TOML or JSON, with the place of each value in its text.
 
-use crate::problem::{Path, Problem, Step};
+use crate::problem::{Path, PathStep, Problem};
 use std::ops::Range;
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Node {
     /// Bytes of the text; None for JSON, whose lines nobody edits.
-    pub place: Option<Range<usize>>,
+    pub span: Option<Range<usize>>,
     pub value: Value,
 }
 
@@ -17,7 +17,7 @@
 pub enum Value {
     /// Taken out, since it cannot be read: it counts as not there.
     #[default]
-    Cut,
+    Removed,
     Null,
     Bool(bool),
     Int(i64),
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub key: String,
-    pub key_place: Option<Range<usize>>,
+    pub key_span: Option<Range<usize>>,
     pub node: Node,
 }
 
@@ -39,19 +39,19 @@
 pub fn from_toml(text: &str) -> (Node, Vec<Problem>) {
     let (table, errors) = DeTable::parse_recoverable(text);
     let problems = errors.iter().map(|e| {
-        let place = e.span().map(|span| place_of(text, span.start));
-        Problem { path: Path::default(), place, why: e.message().replace('\n', ", ") }
+        let position = e.span().map(|span| line_and_column(text, span.start));
+        Problem { path: Path::default(), position, reason: e.message().replace('\n', ", ") }
     });
     let mut problems: Vec<Problem> = problems.collect();
     // What follows in one line mostly comes of the first.
-    problems.dedup_by_key(|p| p.place.map(|(line, _)| line));
-    let place = Some(table.span());
-    (Node { place, value: table_of(table.into_inner()) }, problems)
+    problems.dedup_by_key(|p| p.position.map(|(line, _)| line));
+    let span = Some(table.span());
+    (Node { span, value: table_of(table.into_inner()) }, problems)
 }
 
 fn table_of(table: DeTable) -> Value {
     let entry = |(key, value): (Spanned<std::borrow::Cow<str>>, Spanned<DeValue>)| Entry {
-        key_place: Some(key.span()),
+        key_span: Some(key.span()),
         key: key.into_inner().into_owned(),
         node: node_of(value),
     };
@@ -59,7 +59,7 @@
 }
 
 fn node_of(value: Spanned<DeValue>) -> Node {
-    let place = Some(value.span());
+    let span = Some(value.span());
     let value = match value.into_inner() {
         DeValue::String(text) => Value::Text(text.into_owned()),
         DeValue::Integer(n) => match i64::from_str_radix(n.as_str(), n.radix()) {
@@ -72,7 +72,7 @@
         DeValue::Array(items) => Value::List(items.into_iter().map(node_of).collect()),
         DeValue::Table(table) => table_of(table),
     };
-    Node { place, value }
+    Node { span, value }
 }
 
 /// The tree of a JSON value.
@@ -89,33 +89,33 @@
         Json::Object(fields) => {
             let entry = |(key, value): (&String, &Json)| Entry {
                 key: key.clone(),
-                key_place: None,
+                key_span: None,
                 node: from_json(value),
             };
             Value::Table(fields.iter().map(entry).collect())
         }
     };
-    Node { place: None, value }
+    Node { span: None, value }
 }
 
 impl Node {
     /// The value at a path.
     pub fn at(&self, path: &Path) -> Option<&Node> {
         path.0.iter().try_fold(self, |node, step| match (&node.value, step) {
-            (Value::Table(entries), Step::Key(key)) => {
+            (Value::Table(entries), PathStep::Key(key)) => {
                 entries.iter().find(|e| e.key == *key).map(|e| &e.node)
             }
-            (Value::List(items), Step::Item(index)) => items.get(*index),
+            (Value::List(items), PathStep::Item(index)) => items.get(*index),
             _ => None,
         })
     }
 
     pub(crate) fn at_mut(&mut self, path: &Path) -> Option<&mut Node> {
         path.0.iter().try_fold(self, |node, step| match (&mut node.value, step) {
-            (Value::Table(entries), Step::Key(key)) => {
+            (Value::Table(entries), PathStep::Key(key)) => {
                 entries.iter_mut().find(|e| e.key == *key).map(|e| &mut e.node)
             }
-            (Value::List(items), Step::Item(index)) => items.get_mut(*index),
+            (Value::List(items), PathStep::Item(index)) => items.get_mut(*index),
             _ => None,
         })
     }
@@ -134,14 +134,14 @@
         let mut start = None;
         for step in &path.0 {
             match (&node.value, step) {
-                (Value::Table(entries), Step::Key(key)) => {
+                (Value::Table(entries), PathStep::Key(key)) => {
                     let Some(entry) = entries.iter().find(|e| e.key == *key) else { break };
-                    start = entry.key_place.as_ref().map(|p| p.start).or(start);
+                    start = entry.key_span.as_ref().map(|p| p.start).or(start);
                     node = &entry.node;
                 }
-                (Value::List(items), Step::Item(index)) => {
+                (Value::List(items), PathStep::Item(index)) => {
                     let Some(item) = items.get(*index) else { break };
-                    start = item.place.as_ref().map(|p| p.start).or(start);
+                    start = item.span.as_ref().map(|p| p.start).or(start);
                     node = item;
                 }
                 _ => break,
@@ -152,7 +152,7 @@
 }
 
 /// Line and column of a byte, from 1. Columns count characters.
-pub fn place_of(text: &str, at: usize) -> (usize, usize) {
+pub fn line_and_column(text: &str, at: usize) -> (usize, usize) {
     let before = text.get(..at).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().map_or(0, |l| l.chars().count()) + 1;
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -33,9 +33,9 @@
 const SPAN_MOST: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
 
 fn span(text: &str) -> Result<Span, String> {
-    let why =
+    let reason =
         || format!("{text:?} is no time span: write a number and its unit, such as \"250ms\" or \"2s\"");
-    let span = humantime::parse_duration(text).map_err(|_| why())?;
+    let span = humantime::parse_duration(text).map_err(|_| reason())?;
     if span > SPAN_MOST {
         return Err(format!("{text:?} is longer than ten years"));
     }
@@ -43,10 +43,10 @@
 }
 
 fn size(text: &str) -> Result<Size, String> {
-    let why = || format!("{text:?} is no size: write a number and its unit, such as \"64KiB\" or \"3MB\"");
+    let reason = || format!("{text:?} is no size: write a number and its unit, such as \"64KiB\" or \"3MB\"");
     let bare = text.trim().bytes().all(|b| b.is_ascii_digit());
-    let size: bytesize::ByteSize = text.parse().map_err(|_| why())?;
-    if bare { Err(why()) } else { Ok(Size(size.as_u64())) }
+    let size: bytesize::ByteSize = text.parse().map_err(|_| reason())?;
+    if bare { Err(reason()) } else { Ok(Size(size.as_u64())) }
 }
 
 /// A part of the memory: a share, `"30%"`, or a size, `"16MB"`.
@@ -54,30 +54,30 @@
 pub struct Portion(pub memory::Portion);
 
 fn portion(text: &str) -> Result<Portion, String> {
-    let why = |_| {
+    let reason = |_| {
         format!("{text:?} is no part of the memory: write a share or a size, such as \"30%\" or \"16MB\"")
     };
     match text.trim().strip_suffix('%') {
-        None => size(text).map(|size| Portion(memory::Portion::Size(size.0))).map_err(why),
+        None => size(text).map(|size| Portion(memory::Portion::Size(size.0))).map_err(reason),
         Some(number) => {
-            let share = number.trim().parse::<f64>().map_err(|e| why(e.to_string()))?;
+            let share = number.trim().parse::<f64>().map_err(|e| reason(e.to_string()))?;
             Ok(Portion(memory::Portion::Share(share / 100.0)))
         }
     }
 }
 
 fn rate(text: &str) -> Result<Rate, String> {
-    let why = || format!("{text:?} is no rate: write a number a span, such as \"50/s\" or \"600/min\"");
-    let (number, unit) = text.split_once('/').ok_or_else(why)?;
-    let number: f64 = number.trim().parse().map_err(|_| why())?;
+    let reason = || format!("{text:?} is no rate: write a number a span, such as \"50/s\" or \"600/min\"");
+    let (number, unit) = text.split_once('/').ok_or_else(reason)?;
+    let number: f64 = number.trim().parse().map_err(|_| reason())?;
     let span = match unit.trim() {
         "s" => 1.0,
         "min" => 60.0,
         "h" => 3600.0,
-        _ => return Err(why()),
+        _ => return Err(reason()),
     };
     let rate = number / span;
-    if rate.is_finite() && rate > 0.0 { Ok(Rate(rate)) } else { Err(why()) }
+    if rate.is_finite() && rate > 0.0 { Ok(Rate(rate)) } else { Err(reason()) }
 }
 
 impl fmt::Display for Span {
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -37,11 +37,11 @@
     /// Line that cannot be read: no JSON, no version, both or none of config and patch.
     Unreadable(String),
     /// A number below the one in effect, or that is worked on.
-    GoesBack { newest: u64 },
+    NotNewer { newest: u64 },
     /// The number is taken by another configuration.
-    OtherContent,
+    ConflictingContent,
     /// A patch of a version that is not the newest here.
-    BaseUnknown { base: u64, newest: Option<u64> },
+    UnknownBase { base: u64, newest: Option<u64> },
     /// A newer version came before its turn.
     Superseded { by: u64 },
     /// The version that it is a patch of was refused.
@@ -53,10 +53,10 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refusal::Unreadable(why) => write!(f, "it cannot be read: {why}"),
-            Refusal::GoesBack { newest } => write!(f, "version {newest} came before: send a higher number"),
-            Refusal::OtherContent => write!(f, "this version came before with another configuration"),
-            Refusal::BaseUnknown { base, newest } => {
+            Refusal::Unreadable(reason) => write!(f, "it cannot be read: {reason}"),
+            Refusal::NotNewer { newest } => write!(f, "version {newest} came before: send a higher number"),
+            Refusal::ConflictingContent => write!(f, "this version came before with another configuration"),
+            Refusal::UnknownBase { base, newest } => {
                 write!(f, "it is a patch of version {base}, which is not the newest here (")?;
                 match newest {
                     Some(newest) => write!(f, "{newest}): send it whole"),
@@ -72,16 +72,16 @@
 
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum VersionAction {
     /// Check it, store it, put it into effect, and call [`Versions::done`].
-    Work(Version),
+    Apply(Version),
     /// It is in effect, and a later life would come up on it.
     Acknowledge {
         version: u64,
     },
     Refuse {
         version: Option<u64>,
-        why: Refusal,
+        reason: Refusal,
     },
 }
 
@@ -94,35 +94,40 @@
 
 /// Versions as one courier has them.
 #[derive(Clone, Debug, Default)]
-pub struct Versions {
-    held: Option<Version>,
+pub struct VersionTracker {
+    in_effect: Option<Version>,
     working: Option<Staged>,
     waiting: Option<Staged>,
 }
 
-impl Versions {
+impl VersionTracker {
     /// With the version that is in effect, if it is one of the service's.
-    pub fn new(held: Option<Version>) -> Self {
-        Versions { held, ..Versions::default() }
+    pub fn new(in_effect: Option<Version>) -> Self {
+        VersionTracker { in_effect, ..VersionTracker::default() }
     }
 
-    pub fn held(&self) -> Option<&Version> {
-        self.held.as_ref()
+    pub fn in_effect(&self) -> Option<&Version> {
+        self.in_effect.as_ref()
     }
 
     fn newest(&self) -> Option<&Version> {
         let staged = self.waiting.as_ref().or(self.working.as_ref()).map(|s| &s.version);
-        staged.or(self.held.as_ref())
+        staged.or(self.in_effect.as_ref())
     }
 
     /// Takes a line of the stream.
-    pub fn offer(&mut self, line: &[u8]) -> Vec<Step> {
+    pub fn receive_line(&mut self, line: &[u8]) -> Vec<VersionAction> {
         let line: Line = match serde_json::from_slice(line) {
             Ok(line) => line,
-            Err(e) => return vec![Step::Refuse { version: None, why: Refusal::Unreadable(e.to_string()) }],
+            Err(e) => {
+                return vec![VersionAction::Refuse {
+                    version: None,
+                    reason: Refusal::Unreadable(e.to_string()),
+                }];
+            }
         };
         let number = line.version;
-        let refuse = |why| vec![Step::Refuse { version: Some(number), why }];
+        let refuse = |reason| vec![VersionAction::Refuse { version: Some(number), reason }];
         let newest = self.newest();
         let (config, needs) = match (line.config, line.patch, line.base) {
             (Some(config), None, None) => (config, None),
@@ -134,29 +139,29 @@
                 }
                 // Sent once more after its answer was lost: what is in effect was made of the same base.
                 None if newest.is_some_and(|n| n.version >= number) => {
-                    return match self.held.as_ref().is_some_and(|h| h.version == number) {
-                        true => vec![Step::Acknowledge { version: number }],
-                        false => refuse(Refusal::GoesBack { newest: self.newest().map_or(0, |n| n.version) }),
+                    return match self.in_effect.as_ref().is_some_and(|h| h.version == number) {
+                        true => vec![VersionAction::Acknowledge { version: number }],
+                        false => refuse(Refusal::NotNewer { newest: self.newest().map_or(0, |n| n.version) }),
                     };
                 }
-                None => return refuse(Refusal::BaseUnknown { base, newest: newest.map(|n| n.version) }),
+                None => return refuse(Refusal::UnknownBase { base, newest: newest.map(|n| n.version) }),
             },
             _ => {
-                let why = "either config, or patch and base".to_owned();
-                return refuse(Refusal::Unreadable(why));
+                let reason = "either config, or patch and base".to_owned();
+                return refuse(Refusal::Unreadable(reason));
             }
         };
         let version = Version { version: number, config: Arc::new(config) };
         if let Some(known) = self.known(number) {
-            return match (known == &version, self.held.as_ref().is_some_and(|h| h.version == number)) {
-                (true, true) => vec![Step::Acknowledge { version: number }],
+            return match (known == &version, self.in_effect.as_ref().is_some_and(|h| h.version == number)) {
+                (true, true) => vec![VersionAction::Acknowledge { version: number }],
                 // Its answer is still to come.
                 (true, false) => Vec::new(),
-                (false, _) => refuse(Refusal::OtherContent),
+                (false, _) => refuse(Refusal::ConflictingContent),
             };
         }
         if let Some(newest) = newest.map(|n| n.version).filter(|n| number < *n) {
-            return refuse(Refusal::GoesBack { newest });
+            return refuse(Refusal::NotNewer { newest });
         }
         let staged = Staged { version, needs };
         if self.working.is_none() {
@@ -169,41 +174,41 @@
         };
         let old = self.waiting.replace(Staged { needs, ..staged });
         let by = number;
-        let superseded = |old: Staged| Step::Refuse {
+        let superseded = |old: Staged| VersionAction::Refuse {
             version: Some(old.version.version),
-            why: Refusal::Superseded { by },
+            reason: Refusal::Superseded { by },
         };
         old.map(superseded).into_iter().collect()
     }
 
     fn known(&self, number: u64) -> Option<&Version> {
         let staged = [&self.waiting, &self.working].into_iter().flatten().map(|s| &s.version);
-        staged.chain(&self.held).find(|v| v.version == number)
+        staged.chain(&self.in_effect).find(|v| v.version == number)
     }
 
-    fn work(&mut self, staged: Staged) -> Step {
+    fn work(&mut self, staged: Staged) -> VersionAction {
         let version = staged.version.clone();
         self.working = Some(staged);
-        Step::Work(version)
+        VersionAction::Apply(version)
     }
 
     /// Takes in what became of the version that was worked on.
-    pub fn done(&mut self, result: Result<(), Vec<String>>) -> Vec<Step> {
+    pub fn finish(&mut self, result: Result<(), Vec<String>>) -> Vec<VersionAction> {
         let Some(done) = self.working.take() else { return Vec::new() };
         let number = done.version.version;
         let mut steps = Vec::new();
         let failed = result.is_err();
         steps.push(match result {
             Ok(()) => {
-                self.held = Some(done.version);
-                Step::Acknowledge { version: number }
+                self.in_effect = Some(done.version);
+                VersionAction::Acknowledge { version: number }
             }
-            Err(faults) => Step::Refuse { version: Some(number), why: Refusal::Faults(faults) },
+            Err(faults) => VersionAction::Refuse { version: Some(number), reason: Refusal::Faults(faults) },
         });
         if let Some(next) = self.waiting.take() {
             let version = Some(next.version.version);
             steps.push(match next.needs == Some(number) && failed {
-                true => Step::Refuse { version, why: Refusal::BaseRefused { base: number } },
+                true => VersionAction::Refuse { version, reason: Refusal::BaseRefused { base: number } },
                 false => self.work(next),
             });
         }
@@ -211,7 +216,7 @@
     }
 
     /// The connection is gone: what waits there will be sent again, as far as it still counts.
-    pub fn disconnected(&mut self) {
+    pub fn discard_waiting(&mut self) {
         self.waiting = None;
     }
 }
--- a/crates/config/src/version_test.rs
+++ b/crates/config/src/version_test.rs
@@ -11,63 +11,67 @@
     json!({"version": version, "base": base, "patch": patch}).to_string().into_bytes()
 }
 
-fn work(version: u64, config: Value) -> Step {
-    Step::Work(Version { version, config: Arc::new(config) })
+fn work(version: u64, config: Value) -> VersionAction {
+    VersionAction::Apply(Version { version, config: Arc::new(config) })
 }
 
-fn refuse(version: u64, why: Refusal) -> Step {
-    Step::Refuse { version: Some(version), why }
+fn refuse(version: u64, reason: Refusal) -> VersionAction {
+    VersionAction::Refuse { version: Some(version), reason }
 }
 
-fn ack(version: u64) -> Step {
-    Step::Acknowledge { version }
+fn ack(version: u64) -> VersionAction {
+    VersionAction::Acknowledge { version }
 }
 
 #[test]
 fn a_version_is_worked_on_then_acknowledged_and_the_next_waits() {
-    let mut v = Versions::default();
-    assert_eq!(v.offer(&whole(3, json!({"a": 1}))), [work(3, json!({"a": 1}))]);
-    assert_eq!(v.offer(&whole(4, json!({"a": 2}))), []);
-    assert_eq!(v.offer(&whole(7, json!({"a": 3}))), [refuse(4, Refusal::Superseded { by: 7 })]);
-    assert_eq!(v.done(Ok(())), [ack(3), work(7, json!({"a": 3}))]);
-    assert_eq!(v.done(Err(vec!["no".to_owned()])), [refuse(7, Refusal::Faults(vec!["no".to_owned()]))]);
-    assert_eq!(v.held().map(|h| h.version), Some(3));
+    let mut v = VersionTracker::default();
+    assert_eq!(v.receive_line(&whole(3, json!({"a": 1}))), [work(3, json!({"a": 1}))]);
+    assert_eq!(v.receive_line(&whole(4, json!({"a": 2}))), []);
+    assert_eq!(v.receive_line(&whole(7, json!({"a": 3}))), [refuse(4, Refusal::Superseded { by: 7 })]);
+    assert_eq!(v.finish(Ok(())), [ack(3), work(7, json!({"a": 3}))]);
+    assert_eq!(v.finish(Err(vec!["no".to_owned()])), [refuse(7, Refusal::Faults(vec!["no".to_owned()]))]);
+    assert_eq!(v.in_effect().map(|h| h.version), Some(3));
 }
 
 #[test]
 fn numbers_that_go_back_or_repeat_are_told_apart() {
-    let mut v = Versions::new(Some(Version { version: 5, config: Arc::new(json!({"a": 1})) }));
-    assert_eq!(v.offer(&whole(5, json!({"a": 1}))), [ack(5)], "sent again: its answer may be lost");
-    assert_eq!(v.offer(&whole(5, json!({"a": 2}))), [refuse(5, Refusal::OtherContent)]);
-    assert_eq!(v.offer(&whole(4, json!({"a": 1}))), [refuse(4, Refusal::GoesBack { newest: 5 })]);
-    assert_eq!(v.offer(&whole(9, json!({"a": 1}))), [work(9, json!({"a": 1}))], "a gap is no fault");
-    assert_eq!(v.offer(&whole(9, json!({"a": 1}))), [], "its answer is still to come");
-    assert_eq!(v.offer(&whole(9, json!({"a": 2}))), [refuse(9, Refusal::OtherContent)]);
-    assert_eq!(v.offer(&whole(7, json!({"a": 1}))), [refuse(7, Refusal::GoesBack { newest: 9 })]);
+    let mut v = VersionTracker::new(Some(Version { version: 5, config: Arc::new(json!({"a": 1})) }));
+    assert_eq!(v.receive_line(&whole(5, json!({"a": 1}))), [ack(5)], "sent again: its answer may be lost");
+    assert_eq!(v.receive_line(&whole(5, json!({"a": 2}))), [refuse(5, Refusal::ConflictingContent)]);
+    assert_eq!(v.receive_line(&whole(4, json!({"a": 1}))), [refuse(4, Refusal::NotNewer { newest: 5 })]);
+    assert_eq!(v.receive_line(&whole(9, json!({"a": 1}))), [work(9, json!({"a": 1}))], "a gap is no fault");
+    assert_eq!(v.receive_line(&whole(9, json!({"a": 1}))), [], "its answer is still to come");
+    assert_eq!(v.receive_line(&whole(9, json!({"a": 2}))), [refuse(9, Refusal::ConflictingContent)]);
+    assert_eq!(v.receive_line(&whole(7, json!({"a": 1}))), [refuse(7, Refusal::NotNewer { newest: 9 })]);
 }
 
 #[test]
 fn patches_need_the_version_that_they_are_made_of() {
-    let mut v = Versions::new(Some(Version { version: 5, config: Arc::new(json!({"a": {"b": 1, "c": 2}})) }));
+    let mut v =
+        VersionTracker::new(Some(Version { version: 5, config: Arc::new(json!({"a": {"b": 1, "c": 2}})) }));
     let newest = Some(5);
-    assert_eq!(v.offer(&patch(7, 6, json!({}))), [refuse(7, Refusal::BaseUnknown { base: 6, newest })]);
     assert_eq!(
-        v.offer(&patch(6, 5, json!({"a": {"b": null, "d": 3}}))),
+        v.receive_line(&patch(7, 6, json!({}))),
+        [refuse(7, Refusal::UnknownBase { base: 6, newest })]
+    );
+    assert_eq!(
+        v.receive_line(&patch(6, 5, json!({"a": {"b": null, "d": 3}}))),
         [work(6, json!({"a": {"c": 2, "d": 3}}))]
     );
     // A patch on what is worked on, and one on that: the first is held in the second.
-    assert_eq!(v.offer(&patch(7, 6, json!({"e": 1}))), []);
-    assert_eq!(v.offer(&patch(8, 7, json!({"f": 1}))), [refuse(7, Refusal::Superseded { by: 8 })]);
+    assert_eq!(v.receive_line(&patch(7, 6, json!({"e": 1}))), []);
+    assert_eq!(v.receive_line(&patch(8, 7, json!({"f": 1}))), [refuse(7, Refusal::Superseded { by: 8 })]);
     let all = json!({"a": {"c": 2, "d": 3}, "e": 1, "f": 1});
-    assert_eq!(v.clone().done(Ok(())), [ack(6), work(8, all)]);
-    let bad = v.done(Err(vec![]));
+    assert_eq!(v.clone().finish(Ok(())), [ack(6), work(8, all)]);
+    let bad = v.finish(Err(vec![]));
     assert_eq!(bad, [refuse(6, Refusal::Faults(vec![])), refuse(8, Refusal::BaseRefused { base: 6 })]);
-    assert_eq!(v.held().map(|h| h.version), Some(5));
+    assert_eq!(v.in_effect().map(|h| h.version), Some(5));
 }
 
 #[test]
 fn lines_that_are_none_are_refused_and_change_nothing() {
-    let mut v = Versions::default();
+    let mut v = VersionTracker::default();
     for bad in [
         "",
         "{",
@@ -80,10 +84,13 @@
         "{\"version\":1,\"config\":{},\"more\":1}",
         "\u{0}",
     ] {
-        let steps = v.offer(bad.as_bytes());
-        assert!(matches!(&steps[..], [Step::Refuse { why: Refusal::Unreadable(_), .. }]), "{bad}: {steps:?}");
+        let steps = v.receive_line(bad.as_bytes());
+        assert!(
+            matches!(&steps[..], [VersionAction::Refuse { reason: Refusal::Unreadable(_), .. }]),
+            "{bad}: {steps:?}"
+        );
     }
-    assert_eq!(v.offer(&whole(1, json!({}))), [work(1, json!({}))]);
+    assert_eq!(v.receive_line(&whole(1, json!({}))), [work(1, json!({}))]);
 }
 
 /// Every version that is sent has one answer at the end, and what is in effect is the last acknowledged.
@@ -91,19 +98,21 @@
 fn each_version_has_one_answer_whatever_comes() {
     for seed in 0..2000 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut v = Versions::default();
+        let mut v = VersionTracker::default();
         let (mut sent, mut answers) = (BTreeMap::new(), BTreeMap::<u64, Vec<bool>>::new());
         let (mut effect, mut working): (Option<Version>, Option<Version>) = (None, None);
         let mut next = 1;
-        let mut take = |steps: Vec<Step>, working: &mut Option<Version>| {
+        let mut take = |steps: Vec<VersionAction>, working: &mut Option<Version>| {
             for step in steps {
                 match step {
-                    Step::Work(version) => assert!(working.replace(version).is_none(), "one at a time"),
-                    Step::Acknowledge { version } => answers.entry(version).or_default().push(true),
-                    Step::Refuse { version: Some(version), .. } => {
+                    VersionAction::Apply(version) => {
+                        assert!(working.replace(version).is_none(), "one at a time")
+                    }
+                    VersionAction::Acknowledge { version } => answers.entry(version).or_default().push(true),
+                    VersionAction::Refuse { version: Some(version), .. } => {
                         answers.entry(version).or_default().push(false);
                     }
-                    Step::Refuse { version: None, .. } => {}
+                    VersionAction::Refuse { version: None, .. } => {}
                 }
             }
         };
@@ -111,33 +120,37 @@
             let steps = match rng.random_range(0..4) {
                 0 => {
                     sent.insert(next, ());
-                    v.offer(&whole(next, json!({"n": next})))
+                    v.receive_line(&whole(next, json!({"n": next})))
                 }
                 1 => {
                     sent.insert(next, ());
-                    v.offer(&patch(next, next.saturating_sub(rng.random_range(1..3)), json!({"p": next})))
+                    v.receive_line(&patch(
+                        next,
+                        next.saturating_sub(rng.random_range(1..3)),
+                        json!({"p": next}),
+                    ))
                 }
-                2 => v.offer(b"nonsense"),
+                2 => v.receive_line(b"nonsense"),
                 _ => {
                     let Some(done) = working.take() else { continue };
                     let good = rng.random_bool(0.7);
                     if good {
                         effect = Some(done);
                     }
-                    v.done(if good { Ok(()) } else { Err(vec!["x".to_owned()]) })
+                    v.finish(if good { Ok(()) } else { Err(vec!["x".to_owned()]) })
                 }
             };
             take(steps, &mut working);
             next += rng.random_range(1..3);
-            assert_eq!(v.held(), effect.as_ref(), "seed {seed}");
+            assert_eq!(v.in_effect(), effect.as_ref(), "seed {seed}");
         }
         while let Some(done) = working.take() {
             effect = Some(done);
-            take(v.done(Ok(())), &mut working);
+            take(v.finish(Ok(())), &mut working);
         }
         for version in sent.keys() {
             assert_eq!(answers.get(version).map(Vec::len), Some(1), "seed {seed}: version {version}");
         }
-        assert_eq!(v.held(), effect.as_ref());
+        assert_eq!(v.in_effect(), effect.as_ref());
     }
 }
--- a/crates/config/tests/bad.rs
+++ b/crates/config/tests/bad.rs
@@ -22,7 +22,9 @@
             let (key, word) = (parts.next().expect("a key"), parts.next().unwrap_or_default());
             let key = if key == "-" { "" } else { key };
             let at = left.iter().position(|p| {
-                p.place.is_some_and(|(r, _)| r == row) && p.path.to_string() == key && p.why.contains(word)
+                p.position.is_some_and(|(r, _)| r == row)
+                    && p.path.to_string() == key
+                    && p.reason.contains(word)
             });
             let at = at.unwrap_or_else(|| panic!("{name}: nothing tells {line:?}:\n{problems}"));
             left.remove(at);
--- a/crates/config/tests/memory_estimate.rs
+++ b/crates/config/tests/memory_estimate.rs
@@ -38,7 +38,7 @@
         let change = region.change();
         drop(document);
         let truth = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
-        let estimate = installation.weigh() + text.len() as u64;
+        let estimate = installation.estimated_bytes() + text.len() as u64;
         let off = estimate as f64 / truth - 1.0;
         let what =
             format!("{pools} pools of {endpoints} endpoints and {routes} routes, {} B of text", text.len());
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -24,7 +24,7 @@
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
 use stairshed_config::installation::Document;
-use stairshed_config::version::{Version, Versions};
+use stairshed_config::version::{Version, VersionTracker};
 use stairshed_decide::interface::Settings;
 use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Durability, Journal};
@@ -92,7 +92,7 @@
     let names = installation.classes.iter().map(|c| c.name.clone());
     let classes = match installation.classes.is_empty() {
         // The decision module needs at least one class, even before the first version arrives.
-        true => ClassTable::none(),
+        true => ClassTable::placeholder(),
         false => ClassTable::new(names.zip(installation.settings.classes.iter().cloned())),
     };
     Setup {
@@ -254,7 +254,7 @@
     let running = tokio::task::spawn_local(dispatcher.run(event_queue));
     let mut config_updater = ConfigUpdater::new(
         (file, document, store),
-        (Versions::new(version), installation),
+        (VersionTracker::new(version), installation),
         (active_config.clone(), events.clone(), http_server),
         status.clone(),
         resolver_handle,
--- a/crates/courier/src/config_tool.rs
+++ b/crates/courier/src/config_tool.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 use stairshed_config::installation::Pool;
-use stairshed_config::route::{self, NoRoute, normal_path};
+use stairshed_config::route::{self, NoRoute, normalize_path};
 use stairshed_config::topic;
 use stairshed_config::{Installation, Problems, load, report};
 use stairshed_courier::admin_client;
@@ -95,7 +95,7 @@
     let mut parts = text.trim().splitn(3, ' ');
     let (method, path) = (parts.next().unwrap_or_default(), parts.next().ok_or_else(syntax_error)?);
     let path = path.split('?').next().unwrap_or_default();
-    let path = normal_path(path).ok_or_else(|| Error::Request(format!("{path:?} is not a plain path")))?;
+    let path = normalize_path(path).ok_or_else(|| Error::Request(format!("{path:?} is not a plain path")))?;
     let (mut headers, mut host) = (Vec::new(), String::new());
     for header in parts.next().into_iter().flat_map(|h| h.split(", ")) {
         let (name, value) = header.split_once(':').ok_or_else(syntax_error)?;
@@ -111,7 +111,7 @@
 /// Prints how `PUBLISH topic` would be routed. Returns false if it would be rejected.
 fn explain_topic(installation: &Installation, name: &str, out: &mut impl Write) -> Result<bool, Error> {
     writeln!(out, "PUBLISH {name}")?;
-    let topic = if topic::is_name(name) { installation.topics.choose(name) } else { None };
+    let topic = if topic::is_topic_name(name) { installation.topics.match_topic(name) } else { None };
     let Some(topic) = topic else {
         writeln!(out, "  0x90: no entry in [topics] matches this topic")?;
         return Ok(false);
@@ -147,7 +147,7 @@
     }
     let request = parse_request(text)?;
     writeln!(out, "{} {}", request.method, request.path)?;
-    let matched = match installation.choose(&request) {
+    let matched = match installation.match_request(&request) {
         Ok(matched) => matched,
         Err(no_route) => {
             match no_route {
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -18,10 +18,10 @@
 use hyper::{Request, StatusCode, header};
 use serde_json::{Value, json};
 use stairshed_config::Installation;
-use stairshed_config::change::{changes, destinations};
+use stairshed_config::change::{member_changes, removed_and_current_destinations};
 use stairshed_config::installation::{Document, Url};
-use stairshed_config::lines::Lines;
-use stairshed_config::version::{Refusal, Step, Version, Versions};
+use stairshed_config::lines::LineBuffer;
+use stairshed_config::version::{Refusal, Version, VersionAction, VersionTracker};
 use stairshed_memory::Purpose;
 use std::cell::RefCell;
 use std::fs::{self, File};
@@ -193,7 +193,7 @@
 pub struct ConfigUpdater {
     file: PathBuf,
     store: VersionStore,
-    versions: Versions,
+    versions: VersionTracker,
     installation: Arc<Installation>,
     active_config: ActiveConfig,
     events: Sender<DispatcherEvent>,
@@ -215,13 +215,13 @@
     /// answers.
     pub fn new(
         (file, document, store): (PathBuf, Document, VersionStore),
-        (versions, installation): (Versions, Arc<Installation>),
+        (versions, installation): (VersionTracker, Arc<Installation>),
         (active_config, events, http_server): (ActiveConfig, Sender<DispatcherEvent>, Rc<HttpServer>),
         status: Rc<ConfigStatus>,
         resolver: ResolverHandle,
     ) -> Self {
         let (event_sender, stream_events) = mpsc::channel(MAX_QUEUED_EVENTS);
-        let current = versions.held().cloned();
+        let current = versions.in_effect().cloned();
         let answer_queue = installation.control.as_ref().map(|url| {
             let (answer, queue) = mpsc::channel(MAX_QUEUED_ANSWERS);
             let control = installation.file.control.clone().unwrap_or_default();
@@ -293,7 +293,7 @@
     /// Waits for the first version. Returns false if none arrives in time.
     pub async fn wait_for_first_version(&mut self, wait: Duration) -> bool {
         let until = Instant::now() + wait;
-        while self.versions.held().is_none() {
+        while self.versions.in_effect().is_none() {
             let Ok(more) = tokio::time::timeout_at(until, self.handle_one(None)).await else { return false };
             if !more {
                 return false;
@@ -329,26 +329,26 @@
                     Ok(done) => self.finish_change(done).await,
                     Err(e) => {
                         eprintln!("configuration: the validation of a version did not complete: {e}");
-                        self.update_versions(|v| v.done(Err(vec!["its validation did not complete".to_owned()])))
+                        self.update_versions(|v| v.finish(Err(vec!["its validation did not complete".to_owned()])))
                             .await;
                     }
                 }
             }
             event = self.stream_events.recv(), if self.answer_queue.is_some() => match event {
                 Some(StreamEvent::Line(line)) => {
-                    self.update_versions(move |v| v.offer(&line)).await;
+                    self.update_versions(move |v| v.receive_line(&line)).await;
                 }
                 Some(StreamEvent::Opened) => {
                     eprintln!("control: the stream is open");
                     self.status.inner.borrow_mut().connected = Some(true);
                 }
-                Some(StreamEvent::Closed(why)) => {
-                    self.versions.disconnected();
+                Some(StreamEvent::Closed(reason)) => {
+                    self.versions.discard_waiting();
                     if self.status.inner.borrow_mut().connected.replace(false) == Some(true) {
                         eprintln!("control: the stream is closed; the current configuration stays in effect");
                     }
-                    if let Some(why) = why {
-                        self.perform(vec![Step::Refuse { version: None, why }]);
+                    if let Some(reason) = reason {
+                        self.perform(vec![VersionAction::Refuse { version: None, reason }]);
                     }
                 }
                 None => return false,
@@ -366,7 +366,10 @@
 
     /// Runs a transition of the version state machine off the serving thread, since parsing, comparing or
     /// freeing a large version takes milliseconds.
-    async fn update_versions(&mut self, run: impl FnOnce(&mut Versions) -> Vec<Step> + Send + 'static) {
+    async fn update_versions(
+        &mut self,
+        run: impl FnOnce(&mut VersionTracker) -> Vec<VersionAction> + Send + 'static,
+    ) {
         let mut versions = std::mem::take(&mut self.versions);
         let finished = tokio::task::spawn_blocking(move || {
             let steps = run(&mut versions);
@@ -406,21 +409,21 @@
         self.running = Some(tokio::task::spawn_local(work.run(change)));
     }
 
-    fn perform(&mut self, steps: Vec<Step>) {
+    fn perform(&mut self, steps: Vec<VersionAction>) {
         for step in steps {
             match step {
-                Step::Work(version) => self.pending_version = Some(version),
-                Step::Acknowledge { version } => {
+                VersionAction::Apply(version) => self.pending_version = Some(version),
+                VersionAction::Acknowledge { version } => {
                     self.status.inner.borrow_mut().acknowledged += 1;
                     self.queue_answer(json!({"version": version, "accepted": true}));
                 }
-                Step::Refuse { version, why } => {
-                    let reasons = match &why {
+                VersionAction::Refuse { version, reason } => {
+                    let reasons = match &reason {
                         Refusal::Faults(all) => all.clone(),
                         other => vec![other.to_string()],
                     };
                     // A superseded version is not an error.
-                    if !matches!(why, Refusal::Superseded { .. }) {
+                    if !matches!(reason, Refusal::Superseded { .. }) {
                         let number = version.map_or("without a number".to_owned(), |v| v.to_string());
                         eprintln!("control: version {number} is refused: {}", reasons.join("; "));
                         self.status.refused(version, reasons.clone());
@@ -446,7 +449,7 @@
             Err(reasons) => {
                 match change {
                     Change::Version(_) => {
-                        self.update_versions(|v| v.done(Err(reasons))).await;
+                        self.update_versions(|v| v.finish(Err(reasons))).await;
                     }
                     Change::Reload => {
                         eprintln!("configuration not read again, the previous one stays:");
@@ -475,11 +478,11 @@
                 let number = version.version;
                 eprintln!("configuration: version {number} is in effect");
                 self.status.in_effect(Some(number));
-                self.update_versions(|v| v.done(Ok(()))).await;
+                self.update_versions(|v| v.finish(Ok(()))).await;
             }
             Change::Reload => {
                 eprintln!("configuration: the file is read again and in effect");
-                self.status.in_effect(self.versions.held().map(|v| v.version));
+                self.status.in_effect(self.versions.in_effect().map(|v| v.version));
             }
         }
     }
@@ -516,8 +519,9 @@
                 if reload { p.to_string().lines().map(str::to_owned).collect() } else { p.lines() }
             };
             let installation = installation.map_err(lines)?;
-            let changes = changes(Some(&before), &installation);
-            let (removed_destinations, present_destinations) = destinations(Some(&before), &installation);
+            let changes = member_changes(Some(&before), &installation);
+            let (removed_destinations, present_destinations) =
+                removed_and_current_destinations(Some(&before), &installation);
             let (hosts, limits) = changed_hosts(&changes);
             Ok((
                 document,
@@ -622,7 +626,7 @@
         let memory_max_bytes = self.memory_budget.ledger.cap(Purpose::Configuration) / MEMORY_PER_TEXT_BYTE;
         let (max_bytes, key) = (self.max_bytes, "control.version_most")
             .min((memory_max_bytes, "as memory.configuration allows"));
-        let (mut body, mut lines) = (answer.into_body(), Lines::new(max_bytes as usize));
+        let (mut body, mut lines) = (answer.into_body(), LineBuffer::new(max_bytes as usize));
         let mut line_started: Option<Instant> = None;
         while let Ok(piece) = connection.next_chunk(&mut body, self.idle_timeout).await {
             if lines.push(&piece).is_err() {
@@ -635,7 +639,7 @@
                     event_sender.send(StreamEvent::Line(line)).await.ok()?;
                 }
             }
-            let open = lines.is_open().then(|| *line_started.get_or_insert_with(Instant::now));
+            let open = lines.has_buffered_bytes().then(|| *line_started.get_or_insert_with(Instant::now));
             if open.is_some_and(|since| since.elapsed() > LINE_TIMEOUT) {
                 return Some(Refusal::Unreadable("its line is not complete in time".to_owned()));
             }
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -6,7 +6,7 @@
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use stairshed_config::Installation;
-use stairshed_config::installation::At;
+use stairshed_config::installation::MemberAddress;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -46,8 +46,8 @@
 /// Endpoints of an installation whose address is a DNS name.
 fn named_endpoints(installation: &Installation) -> Vec<NamedEndpoint> {
     let members = installation.pools.iter().flat_map(|p| p.members.iter().map(move |m| (p, m)));
-    let of = members.filter_map(|(pool, m)| match &m.at {
-        At::Name(name, port) => Some(NamedEndpoint {
+    let of = members.filter_map(|(pool, m)| match &m.address {
+        MemberAddress::Name(name, port) => Some(NamedEndpoint {
             host: m.host.clone(),
             name: name.clone(),
             port: *port,
@@ -57,7 +57,7 @@
             own: m.limit.is_some(),
             topic: m.topic.clone(),
         }),
-        At::Address(_) => None,
+        MemberAddress::Address(_) => None,
     });
     of.collect()
 }
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use stairshed_config::lines::Lines;
+use stairshed_config::lines::LineBuffer;
 use stairshed_decide::scheduler::list_retry_delay;
 use std::convert::Infallible;
 use std::io::ErrorKind;
@@ -161,7 +161,7 @@
     ) -> Result<Infallible, WatchEnd> {
         let started = Instant::now();
         let (mut connection, response) = self.open().await?;
-        let (mut body, mut lines) = (response.into_body(), Lines::new(MAX_LINE_BYTES));
+        let (mut body, mut lines) = (response.into_body(), LineBuffer::new(MAX_LINE_BYTES));
         let mut line_started: Option<Instant> = None;
         loop {
             let line_time_left =
@@ -170,7 +170,7 @@
                 return Err(WatchEnd::IncompleteLine);
             }
             let chunk = connection.next_chunk(&mut body, SILENCE_TIMEOUT.min(line_time_left)).await?;
-            if lines.push(&chunk).is_err() || lines.buffered() > MAX_LINE_BYTES {
+            if lines.push(&chunk).is_err() || lines.buffered_bytes() > MAX_LINE_BYTES {
                 return Err(WatchEnd::LineTooLong);
             }
             for line in lines.by_ref() {
@@ -195,7 +195,7 @@
                     DispatcherEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
                 events.send(heard).await.map_err(|_| WatchEnd::Closing)?;
             }
-            line_started = lines.is_open().then(|| line_started.unwrap_or_else(Instant::now));
+            line_started = lines.has_buffered_bytes().then(|| line_started.unwrap_or_else(Instant::now));
         }
     }
 
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -40,7 +40,7 @@
 use records::{COMPACTION_INTERVAL, DISK_RETRY_INTERVAL, Records};
 use setup::Setup;
 use shutdown::{SHUTDOWN_CHECK_INTERVAL, Shutdown};
-use stairshed_config::change::changes;
+use stairshed_config::change::member_changes;
 use stairshed_decide::interface::*;
 use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Journal, Verdict};
@@ -115,10 +115,10 @@
         let known = dispatcher.setup.initial_list.clone().unwrap_or_default();
         dispatcher.apply_endpoint_list(EndpointList { whole: true, ..known });
         if let Some(installation) = dispatcher.setup.installation.clone() {
-            dispatcher.memory.set_configuration_bytes(installation.weigh());
+            dispatcher.memory.set_configuration_bytes(installation.estimated_bytes());
             dispatcher.members.discovery_answered = true;
             dispatcher.members.destinations.extend(installation.pools.iter().map(|p| p.destination));
-            let (hosts, limits) = changed_hosts(&changes(None, &installation));
+            let (hosts, limits) = changed_hosts(&member_changes(None, &installation));
             dispatcher.queue_membership_changes(hosts, limits);
             dispatcher.members.batch_size = usize::MAX;
             dispatcher.apply_pending_changes();
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -210,17 +210,17 @@
         let deadline = letter.until.saturating_sub(letter.taken);
         let Some(routed) = &letter.routed else {
             let classes = &mut self.setup.classes;
-            let class = classes.named(&letter.class)?;
+            let class = classes.current(&letter.class)?;
             let keyed = classes.get(class).is_some_and(|c| matches!(c.effect, Effect::Keyed { .. }));
             // Without a key no endpoint can tell a repeat from a new message.
             let may_run_again = keyed && letter.key.is_none();
             return Some(if may_run_again {
-                classes.recorded(&letter.class, Effect::Once, deadline)
+                classes.for_recorded_message(&letter.class, Effect::Once, deadline)
             } else {
                 class
             });
         };
-        Some(self.setup.classes.recorded(&letter.class, routed.effect, deadline))
+        Some(self.setup.classes.for_recorded_message(&letter.class, routed.effect, deadline))
     }
 
     /// Passes new classes to the module: messages accepted under an earlier configuration version may have a
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -97,7 +97,7 @@
         let in_use: BTreeSet<usize> = held.chain(self.acceptance.pending.values().map(|o| o.class)).collect();
         let classes = installation.classes.iter().map(|c| c.name.clone());
         let classes = classes.zip(installation.settings.classes.iter().cloned());
-        self.setup.classes.change(classes, &in_use);
+        self.setup.classes.update(classes, &in_use);
         self.setup.settings =
             Settings { classes: self.setup.classes.classes(), ..installation.settings.clone() };
         self.setup.settings.keepalive = self
@@ -118,7 +118,7 @@
         if let Some(active_config) = &self.setup.active_config {
             active_config.set(version, installation.clone());
         }
-        self.memory.set_configuration_bytes(installation.weigh());
+        self.memory.set_configuration_bytes(installation.estimated_bytes());
         self.memory.budget.set_caps(&caps, installation.file.memory.client_share);
         self.setup.installation = Some(installation);
         self.queue_membership_changes(hosts, limits);
--- a/crates/courier/src/ingress/active_config.rs
+++ b/crates/courier/src/ingress/active_config.rs
@@ -7,8 +7,8 @@
 use hyper::{HeaderMap, StatusCode};
 use stairshed_config::Installation;
 use stairshed_config::file::{IdentityScope, Pick};
-use stairshed_config::route::{self, NoRoute, normal_path};
-use stairshed_config::topic::Published;
+use stairshed_config::route::{self, NoRoute, normalize_path};
+use stairshed_config::topic::PublishedMessage;
 use stairshed_decide::interface::Effect;
 use stairshed_journal::{Letter, Routed};
 use stairshed_mqtt::packet::{Publish, code};
@@ -117,7 +117,7 @@
     ) -> Result<(Letter, Duration), RequestError> {
         let (version, installation) = self.get();
         let fields = MessageHeaders::read(&parts.headers)?;
-        let path = normal_path(parts.uri.path()).filter(|p| p.len() <= MAX_PATH_BYTES);
+        let path = normalize_path(parts.uri.path()).filter(|p| p.len() <= MAX_PATH_BYTES);
         let path =
             path.ok_or("the path is not plain: an empty segment, a dot segment, or an encoded slash\n")?;
         let host = parts.headers.get(hyper::header::HOST).and_then(|h| h.to_str().ok()).unwrap_or_default();
@@ -127,7 +127,7 @@
             path,
             headers: &parts.headers,
         };
-        let matched = installation.choose(&request).map_err(|none| match none {
+        let matched = installation.match_request(&request).map_err(|none| match none {
             NoRoute::Path => request_error(StatusCode::NOT_FOUND, "no route matches this host and path\n"),
             NoRoute::Headers => {
                 request_error(StatusCode::NOT_FOUND, "no route for this path matches these header fields\n")
@@ -227,16 +227,19 @@
         owner: &str,
     ) -> Result<(Letter, Duration), PublishError> {
         let (version, installation) = self.get();
-        let topic = installation.topics.choose(&publish.topic);
+        let topic = installation.topics.match_topic(&publish.topic);
         let topic = topic.ok_or_else(|| {
             publish_error(code::TOPIC_NAME_INVALID, "no entry in [topics] matches this topic")
         })?;
-        let published =
-            Published { topic: &publish.topic, payload: &publish.payload, properties: &publish.properties };
+        let published = PublishedMessage {
+            topic: &publish.topic,
+            payload: &publish.payload,
+            properties: &publish.properties,
+        };
         let (class, settings) =
             (&installation.classes[topic.class], &installation.settings.classes[topic.class]);
         let invalid_payload = |why: String| publish_error(code::PAYLOAD_FORMAT_INVALID, why);
-        let pick_value = |what: &str, pick: &Option<Pick>| match pick.as_ref().map(|p| published.pick(p)) {
+        let pick_value = |what: &str, pick: &Option<Pick>| match pick.as_ref().map(|p| published.extract(p)) {
             None => Ok(None),
             Some(Some(value)) if value.len() <= MAX_ID_BYTES => Ok(Some(value.into_owned())),
             Some(Some(_)) => Err(invalid_payload(format!("{what} exceeds {MAX_ID_BYTES} bytes"))),
@@ -255,7 +258,7 @@
                 ))
             }
         };
-        let id = match (&identity, topic.scope) {
+        let id = match (&identity, topic.identity_scope) {
             (Some(identity), IdentityScope::All) => percent_encode(identity),
             (Some(identity), IdentityScope::Client) => percent_encode(&format!("{owner}/{identity}")),
             // Validated with the configuration: only classes whose messages may be repeated go without an
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -60,9 +60,9 @@
 /// # Errors
 /// Returns all faults in the caps, or that the configuration itself exceeds its cap.
 pub fn caps(installation: &Installation) -> Result<Caps, Vec<String>> {
-    let caps = installation::caps(&installation.file, process_memory::address_space_limit());
+    let caps = installation::memory_caps(&installation.file, process_memory::address_space_limit());
     let caps = caps.map_err(|faults| faults.iter().map(|f| format!("memory: {f}")).collect::<Vec<_>>())?;
-    let (takes, may) = (installation.weigh(), caps.of[Purpose::Configuration]);
+    let (takes, may) = (installation.estimated_bytes(), caps.of[Purpose::Configuration]);
     match takes <= may {
         true => Ok(caps),
         false => Err(vec![format!(
--- a/crates/mqtt/src/server/connecting.rs
+++ b/crates/mqtt/src/server/connecting.rs
@@ -104,7 +104,7 @@
             });
         }
         if let Some(will) = &connect.will {
-            if !topic::is_name(&will.topic) || will.topic.starts_with('$') {
+            if !topic::is_topic_name(&will.topic) || will.topic.starts_with('$') {
                 return Err(Fault { code: code::TOPIC_NAME_INVALID, why: "no topic for a will" });
             }
             if will.retain && connect.version == Version::V5 {
--- a/crates/mqtt/src/server/outcomes.rs
+++ b/crates/mqtt/src/server/outcomes.rs
@@ -15,7 +15,7 @@
         let own = format!("{OUTCOMES}{}", session.client);
         let (mut codes, mut changed) = (Vec::new(), false);
         for (filter, qos) in &subscribe.filters {
-            let refused = if !topic::is_filter(filter) {
+            let refused = if !topic::is_topic_filter(filter) {
                 code::TOPIC_FILTER_INVALID
             } else if filter.starts_with("$share/") {
                 code::SHARED_NOT_SUPPORTED
--- a/crates/mqtt/src/server/taking.rs
+++ b/crates/mqtt/src/server/taking.rs
@@ -26,7 +26,7 @@
         } else if publish.topic.is_empty() {
             return Err(Fault::protocol("neither a topic nor an alias"));
         }
-        if !topic::is_name(&publish.topic) {
+        if !topic::is_topic_name(&publish.topic) {
             return Err(Fault { code: code::TOPIC_NAME_INVALID, why: "a topic with wildcards, or too long" });
         }
         if publish.retain && c.version == Version::V5 {
