--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -210,17 +210,17 @@
         let deadline = accepted.deadline.saturating_sub(accepted.accepted_at);
         let Some(routed) = &accepted.routed else {
             let classes = &mut self.setup.classes;
-            let class = classes.named(&accepted.class)?;
+            let class = classes.current(&accepted.class)?;
             let keyed = classes.get(class).is_some_and(|c| matches!(c.effect, Effect::Keyed { .. }));
             // Without a key no endpoint can tell a repeat from a new message.
             let may_run_again = keyed && accepted.key.is_none();
             return Some(if may_run_again {
-                classes.recorded(&accepted.class, Effect::Once, deadline)
+                classes.for_recorded_message(&accepted.class, Effect::Once, deadline)
             } else {
                 class
             });
         };
-        Some(self.setup.classes.recorded(&accepted.class, routed.effect, deadline))
+        Some(self.setup.classes.for_recorded_message(&accepted.class, routed.effect, deadline))
     }
 
     /// Passes new classes to the module: messages accepted under an earlier configuration version may have a
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -8,7 +8,7 @@
 use stairshed_config::installation;
 use stairshed_memory::caps::Bytes;
 use stairshed_memory::rejected_connections::Counts;
-use stairshed_memory::{Caps, Ledger, Level, Purpose, PurposeUsage, Refused, RejectedConnections};
+use stairshed_memory::{Caps, Ledger, Level, PurposeUsage, Purpose, Refused, RejectedConnections};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -60,9 +60,9 @@
 /// # Errors
 /// Returns all faults in the caps, or that the configuration itself exceeds its cap.
 pub fn caps(installation: &Installation) -> Result<Caps, Vec<String>> {
-    let caps = installation::caps(&installation.file, process_memory::address_space_limit());
+    let caps = installation::memory_caps(&installation.file, process_memory::address_space_limit());
     let caps = caps.map_err(|faults| faults.iter().map(|f| format!("memory: {f}")).collect::<Vec<_>>())?;
-    let (takes, may) = (installation.weigh(), caps.of[Purpose::Configuration]);
+    let (takes, may) = (installation.estimated_bytes(), caps.of[Purpose::Configuration]);
     match takes <= may {
         true => Ok(caps),
         false => Err(vec![format!(
--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -1,9 +1,6 @@
 //! Connections from their first byte to their last: CONNECT and its answer, keep alive, wills, takeover.
 
-use super::{
-    After, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer, owner,
-    refusal, silence, wait_property, will_message,
-};
+use super::{After, MAX_CLIENT_ID_BYTES, Connection, Due, Effect, Outcome, Owner, Server, Stage, Timer, owner, refusal, silence, wait_property, will_message};
 use crate::Time;
 use crate::error::ConnectionError;
 use crate::frame::Reader;
@@ -104,7 +101,7 @@
             });
         }
         if let Some(will) = &connect.will {
-            if !topic::is_name(&will.topic) || will.topic.starts_with('$') {
+            if !topic::is_topic_name(&will.topic) || will.topic.starts_with('$') {
                 return Err(ConnectionError {
                     code: code::TOPIC_NAME_INVALID,
                     reason: "no topic for a will",
--- a/crates/mqtt/src/server/outcomes.rs
+++ b/crates/mqtt/src/server/outcomes.rs
@@ -1,6 +1,6 @@
 //! What clients are told of their messages: their subscription, and the outcomes on their way.
 
-use super::{After, Effect, MAX_OUTCOMES_IN_FLIGHT, OUTCOME_TOPIC_PREFIX, Outcome, Server, Stage};
+use super::{After, Effect, MAX_OUTCOMES_IN_FLIGHT, Outcome, OUTCOME_TOPIC_PREFIX, Server, Stage};
 use crate::error::ConnectionError;
 use crate::packet::{Packet, Publish, Qos, Subscribe, Version, code};
 use crate::session::Session;
@@ -15,7 +15,7 @@
         let own = format!("{OUTCOME_TOPIC_PREFIX}{}", session.client);
         let (mut codes, mut changed) = (Vec::new(), false);
         for (filter, qos) in &subscribe.filters {
-            let refused = if !topic::is_filter(filter) {
+            let refused = if !topic::is_topic_filter(filter) {
                 code::TOPIC_FILTER_INVALID
             } else if filter.starts_with("$share/") {
                 code::SHARED_NOT_SUPPORTED
--- a/crates/mqtt/src/server/publish.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -1,6 +1,6 @@
 //! What clients hand in: PUBLISH, the offer made of it, and its acknowledgements.
 
-use super::{After, Answer, Effect, MAX_UNRELEASED_PACKET_IDS, Offer, Pending, Server, wait_property};
+use super::{After, Answer, Effect, Offer, Pending, MAX_UNRELEASED_PACKET_IDS, Server, wait_property};
 use crate::Time;
 use crate::error::ConnectionError;
 use crate::packet::{Ack, Packet, Properties, Publish, Qos, Version, code};
@@ -33,7 +33,7 @@
         } else if publish.topic.is_empty() {
             return Err(ConnectionError::protocol("neither a topic nor an alias"));
         }
-        if !topic::is_name(&publish.topic) {
+        if !topic::is_topic_name(&publish.topic) {
             return Err(ConnectionError {
                 code: code::TOPIC_NAME_INVALID,
                 reason: "a topic with wildcards, or too long",
