--- a/crates/courier/benches/flood.rs
+++ b/crates/courier/benches/flood.rs
@@ -2,7 +2,7 @@
 //! what the flood takes of the courier's descriptors and memory, and whether that is back after.
 //! `cargo bench -p stairshed-courier --bench flood`; `STAIRSHED_FLOOD=10000` and as many descriptors make it large.
 
-use stairshed_rig::figures::{descriptors, resident};
+use stairshed_rig::process_stats::{open_descriptors, resident_mb};
 use stairshed_rig::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -20,10 +20,10 @@
 
 /// Requests one after the other, each fourth on a new connection; how long each answer took, sorted, and how many
 /// were not taken on.
-fn ask(to: SocketAddr, name: &str, until: impl Fn() -> bool) -> (Vec<Duration>, usize) {
+fn ask(to: SocketAddr, name: &str, wait_until: impl Fn() -> bool) -> (Vec<Duration>, usize) {
     let (mut times, mut refused, mut stream) = (Vec::new(), 0, other(to));
     for n in 0.. {
-        if until() {
+        if wait_until() {
             break;
         }
         let at = Instant::now();
@@ -32,7 +32,7 @@
         }
         let text = request("/status", &format!("{name}{n}"), "", "x");
         let sent = stream.write_all(text.as_bytes());
-        let page = sent.ok().and_then(|()| Page::read(&mut BufReader::new(&stream)));
+        let page = sent.ok().and_then(|()| HttpMessage::read(&mut BufReader::new(&stream)));
         refused += usize::from(page.is_none_or(|page| page.status() != 202));
         times.push(at.elapsed());
     }
@@ -52,8 +52,8 @@
 }
 
 fn main() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
     let text = format!(
         "[listen]\nhttp = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\n[memory]\ntotal = \"24MB\"\n\
          [classes.status]\neffect = \"repeatable\"\ndeadline = \"20s\"\n\
@@ -65,8 +65,8 @@
     let to = courier.address;
     let end = Instant::now() + Duration::from_secs(5);
     let without = ask(to, "a", || Instant::now() > end);
-    let (before, start) = (descriptors(courier.id()).unwrap_or_default(), resident(courier.id()));
-    let (count, over) = (figure("STAIRSHED_FLOOD", 2000), Arc::new(AtomicBool::new(false)));
+    let (before, start) = (open_descriptors(courier.id()).unwrap_or_default(), resident_mb(courier.id()));
+    let (count, over) = (env_or("STAIRSHED_FLOOD", 2000), Arc::new(AtomicBool::new(false)));
     let most = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
     let flooding = {
         let over = over.clone();
@@ -91,8 +91,8 @@
         let (id, over, most) = (courier.id(), over.clone(), most.clone());
         thread::spawn(move || {
             while !over.load(Ordering::SeqCst) {
-                most.0.fetch_max(descriptors(id).unwrap_or_default() as u64, Ordering::SeqCst);
-                most.1.fetch_max((resident(id) * 1e3) as u64, Ordering::SeqCst);
+                most.0.fetch_max(open_descriptors(id).unwrap_or_default() as u64, Ordering::SeqCst);
+                most.1.fetch_max((resident_mb(id) * 1e3) as u64, Ordering::SeqCst);
                 thread::sleep(Duration::from_millis(20));
             }
         })
@@ -106,8 +106,8 @@
     let (files, memory) = (most.0.load(Ordering::SeqCst), most.1.load(Ordering::SeqCst) as f64 / 1e3);
     println!(
         "descriptors {before}, at most {files}, after {}",
-        descriptors(courier.id()).unwrap_or_default()
+        open_descriptors(courier.id()).unwrap_or_default()
     );
-    println!("resident {start:.1} MB, at most {memory:.1}, after {:.1}", resident(courier.id()));
+    println!("resident {start:.1} MB, at most {memory:.1}, after {:.1}", resident_mb(courier.id()));
     println!("turned away: {}", courier.page("/-/memory")["turned_away"]);
 }
--- a/crates/courier/benches/versions.rs
+++ b/crates/courier/benches/versions.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p stairshed-courier --bench versions`
 
 use serde_json::{Value, json};
-use stairshed_rig::control::Control;
+use stairshed_rig::control_service::ControlService;
 use stairshed_rig::*;
 use std::collections::BTreeMap;
 use std::fs;
@@ -53,7 +53,7 @@
     while !stop.load(Ordering::SeqCst) {
         let began = Instant::now();
         to.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
-        Page::read(&mut from).expect("an answer");
+        HttpMessage::read(&mut from).expect("an answer");
         times.push(began.elapsed());
         thread::sleep(Duration::from_micros(200));
     }
@@ -82,14 +82,14 @@
 }
 
 fn main() {
-    let (folder, control) = (Folder::new(), Control::new());
+    let (folder, control) = (TestFolder::new(), ControlService::new());
     let file = format!(
         "name = \"c1\"\n[listen]\nhttp = \"127.0.0.1:0\"\n[control]\nurl = \"{}\"\nheartbeat = \"60s\"\n\
          [classes.c]\n[pools.p]\n[routes.r]\npath = \"/own\"\npool = \"p\"\nclass = \"c\"\n",
         control.url()
     );
     let courier = Courier::serve(&folder, &file);
-    until("the stream", || control.is_open());
+    wait_until("the stream", || control.is_open());
     let mut next = 1;
     let mut send = |pools, endpoints, changed| {
         let config = config(next, pools, endpoints, changed);
@@ -132,7 +132,7 @@
         );
     }
     for (pools, endpoints) in [(1, 1), (1000, 1), (1000, 10), (5000, 1)] {
-        let folder = Folder::new();
+        let folder = TestFolder::new();
         let toml = format!("name = \"c\"\n[listen]\nhttp = \"127.0.0.1:0\"\n{}", toml_of(pools, endpoints));
         let courier = Courier::serve(&folder, &toml);
         println!(
--- a/crates/courier/tests/brokers.rs
+++ b/crates/courier/tests/brokers.rs
@@ -2,8 +2,8 @@
 //! `MQTT_DROPS=N` play another seed, or more.
 
 use stairshed_mqtt::packet::{Qos, Version, code};
-use stairshed_rig::broker::{Acks, Broker, Vices};
-use stairshed_rig::publisher::{Publisher, lasting};
+use stairshed_rig::broker::{Acks, Broker, BrokerFaults};
+use stairshed_rig::mqtt_client::{MqttClient, persistent_session};
 use stairshed_rig::*;
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -30,7 +30,7 @@
     broker.effects().get(id).copied().unwrap_or_default()
 }
 
-fn result(folder: &Folder, id: &str) -> Option<String> {
+fn result(folder: &TestFolder, id: &str) -> Option<String> {
     outcomes(folder).into_iter().find(|(i, _)| i == id).map(|(_, result)| result)
 }
 
@@ -42,12 +42,12 @@
 #[test]
 fn http_in_and_mqtt_out_and_the_reverse() {
     for version in BOTH {
-        let broker = Broker::new(Vices::default());
-        let folder = Folder::new();
+        let broker = Broker::new(BrokerFaults::default());
+        let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&broker, version, ""));
         pay(&courier, "a");
-        until("its effect", || effects(&broker, "a") == 1);
-        let got = &broker.got()[0];
+        wait_until("its effect", || effects(&broker, "a") == 1);
+        let got = &broker.received()[0];
         assert_eq!(
             (got.publish.topic.as_str(), got.publish.qos),
             ("fuel/in", Qos::ExactlyOnce),
@@ -55,12 +55,12 @@
         );
         assert_eq!(got.publish.expiry.is_some_and(|s| s <= 20), version == "5.0");
         assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
-        until("its effect", || effects(&broker, "s") == 1);
-        assert_eq!(broker.got()[1].publish.qos, Qos::AtLeastOnce);
+        wait_until("its effect", || effects(&broker, "s") == 1);
+        assert_eq!(broker.received()[1].publish.qos, Qos::AtLeastOnce);
         // MQTT in, MQTT out, and told.
-        let (mut van, _) = Publisher::connect(courier.mqtt(), lasting(Version::V5, "van"));
+        let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
         van.read_outcomes("van");
-        assert_eq!(van.hand_in("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
+        assert_eq!(van.submit("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
         assert_eq!(van.outcome(), ("m".to_owned(), "delivered".to_owned()));
         assert_eq!(broker.connections(), if version == "5.0" { 1 } else { 2 }, "one carries them all");
     }
@@ -71,8 +71,12 @@
 
 /// Payments through drops at random bytes, with restarts of the courier among them. Sessions may be lost at one in so
 /// many connections. How many took effect once, and how many ended as dead.
-fn through_drops(version: &str, seed: u64, drops: u32, forgets: Option<u32>) -> (usize, usize) {
-    let vices = |n| Vices { drop_after: Some((seed * BROKERS + n, 20..700)), forgets, ..Vices::default() };
+fn through_drops(version: &str, seed: u64, drops: u32, lose_sessions_every: Option<u32>) -> (usize, usize) {
+    let vices = |n| BrokerFaults {
+        drop_after: Some((seed * BROKERS + n, 20..700)),
+        lose_sessions_every,
+        ..BrokerFaults::default()
+    };
     let brokers: Vec<Broker> = (0..BROKERS).map(|n| Broker::new(vices(n))).collect();
     let pool = |(n, broker): (usize, &Broker)| {
         format!(
@@ -86,7 +90,7 @@
         "name = \"depot\"\n[listen]\nhttp = \"127.0.0.1:0\"\n[limits]\nattempts = 60\ncalls = 200\n\
          [classes.payment]\neffect = \"once\"\ndeadline = \"6s\"\n{pools}"
     );
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let mut courier = Courier::serve(&folder, &text);
     let dropped = || brokers.iter().map(Broker::drops).sum::<u32>();
     let (mut ids, mut restart) = (Vec::new(), drops / 4);
@@ -106,12 +110,12 @@
         }
     }
     // The network is calm from here on.
-    brokers.iter().for_each(|b| b.change(|v| *v = Vices::default()));
+    brokers.iter().for_each(|b| b.change(|v| *v = BrokerFaults::default()));
     let effects = || {
         let all = brokers.iter().flat_map(|b| b.effects());
         all.collect::<std::collections::BTreeMap<String, u32>>()
     };
-    until("every end", || {
+    wait_until("every end", || {
         let told: BTreeSet<String> = outcomes(&folder).into_iter().map(|(id, _)| id).collect();
         let effects = effects();
         ids.iter().all(|id| told.contains(id) || effects.contains_key(id))
@@ -134,7 +138,7 @@
 
 #[test]
 fn through_hundreds_of_drops_every_charge_lands_once_where_the_session_lasts() {
-    let (seed, drops) = (figure("MQTT_SEED", 1), figure("MQTT_DROPS", 110) as u32);
+    let (seed, drops) = (env_or("MQTT_SEED", 1), env_or("MQTT_DROPS", 110) as u32);
     for version in BOTH {
         let (once, dead) = through_drops(version, seed, drops, None);
         // Dead are those whose time was up in the midst of it, and those whose CONNACK was lost with the connection.
@@ -144,7 +148,7 @@
 
 #[test]
 fn where_sessions_are_lost_a_charge_is_dead_or_lands_once_and_is_never_sent_again() {
-    let (seed, drops) = (figure("MQTT_SEED", 1), figure("MQTT_DROPS", 50) as u32);
+    let (seed, drops) = (env_or("MQTT_SEED", 1), env_or("MQTT_DROPS", 50) as u32);
     for version in BOTH {
         let (once, dead) = through_drops(version, seed + 100, drops, Some(3));
         assert!(once > 0 && dead > 0, "{once} once, {dead} dead");
@@ -155,16 +159,16 @@
 fn a_late_acknowledgement_is_that_of_the_one_attempt() {
     for version in BOTH {
         // Far later than the module's patience with what may be repeated.
-        let broker = Broker::new(Vices { acks: Acks::Late(3000 * MS), ..Vices::default() });
-        let folder = Folder::new();
+        let broker = Broker::new(BrokerFaults { acks: Acks::Late(3000 * MS), ..BrokerFaults::default() });
+        let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&broker, version, "[limits]\nremembered = 10\n"));
         assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
         pay(&courier, "p");
         let since = Instant::now();
-        until("both", || broker.got().len() >= 2);
-        until("their acknowledgement", || since.elapsed() > 4500 * MS);
+        wait_until("both", || broker.received().len() >= 2);
+        wait_until("their acknowledgement", || since.elapsed() > 4500 * MS);
         // A connection on which nothing at all is heard is given up, and the same packet goes again with DUP.
-        let got = broker.got();
+        let got = broker.received();
         for id in ["s", "p"] {
             let of: Vec<_> = got.iter().filter(|g| g.id == id).collect();
             assert!(of.iter().skip(1).all(|g| g.publish.dup && g.publish.id == of[0].publish.id), "{of:?}");
@@ -177,13 +181,13 @@
 #[test]
 fn acknowledgements_twice_or_out_of_order_deliver_each_message_once() {
     for acks in [Acks::Twice, Acks::Swapped] {
-        let broker = Broker::new(Vices { acks, ..Vices::default() });
-        let folder = Folder::new();
+        let broker = Broker::new(BrokerFaults { acks, ..BrokerFaults::default() });
+        let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
         for n in 0..20 {
             pay(&courier, &format!("p{n}"));
         }
-        until("all", || broker.got().len() >= 20);
+        wait_until("all", || broker.received().len() >= 20);
         // Nothing comes of the acknowledgements that are still on their way.
         std::thread::sleep(500 * MS);
         assert!((0..20).all(|n| effects(&broker, &format!("p{n}")) == 1), "{acks:?}");
@@ -194,25 +198,25 @@
 #[test]
 fn killed_with_a_publish_out_the_next_life_resumes_it_under_its_id() {
     for version in BOTH {
-        let broker = Broker::new(Vices { acks: Acks::Never, ..Vices::default() });
-        let folder = Folder::new();
+        let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
+        let folder = TestFolder::new();
         let text = file(&broker, version, "");
         let courier = Courier::serve(&folder, &text);
         pay(&courier, "p");
-        until("its PUBLISH", || broker.got().len() == 1);
+        wait_until("its PUBLISH", || broker.received().len() == 1);
         courier.kill();
         broker.change(|v| v.acks = Acks::AtOnce);
         let courier = Courier::serve(&folder, &text);
-        until("the same again", || broker.got().len() == 2);
-        let got = broker.got();
-        assert!(got[1].publish.dup && got[1].publish.id == got[0].publish.id && !got[1].fresh);
+        wait_until("the same again", || broker.received().len() == 2);
+        let got = broker.received();
+        assert!(got[1].publish.dup && got[1].publish.id == got[0].publish.id && !got[1].took_effect);
         // It has ended, and its id is free: nothing more comes in another life.
         pay(&courier, "q");
-        until("the next message", || effects(&broker, "q") == 1);
+        wait_until("the next message", || effects(&broker, "q") == 1);
         courier.kill();
         let courier = Courier::serve(&folder, &text);
         pay(&courier, "r");
-        until("and the next", || effects(&broker, "r") == 1);
+        wait_until("and the next", || effects(&broker, "r") == 1);
         assert_eq!((effects(&broker, "p"), effects(&broker, "q")), (1, 1));
         assert!(outcomes(&folder).is_empty());
     }
@@ -221,25 +225,25 @@
 #[test]
 fn killed_with_a_release_out_the_next_life_finishes_it_and_publishes_nothing() {
     for version in BOTH {
-        let broker = Broker::new(Vices::default());
-        let folder = Folder::new();
+        let broker = Broker::new(BrokerFaults::default());
+        let folder = TestFolder::new();
         let text = file(&broker, version, "");
         let courier = Courier::serve(&folder, &text);
         pay(&courier, "first");
-        until("the connection", || effects(&broker, "first") == 1);
+        wait_until("the connection", || effects(&broker, "first") == 1);
         // PUBREC comes, and no PUBCOMP.
         broker.change(|v| v.acks = Acks::Late(300 * MS));
         pay(&courier, "p");
-        until("its PUBLISH", || effects(&broker, "p") == 1);
+        wait_until("its PUBLISH", || effects(&broker, "p") == 1);
         broker.change(|v| v.acks = Acks::Never);
         std::thread::sleep(600 * MS);
         courier.kill();
-        let before = broker.got().len();
+        let before = broker.received().len();
         broker.change(|v| v.acks = Acks::AtOnce);
         let courier = Courier::serve(&folder, &text);
         pay(&courier, "last");
-        until("the last", || effects(&broker, "last") == 1);
-        let got = broker.got();
+        wait_until("the last", || effects(&broker, "last") == 1);
+        let got = broker.received();
         let again: Vec<_> = got[before..].iter().filter(|g| g.id == "p").collect();
         assert!(again.is_empty(), "a PUBLISH behind its PUBREC: {again:?}");
         assert_eq!((effects(&broker, "p"), result(&folder, "p")), (1, None));
@@ -249,34 +253,34 @@
 #[test]
 fn a_lost_session_ends_a_payment_as_dead_and_repeats_what_is_harmless() {
     for version in BOTH {
-        let broker = Broker::new(Vices { acks: Acks::Never, ..Vices::default() });
-        let folder = Folder::new();
+        let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
+        let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&broker, version, ""));
         pay(&courier, "p");
         assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
-        until("both", || broker.got().len() == 2);
+        wait_until("both", || broker.received().len() == 2);
         broker.change(|v| v.acks = Acks::AtOnce);
         broker.forget();
         broker.cut();
-        until("its end", || result(&folder, "p").as_deref() == Some("dead"));
-        until("the repeat", || effects(&broker, "s") == 2);
+        wait_until("its end", || result(&folder, "p").as_deref() == Some("dead"));
+        wait_until("the repeat", || effects(&broker, "s") == 2);
         assert_eq!(effects(&broker, "p"), 1);
     }
 }
 
 #[test]
 fn a_told_wait_is_heeded_and_what_is_on_its_way_is_let_go() {
-    let broker = Broker::new(Vices::default());
-    let folder = Folder::new();
+    let broker = Broker::new(BrokerFaults::default());
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
     pay(&courier, "first");
-    until("the first", || effects(&broker, "first") == 1);
+    wait_until("the first", || effects(&broker, "first") == 1);
     broker.change(|v| v.refuse.push_back((code::QUOTA_EXCEEDED, Some(1.5))));
     let told = Instant::now();
     pay(&courier, "refused");
     pay(&courier, "next");
-    until("both", || effects(&broker, "refused") == 1 && effects(&broker, "next") == 1);
-    let at = |id: &str| broker.got().iter().find(|g| g.id == id).map(|g| g.at).expect("it came");
+    wait_until("both", || effects(&broker, "refused") == 1 && effects(&broker, "next") == 1);
+    let at = |id: &str| broker.received().iter().find(|g| g.id == id).map(|g| g.at).expect("it came");
     assert!(at("refused") >= told + 1500 * MS, "{:?} after it was told to wait", at("refused") - told);
     assert!(outcomes(&folder).is_empty());
 }
@@ -284,23 +288,26 @@
 #[test]
 fn a_broker_that_ends_the_connection_lies_garbles_or_redirects_costs_no_charge() {
     for vice in [
-        Vices { disconnects: Some((code::RECEIVE_MAXIMUM_EXCEEDED, Some(0.5))), ..Vices::default() },
-        Vices { disconnects: Some((code::SERVER_MOVED, None)), ..Vices::default() },
-        Vices { garbles: true, ..Vices::default() },
-        Vices { turn_away: Some(code::USE_ANOTHER_SERVER), ..Vices::default() },
-        Vices { turn_away: Some(code::SERVER_BUSY), ..Vices::default() },
-        Vices { receive_maximum: Some(1), ..Vices::default() },
+        BrokerFaults {
+            disconnect_with: Some((code::RECEIVE_MAXIMUM_EXCEEDED, Some(0.5))),
+            ..BrokerFaults::default()
+        },
+        BrokerFaults { disconnect_with: Some((code::SERVER_MOVED, None)), ..BrokerFaults::default() },
+        BrokerFaults { send_garbage: true, ..BrokerFaults::default() },
+        BrokerFaults { connack_refusal: Some(code::USE_ANOTHER_SERVER), ..BrokerFaults::default() },
+        BrokerFaults { connack_refusal: Some(code::SERVER_BUSY), ..BrokerFaults::default() },
+        BrokerFaults { receive_maximum: Some(1), ..BrokerFaults::default() },
     ] {
         let broker = Broker::new(vice.clone());
-        let folder = Folder::new();
+        let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
         let ids: Vec<String> = (0..5).map(|n| format!("p{n}")).collect();
         ids.iter().for_each(|id| pay(&courier, id));
-        if vice.turn_away.is_some() {
-            until("it tried", || broker.connections() > 0);
-            broker.change(|v| v.turn_away = None);
+        if vice.connack_refusal.is_some() {
+            wait_until("it tried", || broker.connections() > 0);
+            broker.change(|v| v.connack_refusal = None);
         }
-        until("every end", || {
+        wait_until("every end", || {
             ids.iter().all(|id| effects(&broker, id) == 1 || result(&folder, id).is_some())
         });
         assert!(ids.iter().all(|id| effects(&broker, id) <= 1), "{vice:?}");
@@ -308,33 +315,33 @@
         assert_eq!(bounced.count(), 0, "{vice:?}: {:?}", outcomes(&folder));
     }
     // A session that is there by its word only: the id is new to it, so it takes effect, and that once.
-    let broker = Broker::new(Vices { acks: Acks::Never, ..Vices::default() });
-    let folder = Folder::new();
+    let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
     assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
-    until("its PUBLISH", || broker.got().len() == 1);
-    broker.change(|v| *v = Vices { lies: true, ..Vices::default() });
+    wait_until("its PUBLISH", || broker.received().len() == 1);
+    broker.change(|v| *v = BrokerFaults { claim_session_present: true, ..BrokerFaults::default() });
     broker.forget();
     broker.cut();
-    until("its end", || broker.got().len() == 2);
-    assert!(broker.got()[1].publish.dup);
+    wait_until("its end", || broker.received().len() == 2);
+    assert!(broker.received()[1].publish.dup);
     drop(courier);
 }
 
 #[test]
 fn a_broker_that_is_removed_gets_nothing_new_after_a_second_and_what_is_out_is_let_finish() {
     let (old, new) = (
-        Broker::new(Vices { acks: Acks::Late(1500 * MS), ..Vices::default() }),
-        Broker::new(Vices::default()),
+        Broker::new(BrokerFaults { acks: Acks::Late(1500 * MS), ..BrokerFaults::default() }),
+        Broker::new(BrokerFaults::default()),
     );
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let with = |broker: &Broker, name: &str| {
         file(broker, "5.0", "").replace("name = \"b\"", &format!("name = \"{name}\""))
     };
     let courier = Courier::serve(&folder, &with(&old, "old"));
     pay(&courier, "out");
-    until("its PUBLISH", || effects(&old, "out") == 1);
-    courier.reread(&folder, &with(&new, "new"));
+    wait_until("its PUBLISH", || effects(&old, "out") == 1);
+    courier.replace_config_file(&folder, &with(&new, "new"));
     let removed = Instant::now();
     let mut n = 0;
     while removed.elapsed() < 2500 * MS {
@@ -342,8 +349,10 @@
         n += 1;
         std::thread::sleep(50 * MS);
     }
-    until("all", || (0..n).all(|n| effects(&old, &format!("p{n}")) + effects(&new, &format!("p{n}")) == 1));
-    let late = old.got().into_iter().filter(|g| g.at > removed + 1000 * MS && g.id != "out").count();
+    wait_until("all", || {
+        (0..n).all(|n| effects(&old, &format!("p{n}")) + effects(&new, &format!("p{n}")) == 1)
+    });
+    let late = old.received().into_iter().filter(|g| g.at > removed + 1000 * MS && g.id != "out").count();
     assert_eq!(late, 0);
     assert!(effects(&new, &format!("p{}", n - 1)) == 1);
     assert_eq!((effects(&old, "out"), result(&folder, "out")), (1, None), "it was let finish");
@@ -351,16 +360,17 @@
 
 #[test]
 fn a_receipt_that_a_failing_disk_keeps_waiting_is_released_once_it_works() {
-    let broker = Broker::new(Vices { acks: Acks::Late(700 * MS), ..Vices::default() });
-    let folder = Folder::new();
-    let courier = Courier::spawn(&mut limitable(&serve_command(&folder, &file(&broker, "5.0", ""))));
-    let (mut van, _) = Publisher::connect(courier.mqtt(), lasting(Version::V5, "van"));
+    let broker = Broker::new(BrokerFaults { acks: Acks::Late(700 * MS), ..BrokerFaults::default() });
+    let folder = TestFolder::new();
+    let courier =
+        Courier::spawn(&mut ignoring_file_size_signal(&serve_command(&folder, &file(&broker, "5.0", ""))));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
     van.read_outcomes("van");
-    assert_eq!(van.hand_in("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
-    until("its PUBLISH", || effects(&broker, "m") == 1);
+    assert_eq!(van.submit("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
+    wait_until("its PUBLISH", || effects(&broker, "m") == 1);
     // PUBREC comes now, and cannot be put on record.
-    courier.limit_files(Some(1));
-    until("not ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 503));
-    courier.limit_files(None);
+    courier.set_file_size_limit(Some(1));
+    wait_until("not ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 503));
+    courier.set_file_size_limit(None);
     assert_eq!(van.outcome(), ("m".to_owned(), "delivered".to_owned()));
 }
--- a/crates/courier/tests/crash.rs
+++ b/crates/courier/tests/crash.rs
@@ -5,7 +5,7 @@
 //! does it for longer; `SEED=N` plays the dice of one run again.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use stairshed_rig::charges::Charges;
+use stairshed_rig::charge_ledger::ChargeLedger;
 use stairshed_rig::*;
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
@@ -43,7 +43,7 @@
             if to.write_all(message_with(&id, class, 7, 5000, &body).as_bytes()).is_err() {
                 break;
             }
-            let Some(page) = Page::read(&mut from) else { break };
+            let Some(page) = HttpMessage::read(&mut from) else { break };
             if page.status() == 202 {
                 accepted.lock().expect("accepted").insert(id, class);
             } else {
@@ -54,14 +54,14 @@
 }
 
 fn killed_many_times(kills: u64, settings: &str) {
-    let seed = figure("SEED", 1);
+    let seed = env_or("SEED", 1);
     println!("SEED={seed} KILLS={kills}");
     let mut rng = SmallRng::seed_from_u64(seed);
-    let charges = Charges::default();
+    let charges = ChargeLedger::default();
     let endpoints: Vec<_> = (0..3).map(|n| charges.endpoint(seed + n)).collect();
     let hosts = endpoints.iter().enumerate().map(|(n, e)| host(&format!("s-{n}"), e, 7, "ready"));
     let discovery = Discovery::new(list(1, true, hosts.collect()));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let start = || {
         let known = discovery.lines.lock().expect("lines")[0].clone();
         let mut command = command(&folder, &discovery, &config(&discovery, known));
@@ -82,7 +82,7 @@
         courier.kill();
         courier = start();
         let bad: Vec<_> =
-            courier.first.iter().filter(|l| l.contains("DAMAGED") || l.contains("LOST")).collect();
+            courier.startup_log.iter().filter(|l| l.contains("DAMAGED") || l.contains("LOST")).collect();
         assert!(bad.is_empty(), "SEED={seed}, kill {kill}: {bad:?}");
         *at.lock().expect("the address") = courier.address;
     }
@@ -99,7 +99,7 @@
         }
         results
     };
-    until("the end of every message", || {
+    wait_until("the end of every message", || {
         let told = results(&discovery);
         accepted.keys().all(|id| charges.get(id).answered || told.contains_key(id))
     });
@@ -129,10 +129,10 @@
 
 #[test]
 fn no_charge_is_doubled_or_lost_though_it_is_killed_again_and_again() {
-    killed_many_times(figure("KILLS", 40), PROCESS);
+    killed_many_times(env_or("KILLS", 40), PROCESS);
 }
 
 #[test]
 fn with_syncs_no_charge_is_doubled_or_lost_either() {
-    killed_many_times(figure("KILLS", 40) / 4, MACHINE);
+    killed_many_times(env_or("KILLS", 40) / 4, MACHINE);
 }
--- a/crates/courier/tests/farewell.rs
+++ b/crates/courier/tests/farewell.rs
@@ -3,8 +3,8 @@
 
 use serde_json::Value;
 use stairshed_mqtt::packet::{Connect, Version, code};
-use stairshed_rig::figures::descriptors;
-use stairshed_rig::publisher::Publisher;
+use stairshed_rig::mqtt_client::MqttClient;
+use stairshed_rig::process_stats::open_descriptors;
 use stairshed_rig::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -23,8 +23,8 @@
 }
 
 /// A courier of this memory, in a folder of its own, and the partner that it delivers to.
-fn serve(memory: &str) -> (Endpoint, Folder, Courier) {
-    let (endpoint, folder) = (Endpoint::new(|_| Act::Answer(OK)), Folder::new());
+fn serve(memory: &str) -> (Endpoint, TestFolder, Courier) {
+    let (endpoint, folder) = (Endpoint::new(|_| EndpointAction::Respond(OK)), TestFolder::new());
     let courier = Courier::serve(&folder, &file(&endpoint, memory));
     (endpoint, folder, courier)
 }
@@ -35,20 +35,20 @@
 
 fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).expect("a connection");
-    stream.set_read_timeout(Some(LIMIT)).expect("a limit");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
     stream
 }
 
 /// What came: its answer, or how the connection ended without one.
-fn answer(stream: &TcpStream) -> Option<Page> {
-    Page::read(&mut BufReader::new(stream))
+fn answer(stream: &TcpStream) -> Option<HttpMessage> {
+    HttpMessage::read(&mut BufReader::new(stream))
 }
 
-fn is_told(page: &Page, reason: &str) -> Duration {
+fn is_told(page: &HttpMessage, reason: &str) -> Duration {
     let text = String::from_utf8_lossy(&page.body).into_owned();
-    assert_eq!((page.status(), page.head("X-Reason")), (503, Some(reason)), "{text}");
+    assert_eq!((page.status(), page.header("X-Reason")), (503, Some(reason)), "{text}");
     assert!(text.starts_with("not taken on: ") && text.ends_with('\n'), "{text}");
-    let wait: f64 = page.head("Retry-After").and_then(|w| w.parse().ok()).expect("when to come back");
+    let wait: f64 = page.header("Retry-After").and_then(|w| w.parse().ok()).expect("when to come back");
     assert!((0.05..=60.0).contains(&wait), "{wait}");
     Duration::from_secs_f64(wait)
 }
@@ -77,7 +77,7 @@
 fn every_request_of_64_connections_at_24_mb_has_its_answer() {
     let (_endpoint, _folder, courier) = serve("total = \"24MB\"");
     let mut told = 0;
-    for round in 0..figure("STAIRSHED_ROUNDS", 100) {
+    for round in 0..env_or("STAIRSHED_ROUNDS", 100) {
         let body = "x".repeat(if round % 2 == 0 { 1024 } else { 32 * 1024 });
         let mut all: Vec<TcpStream> = (0..64).map(|_| connect(courier.address)).collect();
         for (n, stream) in all.iter_mut().enumerate() {
@@ -86,14 +86,14 @@
         for (n, stream) in all.iter().enumerate() {
             let page = answer(stream).unwrap_or_else(|| panic!("round {round}: no answer on connection {n}"));
             if page.status() != 202 {
-                let reason = page.head("X-Reason").expect("a reason").to_owned();
+                let reason = page.header("X-Reason").expect("a reason").to_owned();
                 is_told(&page, &reason);
                 told += usize::from(reason == "share-clients");
             }
         }
     }
     assert!(told > 0, "none was turned away: the test shows nothing");
-    courier.says("clients: connections turned away: share-clients (");
+    courier.wait_for_log("clients: connections turned away: share-clients (");
 }
 
 #[test]
@@ -106,11 +106,13 @@
     assert_eq!(stream.read(&mut [0; 8]).ok(), Some(0), "then its end, no reset");
     drop(crowd);
     thread::sleep(wait);
-    until("it is accepted", || post(courier.address, "/pay", "p-1", "", "42 EUR").unwrap().status() == 202);
+    wait_until("it is accepted", || {
+        post(courier.address, "/pay", "p-1", "", "42 EUR").unwrap().status() == 202
+    });
     assert_eq!(post(courier.address, "/pay", "p-1", "", "42 EUR").unwrap().status(), 202, "a repeat");
-    until("it has run", || !endpoint.calls().is_empty());
+    wait_until("it has run", || !endpoint.calls().is_empty());
     courier.signal("-TERM");
-    until("the courier has ended", || TcpStream::connect(courier.address).is_err());
+    wait_until("the courier has ended", || TcpStream::connect(courier.address).is_err());
     assert_eq!(endpoint.ids(), ["p-1"], "once");
 }
 
@@ -138,10 +140,10 @@
     let before = away(&courier, "share-clients", "silent");
     let mut silent = connect(courier.address);
     assert_eq!(silent.read(&mut [0; 8]).ok(), Some(0), "closed in its time");
-    until("it is counted", || away(&courier, "share-clients", "silent") == before + 1);
+    wait_until("it is counted", || away(&courier, "share-clients", "silent") == before + 1);
     assert_eq!(away(&courier, "share-clients", "untold"), 0);
     drop(crowd);
-    until("service again", || post(courier.address, "/pay", "again", "", "x").unwrap().status() == 202);
+    wait_until("service again", || post(courier.address, "/pay", "again", "", "x").unwrap().status() == 202);
 }
 
 #[test]
@@ -152,7 +154,7 @@
     let mut vans = Vec::new();
     let five = loop {
         let client = format!("van-{}", vans.len());
-        let (van, connack) = Publisher::connect(courier.mqtt(), Connect::new(Version::V5, &client));
+        let (van, connack) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, &client));
         if connack.code != 0 {
             break connack;
         }
@@ -163,7 +165,7 @@
     assert!(five.reason.as_deref().is_some_and(|r| r.contains("has its share")), "{five:?}");
     let told = |name: &str| five.properties.iter().any(|(n, _)| n == name);
     assert!(told("retry-after") && told("x-reason"), "{five:?}");
-    let (_, three) = Publisher::connect(courier.mqtt(), Connect::new(Version::V311, "van"));
+    let (_, three) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V311, "van"));
     assert_eq!(three.code, 3, "server unavailable");
     let mut stray = connect(courier.mqtt());
     stray.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("sent");
@@ -183,8 +185,8 @@
             stream
         })
         .collect();
-    let ends: Vec<Option<Page>> = half.iter().map(answer).collect();
-    let pushed: Vec<&Page> = ends.iter().flatten().collect();
+    let ends: Vec<Option<HttpMessage>> = half.iter().map(answer).collect();
+    let pushed: Vec<&HttpMessage> = ends.iter().flatten().collect();
     assert!(!pushed.is_empty(), "none was pushed out: the test shows nothing");
     for page in pushed {
         is_told(page, "connections");
@@ -194,7 +196,7 @@
 }
 
 fn open_files(courier: &Courier) -> usize {
-    descriptors(courier.id()).expect("its descriptors")
+    open_descriptors(courier.id()).expect("its descriptors")
 }
 
 #[test]
@@ -217,7 +219,7 @@
     assert_eq!(answer(&other).expect("an answer").status(), 202, "another client is served");
     drop(flood);
     drop(crowd);
-    until("descriptors are back", || open_files(&courier) <= before);
+    wait_until("descriptors are back", || open_files(&courier) <= before);
     let page = courier.page("/-/memory");
     let counts = &page["turned_away"]["share-clients"];
     let sum: u64 = ["told", "silent", "untold"].iter().filter_map(|how| counts[*how].as_u64()).sum();
@@ -236,9 +238,11 @@
 #[test]
 fn a_proxy_has_no_share_and_its_clients_have_theirs_by_the_header_that_only_it_may_send() {
     let endpoint = Endpoint::new(|_| {
-        Act::Answer("HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 5000\r\nContent-Length: 0\r\n\r\n")
+        EndpointAction::Respond(
+            "HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 5000\r\nContent-Length: 0\r\n\r\n",
+        )
     });
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let text = "bodies_held = \"1MB\"\nclient_share = 0.4\nproxies = [\"127.0.0.0/30\"]\nclient_header = \"X-Client\"";
     let courier = Courier::serve(&folder, &file(&endpoint, text));
     let body = "x".repeat(50_000);
@@ -249,7 +253,7 @@
         let text = request("/pay", &format!("m{n}"), heads, &body);
         stream.write_all(text.as_bytes()).expect("sent");
         let page = answer(&stream).expect("an answer");
-        (page.status(), page.head("X-Reason").unwrap_or_default().to_owned())
+        (page.status(), page.header("X-Reason").unwrap_or_default().to_owned())
     };
     let (proxy, van) = ([127, 0, 0, 1], "X-Client: van-1\r\n");
     let taken = (0..100).take_while(|_| send(proxy, van).0 == 202).count();
@@ -272,8 +276,8 @@
 
 #[test]
 fn a_share_that_is_lowered_closes_no_connection_that_stands_and_turns_new_ones_away() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
     let free = free_address();
     let text = |share: &str| {
         let text = file(&endpoint, &format!("clients = \"2MB\"\nclient_share = {share}"));
@@ -288,8 +292,8 @@
     };
     let mut all: Vec<TcpStream> = (0..70).map(|_| connect(courier.address)).collect();
     assert!(all.iter_mut().all(|stream| ask(stream) == Some(200)));
-    courier.reread(&folder, &text("0.2"));
-    until("the new share holds", || {
+    courier.replace_config_file(&folder, &text("0.2"));
+    wait_until("the new share holds", || {
         let mut stream = connect(courier.address);
         ask(&mut stream) == Some(503)
     });
--- a/crates/courier/tests/gone_answers.rs
+++ b/crates/courier/tests/gone_answers.rs
@@ -1,7 +1,7 @@
 //! A message whose endpoint has answered 410 is over, and is not sent again, in whatever shape that answer comes:
 //! couriers as processes on loopback, endpoints that break off their answers, and a machine whose reads are interrupted.
 
-use stairshed_rig::faults::MachineFaults;
+use stairshed_rig::machine_faults::MachineFaults;
 use stairshed_rig::*;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -15,7 +15,7 @@
 const SETTLED: Duration = Duration::from_millis(1_500);
 
 /// How an endpoint gives an answer.
-type Answering = fn(&'static str) -> Act;
+type Answering = fn(&'static str) -> EndpointAction;
 
 /// Answers of 410 that cannot be read to their end.
 const UNREADABLE_GONE: [&str; 8] = [
@@ -31,13 +31,17 @@
 
 /// Two endpoints of one destination. They answer the first call for a message named `gone-...` with `act`, all other calls
 /// well.
-fn two_endpoints(act: impl Fn() -> Act + Clone + Send + Sync + 'static) -> [Endpoint; 2] {
+fn two_endpoints(act: impl Fn() -> EndpointAction + Clone + Send + Sync + 'static) -> [Endpoint; 2] {
     let seen: Arc<Mutex<BTreeSet<String>>> = Arc::default();
     [(); 2].map(|()| {
         let (seen, act) = (seen.clone(), act.clone());
         Endpoint::by_call(move |call| {
             let first = seen.lock().expect("ids").insert(call.id.clone());
-            if first && call.id.starts_with("gone") { act() } else { Act::Distinct(Duration::ZERO) }
+            if first && call.id.starts_with("gone") {
+                act()
+            } else {
+                EndpointAction::RespondDistinct(Duration::ZERO)
+            }
         })
     })
 }
@@ -48,30 +52,30 @@
     discovery: Discovery,
     courier: Courier,
     faults: MachineFaults,
-    folder: Folder,
+    folder: TestFolder,
 }
 
 impl Play {
-    fn start(act: impl Fn() -> Act + Clone + Send + Sync + 'static) -> Self {
+    fn start(act: impl Fn() -> EndpointAction + Clone + Send + Sync + 'static) -> Self {
         let endpoints = two_endpoints(act);
         let hosts = [("s-1", &endpoints[0]), ("s-2", &endpoints[1])];
         let hosts = hosts.map(|(name, endpoint)| host(name, endpoint, 7, "ready"));
         let discovery = Discovery::new(list(1, true, hosts.to_vec()));
-        let folder = Folder::new();
+        let folder = TestFolder::new();
         let mut command = command(&folder, &discovery, &config(&discovery, list(1, true, hosts.to_vec())));
         let faults = MachineFaults::load(&mut command, &folder, "");
         let courier = Courier::spawn(&mut command);
         Play { endpoints, discovery, courier, faults, folder }
     }
 
-    fn calls_for(&self, id: &str) -> Vec<Seen> {
+    fn calls_for(&self, id: &str) -> Vec<ReceivedCall> {
         self.endpoints.iter().flat_map(Endpoint::calls).filter(|call| call.id == id).collect()
     }
 
     /// Leaves connections to both endpoints that are kept: their answers are known to differ.
     fn warm(&self) {
         for n in 0..6 {
-            self.courier.take(&format!("warm-{n}"), "status", 7, TIME_MS);
+            self.courier.submit_accepted(&format!("warm-{n}"), "status", 7, TIME_MS);
             thread::sleep(20 * MS);
         }
     }
@@ -80,8 +84,8 @@
     fn called_again_under(&self, rules: &str) -> Vec<String> {
         let ids: Vec<_> = (0..MESSAGES).map(|n| format!("gone-{n}")).collect();
         for (id, class) in ids.iter().zip(REPEATED.into_iter().cycle()) {
-            self.courier.take(id, class, 7, TIME_MS);
-            until("its call", || !self.calls_for(id).is_empty());
+            self.courier.submit_accepted(id, class, 7, TIME_MS);
+            wait_until("its call", || !self.calls_for(id).is_empty());
             self.faults.set(rules);
             thread::sleep(150 * MS);
             self.faults.set("");
@@ -93,7 +97,7 @@
     /// Hands a message in; how often it was called and how many notices it has, once it has ended and long enough for
     /// another attempt has passed.
     fn end_of(&self, id: &str, class: &str) -> (usize, usize) {
-        self.courier.take(id, class, 7, TIME_MS);
+        self.courier.submit_accepted(id, class, 7, TIME_MS);
         let end = Instant::now() + Duration::from_millis(TIME_MS) + SETTLED;
         while Instant::now() < end && self.calls_for(id).len() < 2 && self.discovery.results(id).is_empty() {
             thread::sleep(5 * MS);
@@ -131,25 +135,25 @@
 // (incident 9421da).
 #[test]
 fn message_is_not_sent_again_after_an_unreadable_410_on_a_new_connection() {
-    assert_ended_by_each(false, Act::Answer);
+    assert_ended_by_each(false, EndpointAction::Respond);
 }
 
 // The same on a connection that has carried other answers (incident 9421da).
 #[test]
 fn message_is_not_sent_again_after_an_unreadable_410_on_a_used_connection() {
-    assert_ended_by_each(true, Act::Answer);
+    assert_ended_by_each(true, EndpointAction::Respond);
 }
 
 // Guards against a message that is sent again because its connection broke in the middle of a 410 (incident 9421da).
 #[test]
 fn message_is_not_sent_again_after_a_410_that_is_cut_off_by_a_reset() {
-    assert_ended_by_each(false, Act::AnswerAndReset);
+    assert_ended_by_each(false, EndpointAction::RespondAndReset);
 }
 
 // Guards against a message that is sent again because the read of its 410 was interrupted (EINTR, incident 9421da).
 #[test]
 fn message_is_not_sent_again_after_a_410_whose_read_was_interrupted() {
-    let play = Play::start(|| Act::Late(60 * MS, GONE));
+    let play = Play::start(|| EndpointAction::RespondAfter(60 * MS, GONE));
     let repeated = play.called_again_under("recv EINTR 2");
     assert!(repeated.is_empty(), "sent again after 410: {repeated:?}");
 }
@@ -167,20 +171,21 @@
 /// From the answer that tells to wait to the next call at its endpoint.
 fn pause_after(text: &'static str, used: bool, act: Answering) -> Duration {
     let calls_before = if used { 4 } else { 0 };
-    let answer = move |n| if n == calls_before { act(text) } else { Act::Distinct(Duration::ZERO) };
+    let answer =
+        move |n| if n == calls_before { act(text) } else { EndpointAction::RespondDistinct(Duration::ZERO) };
     let endpoint = Endpoint::new(answer);
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = Courier::start(&folder, &discovery);
     for n in 0..calls_before {
-        courier.take(&format!("warm-{n}"), "status", 7, TIME_MS);
-        until("a call", || endpoint.calls().len() == n + 1);
+        courier.submit_accepted(&format!("warm-{n}"), "status", 7, TIME_MS);
+        wait_until("a call", || endpoint.calls().len() == n + 1);
         thread::sleep(20 * MS);
     }
-    courier.take("m", "status", 7, TIME_MS);
-    until("the call that is told to wait", || endpoint.calls().len() > calls_before);
-    courier.take("n", "notice", 7, TIME_MS);
-    until("the next call", || endpoint.calls().len() > calls_before + 1);
+    courier.submit_accepted("m", "status", 7, TIME_MS);
+    wait_until("the call that is told to wait", || endpoint.calls().len() > calls_before);
+    courier.submit_accepted("n", "notice", 7, TIME_MS);
+    wait_until("the next call", || endpoint.calls().len() > calls_before + 1);
     let calls = endpoint.calls();
     calls[calls_before + 1].at - calls[calls_before].at
 }
@@ -188,8 +193,11 @@
 // Guards against a call within a wait that an endpoint has told in an answer which cannot be read to its end.
 #[test]
 fn wait_is_heeded_also_if_the_answer_that_tells_it_cannot_be_read_to_its_end() {
-    let ways: [(bool, Answering); 3] =
-        [(false, Act::Answer), (true, Act::Answer), (false, Act::AnswerAndReset)];
+    let ways: [(bool, Answering); 3] = [
+        (false, EndpointAction::Respond),
+        (true, EndpointAction::Respond),
+        (false, EndpointAction::RespondAndReset),
+    ];
     for (used, act) in ways {
         let plays = UNREADABLE_WAITS.map(|text| thread::spawn(move || (text, pause_after(text, used, act))));
         let pauses = plays.map(|play| play.join().expect("a play"));
@@ -202,7 +210,7 @@
 #[test]
 fn message_is_not_sent_again_after_a_410_that_came_before_its_connection_failed() {
     for error in ["ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH"] {
-        let play = Play::start(|| Act::Late(60 * MS, GONE));
+        let play = Play::start(|| EndpointAction::RespondAfter(60 * MS, GONE));
         let repeated = play.called_again_under(&format!("recv {error} 2"));
         assert!(repeated.is_empty(), "sent again after 410 and {error}: {repeated:?}");
     }
@@ -211,14 +219,14 @@
 // Guards against a message that a restart sends again because its courier was killed while it waited for the rest of a 410.
 #[test]
 fn restart_does_not_send_again_what_was_over_before_the_rest_of_its_410_came() {
-    let play = Play::start(|| Act::Answer(UNREADABLE_GONE[2]));
-    play.courier.take("gone-status", "status", 7, TIME_MS);
-    until("its call", || !play.calls_for("gone-status").is_empty());
+    let play = Play::start(|| EndpointAction::Respond(UNREADABLE_GONE[2]));
+    play.courier.submit_accepted("gone-status", "status", 7, TIME_MS);
+    wait_until("its call", || !play.calls_for("gone-status").is_empty());
     thread::sleep(50 * MS);
     play.courier.kill();
     let _courier = Courier::start(&play.folder, &play.discovery);
     let calls = || play.endpoints.iter().flat_map(Endpoint::ids).filter(|id| id == "gone-status").count();
-    until("its end", || calls() > 1 || !play.discovery.results("gone-status").is_empty());
+    wait_until("its end", || calls() > 1 || !play.discovery.results("gone-status").is_empty());
     assert_eq!(calls(), 1);
 }
 
@@ -230,7 +238,9 @@
         "HTTP/1.1 410 Gone\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngone\r\n0\r\n\r\n",
     ];
     let plays = answers.map(|text| {
-        thread::spawn(move || Play::start(move || Act::Answer(text)).end_of("gone-status", "status"))
+        thread::spawn(move || {
+            Play::start(move || EndpointAction::Respond(text)).end_of("gone-status", "status")
+        })
     });
     let ends = plays.map(|play| play.join().expect("a play"));
     assert_eq!(ends, [(1, 0); 2], "calls and notices after {answers:?}");
--- a/crates/courier/tests/idle.rs
+++ b/crates/courier/tests/idle.rs
@@ -22,16 +22,16 @@
     purpose(page, "clients")["in_use"].as_u64().expect("a figure")
 }
 
-fn ask(stream: &mut TcpStream, request: &str) -> Option<Page> {
+fn ask(stream: &mut TcpStream, request: &str) -> Option<HttpMessage> {
     stream.write_all(request.as_bytes()).ok()?;
-    Page::read(&mut BufReader::new(&*stream))
+    HttpMessage::read(&mut BufReader::new(&*stream))
 }
 
 /// So many connections that have each been answered once.
 fn idle(courier: &Courier, count: usize) -> Vec<TcpStream> {
     let open = |_| {
         let mut stream = TcpStream::connect(courier.address).expect("a connection");
-        stream.set_read_timeout(Some(LIMIT)).expect("a limit");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
         let ready = ask(&mut stream, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer");
         assert_eq!(ready.status(), 200);
         stream
@@ -41,8 +41,8 @@
 
 #[test]
 fn idle_connections_take_what_is_on_the_books_wake_and_give_all_back() {
-    let (endpoint, folder) = (Endpoint::new(|_| Act::Answer(OK)), Folder::new());
-    let count = figure("STAIRSHED_IDLE", 300) as usize;
+    let (endpoint, folder) = (Endpoint::new(|_| EndpointAction::Respond(OK)), TestFolder::new());
+    let count = env_or("STAIRSHED_IDLE", 300) as usize;
     let courier = Courier::serve(&folder, &file(&endpoint, count * 2 + 100, ""));
     let page = courier.page("/-/memory");
     let (before, none) = (page["resident"].as_u64().expect("resident"), clients(&page));
@@ -59,25 +59,25 @@
         stream.write_all(text.as_bytes()).expect("sent");
     }
     // Taken on, or told when to come back: thousands at once may be more than is worth holding.
-    let fair = |page: &Page| page.status() == 202 || page.head("Retry-After").is_some();
+    let fair = |page: &HttpMessage| page.status() == 202 || page.header("Retry-After").is_some();
     assert!(fair(&courier.post("/status", "other", "", "x")), "another client meanwhile");
     let mut taken = 0;
     for stream in all.iter().step_by(2) {
-        let page = Page::read(&mut BufReader::new(stream)).expect("an answer on each that woke");
+        let page = HttpMessage::read(&mut BufReader::new(stream)).expect("an answer on each that woke");
         taken += usize::from(page.status() == 202);
         assert!(fair(&page), "{page:?}");
     }
     println!("{taken} of {} that woke were taken on", all.len().div_ceil(2));
     assert!(taken > 0);
     drop(all);
-    until("all is off the books", || clients(&courier.page("/-/memory")) <= none + 30_000);
-    until("and delivered", || endpoint.calls().len() >= taken);
+    wait_until("all is off the books", || clients(&courier.page("/-/memory")) <= none + 30_000);
+    wait_until("and delivered", || endpoint.calls().len() >= taken);
 }
 
 #[test]
 fn idle_connections_past_the_cap_make_room_and_every_newcomer_is_served() {
-    let (endpoint, folder) = (Endpoint::new(|_| Act::Answer(OK)), Folder::new());
-    let count = figure("STAIRSHED_IDLE", 300) as usize;
+    let (endpoint, folder) = (Endpoint::new(|_| EndpointAction::Respond(OK)), TestFolder::new());
+    let count = env_or("STAIRSHED_IDLE", 300) as usize;
     let cap = format!("clients = \"{}KB\"", count / 2 * 21 + 100);
     let courier = Courier::serve(&folder, &file(&endpoint, count * 2 + 100, &cap));
     let mut all = idle(&courier, count);
@@ -85,7 +85,7 @@
     let (mut served, mut told, mut closed) = (0, 0, 0);
     for (n, stream) in all.iter_mut().enumerate() {
         let text = request("/status", &format!("m{n}"), "", "x");
-        match ask(stream, &text).map(|page| (page.status(), page.head("X-Reason").is_some())) {
+        match ask(stream, &text).map(|page| (page.status(), page.header("X-Reason").is_some())) {
             Some((202, _)) => served += 1,
             Some((503, true)) => told += 1,
             None => closed += 1,
--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-fn state(folder: &Folder) -> PathBuf {
+fn state(folder: &TestFolder) -> PathBuf {
     folder.0.join("state")
 }
 
 /// `stairshed journal WHAT` on the courier's folder.
-fn tool(folder: &Folder, what: &str) -> Output {
+fn tool(folder: &TestFolder, what: &str) -> Output {
     Command::new(program()).arg("journal").arg(what).arg(state(folder)).output().expect("it runs")
 }
 
@@ -40,12 +40,13 @@
     let own = open.clone();
     // Turned away, so that nothing may have run.
     const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    let endpoint = Endpoint::new(move |_| Act::Answer(if own.load(Ordering::SeqCst) { OK } else { BUSY }));
+    let endpoint =
+        Endpoint::new(move |_| EndpointAction::Respond(if own.load(Ordering::SeqCst) { OK } else { BUSY }));
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
     (open, endpoint, discovery)
 }
 
-fn courier(folder: &Folder, discovery: &Discovery, settings: &str) -> Courier {
+fn courier(folder: &TestFolder, discovery: &Discovery, settings: &str) -> Courier {
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let mut command = command(folder, discovery, &config(discovery, known));
     with_settings(&mut command, folder, settings);
@@ -54,7 +55,7 @@
 
 /// Every message that was taken on has ended: answered 200 by the endpoint once it was open, or told.
 fn all_end(taken: &[String], endpoint: &Endpoint, discovery: &Discovery, opened: usize) {
-    until("the end of all that was taken on", || {
+    wait_until("the end of all that was taken on", || {
         let delivered: Vec<String> = endpoint.calls()[opened..].iter().map(|c| c.id.clone()).collect();
         taken.iter().all(|id| delivered.contains(id) || !discovery.results(id).is_empty())
     });
@@ -68,13 +69,13 @@
 #[test]
 fn a_full_journal_refuses_new_messages_with_its_reason_and_ends_the_old_ones() {
     let (open, endpoint, discovery) = gate();
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = courier(&folder, &discovery, "[journal]\nroom = \"250KB\"\n");
     let body = "x".repeat(3000);
     let (mut taken, mut refused) = (Vec::new(), None);
     for n in 0..100 {
         let id = format!("m{n}");
-        let page = raw(courier.address, message_with(&id, "payment", 7, 25_000, &body).as_bytes());
+        let page = exchange(courier.address, message_with(&id, "payment", 7, 25_000, &body).as_bytes());
         let page = page.expect("an answer");
         match page.status() {
             202 => taken.push(id),
@@ -84,13 +85,13 @@
     let refused = refused.expect("it fills");
     assert_eq!(refused.status(), 503);
     assert!(text(&refused.body).contains("journal is full"), "{refused:?}");
-    assert!(refused.head("retry-after").is_some_and(|v| v.parse::<f64>().is_ok_and(|s| s > 0.0)));
+    assert!(refused.header("retry-after").is_some_and(|v| v.parse::<f64>().is_ok_and(|s| s > 0.0)));
     assert!(taken.len() > 10);
     // Full as it is, all ends; then there is room again.
     let opened = endpoint.calls().len();
     open.store(true, Ordering::SeqCst);
     all_end(&taken, &endpoint, &discovery, opened);
-    until("it serves again", || courier.hand_in("again", "payment", 7, 20_000).status() == 202);
+    wait_until("it serves again", || courier.submit("again", "payment", 7, 20_000).status() == 202);
     let used: u64 = segments(&state(&folder))
         .iter()
         .map(|p| p.metadata().map_or(0, |m| m.len().next_multiple_of(512)))
@@ -101,22 +102,22 @@
 #[test]
 fn a_write_that_the_kernel_cuts_short_costs_nothing_that_was_taken_on() {
     let (open, endpoint, discovery) = gate();
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let under = command(&folder, &discovery, &config(&discovery, known));
-    let courier = Courier::spawn(&mut limitable(&under));
+    let courier = Courier::spawn(&mut ignoring_file_size_signal(&under));
     let mut taken = Vec::new();
     for n in 0..10 {
-        courier.take(&format!("m{n}"), "payment", 7, 28_000);
+        courier.submit_accepted(&format!("m{n}"), "payment", 7, 28_000);
         taken.push(format!("m{n}"));
     }
     // In the middle of the next record but one, or of what is written beside it.
     let size = segments(&state(&folder)).last().expect("a segment").metadata().expect("its size").len();
-    courier.limit_files(Some(size + 300));
+    courier.set_file_size_limit(Some(size + 300));
     let mut refused = None;
-    until("it is refused", || {
+    wait_until("it is refused", || {
         let id = format!("n{}", taken.len());
-        let page = courier.hand_in(&id, "payment", 7, 28_000);
+        let page = courier.submit(&id, "payment", 7, 28_000);
         match page.status() {
             202 => taken.push(id),
             _ => refused = Some(page),
@@ -126,15 +127,15 @@
     let refused = refused.expect("a page");
     assert_eq!(refused.status(), 503);
     assert!(text(&refused.body).contains("disk"), "{refused:?}");
-    assert!(refused.head("retry-after").is_some());
-    courier.says("cannot write");
-    until("not ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 503));
-    courier.limit_files(None);
-    courier.says("works again");
+    assert!(refused.header("retry-after").is_some());
+    courier.wait_for_log("cannot write");
+    wait_until("not ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 503));
+    courier.set_file_size_limit(None);
+    courier.wait_for_log("works again");
     let opened = endpoint.calls().len();
     open.store(true, Ordering::SeqCst);
     all_end(&taken, &endpoint, &discovery, opened);
-    until("it serves again", || courier.hand_in("again", "payment", 7, 20_000).status() == 202);
+    wait_until("it serves again", || courier.submit("again", "payment", 7, 20_000).status() == 202);
     let all = endpoint.ids();
     assert!(taken.iter().all(|id| all.contains(id)), "all that was taken on was sent");
     courier.kill();
@@ -143,16 +144,16 @@
 
 #[test]
 fn a_payment_that_a_spoilt_record_may_hide_is_never_sent_again() {
-    let endpoint = Endpoint::new(|n| if n < 2 { Act::Hang } else { Act::Answer(OK) });
+    let endpoint = Endpoint::new(|n| if n < 2 { EndpointAction::Hang } else { EndpointAction::Respond(OK) });
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = courier(&folder, &discovery, "");
-    courier.take("pay", "payment", 7, 25_000);
-    courier.take("state", "status", 7, 25_000);
-    until("both calls", || endpoint.calls().len() == 2);
+    courier.submit_accepted("pay", "payment", 7, 25_000);
+    courier.submit_accepted("state", "status", 7, 25_000);
+    wait_until("both calls", || endpoint.calls().len() == 2);
     // One more record behind those of the attempts, so that they are not at the end.
-    courier.take("later", "status", 7, 25_000);
-    until("the third call", || endpoint.calls().len() == 3);
+    courier.submit_accepted("later", "status", 7, 25_000);
+    wait_until("the third call", || endpoint.calls().len() == 3);
     courier.kill();
     let before = text(&tool(&folder, "dump").stdout);
     let attempts = before.lines().filter(|l| l.contains("\"kind\":\"attempt\"")).count();
@@ -166,9 +167,13 @@
     let name = path.file_name().and_then(|n| n.to_str()).expect("a name");
     assert!(said.contains("DAMAGED") && said.contains(name) && said.contains("byte"), "{said}");
     let courier = self::courier(&folder, &discovery, "");
-    assert!(courier.first.iter().any(|l| l.contains("DAMAGED") && l.contains(name)), "{:?}", courier.first);
-    until("its end", || discovery.results("pay") == ["dead"]);
-    until("the repeat of what is harmless", || {
+    assert!(
+        courier.startup_log.iter().any(|l| l.contains("DAMAGED") && l.contains(name)),
+        "{:?}",
+        courier.startup_log
+    );
+    wait_until("its end", || discovery.results("pay") == ["dead"]);
+    wait_until("the repeat of what is harmless", || {
         endpoint.ids().iter().filter(|id| *id == "state").count() == 2
     });
     assert_eq!(endpoint.ids().iter().filter(|id| *id == "pay").count(), 1);
@@ -178,8 +183,8 @@
 
 #[test]
 fn a_key_that_a_spoilt_record_may_hide_is_sent_to_no_endpoint_without_a_zone() {
-    let endpoint = Endpoint::new(|n| if n < 2 { Act::Hang } else { Act::Answer(OK) });
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|n| if n < 2 { EndpointAction::Hang } else { EndpointAction::Respond(OK) });
+    let folder = TestFolder::new();
     let file = format!(
         "[classes.fuel]\neffect = \"keyed\"\nkey_scope = \"zone\"\nkey_window = \"60s\"\ndeadline = \"20s\"\n\
          [pools.p]\nendpoints = [{{ address = \"{}\" }}]\n\
@@ -188,26 +193,26 @@
     );
     let courier = Courier::serve(&folder, &file);
     assert_eq!(courier.post("/fuel", "pay", "Idempotency-Key: k\r\n", "1").status(), 202);
-    until("the call", || endpoint.calls().len() == 1);
+    wait_until("the call", || endpoint.calls().len() == 1);
     // One more record behind that of the attempt, so that it is not at the end.
     assert_eq!(courier.post("/fuel", "later", "Idempotency-Key: l\r\n", "1").status(), 202);
-    until("the second call", || endpoint.calls().len() == 2);
+    wait_until("the second call", || endpoint.calls().len() == 2);
     courier.kill();
     let path = segments(&state(&folder).join("journal")).pop().expect("a segment");
     spoil(&path, format!("p/{}", endpoint.address).as_bytes());
     let courier = Courier::serve(&folder, &file);
-    assert!(courier.first.iter().any(|l| l.contains("DAMAGED")), "{:?}", courier.first);
-    until("its end", || outcomes(&folder).iter().any(|(id, result)| id == "pay" && result == "dead"));
+    assert!(courier.startup_log.iter().any(|l| l.contains("DAMAGED")), "{:?}", courier.startup_log);
+    wait_until("its end", || outcomes(&folder).iter().any(|(id, result)| id == "pay" && result == "dead"));
     assert_eq!(endpoint.ids().iter().filter(|id| *id == "pay").count(), 1);
 }
 
 #[test]
 fn the_tools_tell_what_is_there_and_keep_out_of_a_courier_s_way() {
     let (open, endpoint, discovery) = gate();
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = courier(&folder, &discovery, "");
     for n in 0..5 {
-        courier.take(&format!("m{n}"), "payment", 7, 25_000);
+        courier.submit_accepted(&format!("m{n}"), "payment", 7, 25_000);
     }
     for what in ["inspect", "verify", "dump", "compact"] {
         let run = tool(&folder, what);
@@ -215,7 +220,7 @@
         assert!(text(&run.stderr).contains("another process"), "{what}: {}", text(&run.stderr));
     }
     courier.kill();
-    let files = |folder: &Folder| -> Vec<_> {
+    let files = |folder: &TestFolder| -> Vec<_> {
         segments(&state(folder)).iter().map(|p| (p.clone(), std::fs::read(p).expect("read"))).collect()
     };
     let before = files(&folder);
@@ -239,15 +244,15 @@
 #[test]
 fn with_syncs_a_message_is_answered_delivered_and_resumed_like_any_other() {
     let (open, endpoint, discovery) = gate();
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let settings = "[journal]\ndurability = \"machine\"\nset_aside = true\nroom = \"8MB\"\n";
     let courier = courier(&folder, &discovery, settings);
     let taken: Vec<String> = (0..20).map(|n| format!("m{n}")).collect();
-    taken.iter().for_each(|id| courier.take(id, "payment", 7, 25_000));
+    taken.iter().for_each(|id| courier.submit_accepted(id, "payment", 7, 25_000));
     courier.kill();
     let courier = self::courier(&folder, &discovery, settings);
-    courier.take("late", "status", 7, 1500);
-    until("a notice", || !discovery.results("late").is_empty());
+    courier.submit_accepted("late", "status", 7, 1500);
+    wait_until("a notice", || !discovery.results("late").is_empty());
     let opened = endpoint.calls().len();
     open.store(true, Ordering::SeqCst);
     all_end(&taken, &endpoint, &discovery, opened);
@@ -256,7 +261,7 @@
 #[test]
 fn bad_settings_and_a_folder_in_use_end_the_start_with_one_line() {
     let (_open, _endpoint, discovery) = gate();
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let config = config(&discovery, known);
     let run = |settings: &str| {
@@ -280,21 +285,21 @@
 fn a_folder_of_the_old_format_is_taken_over_with_every_message() {
     let (open, endpoint, discovery) = gate();
     open.store(true, Ordering::SeqCst);
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     std::fs::write(state(&folder).join("journal"), OLD).expect("written");
     let courier = courier(&folder, &discovery, "");
     assert!(
-        courier.first.iter().any(|l| l.contains("taken over from the old format")),
+        courier.startup_log.iter().any(|l| l.contains("taken over from the old format")),
         "{:?}",
-        courier.first
+        courier.startup_log
     );
     assert!(!state(&folder).join("journal").exists());
     // Their time was up long ago, so each ends by a notice; what may have run is never said to be harmless.
-    until("every end", || (0..6).all(|n| !discovery.results(&format!("m{n}")).is_empty()));
+    wait_until("every end", || (0..6).all(|n| !discovery.results(&format!("m{n}")).is_empty()));
     courier.kill();
     assert!(endpoint.calls().is_empty(), "nothing is sent whose time is up");
     // Taken over once more by the tool: the courier may have compacted by now what has ended.
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     std::fs::write(state(&folder).join("journal"), OLD).expect("written");
     assert!(tool(&folder, "compact").status.success());
     let dump = text(&tool(&folder, "dump").stdout);
@@ -310,17 +315,17 @@
 
 #[test]
 fn a_clock_that_has_jumped_back_gives_no_message_more_time_than_its_class_has() {
-    let endpoint = Endpoint::new(|_| Act::Hang);
+    let endpoint = Endpoint::new(|_| EndpointAction::Hang);
     // Listed but draining: the message is held as long as it has time.
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "draining")]));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let mut config = config(&discovery, known);
     // As if an hour had been turned back: its time is up an hour from now.
     let courier = Courier::with(&folder, &discovery, &config);
-    courier.take("hour", "payment", 7, 3_600_000);
-    courier.take("usual", "payment", 7, 500);
-    until("the end of one with less time", || !discovery.results("usual").is_empty());
+    courier.submit_accepted("hour", "payment", 7, 3_600_000);
+    courier.submit_accepted("usual", "payment", 7, 500);
+    wait_until("the end of one with less time", || !discovery.results("usual").is_empty());
     assert!(discovery.results("hour").is_empty());
     courier.kill();
     for lane in 0..3 {
@@ -328,5 +333,5 @@
         config["settings"]["lanes"][lane]["deadline-ns"] = serde_json::json!(2_000_000_000u64);
     }
     let _courier = Courier::with(&folder, &discovery, &config);
-    until("its end", || !discovery.results("hour").is_empty());
+    wait_until("its end", || !discovery.results("hour").is_empty());
 }
--- a/crates/courier/tests/machine_faults.rs
+++ b/crates/courier/tests/machine_faults.rs
@@ -2,10 +2,10 @@
 //! `stairshed-preload` in them.
 
 use stairshed_mqtt::packet::{Connect, Version};
-use stairshed_rig::broker::{Broker, Vices};
-use stairshed_rig::faults::MachineFaults;
-use stairshed_rig::publisher::Publisher;
-use stairshed_rig::rules::CLASSES;
+use stairshed_rig::broker::{Broker, BrokerFaults};
+use stairshed_rig::delivery_rules::CLASSES;
+use stairshed_rig::machine_faults::MachineFaults;
+use stairshed_rig::mqtt_client::MqttClient;
 use stairshed_rig::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -28,15 +28,15 @@
     discovery: Discovery,
     courier: Courier,
     faults: MachineFaults,
-    _folder: Folder,
+    _folder: TestFolder,
 }
 
 impl Play {
     fn start() -> Self {
-        let endpoint = Endpoint::new(|_| Act::Distinct(5 * MS));
+        let endpoint = Endpoint::new(|_| EndpointAction::RespondDistinct(5 * MS));
         let known = list(1, true, vec![host("s-1", &endpoint, 7, "ready")]);
         let discovery = Discovery::new(known.clone());
-        let folder = Folder::new();
+        let folder = TestFolder::new();
         let mut command = command(&folder, &discovery, &config(&discovery, known));
         let faults = MachineFaults::load(&mut command, &folder, "");
         let courier = Courier::spawn(&mut command);
@@ -62,7 +62,7 @@
     /// All that was taken on ends, and nothing that must not be repeated is called twice.
     fn assert_all_end(&self, taken: &[String]) {
         let ended = |id: &String| self.endpoint.ids().contains(id) || !self.discovery.results(id).is_empty();
-        until("the end of each message", || taken.iter().all(ended));
+        wait_until("the end of each message", || taken.iter().all(ended));
         let ids = self.endpoint.ids();
         let payments = taken.iter().filter(|id| id.starts_with("payment"));
         let twice: Vec<_> =
@@ -89,8 +89,8 @@
         let mut connection = open.take().unwrap_or_else(|| connect(courier));
         let text = message(&id, class, 7, TIME_MS);
         let sent = connection.get_mut().write_all(text.as_bytes());
-        let answer = sent.ok().and_then(|()| Page::read(&mut connection));
-        answers.push((id, answer.as_ref().map(Page::status)));
+        let answer = sent.ok().and_then(|()| HttpMessage::read(&mut connection));
+        answers.push((id, answer.as_ref().map(HttpMessage::status)));
         open = answer.is_some().then_some(connection);
     }
     answers
@@ -157,21 +157,21 @@
 #[test]
 fn mqtt_connections_last_while_reads_and_writes_are_interrupted_or_short() {
     for rules in ["recv EINTR 2\nsend EINTR 2", "recv short 2\nsend short 2"] {
-        let broker = Broker::new(Vices::default());
-        let folder = Folder::new();
+        let broker = Broker::new(BrokerFaults::default());
+        let folder = TestFolder::new();
         let mut command = serve_command(&folder, &mqtt_file(&broker));
         let faults = MachineFaults::load(&mut command, &folder, "");
         let courier = Courier::spawn(&mut command);
-        let (mut van, _) = Publisher::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
-        assert_eq!(van.hand_in("fuel/x", 100, "{\"id\": \"first\"}", &[]), Some(0));
-        until("its effect", || broker.effects().contains_key("first"));
+        let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
+        assert_eq!(van.submit("fuel/x", 100, "{\"id\": \"first\"}", &[]), Some(0));
+        wait_until("its effect", || broker.effects().contains_key("first"));
         let connections = broker.connections();
         faults.set(rules);
         for n in 0..MESSAGES {
             let body = format!("{{\"id\": \"m{n}\"}}");
-            assert_eq!(van.hand_in("fuel/x", n as u16 + 1, &body, &[]), Some(0), "m{n} under {rules:?}");
+            assert_eq!(van.submit("fuel/x", n as u16 + 1, &body, &[]), Some(0), "m{n} under {rules:?}");
         }
-        until("all effects", || broker.effects().len() == MESSAGES + 1);
+        wait_until("all effects", || broker.effects().len() == MESSAGES + 1);
         assert!(broker.effects().values().all(|times| *times == 1), "{:?}", broker.effects());
         assert_eq!(broker.connections(), connections, "connections to the broker under {rules:?}");
     }
@@ -183,5 +183,5 @@
     let mut play = Play::start();
     play.faults.set("recv-local EINTR 2");
     play.courier.signal("-TERM");
-    assert_eq!(play.courier.exit(), 0, "{:?}", play.courier.logged());
+    assert_eq!(play.courier.exit(), 0, "{:?}", play.courier.unread_log());
 }
--- a/crates/courier/tests/memory.rs
+++ b/crates/courier/tests/memory.rs
@@ -4,8 +4,8 @@
 
 use serde_json::{Value, json};
 use stairshed_mqtt::packet::{Ack, Connect, Disconnect, Packet, Qos, Version, code};
-use stairshed_rig::control::Control;
-use stairshed_rig::publisher::{Publisher, lasting};
+use stairshed_rig::control_service::ControlService;
+use stairshed_rig::mqtt_client::{MqttClient, persistent_session};
 use stairshed_rig::*;
 use std::collections::BTreeSet;
 use std::io::{BufReader, Read, Write};
@@ -32,9 +32,9 @@
         let endpoint = Endpoint::by_call(move |call| match gate.load(Ordering::SeqCst) {
             true => {
                 book.lock().expect("the book").insert(call.id.clone());
-                Act::Answer(OK)
+                EndpointAction::Respond(OK)
             }
-            false => Act::Answer(BUSY),
+            false => EndpointAction::Respond(BUSY),
         });
         Gated { endpoint, open, took }
     }
@@ -77,7 +77,7 @@
         let looks = thread::spawn(move || {
             let (mut looks, mut above) = (0, Vec::new());
             while !stopped.load(Ordering::SeqCst) {
-                let Some(page) = raw(admin, b"GET /-/memory HTTP/1.1\r\nHost: x\r\n\r\n") else { break };
+                let Some(page) = exchange(admin, b"GET /-/memory HTTP/1.1\r\nHost: x\r\n\r\n") else { break };
                 let page: Value = serde_json::from_slice(&page.body).expect("JSON");
                 for p in page["purposes"].as_array().expect("purposes") {
                     let n = |key: &str| p[key].as_u64().unwrap_or_default();
@@ -102,7 +102,7 @@
 }
 
 /// Hands in until it is refused; the ids that were taken on, and the refusal.
-fn fill(courier: &Courier, path: &str, name: &str, body: &str) -> (Vec<String>, Page) {
+fn fill(courier: &Courier, path: &str, name: &str, body: &str) -> (Vec<String>, HttpMessage) {
     let mut taken = Vec::new();
     for n in 0..2000 {
         let id = format!("{name}-{n}");
@@ -116,18 +116,18 @@
 }
 
 /// A refusal for want of memory: at once, with its reason and a time to come back.
-fn is_refused(answer: &Page, reason: &str) {
+fn is_refused(answer: &HttpMessage, reason: &str) {
     let text = String::from_utf8_lossy(&answer.body).into_owned();
-    assert_eq!((answer.status(), answer.head("X-Reason")), (503, Some(reason)), "{text}");
-    let wait: f64 = answer.head("Retry-After").and_then(|w| w.parse().ok()).expect("when to come back");
+    assert_eq!((answer.status(), answer.header("X-Reason")), (503, Some(reason)), "{text}");
+    let wait: f64 = answer.header("Retry-After").and_then(|w| w.parse().ok()).expect("when to come back");
     assert!((0.05..=60.0).contains(&wait), "{wait}");
     assert!(text.starts_with("not taken on: no memory for"), "{text}");
 }
 
 /// Whatever was taken on is delivered, or its outcome is told: one that its partner turned away as often as it may be
 /// tried has bounced.
-fn all_end(partner: &Gated, folder: &Folder, taken: &[String]) {
-    until("every end", || {
+fn all_end(partner: &Gated, folder: &TestFolder, taken: &[String]) {
+    wait_until("every end", || {
         let (done, told) = (partner.delivered(), outcomes(folder));
         taken.iter().all(|id| done.contains(id) || told.iter().any(|(i, _)| i == id))
     });
@@ -138,7 +138,7 @@
 
 fn is_served_again(courier: &Courier, path: &str) {
     let mut n = 0;
-    until("service again", || {
+    wait_until("service again", || {
         n += 1;
         courier.post(path, &format!("again-{n}"), "", "x").status() == 202
     });
@@ -146,7 +146,7 @@
 
 /// Fills a purpose, then lets all go: see the head of this file.
 fn filled(memory: &str, path: &str, body: &str, reason: &str, least: usize) {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let courier = Courier::serve(&folder, &file(&partner.endpoint, memory));
     let watch = Watch::over(&courier);
     let (taken, refused) = fill(&courier, path, "m", body);
@@ -186,13 +186,13 @@
 #[test]
 fn buffers_of_the_journal_have_their_cap() {
     // What would not fit its buffers is refused; what does is taken on.
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let courier = Courier::serve(&folder, &file(&partner.endpoint, "journal = \"256KB\""));
     let watch = Watch::over(&courier);
     for n in 0..20 {
         assert_eq!(courier.post("/status", &format!("m{n}"), "", &"x".repeat(60_000)).status(), 202);
     }
-    until("the buffers were measured", || {
+    wait_until("the buffers were measured", || {
         purpose(&courier.page("/-/memory"), "journal")["most"].as_u64() > Some(0)
     });
     watch.end();
@@ -208,21 +208,21 @@
     stream
 }
 
-fn answer(stream: &TcpStream) -> Page {
-    stream.set_read_timeout(Some(LIMIT)).expect("a limit");
-    Page::read(&mut BufReader::new(stream)).expect("an answer")
+fn answer(stream: &TcpStream) -> HttpMessage {
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
+    HttpMessage::read(&mut BufReader::new(stream)).expect("an answer")
 }
 
 #[test]
 fn bodies_that_come_byte_by_byte_or_never_have_a_cap_together_and_give_all_back() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let courier =
         Courier::serve(&folder, &file(&partner.endpoint, "bodies_read = \"512KiB\"\nclients = \"20MB\""));
     let watch = Watch::over(&courier);
     assert_eq!(courier.post("/status", "known", "", &"x".repeat(30_000)).status(), 202);
     let mut slow: Vec<TcpStream> =
         (0..8).map(|n| begun(courier.address, &format!("s{n}"), 64 * 1024)).collect();
-    until("they are being read", || {
+    wait_until("they are being read", || {
         purpose(&courier.page("/-/memory"), "bodies_read")["in_use"] == 8 * 64 * 1024
     });
     is_refused(&courier.post("/status", "no", "", &"x".repeat(60_000)), "memory-bodies_read");
@@ -233,7 +233,7 @@
     // One breaks off, one ends with less than it said, the others say nothing more until their time is up.
     drop(slow.pop());
     let _ = slow[0].shutdown(std::net::Shutdown::Write);
-    until("all is given back", || purpose(&courier.page("/-/memory"), "bodies_read")["in_use"] == 0);
+    wait_until("all is given back", || purpose(&courier.page("/-/memory"), "bodies_read")["in_use"] == 0);
     let late = slow.last().map(answer).expect("one");
     assert_eq!(late.status(), 408);
     // A thousand, a few at a time for each client: whatever comes of them, the courier goes on.
@@ -250,14 +250,14 @@
 
 #[test]
 fn one_client_cannot_take_all_of_a_purpose_and_others_get_in() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let text =
         file(&partner.endpoint, "bodies_held = \"1MB\"").replace("client_share = 1.0", "client_share = 0.4");
     let courier = Courier::serve(&folder, &text);
     let body = "x".repeat(50_000);
     let (taken, refused) = fill(&courier, "/status", "greedy", &body);
     let text = String::from_utf8_lossy(&refused.body).into_owned();
-    assert_eq!((refused.status(), refused.head("X-Reason")), (503, Some("share-bodies_held")), "{text}");
+    assert_eq!((refused.status(), refused.header("X-Reason")), (503, Some("share-bodies_held")), "{text}");
     assert!(text.contains("this client has its share"), "{text}");
     assert_eq!(taken.len(), 13, "up to where it gets tight");
     let mut other = connect_from([127, 0, 0, 2], courier.address);
@@ -267,12 +267,12 @@
     );
     other.write_all(request.as_bytes()).expect("sent");
     assert_eq!(answer(&other).status(), 202, "another client gets in");
-    until("two clients are told apart", || courier.page("/-/memory")["clients"].as_u64() >= Some(2));
+    wait_until("two clients are told apart", || courier.page("/-/memory")["clients"].as_u64() >= Some(2));
 }
 
 #[test]
 fn idle_connections_of_clients_give_way_to_active_ones() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     partner.open();
     let courier = Courier::serve(&folder, &file(&partner.endpoint, "clients = \"130KB\""));
     let watch = Watch::over(&courier);
@@ -287,8 +287,8 @@
 
 #[test]
 fn connections_to_endpoints_are_kept_as_far_as_their_cap_goes_and_no_call_fails_for_it() {
-    let endpoints: Vec<Endpoint> = (0..40).map(|_| Endpoint::new(|_| Act::Answer(OK))).collect();
-    let folder = Folder::new();
+    let endpoints: Vec<Endpoint> = (0..40).map(|_| Endpoint::new(|_| EndpointAction::Respond(OK))).collect();
+    let folder = TestFolder::new();
     let mut text = file(&endpoints[0], "endpoints = \"130KB\"");
     for (n, endpoint) in endpoints.iter().enumerate() {
         text += &format!(
@@ -303,8 +303,8 @@
             assert_eq!(courier.post(&format!("/q{n}"), &format!("m{round}-{n}"), "", "x").status(), 202);
         }
     }
-    until("every delivery", || endpoints.iter().all(|e| e.calls().len() == 3));
-    until("no more is kept than may be", || {
+    wait_until("every delivery", || endpoints.iter().all(|e| e.calls().len() == 3));
+    wait_until("no more is kept than may be", || {
         let of = purpose(&courier.page("/-/memory"), "endpoints");
         of["in_use"].as_u64() <= of["cap"].as_u64()
     });
@@ -312,14 +312,14 @@
 
 #[test]
 fn sessions_have_their_cap_and_one_that_is_known_is_let_in() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     partner.open();
     let courier = Courier::serve(&folder, &file(&partner.endpoint, "sessions = \"20KB\""));
     let watch = Watch::over(&courier);
     let mut vans = Vec::new();
     let refused = loop {
         let client = format!("van-{}", vans.len());
-        let (van, connack) = Publisher::connect(courier.mqtt(), lasting(Version::V5, &client));
+        let (van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, &client));
         if connack.code != 0 {
             break connack;
         }
@@ -330,45 +330,45 @@
     };
     assert_eq!(refused.code, code::QUOTA_EXCEEDED);
     assert!(vans.len() > 5, "{}", vans.len());
-    let (mut known, connack) = Publisher::connect(courier.mqtt(), lasting(Version::V5, "van-0"));
+    let (mut known, connack) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van-0"));
     assert_eq!((connack.code, connack.session_present), (0, true));
-    assert_eq!(known.hand_in("state", 1, "{\"id\": \"a\"}", &[]), Some(0), "and may hand in");
+    assert_eq!(known.submit("state", 1, "{\"id\": \"a\"}", &[]), Some(0), "and may hand in");
     for van in &mut vans {
         van.send(Packet::Disconnect(Disconnect { expiry: Some(0), ..Disconnect::new(0) }));
     }
-    until("service again", || {
-        Publisher::connect(courier.mqtt(), Connect::new(Version::V5, "new")).1.code == 0
+    wait_until("service again", || {
+        MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "new")).1.code == 0
     });
     watch.end();
 }
 
 #[test]
 fn a_publish_at_the_cap_is_refused_with_its_reason_and_what_is_half_taken_ends() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let courier = Courier::serve(&folder, &file(&partner.endpoint, "bodies_held = \"200KB\""));
-    let (mut van, _) = Publisher::connect(courier.mqtt(), lasting(Version::V5, "van"));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
     let body = |id: &str| format!("{{\"id\": \"{id}\", \"fill\": \"{}\"}}", "x".repeat(20_000));
     van.publish("state", Qos::ExactlyOnce, Some(1), &body("half"), &[]);
-    assert_eq!(van.acked(), Some(Packet::Pubrec(Ack::new(1, 0))));
+    assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(1, 0))));
     let (taken, _) = fill(&courier, "/status", "m", &"x".repeat(20_000));
     van.publish("state", Qos::AtLeastOnce, Some(2), &body("no"), &[]);
-    let Some(Packet::Puback(ack)) = van.acked() else { panic!("no PUBACK") };
+    let Some(Packet::Puback(ack)) = van.next_ack() else { panic!("no PUBACK") };
     assert_eq!(ack.code, code::QUOTA_EXCEEDED);
     assert!(ack.reason.as_deref().is_some_and(|r| r.contains("no memory for bodies")), "{ack:?}");
     assert!(ack.properties.iter().any(|(name, _)| name == "retry-after"), "{ack:?}");
     // The other half of what was taken on needs no memory, and neither does a repeat.
     van.send(Packet::Pubrel(Ack::new(1, 0)));
-    assert_eq!(van.acked(), Some(Packet::Pubcomp(Ack::new(1, 0))));
+    assert_eq!(van.next_ack(), Some(Packet::Pubcomp(Ack::new(1, 0))));
     van.publish("state", Qos::AtLeastOnce, Some(3), &body("half"), &[]);
-    assert_eq!(van.acked(), Some(Packet::Puback(Ack::new(3, 0))));
+    assert_eq!(van.next_ack(), Some(Packet::Puback(Ack::new(3, 0))));
     partner.open();
     all_end(&partner, &folder, &taken);
-    until("what came in halves", || partner.delivered().iter().any(|id| id.contains("half")));
+    wait_until("what came in halves", || partner.delivered().iter().any(|id| id.contains("half")));
 }
 
 #[test]
 fn a_journal_larger_than_the_caps_is_taken_over_whole_and_nothing_new_until_it_fits() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let courier = Courier::serve(&folder, &file(&partner.endpoint, "bodies_held = \"2MB\""));
     let (taken, _) = fill(&courier, "/status", "m", &"x".repeat(50_000));
     assert!(taken.len() >= 38, "{}", taken.len());
@@ -384,7 +384,7 @@
 
 #[test]
 fn a_cap_that_is_lowered_tenfold_under_traffic_drops_nothing() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let courier = Courier::serve(&folder, &file(&partner.endpoint, "bodies_held = \"1MB\""));
     let body = "x".repeat(20_000);
     let taken = Arc::new(Mutex::new(Vec::new()));
@@ -406,14 +406,16 @@
             })
         })
         .collect();
-    until("it is half full", || {
+    wait_until("it is half full", || {
         purpose(&courier.page("/-/memory"), "bodies_held")["in_use"].as_u64() > Some(600_000)
     });
-    courier.reread(&folder, &file(&partner.endpoint, "bodies_held = \"100KB\""));
-    until("the cap is in effect", || purpose(&courier.page("/-/memory"), "bodies_held")["cap"] == 100_000);
+    courier.replace_config_file(&folder, &file(&partner.endpoint, "bodies_held = \"100KB\""));
+    wait_until("the cap is in effect", || {
+        purpose(&courier.page("/-/memory"), "bodies_held")["cap"] == 100_000
+    });
     is_refused(&courier.post("/status", "new", "", "x"), "memory-bodies_held");
     partner.open();
-    until("it fits", || {
+    wait_until("it fits", || {
         purpose(&courier.page("/-/memory"), "bodies_held")["in_use"].as_u64() <= Some(100_000)
     });
     stop.store(true, Ordering::SeqCst);
@@ -424,21 +426,21 @@
 
 #[test]
 fn a_configuration_that_takes_more_than_it_may_is_refused_and_the_old_one_stays() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let small = file(&partner.endpoint, "configuration = \"100KB\"");
     let courier = Courier::serve(&folder, &small);
     let routes: String = (0..200)
         .map(|n| format!("[routes.r{n}]\nprefix = \"/r{n}\"\npool = \"p\"\nclass = \"status\"\n"))
         .collect();
-    courier.reread(&folder, &(small.clone() + &routes));
-    courier.says("memory.configuration: this configuration takes");
+    courier.replace_config_file(&folder, &(small.clone() + &routes));
+    courier.wait_for_log("memory.configuration: this configuration takes");
     assert_eq!(courier.post("/r7", "m", "", "x").status(), 404);
     assert_eq!(courier.post("/status", "m", "", "x").status(), 202);
 }
 
 #[test]
 fn a_receiver_of_outcomes_that_is_away_fills_notices_and_nothing_else() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let receiver = Discovery::new(list(1, true, Vec::new()));
     receiver.refuse_posts.store(usize::MAX, Ordering::SeqCst);
     let text = file(&partner.endpoint, "notices = \"20KB\"")
@@ -446,18 +448,18 @@
     let courier = Courier::serve(&folder, &text);
     let (taken, refused) = fill(&courier, "/short", "m", "x");
     is_refused(&refused, "memory-notices");
-    until("all have ended and wait to be told", || {
+    wait_until("all have ended and wait to be told", || {
         let of = purpose(&courier.page("/-/memory"), "notices");
         of["reserved"] == 0 && of["in_use"].as_u64() > Some(10_000)
     });
     receiver.refuse_posts.store(0, Ordering::SeqCst);
-    until("all are told", || taken.iter().all(|id| !receiver.results(id).is_empty()));
+    wait_until("all are told", || taken.iter().all(|id| !receiver.results(id).is_empty()));
     is_served_again(&courier, "/status");
 }
 
 #[test]
 fn under_a_limit_of_the_system_it_refuses_before_that_is_reached() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let mut limited = std::process::Command::new("sh");
     let serve = serve_command(&folder, &file(&partner.endpoint, ""));
     // 32 MB beside the mappings that the page for operators states, in KiB.
@@ -483,7 +485,7 @@
     let taken: Vec<String> = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
     assert!(taken.len() > 50 && taken.len() < 800, "{} of 800 taken", taken.len());
     let _ = courier.post("/status", "last", "", &body);
-    let resident = figures::resident(courier.id());
+    let resident = process_stats::resident_mb(courier.id());
     assert!(resident < 32.0, "{resident} MB resident");
     partner.open();
     all_end(&partner, &folder, &taken);
@@ -496,7 +498,7 @@
 
 #[test]
 fn the_ledger_is_near_what_the_allocator_gave_out() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let text = file(&partner.endpoint, "") + "[limits]\nheld = 20000\nconnections = 4096\n";
     let courier = Courier::serve(&folder, &text);
     let near = |what: &str| {
@@ -513,7 +515,7 @@
         assert!(n("unaccounted").abs() <= most, "{what}: {page}");
     };
     near("idle");
-    let hand_in = |name: &str, count: usize, body: &str| {
+    let submit = |name: &str, count: usize, body: &str| {
         let threads: Vec<_> = (0..8)
             .map(|t| {
                 let (to, name, body) = (courier.address, name.to_owned(), body.to_owned());
@@ -537,23 +539,23 @@
         .collect();
     near("300 idle connections");
     let vans: Vec<_> = (0..300)
-        .map(|n| Publisher::connect(courier.mqtt(), lasting(Version::V5, &format!("van-{n}"))))
+        .map(|n| MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, &format!("van-{n}"))))
         .collect();
     thread::sleep(Duration::from_millis(600));
     near("300 MQTT sessions beside");
-    hand_in("small", 4000, "x");
+    submit("small", 4000, "x");
     near("4,000 small messages held beside");
-    hand_in("large", 400, &"x".repeat(30_000));
+    submit("large", 400, &"x".repeat(30_000));
     near("400 large messages held beside");
     partner.open();
-    until("every end", || purpose(&courier.page("/-/memory"), "bodies_held")["in_use"] == 0);
+    wait_until("every end", || purpose(&courier.page("/-/memory"), "bodies_held")["in_use"] == 0);
     drop((idle, vans));
     near("all delivered");
 }
 
 #[test]
 fn orders_of_messages_are_counted_with_them() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     let text = file(&partner.endpoint, "")
         + "[limits]\nheld = 20000\n[classes.stop]\neffect = \"repeatable\"\ndeadline = \"10s\"\norder_by = \"X-Vehicle\"\n\
            [routes.stop]\nprefix = \"/stop\"\npool = \"p\"\nclass = \"stop\"\n";
@@ -595,15 +597,15 @@
             });
         }
     });
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let text =
         file(&Endpoint { address, seen: Arc::default(), closed: Arc::default() }, "bodies_held = \"1MB\"");
     let courier = Courier::serve(&folder, &text);
     let watch = Watch::over(&courier);
     let (taken, refused) = fill(&courier, "/status", "m", &"x".repeat(60_000));
     is_refused(&refused, "memory-bodies_held");
-    until("all have ended", || outcomes(&folder).len() >= taken.len());
-    until("all is given back", || {
+    wait_until("all have ended", || outcomes(&folder).len() >= taken.len());
+    wait_until("all is given back", || {
         let page = courier.page("/-/memory");
         ["bodies_held", "messages", "notices"].iter().all(|p| purpose(&page, p)["in_use"] == 0)
     });
@@ -613,11 +615,11 @@
 
 #[test]
 fn a_version_of_16_mb_while_memory_is_tight_is_not_taken_and_costs_nothing_that_lasts() {
-    let (partner, folder, control) = (Gated::new(), Folder::new(), Control::new());
+    let (partner, folder, control) = (Gated::new(), TestFolder::new(), ControlService::new());
     let text = file(&partner.endpoint, "total = \"40MB\"\nbodies_held = \"5MB\"\nbodies_read = \"1MB\"")
         + &format!("[control]\nurl = \"{}\"\nheartbeat = \"60s\"\n", control.url());
     let courier = Courier::serve(&folder, &text);
-    until("the service is heard", || control.is_open());
+    wait_until("the service is heard", || control.is_open());
     let (taken, _) = fill(&courier, "/status", "m", &"x".repeat(60_000));
     let routes: serde_json::Map<String, Value> = (0..130_000)
         .map(|n| {
@@ -626,9 +628,9 @@
         .collect();
     let config = json!({"routes": routes});
     assert!(config.to_string().len() > 8_000_000);
-    control.whole(1, &config);
-    courier.says("longer than");
-    until("memory is what it was", || figures::resident(courier.id()) < 40.0);
+    control.send_version(1, &config);
+    courier.wait_for_log("longer than");
+    wait_until("memory is what it was", || process_stats::resident_mb(courier.id()) < 40.0);
     assert_eq!(courier.post("/status", &taken[0], "", "x").status(), 202, "a repeat is known");
     partner.open();
     all_end(&partner, &folder, &taken);
@@ -637,7 +639,7 @@
 
 #[test]
 fn the_journal_is_compacted_while_purposes_are_at_their_caps() {
-    let (partner, folder) = (Gated::new(), Folder::new());
+    let (partner, folder) = (Gated::new(), TestFolder::new());
     // Room for little more than what is held, so that segments are emptied all the time.
     let text = file(&partner.endpoint, "bodies_held = \"610KB\"")
         + "[journal]\nroom = \"3MB\"\nsegment = \"200KB\"\n";
--- a/crates/courier/tests/mqtt.rs
+++ b/crates/courier/tests/mqtt.rs
@@ -4,7 +4,7 @@
 use stairshed_mqtt::packet::{
     Ack, Connect, Disconnect, Packet, Publish, Qos, Subscribe, Version, Will, code,
 };
-use stairshed_rig::publisher::{Publisher, lasting};
+use stairshed_rig::mqtt_client::{MqttClient, persistent_session};
 use stairshed_rig::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -34,8 +34,8 @@
 }
 
 /// The PUBACK that comes next.
-fn puback(van: &mut Publisher) -> Ack {
-    match van.acked() {
+fn puback(van: &mut MqttClient) -> Ack {
+    match van.next_ack() {
         Some(Packet::Puback(ack)) => ack,
         other => panic!("{other:?}"),
     }
@@ -48,64 +48,64 @@
 
 #[test]
 fn what_is_published_is_taken_on_delivered_and_its_client_told() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
     for (n, version) in BOTH.into_iter().enumerate() {
         let client = format!("van-{n}");
-        let (mut van, connack) = Publisher::connect(courier.mqtt(), Connect::new(version, &client));
+        let (mut van, connack) = MqttClient::connect(courier.mqtt(), Connect::new(version, &client));
         assert_eq!(connack.code, 0);
         van.read_outcomes(&client);
         let one = format!("q1-{n}");
-        assert_eq!(van.hand_in("fuel/7/pay", 1, &pay(&one), &[]), Some(0));
+        assert_eq!(van.submit("fuel/7/pay", 1, &pay(&one), &[]), Some(0));
         assert_eq!(van.outcome(), (one.clone(), "delivered".to_owned()));
         let call = endpoint.calls().into_iter().find(|c| c.id == one).expect("a call").page;
-        assert!(call.first.starts_with("POST /charge/7 "), "{}", call.first);
-        assert_eq!(call.head("idempotency-key"), Some(one.as_str()));
+        assert!(call.start_line.starts_with("POST /charge/7 "), "{}", call.start_line);
+        assert_eq!(call.header("idempotency-key"), Some(one.as_str()));
         assert_eq!(call.body, pay(&one).as_bytes());
         let two = format!("q2-{n}");
         van.publish("fuel/7/pay", Qos::ExactlyOnce, Some(2), &pay(&two), &[]);
-        assert_eq!(van.acked(), Some(Packet::Pubrec(Ack::new(2, 0))));
+        assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(2, 0))));
         van.send(Packet::Pubrel(Ack::new(2, 0)));
-        assert_eq!(van.acked(), Some(Packet::Pubcomp(Ack::new(2, 0))));
-        until("its delivery", || times(&endpoint, &two) == 1);
+        assert_eq!(van.next_ack(), Some(Packet::Pubcomp(Ack::new(2, 0))));
+        wait_until("its delivery", || times(&endpoint, &two) == 1);
         // At QoS 0 the client may leave at once.
         let none = format!("q0-{n}");
         van.publish("fuel/7/pay", Qos::AtMostOnce, None, &pay(&none), &[]);
         van.send(Packet::Disconnect(Disconnect::new(0)));
-        until("its delivery", || times(&endpoint, &none) == 1);
+        wait_until("its delivery", || times(&endpoint, &none) == 1);
     }
 }
 
 #[test]
 fn a_client_that_publishes_again_causes_no_second_charge_whatever_broke_between() {
     for version in BOTH {
-        let endpoint = Endpoint::new(|_| Act::Answer(OK));
-        let folder = Folder::new();
+        let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+        let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&endpoint, ""));
-        let (mut van, _) = Publisher::connect(courier.mqtt(), lasting(version, "van"));
+        let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
         van.read_outcomes("van");
         van.publish("fuel/7/pay", Qos::AtLeastOnce, Some(1), &pay("p1"), &[]);
-        until("its delivery", || times(&endpoint, "p1") == 1);
+        wait_until("its delivery", || times(&endpoint, "p1") == 1);
         // Its PUBACK may have been lost with the connection.
         van.cut();
-        let (mut van, connack) = Publisher::connect(courier.mqtt(), lasting(version, "van"));
+        let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
         assert!(connack.session_present);
         let publish = Publish::new("fuel/7/pay", Qos::AtLeastOnce, Some(1), pay("p1").into());
         van.send(Packet::Publish(Box::new(Publish { dup: true, ..publish.clone() })));
-        assert_eq!(van.acked(), Some(Packet::Puback(Ack::new(1, 0))), "with DUP and its id");
-        assert_eq!(van.hand_in("fuel/7/pay", 77, &pay("p1"), &[]), Some(0), "under another id, without DUP");
+        assert_eq!(van.next_ack(), Some(Packet::Puback(Ack::new(1, 0))), "with DUP and its id");
+        assert_eq!(van.submit("fuel/7/pay", 77, &pay("p1"), &[]), Some(0), "under another id, without DUP");
         courier.kill();
         let courier = Courier::serve(&folder, &file(&endpoint, ""));
-        let (mut van, connack) = Publisher::connect(courier.mqtt(), lasting(version, "van"));
+        let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
         assert!(connack.session_present, "the session outlasts the process");
         van.send(Packet::Publish(Box::new(Publish { dup: true, ..publish })));
-        assert_eq!(van.acked(), Some(Packet::Puback(Ack::new(1, 0))));
+        assert_eq!(van.next_ack(), Some(Packet::Puback(Ack::new(1, 0))));
         // Another client, and HTTP: the identity is that of all.
-        let (mut other, _) = Publisher::connect(courier.mqtt(), Connect::new(version, "other"));
-        assert_eq!(other.hand_in("fuel/7/pay", 1, &pay("p1"), &[]), Some(0));
-        assert_eq!(van.hand_in("fuel/7/pay", 2, &pay("p2"), &[]), Some(0));
-        until("the other message", || times(&endpoint, "p2") == 1);
+        let (mut other, _) = MqttClient::connect(courier.mqtt(), Connect::new(version, "other"));
+        assert_eq!(other.submit("fuel/7/pay", 1, &pay("p1"), &[]), Some(0));
+        assert_eq!(van.submit("fuel/7/pay", 2, &pay("p2"), &[]), Some(0));
+        wait_until("the other message", || times(&endpoint, "p2") == 1);
         assert_eq!(times(&endpoint, "p1"), 1, "{version:?}");
     }
 }
@@ -113,33 +113,33 @@
 #[test]
 fn killed_between_publish_and_pubcomp_every_charge_lands_once() {
     for version in BOTH {
-        let endpoint = Endpoint::new(|_| Act::Answer(OK));
-        let folder = Folder::new();
+        let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+        let folder = TestFolder::new();
         let mut ids = Vec::new();
         for n in 0..6u16 {
             let id = format!("{version:?}-{n}");
             let courier = Courier::serve(&folder, &file(&endpoint, ""));
-            let (mut van, _) = Publisher::connect(courier.mqtt(), lasting(version, "van"));
+            let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
             let publish = Publish::new("fuel/7/pay", Qos::ExactlyOnce, Some(10 + n), pay(&id).into());
             van.send(Packet::Publish(Box::new(publish.clone())));
             // Killed at once, behind PUBREC, and behind PUBREL.
             if n % 3 > 0 {
-                assert_eq!(van.acked(), Some(Packet::Pubrec(Ack::new(10 + n, 0))));
+                assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(10 + n, 0))));
             }
             if n % 3 > 1 {
                 van.send(Packet::Pubrel(Ack::new(10 + n, 0)));
             }
             courier.kill();
             let courier = Courier::serve(&folder, &file(&endpoint, ""));
-            let (mut van, connack) = Publisher::connect(courier.mqtt(), lasting(version, "van"));
+            let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
             assert!(connack.session_present || n == 0, "{id}");
             if n % 3 < 2 {
                 // It has PUBREC or not; in either case the same packet may go again before PUBREL was sent.
                 van.send(Packet::Publish(Box::new(Publish { dup: true, ..publish })));
-                assert_eq!(van.acked(), Some(Packet::Pubrec(Ack::new(10 + n, 0))), "{id}");
+                assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(10 + n, 0))), "{id}");
             }
             van.send(Packet::Pubrel(Ack::new(10 + n, 0)));
-            let Some(Packet::Pubcomp(ack)) = van.acked() else { panic!("{id}: no PUBCOMP") };
+            let Some(Packet::Pubcomp(ack)) = van.next_ack() else { panic!("{id}: no PUBCOMP") };
             assert!(ack.code == 0 || ack.code == code::PACKET_ID_NOT_FOUND, "{id}: {ack:?}");
             courier.kill();
             ids.push(id);
@@ -147,7 +147,7 @@
         let _courier = Courier::serve(&folder, &file(&endpoint, ""));
         // A call that was out when the process died may have run: that ends as dead, and nothing is sent again.
         let dead = |id: &str| outcomes(&folder).iter().any(|(i, result)| i == id && result == "dead");
-        until("every end", || ids.iter().all(|id| times(&endpoint, id) == 1 || dead(id)));
+        wait_until("every end", || ids.iter().all(|id| times(&endpoint, id) == 1 || dead(id)));
         assert!(ids.iter().all(|id| times(&endpoint, id) <= 1), "{:?}", endpoint.ids());
     }
 }
@@ -155,10 +155,10 @@
 #[test]
 fn a_refusal_says_when_to_come_again_or_is_a_bounce_on_record() {
     // Nothing is answered, so what is held piles up to its bound.
-    let endpoint = Endpoint::new(|_| Act::Hang);
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Hang);
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, "[limits]\nheld = 5\n"));
-    let (mut van, _) = Publisher::connect(courier.mqtt(), Connect::new(Version::V5, "a"));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "a"));
     for id in 1..=8u16 {
         van.publish("state/x", Qos::AtLeastOnce, Some(id), "s", &[]);
     }
@@ -172,44 +172,44 @@
         assert!(ack.reason.is_some());
     }
     // 3.1.1: a client that reads no outcomes is closed on, one that does has its message bounced.
-    let (mut van, _) = Publisher::connect(courier.mqtt(), Connect::new(Version::V311, "b"));
-    assert_eq!(van.hand_in("state/x", 1, "s", &[]), None);
-    let (mut van, _) = Publisher::connect(courier.mqtt(), lasting(Version::V311, "c"));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V311, "b"));
+    assert_eq!(van.submit("state/x", 1, "s", &[]), None);
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V311, "c"));
     van.read_outcomes("c");
-    assert_eq!(van.hand_in("state/x", 1, "s", &[]), Some(0));
+    assert_eq!(van.submit("state/x", 1, "s", &[]), Some(0));
     let (id, result) = van.outcome();
     assert_eq!(result, "bounced");
     assert_eq!(times(&endpoint, &id), 0);
     // What no route takes is told as such.
-    let (mut van, _) = Publisher::connect(courier.mqtt(), Connect::new(Version::V5, "d"));
-    assert_eq!(van.hand_in("nowhere", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
-    assert_eq!(van.hand_in("fuel/7/pay", 2, "no identity", &[]), Some(code::PAYLOAD_FORMAT_INVALID));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "d"));
+    assert_eq!(van.submit("nowhere", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
+    assert_eq!(van.submit("fuel/7/pay", 2, "no identity", &[]), Some(code::PAYLOAD_FORMAT_INVALID));
 }
 
 // Of 3.1.1: MQTT-3.1.2-5
 #[test]
 fn a_client_hears_of_an_end_that_came_while_it_or_the_courier_was_away() {
-    let endpoint = Endpoint::new(|_| Act::Hang);
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Hang);
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    let (mut van, _) = Publisher::connect(courier.mqtt(), lasting(Version::V5, "van"));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
     van.read_outcomes("van");
-    assert_eq!(van.hand_in("short", 1, "s", &[]), Some(0));
+    assert_eq!(van.submit("short", 1, "s", &[]), Some(0));
     van.cut();
-    until("its end", || !outcomes(&folder).is_empty());
+    wait_until("its end", || !outcomes(&folder).is_empty());
     courier.kill();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    let (mut van, connack) = Publisher::connect(courier.mqtt(), lasting(Version::V5, "van"));
+    let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
     assert!(connack.session_present);
     assert_eq!(van.outcome().1, "bounced");
-    assert!(van.hears_nothing_for(300 * MS), "once");
+    assert!(van.receives_nothing_for(300 * MS), "once");
 }
 
 // Of 5.0: MQTT-3.1.4-2
 #[test]
 fn only_users_of_the_file_may_connect() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
     let mut tool = Command::new(program())
         .args(["mqtt-password", "van"])
         .stdin(Stdio::piped())
@@ -233,7 +233,7 @@
             (Some("no"), "secret", refused),
             (Some("van"), "secret", 0),
         ] {
-            let (_, connack) = Publisher::connect(courier.mqtt(), with(version, user, password));
+            let (_, connack) = MqttClient::connect(courier.mqtt(), with(version, user, password));
             assert_eq!(connack.code, wanted, "{user:?} {password}");
         }
     }
@@ -241,39 +241,39 @@
 
 #[test]
 fn a_will_is_delivered_when_its_client_is_gone_also_over_a_kill() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
     let connect = |id: &str| {
         let will = Will { qos: Qos::AtLeastOnce, ..Will::new("fuel/7/pay", pay(id).into()) };
         Connect { will: Some(will), ..Connect::new(Version::V311, id) }
     };
-    let (van, _) = Publisher::connect(courier.mqtt(), connect("w1"));
+    let (van, _) = MqttClient::connect(courier.mqtt(), connect("w1"));
     van.cut();
-    until("its will", || times(&endpoint, "w1") == 1);
-    let (_van, connack) = Publisher::connect(courier.mqtt(), connect("w2"));
+    wait_until("its will", || times(&endpoint, "w1") == 1);
+    let (_van, connack) = MqttClient::connect(courier.mqtt(), connect("w2"));
     assert_eq!(connack.code, 0);
     courier.kill();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    until("the will of the client that was there", || times(&endpoint, "w2") == 1);
+    wait_until("the will of the client that was there", || times(&endpoint, "w2") == 1);
     // One that could be no message is refused with its connection.
     let mut bad = connect("w3");
     bad.will.as_mut().expect("a will").topic = "nowhere".to_owned();
-    let (_, connack) = Publisher::connect(courier.mqtt(), bad);
+    let (_, connack) = MqttClient::connect(courier.mqtt(), bad);
     assert_eq!(connack.code, 5);
     let mut no_id = connect("w4");
     no_id.will.as_mut().expect("a will").payload = "{}".into();
-    let (_, connack) = Publisher::connect(courier.mqtt(), no_id);
+    let (_, connack) = MqttClient::connect(courier.mqtt(), no_id);
     assert_eq!(connack.code, 5);
 }
 
 // Of 3.1.1: MQTT-3.3.2-2
 #[test]
 fn bad_manners_cost_a_connection_and_nobody_else_anything() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, "[mqtt]\nconnections = 50\n"));
-    let connected = |version| Publisher::connect(courier.mqtt(), Connect::new(version, "bad")).0;
+    let connected = |version| MqttClient::connect(courier.mqtt(), Connect::new(version, "bad")).0;
     for version in BOTH {
         for bytes in [
             &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -282,9 +282,9 @@
             b"\x10\xff\xff\xff\xff\xff",
             b"\x10\x0c\x00\x04MQTT\x04\x03\x00\x3c\x00\x00",
         ] {
-            let mut bad = Publisher::open(courier.mqtt(), version);
-            bad.raw(bytes);
-            while bad.hear().is_some() {}
+            let mut bad = MqttClient::open(courier.mqtt(), version);
+            bad.send_bytes(bytes);
+            while bad.receive().is_some() {}
         }
         for bytes in [
             &b"\x30\xff\xff\xff\x7f"[..],
@@ -295,50 +295,50 @@
             b"\x00",
         ] {
             let mut bad = connected(version);
-            bad.raw(bytes);
-            while bad.hear().is_some() {}
+            bad.send_bytes(bytes);
+            while bad.receive().is_some() {}
         }
         let mut bad = connected(version);
         bad.send(Packet::Connect(Box::new(Connect::new(version, "bad"))));
-        while bad.hear().is_some() {}
+        while bad.receive().is_some() {}
         let mut bad = connected(version);
         let filters = vec![("#".to_owned(), Qos::AtMostOnce)];
         bad.send(Packet::Subscribe(Subscribe { id: 1, identified: false, filters }));
-        let Some(Packet::Suback { codes, .. }) = bad.acked() else { panic!("no SUBACK") };
+        let Some(Packet::Suback { codes, .. }) = bad.next_ack() else { panic!("no SUBACK") };
         assert!(codes[0] >= 0x80);
     }
     // Hundreds that say nothing: whoever speaks is let in.
-    let silent: Vec<Publisher> = (0..300).map(|_| Publisher::open(courier.mqtt(), Version::V5)).collect();
-    let (mut van, connack) = Publisher::connect(courier.mqtt(), Connect::new(Version::V5, "good"));
+    let silent: Vec<MqttClient> = (0..300).map(|_| MqttClient::open(courier.mqtt(), Version::V5)).collect();
+    let (mut van, connack) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "good"));
     assert_eq!(connack.code, 0);
-    assert_eq!(van.hand_in("fuel/7/pay", 1, &pay("good"), &[]), Some(0));
+    assert_eq!(van.submit("fuel/7/pay", 1, &pay("good"), &[]), Some(0));
     drop(silent);
-    until("its delivery", || times(&endpoint, "good") == 1);
+    wait_until("its delivery", || times(&endpoint, "good") == 1);
 }
 
 #[test]
 fn payloads_that_are_being_judged_have_one_room_for_all() {
-    let endpoint = Endpoint::new(|_| Act::Hang);
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Hang);
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, "[limits]\nbodies = \"100KiB\"\n"));
-    let (mut van, _) = Publisher::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
     let body = "x".repeat(60 * 1024);
     // In one write, so that they come within one turn.
     (1..=8u16).for_each(|id| van.publish("state/x", Qos::AtLeastOnce, Some(id), &body, &[]));
     let codes: Vec<u8> = (0..8).map(|_| puback(&mut van).code).collect();
     assert!(codes.contains(&0) && codes.contains(&code::QUOTA_EXCEEDED), "{codes:?}");
-    until("room again", || van.hand_in("state/x", 9, &body, &[]) == Some(0));
+    wait_until("room again", || van.submit("state/x", 9, &body, &[]) == Some(0));
 }
 
 #[test]
 fn the_end_of_the_courier_is_told_and_what_was_taken_on_is_delivered_by_the_next() {
-    let endpoint = Endpoint::new(|_| Act::Hang);
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Hang);
+    let folder = TestFolder::new();
     let mut courier = Courier::serve(&folder, &file(&endpoint, ""));
-    let (mut van, _) = Publisher::connect(courier.mqtt(), lasting(Version::V5, "van"));
-    assert_eq!(van.hand_in("state/x", 1, "s", &[]), Some(0));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
+    assert_eq!(van.submit("state/x", 1, "s", &[]), Some(0));
     courier.signal("-TERM");
-    match van.acked() {
+    match van.next_ack() {
         Some(Packet::Disconnect(d)) => assert_eq!(d.code, code::SERVER_SHUTTING_DOWN),
         other => panic!("{other:?}"),
     }
@@ -347,20 +347,20 @@
 
 #[test]
 fn topics_come_and_go_with_the_configuration() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    let (mut van, _) = Publisher::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
-    assert_eq!(van.hand_in("new/x", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
+    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
+    assert_eq!(van.submit("new/x", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
     let more = "[topics.new]\nfilter = \"new/#\"\npool = \"p\"\nclass = \"state\"\n";
-    courier.reread(&folder, &file(&endpoint, more));
-    until("the new topic", || van.hand_in("new/x", 2, "s", &[]) == Some(0));
+    courier.replace_config_file(&folder, &file(&endpoint, more));
+    wait_until("the new topic", || van.submit("new/x", 2, "s", &[]) == Some(0));
 }
 
 #[test]
 fn a_library_of_somebody_else_s_publishes_and_reads_its_outcomes_unmodified() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    let folder = Folder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
     let (host, port) = (courier.mqtt().ip().to_string(), courier.mqtt().port());
     // 3.1.1
@@ -412,7 +412,7 @@
     for version in [3, 5] {
         for n in 0..3 {
             let id = format!("lib-{version}-{n}");
-            until("each delivery", || times(&endpoint, &id) == 1);
+            wait_until("each delivery", || times(&endpoint, &id) == 1);
         }
     }
 }
--- a/crates/courier/tests/operator.rs
+++ b/crates/courier/tests/operator.rs
@@ -1,8 +1,8 @@
 //! An operator's courier from its file: routes, outcomes, names, reloads, versions out of the ordinary.
 
 use serde_json::{Value, json};
-use stairshed_rig::control::Control;
-use stairshed_rig::names::{NameServer, Zone};
+use stairshed_rig::control_service::ControlService;
+use stairshed_rig::name_server::{DnsAnswer, NameServer};
 use stairshed_rig::*;
 use std::fs;
 use std::io::Write;
@@ -29,12 +29,12 @@
 }
 
 fn well() -> Endpoint {
-    Endpoint::new(|_| Act::Answer(OK))
+    Endpoint::new(|_| EndpointAction::Respond(OK))
 }
 
 #[test]
 fn a_message_is_delivered_as_its_route_says() {
-    let (endpoint, folder) = (well(), Folder::new());
+    let (endpoint, folder) = (well(), TestFolder::new());
     let routes = "[routes.pay]\npath = \"/fuel/{station}/pay\"\nmethods = [\"POST\", \"PUT\"]\npool = \"p\"\n\
         class = \"payment\"\nrewrite.path = \"/v2/{station}/charge\"\nrewrite.pass = [\"X-Note\"]\n\
         rewrite.set = { X-From = \"depot\" }\n";
@@ -42,11 +42,11 @@
     let courier = Courier::serve(&folder, &file);
     let heads = "X-Note: hello\r\nX-Other: no\r\nIdempotency-Key: k\r\n";
     let answer = courier.post("/fuel/7/pay?a=b", "m1", heads, "42 EUR");
-    assert_eq!((answer.status(), answer.head("X-Request-ID")), (202, Some("m1")));
-    until("the delivery", || !endpoint.calls().is_empty());
+    assert_eq!((answer.status(), answer.header("X-Request-ID")), (202, Some("m1")));
+    wait_until("the delivery", || !endpoint.calls().is_empty());
     let call = endpoint.calls().remove(0);
-    assert!(call.page.first.starts_with("POST /v2/7/charge?a=b "), "{}", call.page.first);
-    let head = |name| call.page.head(name);
+    assert!(call.page.start_line.starts_with("POST /v2/7/charge?a=b "), "{}", call.page.start_line);
+    let head = |name| call.page.header(name);
     assert_eq!((head("x-note"), head("x-other"), head("x-from")), (Some("hello"), None, Some("depot")));
     assert_eq!((head("x-request-id"), head("idempotency-key")), (Some("m1"), Some("k")));
     assert_eq!(call.page.body, b"42 EUR");
@@ -54,7 +54,7 @@
 
 #[test]
 fn what_cannot_be_taken_is_refused_with_its_reason() {
-    let (endpoint, folder) = (well(), Folder::new());
+    let (endpoint, folder) = (well(), TestFolder::new());
     let extra = "[classes.late]\norder_by = \"X-Vehicle\"\n";
     let all =
         [route("pay", "p", "payment"), route("note", "p", "notice"), route("late", "p", "late")].concat();
@@ -76,19 +76,23 @@
         assert!(text.contains(why), "{path}: {text}");
     }
     let put = b"PUT /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: m\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(raw(courier.address, put).map(|p| p.status()), Some(405));
+    assert_eq!(exchange(courier.address, put).map(|p| p.status()), Some(405));
     let none = b"POST /pay HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(raw(courier.address, none).map(|p| p.status()), Some(400), "an unsafe message without an id");
+    assert_eq!(
+        exchange(courier.address, none).map(|p| p.status()),
+        Some(400),
+        "an unsafe message without an id"
+    );
     assert!(endpoint.calls().is_empty());
 }
 
 #[test]
 fn messages_of_one_order_go_one_at_a_time_in_order_also_after_a_restart() {
-    let (open, folder) = (Arc::new(AtomicBool::new(false)), Folder::new());
+    let (open, folder) = (Arc::new(AtomicBool::new(false)), TestFolder::new());
     let gate = open.clone();
     let endpoint = Endpoint::new(move |_| match gate.load(Ordering::SeqCst) {
-        true => Act::Late(5 * MS, OK),
-        false => Act::AnswerAndClose(BUSY),
+        true => EndpointAction::RespondAfter(5 * MS, OK),
+        false => EndpointAction::RespondAndClose(BUSY),
     });
     let class = "[classes.stop]\neffect = \"repeatable\"\norder_by = \"X-Vehicle\"\n";
     let file = [HEAD, class, &pool("p", &[&endpoint]), &route("stop", "p", "stop")].concat();
@@ -102,7 +106,7 @@
     let before = endpoint.calls().len();
     open.store(true, Ordering::SeqCst);
     let _courier = Courier::serve(&folder, &file);
-    until("all deliveries", || endpoint.calls().len() >= before + 20);
+    wait_until("all deliveries", || endpoint.calls().len() >= before + 20);
     for car in 0..2 {
         let ids: Vec<String> = endpoint.ids().split_off(before);
         let of: Vec<&String> =
@@ -113,14 +117,15 @@
 
 #[test]
 fn outcomes_go_to_the_file_and_to_the_url_until_they_are_taken() {
-    let folder = Folder::new();
-    let endpoint =
-        Endpoint::new(|_| Act::Answer("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"));
+    let folder = TestFolder::new();
+    let endpoint = Endpoint::new(|_| {
+        EndpointAction::Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+    });
     let refusals = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let seen = refusals.clone();
     let partner = Endpoint::new(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
-        0..3 => Act::Answer(BUSY),
-        _ => Act::Answer("HTTP/1.1 204 No Content\r\n\r\n"),
+        0..3 => EndpointAction::Respond(BUSY),
+        _ => EndpointAction::Respond("HTTP/1.1 204 No Content\r\n\r\n"),
     });
     let outcomes_to =
         format!("[outcomes]\nurl = \"http://{}/ends\"\nfile = \"ends.ndjson\"\n", partner.address);
@@ -128,7 +133,7 @@
         [HEAD, CLASSES, &pool("p", &[&endpoint]), &route("pay", "p", "payment"), &outcomes_to].concat();
     let courier = Courier::serve(&folder, &file);
     assert_eq!(courier.post("/pay", "m1", "", "x").status(), 202);
-    until("the notice is taken", || partner.calls().len() > 3);
+    wait_until("the notice is taken", || partner.calls().len() > 3);
     let line: Value = serde_json::from_slice(&partner.calls()[3].page.body).expect("a line");
     assert_eq!((line["ref"].as_str(), line["result"].as_str()), (Some("m1"), Some("dead")));
     let text = fs::read_to_string(folder.0.join("state/ends.ndjson")).expect("the file");
@@ -138,7 +143,7 @@
 
 #[test]
 fn a_file_with_faults_ends_the_start_and_changes_nothing_at_a_reload() {
-    let (one, two, folder) = (well(), well(), Folder::new());
+    let (one, two, folder) = (well(), well(), TestFolder::new());
     let good = [HEAD, CLASSES, &pool("p", &[&one]), &route("pay", "p", "payment")].concat();
     let bad = good.replace("pool = \"p\"", "pool = \"q\"") + "[limits]\nheld = 0\n";
     let output = serve_command(&folder, &bad).stdout(Stdio::null()).output().expect("it runs");
@@ -146,33 +151,34 @@
     assert_eq!(output.status.code(), Some(1));
     assert!(text.contains("routes.pay.pool") && text.contains("limits.held"), "both are told: {text}");
     let courier = Courier::serve(&folder, &good);
-    courier.reread(&folder, &bad);
-    courier.says("limits.held");
+    courier.replace_config_file(&folder, &bad);
+    courier.wait_for_log("limits.held");
     assert_eq!(courier.post("/pay", "m1", "", "x").status(), 202);
-    until("the delivery", || one.ids() == ["m1"]);
+    wait_until("the delivery", || one.ids() == ["m1"]);
     let other = [HEAD, CLASSES, &pool("p", &[&two]), &route("pay", "p", "payment")].concat();
-    courier.reread(&folder, &other);
-    courier.says("in effect");
+    courier.replace_config_file(&folder, &other);
+    courier.wait_for_log("in effect");
     assert_eq!(courier.post("/pay", "m2", "", "x").status(), 202);
-    until("the delivery elsewhere", || two.ids() == ["m2"]);
+    wait_until("the delivery elsewhere", || two.ids() == ["m2"]);
     assert_eq!(one.ids(), ["m1"]);
 }
 
 #[test]
 fn an_endpoint_that_is_removed_and_returns_is_the_same_and_its_wait_is_kept() {
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     const WAIT: &str = "HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 2500\r\nContent-Length: 0\r\n\r\n";
-    let endpoint = Endpoint::new(|n| if n == 0 { Act::Answer(WAIT) } else { Act::Answer(OK) });
+    let endpoint =
+        Endpoint::new(|n| if n == 0 { EndpointAction::Respond(WAIT) } else { EndpointAction::Respond(OK) });
     let file = |pools: &str| [HEAD, CLASSES, pools, &route("s", "p", "status")].concat();
     let with = file(&pool("p", &[&endpoint]));
     let courier = Courier::serve(&folder, &with);
     assert_eq!(courier.post("/s", "m1", "", "x").status(), 202);
-    until("the first call", || endpoint.calls().len() == 1);
-    courier.reread(&folder, &file(&pool("p", &[])));
-    courier.says("in effect");
-    courier.reread(&folder, &with);
-    courier.says("in effect");
-    until("the second call", || endpoint.calls().len() == 2);
+    wait_until("the first call", || endpoint.calls().len() == 1);
+    courier.replace_config_file(&folder, &file(&pool("p", &[])));
+    courier.wait_for_log("in effect");
+    courier.replace_config_file(&folder, &with);
+    courier.wait_for_log("in effect");
+    wait_until("the second call", || endpoint.calls().len() == 2);
     let calls = endpoint.calls();
     let apart = calls[1].at - calls[0].at;
     assert!(apart >= Duration::from_millis(2500), "{apart:?}: the wait was forgotten");
@@ -181,14 +187,14 @@
 
 #[test]
 fn messages_of_a_pool_that_is_gone_end_truthfully_and_those_of_one_that_returns_are_delivered() {
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let open = Arc::new(AtomicBool::new(false));
     let gate = open.clone();
     let busy = Endpoint::new(move |_| match gate.load(Ordering::SeqCst) {
-        true => Act::Answer(OK),
-        false => Act::Answer(BUSY),
+        true => EndpointAction::Respond(OK),
+        false => EndpointAction::Respond(BUSY),
     });
-    let broken = Endpoint::by_call(|_| Act::Break);
+    let broken = Endpoint::by_call(|_| EndpointAction::CloseConnection);
     let limits = "[limits]\npool_wait = \"700ms\"\nheld = 6000\ncalls = 32\n";
     let file = |pools: &[String], routes: &[String]| {
         [HEAD, CLASSES, limits, &pools.concat(), &routes.concat()].concat()
@@ -204,17 +210,17 @@
         let answer = courier.post("/b", &format!("b{n}"), "Idempotency-Key: k\r\n", "x");
         assert_eq!(answer.status(), 202);
     }
-    until("some have been out", || !broken.calls().is_empty() && !busy.calls().is_empty());
+    wait_until("some have been out", || !broken.calls().is_empty() && !busy.calls().is_empty());
     // Gone for less than its wait: all that it holds stays.
-    courier.reread(&folder, &file(&[], &[]).replace("[limits]", "[pools.x]\n[limits]"));
-    courier.says("in effect");
-    courier.reread(&folder, &all);
-    courier.says("in effect");
+    courier.replace_config_file(&folder, &file(&[], &[]).replace("[limits]", "[pools.x]\n[limits]"));
+    courier.wait_for_log("in effect");
+    courier.replace_config_file(&folder, &all);
+    courier.wait_for_log("in effect");
     // What had come to its end by itself had its attempts; nothing ends for its pool's absence.
     let ended = outcomes(&folder).len();
-    courier.reread(&folder, &file(std::slice::from_ref(&p), std::slice::from_ref(&a)));
-    courier.says("in effect");
-    until("the end of what q held", || {
+    courier.replace_config_file(&folder, &file(std::slice::from_ref(&p), std::slice::from_ref(&a)));
+    courier.wait_for_log("in effect");
+    wait_until("the end of what q held", || {
         let ended = outcomes(&folder);
         (0..20).all(|n| ended.iter().any(|(id, _)| *id == format!("b{n}")))
     });
@@ -228,14 +234,14 @@
     let told: Vec<String> = outcomes(&folder).into_iter().map(|(id, _)| id).collect();
     left.retain(|id| !told.contains(id));
     assert!(left.len() > 100, "{} of p are left", left.len());
-    until("the rest of p is delivered", || {
+    wait_until("the rest of p is delivered", || {
         let (seen, told) = (busy.ids(), outcomes(&folder));
         left.iter().all(|id| seen.contains(id) || told.iter().any(|(of, _)| of == id))
     });
 }
 
 /// Without a control service's own waits: it sends nothing between versions.
-fn controlled(control: &Control, own: &str) -> String {
+fn controlled(control: &ControlService, own: &str) -> String {
     format!(
         "{HEAD}[control]\nurl = \"{}\"\nheartbeat = \"60s\"\nfirst_wait = \"300ms\"\nversion_most = \"256KiB\"\n{own}",
         control.url()
@@ -251,18 +257,18 @@
 }
 
 /// A courier with a control service that has sent version 1.
-fn first(folder: &Folder, control: &Control, endpoint: &Endpoint, effect: Value) -> Courier {
+fn first(folder: &TestFolder, control: &ControlService, endpoint: &Endpoint, effect: Value) -> Courier {
     let own = [CLASSES, &pool("own", &[endpoint]), &route("own", "own", "payment")].concat();
     let courier = Courier::serve(folder, &controlled(control, &own));
-    until("the stream", || control.is_open());
-    assert!(control.whole(1, &version(endpoint, effect)));
+    wait_until("the stream", || control.is_open());
+    assert!(control.send_version(1, &version(endpoint, effect)));
     assert!(control.answer(1).accepted);
     courier
 }
 
 #[test]
 fn without_a_service_it_comes_up_on_its_last_good_version_or_the_file_s_own_or_ends_with_a_clear_error() {
-    let (endpoint, folder, control) = (well(), Folder::new(), Control::new());
+    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
     let gone = {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("an address")
@@ -292,43 +298,46 @@
 
 #[test]
 fn a_class_that_becomes_unsafe_while_its_messages_are_out_is_unsafe_for_them() {
-    let (folder, control) = (Folder::new(), Control::new());
+    let (folder, control) = (TestFolder::new(), ControlService::new());
     let endpoint = Endpoint::new(|_| {
-        Act::Late(Duration::from_millis(400), "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+        EndpointAction::RespondAfter(
+            Duration::from_millis(400),
+            "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+        )
     });
     let courier = first(&folder, &control, &endpoint, json!({"effect": "repeatable", "deadline": "5s"}));
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202);
-    until("the call", || endpoint.calls().len() == 1);
-    control.whole(2, &version(&endpoint, json!({"effect": "once", "deadline": "5s"})));
+    wait_until("the call", || endpoint.calls().len() == 1);
+    control.send_version(2, &version(&endpoint, json!({"effect": "once", "deadline": "5s"})));
     assert!(control.answer(2).accepted);
     assert_eq!(endpoint.calls().len(), 1, "the call is still out");
-    until("its end", || !outcomes(&folder).is_empty());
+    wait_until("its end", || !outcomes(&folder).is_empty());
     assert_eq!(outcomes(&folder), [("m1".to_owned(), "dead".to_owned())]);
     assert_eq!(endpoint.calls().len(), 1, "sent again though it may have run");
 }
 
 #[test]
 fn a_class_that_becomes_safe_is_unsafe_for_what_was_taken_before_also_after_a_restart() {
-    let (folder, control) = (Folder::new(), Control::new());
-    let endpoint = Endpoint::new(|n| if n == 0 { Act::Hang } else { Act::Answer(OK) });
+    let (folder, control) = (TestFolder::new(), ControlService::new());
+    let endpoint = Endpoint::new(|n| if n == 0 { EndpointAction::Hang } else { EndpointAction::Respond(OK) });
     let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202);
-    until("the call", || endpoint.calls().len() == 1);
-    control.whole(2, &version(&endpoint, json!({"effect": "repeatable"})));
+    wait_until("the call", || endpoint.calls().len() == 1);
+    control.send_version(2, &version(&endpoint, json!({"effect": "repeatable"})));
     assert!(control.answer(2).accepted);
     courier.kill();
     let _courier = Courier::serve(&folder, &controlled(&control, ""));
-    until("its end", || !outcomes(&folder).is_empty());
+    wait_until("its end", || !outcomes(&folder).is_empty());
     assert_eq!(outcomes(&folder), [("m1".to_owned(), "dead".to_owned())]);
     assert_eq!(endpoint.calls().len(), 1);
 }
 
 #[test]
 fn a_burst_of_versions_ends_on_the_last_with_an_answer_for_each() {
-    let (endpoint, folder, control) = (well(), Folder::new(), Control::new());
+    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
     let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
     for n in 2..=200 {
-        control.whole(n, &version(&endpoint, json!({"effect": "once", "worth": n})));
+        control.send_version(n, &version(&endpoint, json!({"effect": "once", "worth": n})));
     }
     for n in 2..=200 {
         let answer = control.answer(n);
@@ -340,7 +349,7 @@
 
 #[test]
 fn a_line_that_is_too_long_or_never_ends_changes_nothing_and_the_stream_is_opened_again() {
-    let (endpoint, folder, control) = (well(), Folder::new(), Control::new());
+    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
     let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
     // 32 MB and more, if anybody read them.
     let piece = "x".repeat(64 * 1024);
@@ -348,20 +357,20 @@
     while sent < 512 && control.asked().len() == 1 && control.send(&piece) {
         sent += 1;
     }
-    until("the stream is opened again", || control.asked().len() > 1 && control.is_open());
+    wait_until("the stream is opened again", || control.asked().len() > 1 && control.is_open());
     assert!(sent < 512, "all of it was read");
-    until("it is told", || {
+    wait_until("it is told", || {
         control.answers().iter().any(|a| !a.accepted && a.reasons.contains("longer than"))
     });
     assert!(control.asked()[1].contains("version=1"), "it says what it has: {:?}", control.asked());
-    control.whole(2, &version(&endpoint, json!({"effect": "repeatable"})));
+    control.send_version(2, &version(&endpoint, json!({"effect": "repeatable"})));
     assert!(control.answer(2).accepted);
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202);
 }
 
 #[test]
 fn a_listener_moves_with_a_version_and_stays_where_the_new_address_is_taken() {
-    let (endpoint, folder, control) = (well(), Folder::new(), Control::new());
+    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
     let courier = first(&folder, &control, &endpoint, json!({"effect": "repeatable"}));
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let to = |address: &str| {
@@ -369,7 +378,7 @@
         config["listen"] = json!({"http": address});
         config
     };
-    control.whole(2, &to(&taken.local_addr().expect("an address").to_string()));
+    control.send_version(2, &to(&taken.local_addr().expect("an address").to_string()));
     let answer = control.answer(2);
     assert!(!answer.accepted && answer.reasons.contains("listen.http"), "{answer:?}");
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202, "the old one goes on");
@@ -377,47 +386,47 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("an address")
     };
-    control.whole(3, &to(&free.to_string()));
+    control.send_version(3, &to(&free.to_string()));
     assert!(control.answer(3).accepted);
     assert_eq!(post(free, "/r", "m2", "", "x").map(|p| p.status()), Some(202));
-    until("the old one is closed", || {
-        raw(courier.address, b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").is_none()
+    wait_until("the old one is closed", || {
+        exchange(courier.address, b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").is_none()
     });
 }
 
 #[test]
 fn a_version_that_cannot_be_stored_is_refused_and_the_next_is_taken_once_it_can_be() {
-    let (endpoint, folder, control) = (well(), Folder::new(), Control::new());
+    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
     let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
     // Where it writes first there is a folder: as good as a disk that takes nothing.
     let next = folder.0.join("state/version.next");
     fs::create_dir(&next).expect("a folder");
-    control.whole(2, &version(&endpoint, json!({"effect": "repeatable"})));
+    control.send_version(2, &version(&endpoint, json!({"effect": "repeatable"})));
     let answer = control.answer(2);
     assert!(!answer.accepted && answer.reasons.contains("cannot be stored"), "{answer:?}");
     assert_eq!(courier.page("/-/config")["version"], 1);
     fs::remove_dir(&next).expect("gone");
-    control.whole(3, &version(&endpoint, json!({"effect": "repeatable"})));
+    control.send_version(3, &version(&endpoint, json!({"effect": "repeatable"})));
     assert!(control.answer(3).accepted);
 }
 
 #[test]
 fn limits_below_what_is_in_use_turn_newcomers_away_and_lose_nothing() {
-    let (folder, control) = (Folder::new(), Control::new());
-    let endpoint = Endpoint::new(|_| Act::Late(Duration::from_millis(300), OK));
+    let (folder, control) = (TestFolder::new(), ControlService::new());
+    let endpoint = Endpoint::new(|_| EndpointAction::RespondAfter(Duration::from_millis(300), OK));
     let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
     for n in 0..30 {
         assert_eq!(courier.post("/r", &format!("m{n}"), "", "x").status(), 202);
     }
     let mut config = version(&endpoint, json!({"effect": "once"}));
     config["limits"] = json!({"held": 5, "calls": 2});
-    control.whole(2, &config);
+    control.send_version(2, &config);
     assert!(control.answer(2).accepted);
-    until("newcomers are turned away, or there is room again", || {
+    wait_until("newcomers are turned away, or there is room again", || {
         let full = courier.post("/r", "late", "", "x");
         full.status() == 429 || full.status() == 202
     });
-    until("each has its end", || {
+    wait_until("each has its end", || {
         let told = outcomes(&folder);
         let seen = endpoint.ids();
         (0..30).all(|n| {
@@ -429,23 +438,23 @@
 
 #[test]
 fn a_reload_in_the_middle_of_a_version_takes_its_turn() {
-    let (endpoint, other, folder, control) = (well(), well(), Folder::new(), Control::new());
+    let (endpoint, other, folder, control) = (well(), well(), TestFolder::new(), ControlService::new());
     let courier = first(&folder, &control, &endpoint, json!({"effect": "repeatable"}));
     let line = json!({"version": 2, "config": version(&other, json!({"effect": "repeatable"}))}).to_string();
     let (half, rest) = line.split_at(line.len() / 2);
     control.send(half);
-    courier.reread(&folder, &controlled(&control, "[outcomes]\nfile = \"o.ndjson\"\n"));
-    courier.says("in effect");
+    courier.replace_config_file(&folder, &controlled(&control, "[outcomes]\nfile = \"o.ndjson\"\n"));
+    courier.wait_for_log("in effect");
     assert_eq!(courier.page("/-/config")["version"], 1, "the version stays over the file");
     control.send(&(rest.to_owned() + "\n"));
     assert!(control.answer(2).accepted);
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202);
-    until("the delivery", || other.ids() == ["m1"]);
+    wait_until("the delivery", || other.ids() == ["m1"]);
 }
 
 #[test]
 fn names_are_looked_up_and_a_failed_look_up_keeps_the_last_good_answer() {
-    let (folder, server) = (Folder::new(), NameServer::new());
+    let (folder, server) = (TestFolder::new(), NameServer::new());
     let endpoint = well();
     let home = Ipv4Addr::LOCALHOST;
     let port = endpoint.address.port();
@@ -456,9 +465,9 @@
         [HEAD, CLASSES, &pools, &route("s", "p", "status"), &dns].concat()
     };
     for (name, zone) in [
-        ("plain.example", Zone::Addresses(vec![home], 1)),
-        ("long.example", Zone::CutShort(vec![home], 1)),
-        ("forged.example", Zone::Forged(vec![home], 1)),
+        ("plain.example", DnsAnswer::Addresses(vec![home], 1)),
+        ("long.example", DnsAnswer::Truncated(vec![home], 1)),
+        ("forged.example", DnsAnswer::Forged(vec![home], 1)),
     ] {
         server.set(name, zone);
     }
@@ -468,24 +477,24 @@
         n += 1;
         let id = format!("m{n}");
         assert_eq!(courier.post("/s", &id, "", "x").status(), 202, "{what}");
-        until(what, || endpoint.ids().contains(&id));
+        wait_until(what, || endpoint.ids().contains(&id));
     };
     deliver("by a name");
     let asked = server.asked("plain.example");
-    until("it is asked for again after its time to live", || server.asked("plain.example") > asked);
-    server.set("plain.example", Zone::Fails);
-    courier.says("holds");
+    wait_until("it is asked for again after its time to live", || server.asked("plain.example") > asked);
+    server.set("plain.example", DnsAnswer::ServerFailure);
+    courier.wait_for_log("holds");
     deliver("by the last good answer");
     for name in ["long.example", "forged.example"] {
-        courier.reread(&folder, &file(&[name]));
-        courier.says("in effect");
+        courier.replace_config_file(&folder, &file(&[name]));
+        courier.wait_for_log("in effect");
         deliver(name);
     }
 }
 
 #[test]
 fn endpoints_come_from_discovery_beside_those_of_the_file_and_leave_with_it() {
-    let (own, found, other, folder) = (well(), well(), well(), Folder::new());
+    let (own, found, other, folder) = (well(), well(), well(), TestFolder::new());
     let discovery =
         Discovery::new(list(1, true, vec![host("d-1", &found, 7, "ready"), host("d-2", &other, 8, "ready")]));
     let service = format!("[discovery]\naddress = \"{}\"\n", discovery.address);
@@ -499,7 +508,7 @@
         n += 1;
         let id = format!("m{n}");
         assert_eq!(courier.post(path, &id, "", "x").status(), 202);
-        until("the delivery", || to.ids().contains(&id));
+        wait_until("the delivery", || to.ids().contains(&id));
     };
     deliver("/q", &found);
     // A whole list says nothing of the file's own endpoints.
@@ -517,27 +526,27 @@
 #[test]
 fn five_thousand_messages_of_a_pool_that_is_removed_end_once_and_truthfully() {
     const MESSAGES: usize = 5000;
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     const NO: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
-    let slow = Endpoint::new(|_| Act::Late(Duration::from_secs(12), NO));
+    let slow = Endpoint::new(|_| EndpointAction::RespondAfter(Duration::from_secs(12), NO));
     let class = "[classes.pay]\neffect = \"once\"\ndeadline = \"60s\"\naim = \"60s\"\n";
     let limits = "[limits]\npool_wait = \"500ms\"\nheld = 6000\ncalls = 32\n";
     let all = [HEAD, class, limits, &pool("p", &[&slow]), &route("a", "p", "pay")].concat();
     let courier = Courier::serve(&folder, &all);
     let address = courier.address;
-    let hand_in = |thread: usize| {
+    let submit = |thread: usize| {
         let of = (0..MESSAGES / 8).map(|n| format!("m{thread}-{n}"));
         of.filter(|id| post(address, "/a", id, "", "x").is_some_and(|p| p.status() == 202))
             .collect::<Vec<_>>()
     };
     let taken: Vec<String> = thread::scope(|scope| {
-        let all: Vec<_> = (0..8).map(|t| scope.spawn(move || hand_in(t))).collect();
+        let all: Vec<_> = (0..8).map(|t| scope.spawn(move || submit(t))).collect();
         all.into_iter().flat_map(|t| t.join().expect("a client")).collect()
     });
     assert!(taken.len() > MESSAGES * 9 / 10, "{} were taken on", taken.len());
-    courier.reread(&folder, &[HEAD, class, limits].concat());
-    courier.says("in effect");
-    until("every end", || outcomes(&folder).len() >= taken.len());
+    courier.replace_config_file(&folder, &[HEAD, class, limits].concat());
+    courier.wait_for_log("in effect");
+    wait_until("every end", || outcomes(&folder).len() >= taken.len());
     let ended = outcomes(&folder);
     assert_eq!(ended.len(), taken.len(), "each ends once");
     let seen = slow.ids();
@@ -551,7 +560,7 @@
 
 #[test]
 fn one_that_is_told_how_to_listen_twice_says_so() {
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address");
     let file = [HEAD, CLASSES, "[pools.p]\n", &route("s", "p", "status")].concat();
@@ -569,7 +578,7 @@
 
 #[test]
 fn the_command_line_checks_explains_compares_and_shows() {
-    let (endpoint, folder) = (well(), Folder::new());
+    let (endpoint, folder) = (well(), TestFolder::new());
     let good = [HEAD, CLASSES, &pool("p", &[&endpoint]), &route("pay", "p", "payment")].concat();
     let write = |name: &str, text: &str| {
         let path = folder.0.join(name);
@@ -616,7 +625,7 @@
     let out = child.stdout.take().expect("its output");
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(out)).map_while(Result::ok);
     assert!(lines.any(|l| l.contains(&format!("curl -i -d 'hello' http://{free}/notice"))));
-    until("it takes a message", || {
+    wait_until("it takes a message", || {
         post(free, "/notice", "m1", "", "hello").is_some_and(|p| p.status() == 202)
     });
     let got = lines.find(|l| l.contains("the stand-in endpoint got")).expect("the delivery");
@@ -624,7 +633,7 @@
     let began = Instant::now();
     let id = child.id().to_string();
     std::process::Command::new("kill").args(["-TERM", &id]).status().expect("kill runs");
-    until("its end", || child.try_wait().expect("a status").is_some());
-    assert!(began.elapsed() < LIMIT);
+    wait_until("its end", || child.try_wait().expect("a status").is_some());
+    assert!(began.elapsed() < WAIT_TIMEOUT);
     thread::sleep(MS);
 }
--- a/crates/courier/tests/rough.rs
+++ b/crates/courier/tests/rough.rs
@@ -10,66 +10,67 @@
 use std::time::{Duration, Instant};
 
 /// One endpoint of destination 7, and discovery that lists it.
-fn one(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> (Folder, Endpoint, Discovery) {
+fn one(act: impl Fn(usize) -> EndpointAction + Send + Sync + 'static) -> (TestFolder, Endpoint, Discovery) {
     let endpoint = Endpoint::new(act);
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    (Folder::new(), endpoint, discovery)
+    (TestFolder::new(), endpoint, discovery)
 }
 
 // ---- configurations read again -----------------------------------------------------------------------
 
 #[test]
 fn at_sighup_watch_and_notices_move_to_the_new_discovery() {
-    let (folder, _endpoint, old) = one(|_| Act::Break);
+    let (folder, _endpoint, old) = one(|_| EndpointAction::CloseConnection);
     old.refuse_posts.store(usize::MAX, Ordering::SeqCst);
     let courier = Courier::start(&folder, &old);
-    until("the first watch", || old.watches.load(Ordering::SeqCst) == 1);
-    courier.take("pay", "payment", 7, 20_000);
-    until("a notice that is tried again", || old.posts.load(Ordering::SeqCst) >= 2);
+    wait_until("the first watch", || old.watches.load(Ordering::SeqCst) == 1);
+    courier.submit_accepted("pay", "payment", 7, 20_000);
+    wait_until("a notice that is tried again", || old.posts.load(Ordering::SeqCst) >= 2);
 
-    let other = Endpoint::new(|_| Act::Answer(OK));
+    let other = Endpoint::new(|_| EndpointAction::Respond(OK));
     let new = Discovery::new(list(1, true, vec![host("s-2", &other, 9, "ready")]));
     courier.reload(&folder, &config(&new, Value::Null).to_string());
-    until("the batch at the new address", || new.results("pay") == ["dead"]);
-    until("the new watch", || new.watches.load(Ordering::SeqCst) == 1);
+    wait_until("the batch at the new address", || new.results("pay") == ["dead"]);
+    wait_until("the new watch", || new.watches.load(Ordering::SeqCst) == 1);
     let asked = new.asked.lock().expect("asked").clone();
     assert!(!asked[0].contains("index="), "versions of the old one mean nothing here: {asked:?}");
     // What only the new one lists can be reached, and what it does not list is gone.
     let mut n = 0;
-    until("its list", || {
+    wait_until("its list", || {
         n += 1;
-        courier.hand_in(&format!("m{n}"), "status", 9, 20_000).status() == 202
+        courier.submit(&format!("m{n}"), "status", 9, 20_000).status() == 202
     });
-    until("the call", || !other.calls().is_empty());
+    wait_until("the call", || !other.calls().is_empty());
     assert!(old.notices.lock().expect("notices").is_empty());
 }
 
 #[test]
 fn a_configuration_that_cannot_be_read_keeps_the_old_settings() {
-    let (folder, endpoint, old) = one(|n| if n == 0 { Act::Break } else { Act::Answer(OK) });
+    let (folder, endpoint, old) =
+        one(|n| if n == 0 { EndpointAction::CloseConnection } else { EndpointAction::Respond(OK) });
     let courier = Courier::start(&folder, &old);
-    until("the first watch", || old.watches.load(Ordering::SeqCst) == 1);
+    wait_until("the first watch", || old.watches.load(Ordering::SeqCst) == 1);
     courier.reload(&folder, "{\"discovery\":");
-    courier.says("not read again");
+    courier.wait_for_log("not read again");
     let mut bad = config(&old, Value::Null);
     bad["discovery"] = "nowhere".into();
     courier.reload(&folder, &bad.to_string());
-    courier.says("nowhere");
-    courier.take("pay", "payment", 7, 20_000);
-    until("the notice at the old address", || old.results("pay") == ["dead"]);
-    courier.take("m", "status", 7, 20_000);
-    until("the call", || endpoint.ids().contains(&"m".to_owned()));
+    courier.wait_for_log("nowhere");
+    courier.submit_accepted("pay", "payment", 7, 20_000);
+    wait_until("the notice at the old address", || old.results("pay") == ["dead"]);
+    courier.submit_accepted("m", "status", 7, 20_000);
+    wait_until("the call", || endpoint.ids().contains(&"m".to_owned()));
     assert_eq!(old.watches.load(Ordering::SeqCst), 1, "the watch was left alone");
 }
 
 #[test]
 fn a_restart_after_a_reload_uses_the_address_in_the_file() {
-    let (folder, endpoint, old) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, old) = one(|_| EndpointAction::Respond(OK));
     let new = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
     // The environment still names the old one.
     let mut command = command(&folder, &old, &config(&new, Value::Null));
     let courier = Courier::spawn(&mut command);
-    until("the watch at the new one", || new.watches.load(Ordering::SeqCst) == 1);
+    wait_until("the watch at the new one", || new.watches.load(Ordering::SeqCst) == 1);
     drop(courier);
     assert_eq!(old.watches.load(Ordering::SeqCst), 0);
 }
@@ -77,8 +78,16 @@
 // ---- spoilt answers ----------------------------------------------------------------------------------
 
 /// What an endpoint says to its first call; later ones are answered well, each with a body of its own.
-fn first(text: &'static str) -> (Folder, Endpoint, Discovery) {
-    one(move |n| if n == 0 { Act::Answer(text) } else { Act::Distinct(Duration::ZERO) })
+fn first(text: &'static str) -> (TestFolder, Endpoint, Discovery) {
+    one(
+        move |n| {
+            if n == 0 {
+                EndpointAction::Respond(text)
+            } else {
+                EndpointAction::RespondDistinct(Duration::ZERO)
+            }
+        },
+    )
 }
 
 #[test]
@@ -95,10 +104,10 @@
     let all = spoilt.map(|text| {
         let (folder, endpoint, discovery) = first(text);
         let courier = Courier::start(&folder, &discovery);
-        courier.take("pay", "payment", 7, 3_000);
-        until("the call", || endpoint.calls().len() == 1);
-        courier.take("next", "payment", 7, 20_000);
-        until("the next call", || endpoint.calls().len() == 2);
+        courier.submit_accepted("pay", "payment", 7, 3_000);
+        wait_until("the call", || endpoint.calls().len() == 1);
+        courier.submit_accepted("next", "payment", 7, 20_000);
+        wait_until("the next call", || endpoint.calls().len() == 2);
         (folder, endpoint, discovery, courier)
     });
     // Past the first one's time: what is not known as delivered has been told as dead by now.
@@ -121,10 +130,10 @@
     ] {
         let (folder, endpoint, discovery) = first(spoilt);
         let courier = Courier::start(&folder, &discovery);
-        courier.take("pay", "payment", 7, 20_000);
-        until("the notice", || discovery.results("pay") == ["dead"]);
-        courier.take("next", "status", 7, 20_000);
-        until("the next call", || endpoint.calls().len() == 2);
+        courier.submit_accepted("pay", "payment", 7, 20_000);
+        wait_until("the notice", || discovery.results("pay") == ["dead"]);
+        courier.submit_accepted("next", "status", 7, 20_000);
+        wait_until("the next call", || endpoint.calls().len() == 2);
         assert_eq!(endpoint.ids(), ["pay", "next"], "{spoilt:?}");
         assert_ne!(endpoint.calls()[1].connection, 0, "{spoilt:?}: its connection is of no use");
     }
@@ -137,15 +146,21 @@
         "HTTP/1.1 200 OK\r\nno head at all\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nnot fifty",
     ] {
-        let act = move |n| if n == 2 { Act::Answer(spoilt) } else { Act::Distinct(Duration::ZERO) };
+        let act = move |n| {
+            if n == 2 {
+                EndpointAction::Respond(spoilt)
+            } else {
+                EndpointAction::RespondDistinct(Duration::ZERO)
+            }
+        };
         let (folder, endpoint, discovery) = one(act);
         let courier = Courier::start(&folder, &discovery);
         for n in 0..3 {
-            courier.take(&format!("p{n}"), "payment", 7, 20_000);
-            until("the call", || endpoint.calls().len() == n + 1);
+            courier.submit_accepted(&format!("p{n}"), "payment", 7, 20_000);
+            wait_until("the call", || endpoint.calls().len() == n + 1);
         }
         assert_eq!(endpoint.calls()[2].connection, endpoint.calls()[1].connection, "{spoilt:?}");
-        until("the notice", || discovery.results("p2") == ["dead"]);
+        wait_until("the notice", || discovery.results("p2") == ["dead"]);
         assert_eq!(endpoint.calls().len(), 3, "{spoilt:?}");
     }
 }
@@ -155,8 +170,8 @@
     let (folder, endpoint, discovery) = first("HTTP/1.1 500 No\r\nX-One: a\r\n");
     let courier = Courier::start(&folder, &discovery);
     let from = Instant::now();
-    courier.take("pay", "payment", 7, 50_000);
-    until("the notice", || discovery.results("pay") == ["dead"]);
+    courier.submit_accepted("pay", "payment", 7, 50_000);
+    wait_until("the notice", || discovery.results("pay") == ["dead"]);
     assert!(from.elapsed() < 25_000 * MS, "its message had 50 s");
     assert_eq!(endpoint.calls().len(), 1);
 }
@@ -170,12 +185,12 @@
     ] {
         let (folder, endpoint, discovery) = first(more);
         let courier = Courier::start(&folder, &discovery);
-        courier.take("p0", "payment", 7, 20_000);
-        until("the call", || endpoint.calls().len() == 1);
-        courier.take("p1", "payment", 7, 20_000);
-        until("the next call", || endpoint.calls().len() == 2);
-        courier.take("p2", "payment", 7, 20_000);
-        until("the last call", || endpoint.calls().len() == 3);
+        courier.submit_accepted("p0", "payment", 7, 20_000);
+        wait_until("the call", || endpoint.calls().len() == 1);
+        courier.submit_accepted("p1", "payment", 7, 20_000);
+        wait_until("the next call", || endpoint.calls().len() == 2);
+        courier.submit_accepted("p2", "payment", 7, 20_000);
+        wait_until("the last call", || endpoint.calls().len() == 3);
         let connections: Vec<_> = endpoint.calls().iter().map(|c| c.connection).collect();
         assert_eq!(connections, [0, 1, 1], "{more:?}");
         assert!(discovery.notices.lock().expect("notices").is_empty(), "{more:?}");
@@ -185,30 +200,32 @@
 #[test]
 fn answers_with_1xx_ahead_or_a_report_that_cannot_be_read_are_good() {
     let (folder, endpoint, discovery) = one(|n| match n {
-        1 => Act::Answer(
+        1 => EndpointAction::Respond(
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none",
         ),
-        2 => Act::Answer("HTTP/1.1 200 OK\r\nX-Server-Load: \u{e9}= x0, x1=\r\nContent-Length: 3\r\n\r\ntwo"),
-        _ => Act::Distinct(Duration::ZERO),
+        2 => EndpointAction::Respond(
+            "HTTP/1.1 200 OK\r\nX-Server-Load: \u{e9}= x0, x1=\r\nContent-Length: 3\r\n\r\ntwo",
+        ),
+        _ => EndpointAction::RespondDistinct(Duration::ZERO),
     });
     let courier = Courier::start(&folder, &discovery);
     for n in 0..4 {
-        courier.take(&format!("p{n}"), "payment", 7, 20_000);
-        until("the call", || endpoint.calls().len() == n + 1);
+        courier.submit_accepted(&format!("p{n}"), "payment", 7, 20_000);
+        wait_until("the call", || endpoint.calls().len() == n + 1);
     }
     let connections: Vec<_> = endpoint.calls().iter().map(|c| c.connection).collect();
     assert_eq!(connections, [0, 1, 1, 1], "after either its connection is used again");
     assert!(discovery.notices.lock().expect("notices").is_empty());
 }
 
-fn broken_when_used_again() -> (Folder, Endpoint, Discovery) {
+fn broken_when_used_again() -> (TestFolder, Endpoint, Discovery) {
     let used = std::sync::Mutex::new(std::collections::HashSet::new());
     let endpoint = Endpoint::by_connection(move |connection| {
         let first = used.lock().expect("connections").insert(connection);
-        if first { Act::Answer(OK) } else { Act::Break }
+        if first { EndpointAction::Respond(OK) } else { EndpointAction::CloseConnection }
     });
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    (Folder::new(), endpoint, discovery)
+    (TestFolder::new(), endpoint, discovery)
 }
 
 #[test]
@@ -217,17 +234,17 @@
     let (folder, endpoint, discovery) = broken_when_used_again();
     let courier = Courier::start(&folder, &discovery);
     for n in 0..4 {
-        courier.take(&format!("s{n}"), "status", 7, 20_000);
-        until("the call", || endpoint.calls().len() > n);
+        courier.submit_accepted(&format!("s{n}"), "status", 7, 20_000);
+        wait_until("the call", || endpoint.calls().len() > n);
         thread::sleep(70 * MS);
     }
     for n in 0..4 {
-        courier.take(&format!("p{n}"), "payment", 7, 20_000);
-        until("the call", || endpoint.ids().contains(&format!("p{n}")));
+        courier.submit_accepted(&format!("p{n}"), "payment", 7, 20_000);
+        wait_until("the call", || endpoint.ids().contains(&format!("p{n}")));
         thread::sleep(70 * MS);
     }
-    courier.take("end", "status", 7, 20_000);
-    until("the end", || endpoint.ids().contains(&"end".to_owned()));
+    courier.submit_accepted("end", "status", 7, 20_000);
+    wait_until("the end", || endpoint.ids().contains(&"end".to_owned()));
     assert!(discovery.notices.lock().expect("notices").is_empty(), "none was lost to a kept connection");
 }
 
@@ -235,21 +252,21 @@
 
 #[test]
 fn a_new_endpoint_at_the_address_of_a_gone_one_does_not_inherit_its_connections() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
-    courier.take("m0", "status", 7, 20_000);
-    until("the call", || endpoint.calls().len() == 1);
+    courier.submit_accepted("m0", "status", 7, 20_000);
+    wait_until("the call", || endpoint.calls().len() == 1);
     discovery.tell(list(
         2,
         false,
         vec![host("s-1", &endpoint, 7, "gone"), host("s-2", &endpoint, 8, "ready")],
     ));
     let mut n = 0;
-    until("the new one's destination", || {
+    wait_until("the new one's destination", || {
         n += 1;
-        courier.hand_in(&format!("n{n}"), "status", 8, 20_000).status() == 202
+        courier.submit(&format!("n{n}"), "status", 8, 20_000).status() == 202
     });
-    until("the call", || endpoint.calls().len() == 2);
+    wait_until("the call", || endpoint.calls().len() == 2);
     assert_eq!(endpoint.calls()[1].connection, 1);
 }
 
@@ -257,14 +274,14 @@
 
 fn open(courier: &Courier, bytes: &str) -> TcpStream {
     let mut stream = TcpStream::connect(courier.address).expect("a connection");
-    stream.set_read_timeout(Some(LIMIT)).expect("set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     stream.write_all(bytes.as_bytes()).expect("sent");
     stream
 }
 
 #[test]
 fn what_never_becomes_a_request_is_answered_or_closed_soon() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     let good = message("m", "status", 7, 20_000);
     let from = Instant::now();
@@ -277,13 +294,13 @@
         assert!(answer.is_empty() || answer.starts_with(b"HTTP/1.1 4"), "{case:?}: {answer:?}");
     }
     assert!(from.elapsed() < 20_000 * MS, "{:?}", from.elapsed());
-    courier.take("end", "status", 7, 20_000);
-    until("the call", || endpoint.ids() == ["end"]);
+    courier.submit_accepted("end", "status", 7, 20_000);
+    wait_until("the call", || endpoint.ids() == ["end"]);
 }
 
 #[test]
 fn a_request_whose_end_or_name_is_in_doubt_is_refused_and_never_passed_on() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     let good = message("bad", "status", 7, 20_000);
     let length = "Content-Length: 5\r\n";
@@ -299,48 +316,48 @@
         good.replace(length, "Content-Length: 60000000\r\n"),
         format!("{good}{hidden}"),
     ] {
-        let page = raw(courier.address, bad.as_bytes()).unwrap_or_else(|| panic!("no answer to {bad}"));
-        assert!((400..500).contains(&page.status()), "{} to {bad}", page.first);
-        assert_eq!(page.head("connection"), Some("close"), "{bad}");
+        let page = exchange(courier.address, bad.as_bytes()).unwrap_or_else(|| panic!("no answer to {bad}"));
+        assert!((400..500).contains(&page.status()), "{} to {bad}", page.start_line);
+        assert_eq!(page.header("connection"), Some("close"), "{bad}");
     }
     for twice in ["X-Request-ID: a", "X-Timeout: 9m", "Envelope: dest=7", "Idempotency-Key: b"] {
         let bad = good.replace(length, &format!("{twice}\r\n{length}"));
-        assert_eq!(raw(courier.address, bad.as_bytes()).map(|p| p.status()), Some(400), "{bad}");
+        assert_eq!(exchange(courier.address, bad.as_bytes()).map(|p| p.status()), Some(400), "{bad}");
     }
-    courier.take("end", "status", 7, 20_000);
-    until("the call", || !endpoint.calls().is_empty());
+    courier.submit_accepted("end", "status", 7, 20_000);
+    wait_until("the call", || !endpoint.calls().is_empty());
     assert_eq!(endpoint.ids(), ["end"]);
 }
 
 #[test]
 fn hundreds_that_send_half_a_head_or_nothing_keep_no_usual_client_out() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     let mut usual = open(&courier, &message("m0", "status", 7, 20_000));
     let mut answers = BufReader::new(usual.try_clone().expect("a handle"));
-    assert_eq!(Page::read(&mut answers).expect("an answer").status(), 202);
+    assert_eq!(HttpMessage::read(&mut answers).expect("an answer").status(), 202);
     let from = Instant::now();
     let half = &message("half", "status", 7, 20_000)[..40];
     let crowd: Vec<_> = (0..500).map(|n| open(&courier, if n % 2 == 0 { half } else { "" })).collect();
-    courier.take("m1", "status", 7, 20_000);
+    courier.submit_accepted("m1", "status", 7, 20_000);
     assert!(from.elapsed() < 20_000 * MS, "{:?}", from.elapsed());
     // The connection that has served before them is still there.
     usual.write_all(message("m2", "status", 7, 20_000).as_bytes()).expect("sent");
-    assert_eq!(Page::read(&mut answers).expect("it was kept open").status(), 202);
-    until("the calls", || endpoint.calls().len() == 3);
+    assert_eq!(HttpMessage::read(&mut answers).expect("it was kept open").status(), 202);
+    wait_until("the calls", || endpoint.calls().len() == 3);
     drop(crowd);
 }
 
 #[test]
 fn clients_that_ask_once_and_keep_their_connection_do_not_shut_out_others() {
-    let (folder, _endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, _endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     let from = Instant::now();
     let mut kept = Vec::new();
     for n in 0..700 {
         let stream = open(&courier, &message(&format!("m{n}"), "status", 7, 20_000));
         let mut answers = BufReader::new(stream);
-        let page = Page::read(&mut answers).expect("an answer");
+        let page = HttpMessage::read(&mut answers).expect("an answer");
         assert!([202, 429].contains(&page.status()), "{page:?}");
         kept.push(answers);
     }
@@ -351,13 +368,17 @@
 // ---- connections that are not to be had -----------------------------------------------------------------
 
 /// An endpoint that holds so many connections and turns each further one away, at once and by itself.
-fn holds(connections: usize) -> (Folder, Endpoint, Discovery) {
+fn holds(connections: usize) -> (TestFolder, Endpoint, Discovery) {
     let full = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let endpoint = Endpoint::holding(connections, move |call| {
-        if call.admitted { Act::Distinct(20 * MS) } else { Act::AnswerAndClose(full) }
+        if call.admitted {
+            EndpointAction::RespondDistinct(20 * MS)
+        } else {
+            EndpointAction::RespondAndClose(full)
+        }
     });
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    (Folder::new(), endpoint, discovery)
+    (TestFolder::new(), endpoint, discovery)
 }
 
 #[test]
@@ -365,15 +386,15 @@
     const ALL: usize = 80;
     let (folder, endpoint, discovery) = holds(1);
     let courier = Courier::start(&folder, &discovery);
-    courier.take("first", "status", 7, 20_000);
-    until("the first call", || endpoint.calls().len() == 1);
+    courier.submit_accepted("first", "status", 7, 20_000);
+    wait_until("the first call", || endpoint.calls().len() == 1);
     for n in 0..ALL {
-        courier.take(&format!("m{n}"), "status", 7, 20_000);
+        courier.submit_accepted(&format!("m{n}"), "status", 7, 20_000);
     }
     // Sent one behind the other on the one connection they take 2 s of their 20.
     let admitted = || endpoint.calls().into_iter().filter(|c| c.admitted);
     let served = || admitted().count();
-    until("all on one connection", || served() + discovery.notices.lock().expect("notices").len() > ALL);
+    wait_until("all on one connection", || served() + discovery.notices.lock().expect("notices").len() > ALL);
     let ended = discovery.notices.lock().expect("notices").len();
     assert_eq!((served(), ended), (ALL + 1, 0), "all are served there");
     // The first is closed: nothing is known yet of how the endpoint's answers differ.
@@ -388,20 +409,20 @@
 #[test]
 fn payment_does_not_wait_for_a_connection_that_its_courier_holds_idle() {
     let (folder, scarce, discovery) = holds(1);
-    let other = Endpoint::new(|_| Act::Distinct(Duration::ZERO));
+    let other = Endpoint::new(|_| EndpointAction::RespondDistinct(Duration::ZERO));
     let hosts = vec![host("s-1", &scarce, 7, "ready"), host("s-2", &other, 9, "ready")];
     discovery.lines.lock().expect("lines")[0] = list(1, true, hosts);
     let courier = Courier::start(&folder, &discovery);
     // The other endpoint's answers differ, so that of the scarce one is presumed to.
     for n in 0..2 {
-        courier.take(&format!("other{n}"), "status", 9, 20_000);
-        until("a call", || other.calls().len() == n + 1);
+        courier.submit_accepted(&format!("other{n}"), "status", 9, 20_000);
+        wait_until("a call", || other.calls().len() == n + 1);
     }
-    courier.take("first", "status", 7, 20_000);
-    until("the first call", || scarce.calls().len() == 1);
-    courier.take("pay", "payment", 7, 3_000);
+    courier.submit_accepted("first", "status", 7, 20_000);
+    wait_until("the first call", || scarce.calls().len() == 1);
+    courier.submit_accepted("pay", "payment", 7, 3_000);
     let admitted = || scarce.calls().into_iter().filter(|c| c.admitted).map(|c| c.id).collect::<Vec<_>>();
-    until("its end", || admitted().len() == 2 || !discovery.results("pay").is_empty());
+    wait_until("its end", || admitted().len() == 2 || !discovery.results("pay").is_empty());
     assert_eq!(admitted(), ["first", "pay"]);
 }
 
@@ -410,46 +431,46 @@
 #[test]
 fn what_the_pace_cannot_serve_in_time_is_refused_when_it_is_handed_in() {
     const SLOW: &str = "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT x0=0.5, x1=5\r\nContent-Length: 0\r\n\r\n";
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(SLOW));
+    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(SLOW));
     let courier = Courier::start(&folder, &discovery);
-    courier.take("first", "status", 7, 20_000);
-    until("the first call", || endpoint.calls().len() == 1);
+    courier.submit_accepted("first", "status", 7, 20_000);
+    wait_until("the first call", || endpoint.calls().len() == 1);
     // Its answer tells of 5 calls a second; some have been taken before that was heard.
-    let mut page = Page::default();
+    let mut page = HttpMessage::default();
     let mut taken = 0;
     while page.status() != 429 && taken < 80 {
-        page = courier.hand_in(&format!("m{taken}"), "status", 7, 8_000);
+        page = courier.submit(&format!("m{taken}"), "status", 7, 8_000);
         taken += 1;
     }
     assert_eq!(page.status(), 429, "{taken} were taken, and 48 can be served");
-    let wait = page.head("retry-after").and_then(|w| w.parse::<f64>().ok());
+    let wait = page.header("retry-after").and_then(|w| w.parse::<f64>().ok());
     assert!(wait.is_some_and(|w| w > 0.0), "told when to come again: {wait:?}");
 }
 
 #[test]
 fn the_last_slots_go_to_the_faster_endpoint_though_it_costs_a_fee() {
-    let near = Endpoint::new(|_| Act::Late(300 * MS, OK));
-    let far = Endpoint::new(|_| Act::Answer(OK));
-    let other = Endpoint::new(|_| Act::Late(5_000 * MS, OK));
+    let near = Endpoint::new(|_| EndpointAction::RespondAfter(300 * MS, OK));
+    let far = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let other = Endpoint::new(|_| EndpointAction::RespondAfter(5_000 * MS, OK));
     let mut dear = host("s-2", &far, 7, "ready");
     dear["site"] = "b".into();
     let hosts = vec![host("s-1", &near, 7, "ready"), dear, host("s-3", &other, 9, "ready")];
-    let (folder, discovery) = (Folder::new(), Discovery::new(list(1, true, hosts)));
+    let (folder, discovery) = (TestFolder::new(), Discovery::new(list(1, true, hosts)));
     let courier = Courier::start(&folder, &discovery);
     // While slots are free the fee decides.
     for n in 0..3 {
-        courier.take(&format!("early{n}"), "status", 7, 20_000);
-        until("a call", || near.calls().len() + far.calls().len() == n + 1);
+        courier.submit_accepted(&format!("early{n}"), "status", 7, 20_000);
+        wait_until("a call", || near.calls().len() + far.calls().len() == n + 1);
     }
     assert!(far.calls().is_empty());
     // Of eight slots one destination may have six.
     for n in 0..6 {
-        courier.take(&format!("long{n}"), "payment", 9, 20_000);
+        courier.submit_accepted(&format!("long{n}"), "payment", 9, 20_000);
     }
-    until("six calls that take long", || other.calls().len() == 6);
+    wait_until("six calls that take long", || other.calls().len() == 6);
     for n in 0..6 {
-        courier.take(&format!("m{n}"), "status", 7, 20_000);
+        courier.submit_accepted(&format!("m{n}"), "status", 7, 20_000);
     }
-    until("all", || near.calls().len() + far.calls().len() == 9);
+    wait_until("all", || near.calls().len() + far.calls().len() == 9);
     assert!(!far.calls().is_empty(), "the slow one had all");
 }
--- a/crates/courier/tests/second_copies.rs
+++ b/crates/courier/tests/second_copies.rs
@@ -4,9 +4,9 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 use serde_json::json;
-use stairshed_rig::control::Control;
-use stairshed_rig::repeating::{CallLog, Script, distinct_answer, start_in_two_zones};
-use stairshed_rig::rules::{CLASSES, Played, await_ends};
+use stairshed_rig::control_service::ControlService;
+use stairshed_rig::delivery_rules::{CLASSES, RunRecord, wait_for_ends};
+use stairshed_rig::duplicating_endpoint::{CallLog, Script, distinct_answer, start_in_two_zones};
 use stairshed_rig::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -56,8 +56,8 @@
 }
 
 /// One courier between clients and two endpoints in different zones; all messages have ended when it returns.
-fn play(copies: Copies) -> Played {
-    let seed = figure("SEED", 1);
+fn play(copies: Copies) -> RunRecord {
+    let seed = env_or("SEED", 1);
     println!("seed {seed}");
     let log = CallLog::default();
     let hosts = start_in_two_zones(DESTINATIONS, &log, seed, move |rng| script(rng, copies));
@@ -66,7 +66,7 @@
     let mut config = config(&discovery, known);
     config["settings"]["family-info"]["slots"] = json!(SLOTS);
     config["seed"] = json!(format!("{seed:x}"));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = Courier::spawn(command(&folder, &discovery, &config).args(["--follow", "1/1"]));
     let address = courier.address;
     let clients: Vec<_> = CLASSES
@@ -75,8 +75,8 @@
         .map(|(class, client)| thread::spawn(move || hand_in_all(address, class, client)))
         .collect();
     let taken: BTreeSet<_> = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
-    await_ends(&taken, &log, &discovery, Duration::from_millis(TIME_MS) + LATE);
-    let played = Played::new(taken, &log, &discovery, courier.logged());
+    wait_for_ends(&taken, &log, &discovery, Duration::from_millis(TIME_MS) + LATE);
+    let played = RunRecord::new(taken, &log, &discovery, courier.unread_log());
     println!("{}", played.summary());
     assert!(played.calls.len() > MIN_CALLS, "too few calls to show a fault");
     played
@@ -84,11 +84,11 @@
 
 fn hand_in_all(courier: SocketAddr, class: &str, client: usize) -> Vec<String> {
     let ids = (0..MESSAGES).map(|n| format!("{class}-{client}-{n}"));
-    let hand_in = |id: &String| {
+    let submit = |id: &String| {
         thread::sleep(PAUSE);
-        raw(courier, message(id, class, destination_of(id), TIME_MS).as_bytes())
+        exchange(courier, message(id, class, destination_of(id), TIME_MS).as_bytes())
     };
-    ids.filter(|id| hand_in(id).is_some_and(|answer| answer.status() == 202)).collect()
+    ids.filter(|id| submit(id).is_some_and(|answer| answer.status() == 202)).collect()
 }
 
 fn destination_of(id: &str) -> u64 {
@@ -134,13 +134,13 @@
 // Guards against a connection that is used again although a copy of its last answer could not be told from the next.
 #[test]
 fn each_call_has_its_own_connection_where_answers_are_alike() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = Courier::start(&folder, &discovery);
     for n in 0..4 {
-        courier.take(&format!("m{n}"), CLASSES[n % CLASSES.len()], 7, TIME_MS);
-        until("the call", || endpoint.calls().len() == n + 1);
+        courier.submit_accepted(&format!("m{n}"), CLASSES[n % CLASSES.len()], 7, TIME_MS);
+        wait_until("the call", || endpoint.calls().len() == n + 1);
     }
     let connections: Vec<_> = endpoint.calls().iter().map(|c| c.connection).collect();
     assert_eq!(connections, [0, 1, 2, 3]);
@@ -150,33 +150,33 @@
 // Guards against a copy of the 204 for one post of notices that is taken for the answer to the next.
 #[test]
 fn notice_is_posted_again_where_the_platform_sends_an_answer_twice() {
-    let endpoint = Endpoint::new(|_| Act::Break);
+    let endpoint = Endpoint::new(|_| EndpointAction::CloseConnection);
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = Courier::start(&folder, &discovery);
-    discovery.post_scripts.lock().expect("scripts").extend(PostScript::COPIED_THEN_REFUSED);
-    courier.take("first", "payment", 7, TIME_MS);
-    until("the first notice", || discovery.results("first") == ["dead"]);
-    courier.take("second", "payment", 7, TIME_MS);
-    until("the second notice", || discovery.results("second") == ["dead"]);
+    discovery.post_scripts.lock().expect("scripts").extend(PostScript::DUPLICATED_THEN_REFUSED);
+    courier.submit_accepted("first", "payment", 7, TIME_MS);
+    wait_until("the first notice", || discovery.results("first") == ["dead"]);
+    courier.submit_accepted("second", "payment", 7, TIME_MS);
+    wait_until("the second notice", || discovery.results("second") == ["dead"]);
 }
 
 // Guards against a copy of the 204 for one answer to a version that is taken for the answer to the next.
 #[test]
 fn answer_to_a_version_is_posted_again_where_the_service_sends_an_answer_twice() {
-    let control = Control::new();
-    let folder = Folder::new();
-    control.script_answers(PostScript::COPIED_THEN_REFUSED);
+    let control = ControlService::new();
+    let folder = TestFolder::new();
+    control.script_answers(PostScript::DUPLICATED_THEN_REFUSED);
     let _courier = Courier::serve(&folder, &file_with_control(&control));
-    until("the courier listens", || control.is_open());
+    wait_until("the courier listens", || control.is_open());
     let config = json!({"limits": {"pool_wait": "500ms"}});
-    control.whole(1, &config);
+    control.send_version(1, &config);
     control.answer(1);
-    control.whole(2, &config);
+    control.send_version(2, &config);
     control.answer(2);
 }
 
-fn file_with_control(control: &Control) -> String {
+fn file_with_control(control: &ControlService) -> String {
     let url = control.url();
     format!(
         "name = \"c1\"\n[listen]\nhttp = \"127.0.0.1:0\"\n\
@@ -201,15 +201,15 @@
     // The second differs from the first, so its connection is kept; the third is the second once more.
     let [first, second] = ["0.1", "0.2"].map(|left| &*full(left).leak());
     let answers = [first, second, second];
-    let endpoint = Endpoint::new(move |n| Act::Answer(answers.get(n).copied().unwrap_or(OK)));
+    let endpoint = Endpoint::new(move |n| EndpointAction::Respond(answers.get(n).copied().unwrap_or(OK)));
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = Courier::start(&folder, &discovery);
-    courier.take("m", "status", 7, 20_000);
-    until("the third call", || endpoint.calls().len() == 3);
+    courier.submit_accepted("m", "status", 7, 20_000);
+    wait_until("the third call", || endpoint.calls().len() == 3);
     thread::sleep(50 * MS);
-    courier.take("n", "notice", 7, 20_000);
-    until("the fourth call", || endpoint.calls().len() >= 4);
+    courier.submit_accepted("n", "notice", 7, 20_000);
+    wait_until("the fourth call", || endpoint.calls().len() >= 4);
     let calls = endpoint.calls();
     assert_eq!(
         calls[2].connection, calls[1].connection,
--- a/crates/courier/tests/soak.rs
+++ b/crates/courier/tests/soak.rs
@@ -7,9 +7,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
-use stairshed_rig::faults::MachineFaults;
-use stairshed_rig::repeating::{CallLog, Script, distinct_answer, gone_answer, start_in_two_zones};
-use stairshed_rig::rules::{CLASSES, Kill, Played, await_ends};
+use stairshed_rig::delivery_rules::{CLASSES, CourierKill, RunRecord, wait_for_ends};
+use stairshed_rig::duplicating_endpoint::{
+    CallLog, Script, distinct_answer, gone_answer, start_in_two_zones,
+};
+use stairshed_rig::machine_faults::MachineFaults;
 use stairshed_rig::*;
 use std::collections::BTreeSet;
 use std::io::{BufReader, Write};
@@ -124,11 +126,11 @@
             if connection.get_mut().write_all(text.as_bytes()).is_err() {
                 continue;
             }
-            let Some(answer) = Page::read(&mut connection) else { continue };
+            let Some(answer) = HttpMessage::read(&mut connection) else { continue };
             if answer.status() == 202 {
                 self.taken.lock().expect("taken").insert(id);
             }
-            open = Some(connection).filter(|_| answer.head("connection") != Some("close"));
+            open = Some(connection).filter(|_| answer.header("connection") != Some("close"));
         }
     }
 
@@ -140,7 +142,7 @@
     }
 }
 
-fn start(folder: &Folder, discovery: &Discovery, config: &Value) -> (Courier, MachineFaults) {
+fn start(folder: &TestFolder, discovery: &Discovery, config: &Value) -> (Courier, MachineFaults) {
     let mut command = command(folder, discovery, config);
     let faults = MachineFaults::load(&mut command, folder, "");
     (Courier::spawn(command.args(["--follow", "1/1"])), faults)
@@ -148,19 +150,19 @@
 
 /// Ends the courier: told first and killed at the page's earliest, or killed at once.
 fn end(mut courier: Courier, told: bool) -> Vec<String> {
-    assert!(courier.is_running(), "it crashed: {:#?}", courier.logged());
+    assert!(courier.is_running(), "it crashed: {:#?}", courier.unread_log());
     if told {
         courier.signal("-TERM");
         thread::sleep(TERM_TO_KILL);
     }
-    let log = courier.logged();
+    let log = courier.unread_log();
     let panics: Vec<_> = log.iter().filter(|line| line.contains("panicked")).collect();
     assert!(panics.is_empty(), "it crashed: {panics:?}");
     courier.kill();
     log
 }
 
-fn play(seed: u64) -> Played {
+fn play(seed: u64) -> RunRecord {
     let mut rng = SmallRng::seed_from_u64(seed);
     let log = CallLog::default();
     let faults = Faults::of(&mut rng);
@@ -169,7 +171,7 @@
     let discovery = Discovery::new(known.clone());
     let mut config = config(&discovery, known);
     config["settings"]["family-info"]["slots"] = json!(SLOTS);
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let (mut courier, mut machine) = start(&folder, &discovery, &config);
     let wrong = MACHINE_FAULTS[rng.random_range(0..MACHINE_FAULTS.len())];
     let mut kills = Vec::new();
@@ -201,7 +203,7 @@
             thread::sleep(Duration::from_millis(rng.random_range(UP_MS)));
         }
         lines.extend(end(courier, rng.random_bool(0.5)));
-        kills.push(Kill { at: Instant::now(), folder_failed_since });
+        kills.push(CourierKill { at: Instant::now(), folder_failed_since });
         drop(idle);
         thread::sleep(DOWN);
         config["seed"] = json!(format!("{:x}", seed * 10 + life));
@@ -212,16 +214,16 @@
     clients.stop.store(true, Ordering::SeqCst);
     running.into_iter().for_each(|client| client.join().expect("a client"));
     let taken = clients.taken.lock().expect("taken").clone();
-    await_ends(&taken, &log, &discovery, Duration::from_millis(TIME_MS) + LATE);
-    lines.extend(courier.logged());
+    wait_for_ends(&taken, &log, &discovery, Duration::from_millis(TIME_MS) + LATE);
+    lines.extend(courier.unread_log());
     println!("seed {seed}: machine {wrong:?}");
-    Played { kills, ..Played::new(taken, &log, &discovery, lines) }
+    RunRecord { kills, ..RunRecord::new(taken, &log, &discovery, lines) }
 }
 
 // Guards against broken rules on lost requests and duplicates where restarts and faults of endpoints meet.
 #[test]
 fn rules_hold_over_restarts_with_endpoints_that_fail_and_answer_twice() {
-    let (first, number) = (figure("SEED", 1), figure("SEEDS", DEFAULT_SEEDS));
+    let (first, number) = (env_or("SEED", 1), env_or("SEEDS", DEFAULT_SEEDS));
     let next = Arc::new(Mutex::new(first..first + number));
     let workers: Vec<_> = (0..SIDE_BY_SIDE.min(number))
         .map(|_| {
--- a/crates/courier/tests/stale_membership.rs
+++ b/crates/courier/tests/stale_membership.rs
@@ -32,20 +32,21 @@
     discovery: Discovery,
     old: Arc<Endpoint>,
     new: Arc<Endpoint>,
-    folders: Vec<Folder>,
+    folders: Vec<TestFolder>,
     couriers: Vec<Courier>,
     siblings: u64,
 }
 
 impl Fleet {
     fn start(couriers: u64, siblings: u64) -> Self {
-        let (old, new) = (Endpoint::new(|_| Act::Answer(OK)), Endpoint::new(|_| Act::Answer(OK)));
+        let (old, new) =
+            (Endpoint::new(|_| EndpointAction::Respond(OK)), Endpoint::new(|_| EndpointAction::Respond(OK)));
         let discovery = Discovery::new(list(1, true, vec![endpoint_entry("s-old", &old, "ready")]));
-        let folders = (0..couriers).map(|_| Folder::new()).collect();
+        let folders = (0..couriers).map(|_| TestFolder::new()).collect();
         let (old, new) = (Arc::new(old), Arc::new(new));
         let mut fleet = Fleet { discovery, old, new, folders, couriers: Vec::new(), siblings };
         fleet.start_processes(1);
-        until("each has a watch", || fleet.discovery.watches.load(Ordering::SeqCst) as u64 >= couriers);
+        wait_until("each has a watch", || fleet.discovery.watches.load(Ordering::SeqCst) as u64 >= couriers);
         fleet
     }
 
@@ -97,7 +98,7 @@
                         return;
                     }
                     let id = format!("m-{n}-{message}-{}", std::process::id());
-                    raw(to, message_with(&id, "status", 7, 4000, "").as_bytes());
+                    exchange(to, message_with(&id, "status", 7, 4000, "").as_bytes());
                     thread::sleep(100 * MS);
                 }
             })
@@ -134,7 +135,7 @@
 #[test]
 fn courier_whose_watch_fell_silent_sends_nothing_to_an_endpoint_that_drains() {
     let fleet = Fleet::start(COURIERS, FLEET);
-    fleet.discovery.mute_watches();
+    fleet.discovery.silence_watches();
     let change = fleet.replace();
     fleet.hand_in_until(change + TOLD_AFTER * 2);
     fleet.assert_nothing_old_after(change + TOLD_AFTER + GRACE);
@@ -156,7 +157,7 @@
 /// Watches end, and discovery turns each call away at once for a while; meanwhile an endpoint is replaced.
 fn turned_away(fleet: &Fleet, crowded: Duration) {
     fleet.discovery.answer_watches(WatchAnswer::RefuseAfter(Duration::ZERO));
-    fleet.discovery.cut_watches();
+    fleet.discovery.close_watches();
     let change = fleet.replace();
     let discovery = fleet.discovery.clone();
     let recovery = thread::spawn(move || {
@@ -173,8 +174,8 @@
 #[test]
 fn courier_whose_watch_never_sends_a_whole_line_sends_nothing_to_an_endpoint_that_drains() {
     let fleet = Fleet::start(2, 1);
-    fleet.discovery.answer_watches(WatchAnswer::NeverALine);
-    fleet.discovery.cut_watches();
+    fleet.discovery.answer_watches(WatchAnswer::NeverCompleteLine);
+    fleet.discovery.close_watches();
     let change = fleet.replace();
     let discovery = fleet.discovery.clone();
     let recovery = thread::spawn(move || {
@@ -257,21 +258,22 @@
 // Guards against a site that pushes its lists, where nobody asks for them.
 #[test]
 fn courier_whose_lists_are_pushed_hears_of_them_and_acts_on_none_before() {
-    let (old, new) = (Endpoint::new(|_| Act::Answer(OK)), Endpoint::new(|_| Act::Answer(OK)));
+    let (old, new) =
+        (Endpoint::new(|_| EndpointAction::Respond(OK)), Endpoint::new(|_| EndpointAction::Respond(OK)));
     let discovery = Discovery::new(list(2, true, vec![endpoint_entry("s-new", &new, "ready")]));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let mut config = config(&discovery, list(1, true, vec![endpoint_entry("s-old", &old, "ready")]));
     config["settings"]["membership-mode"] = json!("automatic");
     let courier = Courier::with(&folder, &discovery, &config);
-    courier.take("m1", "status", 7, 20_000);
-    until("the delivery", || !new.calls().is_empty());
+    courier.submit_accepted("m1", "status", 7, 20_000);
+    wait_until("the delivery", || !new.calls().is_empty());
     assert!(old.calls().is_empty(), "what the agent had from the start counts as told");
 }
 
 // Guards against a pool from discovery that is served on a list out of date, and one from the file that is held for it.
 #[test]
 fn operators_courier_holds_what_is_for_listed_endpoints_and_serves_its_own_without_a_word_of_discovery() {
-    let [old, new, own] = [(); 3].map(|()| Endpoint::new(|_| Act::Answer(OK)));
+    let [old, new, own] = [(); 3].map(|()| Endpoint::new(|_| EndpointAction::Respond(OK)));
     let discovery = Discovery::new(list(1, true, vec![endpoint_entry("s-old", &old, "ready")]));
     let file = format!(
         "[listen]\nhttp = \"127.0.0.1:0\"\n[discovery]\naddress = \"{}\"\n\
@@ -282,14 +284,14 @@
          [routes.own]\nprefix = \"/own\"\npool = \"own\"\nclass = \"status\"\n",
         discovery.address, own.address
     );
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file);
-    until("the first delivery", || {
+    wait_until("the first delivery", || {
         courier.post("/listed", "first", "", "x");
         !old.calls().is_empty()
     });
     discovery.answer_watches(WatchAnswer::RefuseAfter(Duration::ZERO));
-    discovery.cut_watches();
+    discovery.close_watches();
     let entries = vec![endpoint_entry("s-old", &old, "draining"), endpoint_entry("s-new", &new, "ready")];
     discovery.tell(list(2, false, entries));
     let change = Instant::now();
@@ -306,7 +308,7 @@
     assert_eq!(late(&old), 0, "requests to a draining endpoint after the grace");
     assert!(late(&own) >= 15, "{} requests to the file's own endpoint in 2 s", late(&own));
     discovery.answer_watches(WatchAnswer::Serve);
-    until("the list", || {
+    wait_until("the list", || {
         courier.post("/listed", "last", "", "x");
         !new.calls().is_empty()
     });
@@ -324,7 +326,7 @@
 fn served_in_outage(siblings: u64, refused_after: Duration) -> Vec<usize> {
     let fleet = Fleet::start(4, siblings);
     fleet.discovery.answer_watches(WatchAnswer::RefuseAfter(refused_after));
-    fleet.discovery.cut_watches();
+    fleet.discovery.close_watches();
     let outage = Instant::now();
     fleet.hand_in_until(outage + Duration::from_secs(24));
     let calls = fleet.old.calls();
