--- a/crates/courier/tests/versions.rs
+++ b/crates/courier/tests/versions.rs
@@ -6,8 +6,8 @@
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
-use stairshed_rig::charges::Charges;
-use stairshed_rig::control::Control;
+use stairshed_rig::charge_ledger::ChargeLedger;
+use stairshed_rig::control_service::ControlService;
 use stairshed_rig::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -102,7 +102,7 @@
     }
 }
 
-fn file(control: &Control) -> String {
+fn file(control: &ControlService) -> String {
     format!(
         "name = \"c1\"\n[listen]\nhttp = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\n\
          [control]\nurl = \"{}\"\nheartbeat = \"60s\"\nfirst_wait = \"30s\"\n",
@@ -118,7 +118,7 @@
 }
 
 struct Service {
-    control: Control,
+    control: ControlService,
     rng: SmallRng,
     endpoints: Vec<SocketAddr>,
     next: u64,
@@ -127,7 +127,7 @@
 
 impl Service {
     fn new(seed: u64, endpoints: Vec<SocketAddr>) -> Self {
-        let (control, rng) = (Control::new(), SmallRng::seed_from_u64(seed));
+        let (control, rng) = (ControlService::new(), SmallRng::seed_from_u64(seed));
         Service { control, rng, endpoints, next: 1, sent: BTreeMap::new() }
     }
 
@@ -141,7 +141,7 @@
     fn good(&mut self) -> u64 {
         let plan = Plan::random(&mut self.rng);
         let version = self.note(Some(plan.clone()), true);
-        self.control.whole(version, &plan.config(version, &self.endpoints));
+        self.control.send_version(version, &plan.config(version, &self.endpoints));
         version
     }
 
@@ -157,7 +157,7 @@
             3 => config["limits"]["held"] = json!(0),
             _ => config["journal"] = json!({"room": "1GB"}),
         }
-        self.control.whole(version, &config);
+        self.control.send_version(version, &config);
     }
 
     /// A patch of the version that was acknowledged last, which need not be the newest there.
@@ -180,7 +180,7 @@
         self.control.send(&line[..cut]);
         self.control.cut();
         let control = self.control.clone();
-        until("the courier comes back to the service", || control.is_open());
+        wait_until("the courier comes back to the service", || control.is_open());
     }
 
     fn any(&mut self) {
@@ -194,7 +194,7 @@
                 let plan = Plan::random(&mut self.rng);
                 let config = plan.config(0, &self.endpoints);
                 if let Some(old) = self.sent.keys().next().copied() {
-                    self.control.whole(old, &config);
+                    self.control.send_version(old, &config);
                 }
             }
             _ => self.half(),
@@ -213,7 +213,7 @@
         for call in endpoint.calls() {
             calls += 1;
             let head =
-                |name| call.page.head(name).and_then(|v| v.parse::<u64>().ok()).expect("a route's mark");
+                |name| call.page.header(name).and_then(|v| v.parse::<u64>().ok()).expect("a route's mark");
             let (version, pool) = (head("x-version"), head("x-pool") as usize);
             let what = format!("seed {seed}: {} by version {version} of p{pool} at endpoint {e}", call.id);
             let sent = service.sent.get(&version).unwrap_or_else(|| panic!("{what}: never sent"));
@@ -240,9 +240,9 @@
     assert!(calls > 50, "seed {seed}: {calls} calls");
 }
 
-fn endings(folder: &Folder, charges: &Charges, clients: &Clients, seed: u64) {
+fn endings(folder: &TestFolder, charges: &ChargeLedger, clients: &Clients, seed: u64) {
     let taken = clients.taken.lock().expect("taken").clone();
-    until("every message that was taken on ends", || {
+    wait_until("every message that was taken on ends", || {
         let told: BTreeSet<String> = outcomes(folder).into_iter().map(|(id, _)| id).collect();
         taken.keys().all(|id| charges.get(id).answered || told.contains(id))
     });
@@ -264,8 +264,8 @@
     }
 }
 
-fn run(seed: u64) -> (Service, Vec<Endpoint>, Charges, Arc<Clients>) {
-    let charges = Charges::default();
+fn run(seed: u64) -> (Service, Vec<Endpoint>, ChargeLedger, Arc<Clients>) {
+    let charges = ChargeLedger::default();
     let endpoints: Vec<Endpoint> = (0..ENDPOINTS as u64).map(|n| charges.endpoint(seed + n)).collect();
     let service = Service::new(seed, endpoints.iter().map(|e| e.address).collect());
     (service, endpoints, charges, Arc::default())
@@ -281,13 +281,13 @@
 
 #[test]
 fn versions_under_traffic_do_what_their_answers_say_and_nothing_else() {
-    let (seed, versions) = (figure("SEED", 20_261_201), figure("VERSIONS", 300));
+    let (seed, versions) = (env_or("SEED", 20_261_201), env_or("VERSIONS", 300));
     println!("SEED={seed} VERSIONS={versions}");
     let (mut service, endpoints, charges, clients) = run(seed);
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let control = service.control.clone();
     let sender = thread::spawn(move || {
-        until("the courier listens", || service.control.is_open());
+        wait_until("the courier listens", || service.control.is_open());
         let first = service.good();
         service.control.answer(first);
         service
@@ -331,10 +331,10 @@
 
 #[test]
 fn after_sigkill_it_comes_up_on_the_last_version_that_it_acknowledged() {
-    let (seed, kills) = (figure("SEED", 20_261_202), figure("KILLS", 12));
+    let (seed, kills) = (env_or("SEED", 20_261_202), env_or("KILLS", 12));
     println!("SEED={seed} KILLS={kills}");
     let (mut service, endpoints, charges, clients) = run(seed);
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let at = Arc::new(Mutex::new(SocketAddr::from(([127, 0, 0, 1], 9))));
     let threads = traffic(&at, &clients, seed);
     for kill in 0..=kills {
@@ -343,7 +343,7 @@
         let courier = thread::scope(|scope| {
             let starting = scope.spawn(move || Courier::serve(folder, &file));
             if kill == 0 {
-                until("the courier listens", || service.control.is_open());
+                wait_until("the courier listens", || service.control.is_open());
                 let first = service.good();
                 service.control.answer(first);
             }
@@ -356,7 +356,7 @@
         // A newer one may have been stored, its acknowledgement cut off; an older one never.
         assert!(up >= acknowledged && whole, "seed {seed}: up on {up:?}, {acknowledged:?} was acknowledged");
         *at.lock().expect("the address") = courier.address;
-        until("the courier listens", || service.control.is_open());
+        wait_until("the courier listens", || service.control.is_open());
         if kill == kills {
             let last = service.good();
             assert!(service.control.answer(last).accepted);
--- a/crates/rig/src/bin/stairshed-load.rs
+++ b/crates/rig/src/bin/stairshed-load.rs
@@ -6,7 +6,7 @@
 //! Each PROGRAM is a courier (`target/release/stairshed`, or that of another checkout). They are played in
 //! turn, `rounds` times, so that what the machine does besides falls on all alike.
 
-use stairshed_rig::figures::{cpu, peak, resident};
+use stairshed_rig::process_stats::{cpu_seconds, peak_resident_mb, resident_mb};
 use stairshed_rig::*;
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -53,11 +53,12 @@
 }
 
 fn play(load: &Load, program: &Path) {
-    let endpoints: Vec<_> = (0..DESTINATIONS).map(|_| Endpoint::new(|_| Act::Answer(OK))).collect();
+    let endpoints: Vec<_> =
+        (0..DESTINATIONS).map(|_| Endpoint::new(|_| EndpointAction::Respond(OK))).collect();
     let hosts = endpoints.iter().enumerate();
     let hosts = hosts.map(|(n, e)| host(&format!("s-{n}"), e, n as u64, "ready"));
     let discovery = Discovery::new(list(1, true, hosts.collect()));
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let mut command = command_of(program, &folder, &discovery, &config(&discovery, known));
     if let Some(settings) = &load.settings {
@@ -66,7 +67,7 @@
     let started = Instant::now();
     let courier = Courier::spawn(&mut command);
     let started = started.elapsed();
-    let (before, empty) = (cpu(courier.id()), resident(courier.id()));
+    let (before, empty) = (cpu_seconds(courier.id()), resident_mb(courier.id()));
     let (next, address) = (Arc::new(AtomicU64::new(0)), courier.address);
     let begin = Instant::now();
     let clients: Vec<_> = (0..load.connections)
@@ -86,7 +87,7 @@
                     let text = message_with(&format!("m{n}"), "status", n % DESTINATIONS, 20_000, &body);
                     let at = Instant::now();
                     to.write_all(text.as_bytes()).expect("sent");
-                    let page = Page::read(&mut from).expect("an answer");
+                    let page = HttpMessage::read(&mut from).expect("an answer");
                     match page.status() {
                         202 => waits.push(at.elapsed()),
                         _ => {
@@ -107,8 +108,8 @@
     let took = begin.elapsed().as_secs_f64();
     let delivered = || endpoints.iter().map(|e| e.seen.lock().expect("calls").len()).sum::<usize>();
     let told = || discovery.notices.lock().expect("notices").len();
-    until("every end", || delivered() + told() >= waits.len());
-    let cost = (cpu(courier.id()) - before) * 1e6 / waits.len().max(1) as f64;
+    wait_until("every end", || delivered() + told() >= waits.len());
+    let cost = (cpu_seconds(courier.id()) - before) * 1e6 / waits.len().max(1) as f64;
     waits.sort();
     let at = |q: f64| waits[((waits.len() - 1) as f64 * q) as usize].as_secs_f64() * 1e3;
     println!(
@@ -118,15 +119,15 @@
         at(0.5),
         at(0.99),
         at(0.999),
-        peak(courier.id()),
+        peak_resident_mb(courier.id()),
         started.as_secs_f64() * 1e3,
         waits.len(),
         told(),
     );
     if let Some(rest) = load.rest {
-        let full = resident(courier.id());
+        let full = resident_mb(courier.id());
         thread::sleep(rest);
-        let rested = resident(courier.id());
+        let rested = resident_mb(courier.id());
         println!(
             "  resident {empty:.1} MB before, {full:.1} MB after the last message, {rested:.1} MB after {} s of rest",
             rest.as_secs()
--- a/crates/rig/src/bin/stairshed-mqtt-load.rs
+++ b/crates/rig/src/bin/stairshed-mqtt-load.rs
@@ -4,8 +4,8 @@
 //!     stairshed-mqtt-load [--messages N] [--connections N] [--sessions N] PROGRAM
 
 use stairshed_mqtt::packet::{Ack, Packet, Qos, Version};
-use stairshed_rig::figures::{cpu, resident};
-use stairshed_rig::publisher::{Publisher, lasting};
+use stairshed_rig::mqtt_client::{MqttClient, persistent_session};
+use stairshed_rig::process_stats::{cpu_seconds, resident_mb};
 use stairshed_rig::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -72,24 +72,25 @@
         let length = body.len();
         write!(to, "POST /state HTTP/1.1\r\nHost: x\r\nX-Request-ID: h{who}-{n}\r\nContent-Length: {length}\r\n\r\n{body}")
             .expect("sent");
-        assert_eq!(Page::read(&mut from).expect("an answer").status(), 202);
+        assert_eq!(HttpMessage::read(&mut from).expect("an answer").status(), 202);
         at.elapsed()
     };
     (0..messages).map(one).collect()
 }
 
 fn over_mqtt(courier: At, qos: Qos, who: u64, messages: u64) -> Vec<Duration> {
-    let (mut van, _) = Publisher::connect(courier.mqtt, lasting(Version::V5, &format!("{qos:?}-{who}")));
+    let (mut van, _) =
+        MqttClient::connect(courier.mqtt, persistent_session(Version::V5, &format!("{qos:?}-{who}")));
     let body = "x".repeat(500);
     let one = |n: u64| {
         let (at, id) = (Instant::now(), (n % 60_000) as u16 + 1);
         van.publish("state", qos, Some(id), &body, &[]);
-        match van.acked() {
+        match van.next_ack() {
             Some(Packet::Puback(ack)) => assert_eq!(ack.code, 0),
             Some(Packet::Pubrec(ack)) => {
                 assert_eq!(ack.code, 0);
                 van.send(Packet::Pubrel(Ack::new(id, 0)));
-                assert!(matches!(van.acked(), Some(Packet::Pubcomp(_))));
+                assert!(matches!(van.next_ack(), Some(Packet::Pubcomp(_))));
             }
             other => panic!("{other:?}"),
         }
@@ -108,7 +109,7 @@
 
 fn play(load: &Load, courier: &Courier, endpoints: &[Endpoint], name: &str, way: Way) {
     let delivered = || endpoints.iter().map(|e| e.seen.lock().expect("calls").len()).sum::<usize>();
-    let (before, done, begin) = (cpu(courier.id()), delivered(), Instant::now());
+    let (before, done, begin) = (cpu_seconds(courier.id()), delivered(), Instant::now());
     let each = load.messages / load.connections;
     let at = At { http: courier.address, mqtt: courier.mqtt() };
     let mut waits: Vec<Duration> = thread::scope(|scope| {
@@ -116,8 +117,8 @@
         all.into_iter().flat_map(|t| t.join().expect("a client")).collect()
     });
     let took = begin.elapsed().as_secs_f64();
-    until("every delivery", || delivered() - done >= waits.len());
-    let cost = (cpu(courier.id()) - before) * 1e6 / waits.len() as f64;
+    wait_until("every delivery", || delivered() - done >= waits.len());
+    let cost = (cpu_seconds(courier.id()) - before) * 1e6 / waits.len() as f64;
     waits.sort();
     let at = |q: f64| waits[((waits.len() - 1) as f64 * q) as usize].as_secs_f64() * 1e3;
     println!(
@@ -129,10 +130,10 @@
 }
 
 fn idle(load: &Load, courier: &Courier) {
-    let kb = || resident(courier.id()) * 1e3;
+    let kb = || resident_mb(courier.id()) * 1e3;
     let before = kb();
-    let open: Vec<Publisher> = (0..load.sessions)
-        .map(|n| Publisher::connect(courier.mqtt(), lasting(Version::V5, &format!("idle-{n}"))).0)
+    let open: Vec<MqttClient> = (0..load.sessions)
+        .map(|n| MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, &format!("idle-{n}"))).0)
         .collect();
     let connected = kb();
     drop(open);
@@ -147,8 +148,8 @@
 }
 
 fn run(load: &Load, program: &Path) {
-    let endpoints: Vec<_> = (0..ENDPOINTS).map(|_| Endpoint::new(|_| Act::Answer(OK))).collect();
-    let folder = Folder::new();
+    let endpoints: Vec<_> = (0..ENDPOINTS).map(|_| Endpoint::new(|_| EndpointAction::Respond(OK))).collect();
+    let folder = TestFolder::new();
     let courier = Courier::spawn(&mut serve_command_of(program, &folder, &file(&endpoints, load.sessions)));
     for (name, way) in
         [("HTTP", over_http as Way), ("MQTT QoS 1", at_least_once), ("MQTT QoS 2", exactly_once)]
--- a/crates/rig/src/bin/stairshed-soak.rs
+++ b/crates/rig/src/bin/stairshed-soak.rs
@@ -14,9 +14,9 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::Value;
 use stairshed_mqtt::packet::Version;
-use stairshed_rig::figures::descriptors;
-use stairshed_rig::publisher::{Publisher, lasting};
-use stairshed_rig::soak::Series;
+use stairshed_rig::mqtt_client::{MqttClient, persistent_session};
+use stairshed_rig::process_stats::open_descriptors;
+use stairshed_rig::trend::TimeSeries;
 use stairshed_rig::*;
 use std::collections::BTreeMap;
 use std::fs;
@@ -133,11 +133,11 @@
             (rng.random_range(0..200), Duration::from_millis(rng.random_range(1..8)))
         };
         match (n, clock.phase()) {
-            (1, at) if (0.45..0.6).contains(&at) => Act::Late(wait * 40, OK),
-            (2, at) if (0.55..0.7).contains(&at) => Act::AnswerAndClose(BUSY),
-            _ if roll == 0 => Act::Break,
-            _ if roll < 40 => Act::Late(wait, OK),
-            _ => Act::Answer(OK),
+            (1, at) if (0.45..0.6).contains(&at) => EndpointAction::RespondAfter(wait * 40, OK),
+            (2, at) if (0.55..0.7).contains(&at) => EndpointAction::RespondAndClose(BUSY),
+            _ if roll == 0 => EndpointAction::CloseConnection,
+            _ if roll < 40 => EndpointAction::RespondAfter(wait, OK),
+            _ => EndpointAction::Respond(OK),
         }
     })
 }
@@ -195,7 +195,7 @@
             Some(link) => link,
             None => {
                 let Ok(stream) = TcpStream::connect(to) else { continue };
-                let set = stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(LIMIT)));
+                let set = stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(WAIT_TIMEOUT)));
                 let (Ok(()), Ok(other)) = (set, stream.try_clone()) else { continue };
                 link.insert((stream, BufReader::new(other)))
             }
@@ -212,8 +212,8 @@
             "POST /{path}/{place} HTTP/1.1\r\nHost: x\r\nX-Request-ID: c{n}-{number}\r\nContent-Length: {size}\r\n\r\n{}",
             "x".repeat(size)
         );
-        let answer = to.write_all(request.as_bytes()).ok().and_then(|()| Page::read(from));
-        let count = match answer.as_ref().map(Page::status) {
+        let answer = to.write_all(request.as_bytes()).ok().and_then(|()| HttpMessage::read(from));
+        let count = match answer.as_ref().map(HttpMessage::status) {
             Some(202) => &tally.taken,
             Some(_) => &tally.refused,
             None => {
@@ -222,7 +222,7 @@
             }
         };
         count.fetch_add(1, Ordering::SeqCst);
-        if answer.is_some_and(|a| a.head("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))) {
+        if answer.is_some_and(|a| a.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))) {
             link = None;
         }
     }
@@ -236,7 +236,7 @@
         let nap = rng.random_range(0.1..0.6) / clock.load().max(0.1);
         thread::sleep(Duration::from_secs_f64(nap.min(3.0)));
         let client = format!("van-{n}");
-        let (mut van, connack) = Publisher::connect(to, lasting(Version::V5, &client));
+        let (mut van, connack) = MqttClient::connect(to, persistent_session(Version::V5, &client));
         if connack.code != 0 {
             continue;
         }
@@ -245,12 +245,12 @@
             number += 1;
             let place = rng.random_range(0..PARTNERS);
             let text = format!("{{\"id\": \"v{n}-{number}\", \"amount\": 42}}");
-            let _ = van.hand_in(&format!("pay/{place}"), number as u16 | 1, &text, &[]);
+            let _ = van.submit(&format!("pay/{place}"), number as u16 | 1, &text, &[]);
         }
     }
 }
 
-fn sample(courier: &Courier, all: &mut BTreeMap<String, Series>, at: f64) {
+fn sample(courier: &Courier, all: &mut BTreeMap<String, TimeSeries>, at: f64) {
     let page = courier.page("/-/memory");
     let mut note = |name: &str, value: Option<f64>| {
         let series = all.entry(name.to_owned()).or_default();
@@ -260,14 +260,14 @@
     for key in ["resident", "allocated", "unaccounted"] {
         note(key, page[key].as_f64());
     }
-    note("descriptors", descriptors(courier.id()).map(|n| n as f64));
+    note("descriptors", open_descriptors(courier.id()).map(|n| n as f64));
     for purpose in page["purposes"].as_array().into_iter().flatten() {
         let held = |key: &str| purpose[key].as_f64().unwrap_or_default();
         note(purpose["purpose"].as_str().unwrap_or("?"), Some(held("in_use") + held("reserved")));
     }
 }
 
-fn csv(all: &BTreeMap<String, Series>, to: &Path) -> std::io::Result<()> {
+fn csv(all: &BTreeMap<String, TimeSeries>, to: &Path) -> std::io::Result<()> {
     let names: Vec<&str> = all.keys().map(String::as_str).collect();
     let mut text = format!("hours,{}\n", names.join(","));
     let rows = all.values().map(|s| s.points.len()).min().unwrap_or_default();
@@ -280,8 +280,8 @@
 }
 
 /// Each figure in a strip of its own, since they differ by orders of magnitude.
-fn plot(all: &BTreeMap<String, Series>, hours: f64, to: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let shown: Vec<&Series> = all.values().filter(|s| s.points.iter().any(|p| p.1 != 0.0)).collect();
+fn plot(all: &BTreeMap<String, TimeSeries>, hours: f64, to: &Path) -> Result<(), Box<dyn std::error::Error>> {
+    let shown: Vec<&TimeSeries> = all.values().filter(|s| s.points.iter().any(|p| p.1 != 0.0)).collect();
     let root = SVGBackend::new(to, (1000, 110 * shown.len() as u32)).into_drawing_area();
     root.fill(&WHITE)?;
     for (area, series) in root.split_evenly((shown.len(), 1)).iter().zip(shown) {
@@ -320,7 +320,7 @@
     let morning = Duration::from_secs_f64(soak.minutes * 60.0 / soak.mornings);
     let clock = Clock { begun: Instant::now(), morning };
     let partners: Vec<Endpoint> = (0..PARTNERS).map(|n| partner(n, clock.clone(), soak.seed)).collect();
-    let folder = Folder::new();
+    let folder = TestFolder::new();
     let mut command = serve_command_of(&soak.program, &folder, &file(&soak, &partners));
     let courier = Courier::spawn(&mut command);
     let (stop, tally) = (Arc::new(AtomicBool::new(false)), Arc::new(Tally::default()));
@@ -357,7 +357,7 @@
         let verdict = if flat { "flat" } else { "CREEPS" };
         println!(
             "{:<14} {:>12.0} {:>+14.0} {:>14.0}  {verdict}",
-            series.name, slope.mean, slope.an_hour, slope.noise
+            series.name, slope.mean, slope.per_hour, slope.noise
         );
     }
     let n = |of: &AtomicU64| of.load(Ordering::SeqCst);
--- a/crates/rig/src/broker.rs
+++ b/crates/rig/src/broker.rs
@@ -27,42 +27,42 @@
 
 /// What it does; changed at any time.
 #[derive(Clone, Debug, Default)]
-pub struct Vices {
+pub struct BrokerFaults {
     /// Connections are dropped after so many bytes of both ways together, drawn from this range; and the seed.
     pub drop_after: Option<(u64, std::ops::Range<usize>)>,
     /// Sessions are forgotten at one in so many connections.
-    pub forgets: Option<u32>,
+    pub lose_sessions_every: Option<u32>,
     /// Says that a session is there when there is none.
-    pub lies: bool,
+    pub claim_session_present: bool,
     pub acks: Acks,
     pub receive_maximum: Option<u16>,
     /// The next PUBLISHes are refused with these codes, and a wait.
     pub refuse: VecDeque<(u8, Option<f64>)>,
     /// CONNECTs are turned away with this code.
-    pub turn_away: Option<u8>,
+    pub connack_refusal: Option<u8>,
     /// Answers the next PUBLISH with bytes that are no packet.
-    pub garbles: bool,
+    pub send_garbage: bool,
     /// Ends the connection with this reason at the next PUBLISH, which it does not take.
-    pub disconnects: Option<(u8, Option<f64>)>,
+    pub disconnect_with: Option<(u8, Option<f64>)>,
 }
 
 /// A PUBLISH as it came.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct ReceivedPublish {
     pub id: String,
     pub publish: Publish,
     pub at: Instant,
     /// It took effect with this one.
-    pub fresh: bool,
+    pub took_effect: bool,
 }
 
 #[derive(Default)]
 struct State {
-    vices: Vices,
+    vices: BrokerFaults,
     rng: Option<SmallRng>,
     /// By client id: packet ids at QoS 2 that wait for their PUBREL.
     sessions: HashMap<String, BTreeSet<u16>>,
-    got: Vec<Got>,
+    got: Vec<ReceivedPublish>,
     connections: u32,
     drops: u32,
 }
@@ -75,7 +75,7 @@
 }
 
 impl Broker {
-    pub fn new(vices: Vices) -> Broker {
+    pub fn new(vices: BrokerFaults) -> Broker {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let broker = Broker { address, state: Arc::default(), open: Arc::default() };
@@ -94,7 +94,7 @@
         act(&mut self.state.lock().expect("the broker's state"))
     }
 
-    pub fn change(&self, act: impl FnOnce(&mut Vices)) {
+    pub fn change(&self, act: impl FnOnce(&mut BrokerFaults)) {
         self.with(|s| {
             act(&mut s.vices);
             s.rng = s.vices.drop_after.as_ref().map(|(seed, _)| SmallRng::seed_from_u64(*seed));
@@ -102,7 +102,7 @@
     }
 
     /// Every PUBLISH, in order.
-    pub fn got(&self) -> Vec<Got> {
+    pub fn received(&self) -> Vec<ReceivedPublish> {
         self.with(|s| s.got.clone())
     }
 
@@ -110,7 +110,7 @@
     pub fn effects(&self) -> BTreeMap<String, u32> {
         let mut effects = BTreeMap::new();
         for got in self.with(|s| s.got.clone()) {
-            *effects.entry(got.id).or_default() += u32::from(got.fresh);
+            *effects.entry(got.id).or_default() += u32::from(got.took_effect);
         }
         effects
     }
@@ -143,7 +143,7 @@
         }
         let left = self.with(|s| {
             s.connections += 1;
-            if s.vices.forgets.is_some_and(|n| s.connections % n == 0) {
+            if s.vices.lose_sessions_every.is_some_and(|n| s.connections % n == 0) {
                 s.sessions.clear();
             }
             let range = s.vices.drop_after.as_ref().map(|(_, range)| range.clone());
@@ -235,8 +235,8 @@
                     if !(connect.clean && connect.version == Version::V311) {
                         s.sessions.entry(connect.client.clone()).or_default();
                     }
-                    let present = there || (s.vices.lies && !connect.clean);
-                    (s.vices.turn_away, present, s.vices.receive_maximum)
+                    let present = there || (s.vices.claim_session_present && !connect.clean);
+                    (s.vices.connack_refusal, present, s.vices.receive_maximum)
                 });
                 if let Some(code) = turned {
                     let reference = (self.version == Version::V5).then(|| "127.0.0.2:1883".to_owned());
@@ -270,11 +270,11 @@
         let id = publish.id.expect("a packet id");
         let wait =
             |wait: Option<f64>| wait.map(|w| ("retry-after".to_owned(), w.to_string())).into_iter().collect();
-        let (refuse, acks, garbles, ends) = self.broker.with(|s| {
+        let (refuse, acks, send_garbage, ends) = self.broker.with(|s| {
             let v = &mut s.vices;
-            (v.refuse.pop_front(), v.acks, std::mem::take(&mut v.garbles), v.disconnects.take())
+            (v.refuse.pop_front(), v.acks, std::mem::take(&mut v.send_garbage), v.disconnect_with.take())
         });
-        if garbles {
+        if send_garbage {
             self.send(b"\xff\xff\xff\xff\xff\xff")?;
             return Some(true);
         }
@@ -288,10 +288,11 @@
             self.tell(made(Ack { properties: wait(told), ..Ack::new(id, code) }))?;
             return Some(true);
         }
-        let fresh = !exactly || self.session(|received| received.insert(id));
+        let took_effect = !exactly || self.session(|received| received.insert(id));
         let name = property(&publish.properties, "X-Request-ID").map(str::to_owned);
         let name = name.unwrap_or_else(|| String::from_utf8_lossy(&publish.payload).into_owned());
-        self.broker.with(|s| s.got.push(Got { id: name, publish, at: Instant::now(), fresh }));
+        self.broker
+            .with(|s| s.got.push(ReceivedPublish { id: name, publish, at: Instant::now(), took_effect }));
         let ack = made(Ack::new(id, 0));
         match acks {
             Acks::AtOnce => self.tell(ack)?,
--- a/crates/rig/src/charges.rs
+++ b/crates/rig/src/charge_ledger.rs
@@ -1,6 +1,6 @@
 //! A stand-in partner that charges: it counts what took effect by message, and is as unreliable as told.
 
-use crate::{Act, Endpoint, OK};
+use crate::{Endpoint, EndpointAction, OK};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -20,9 +20,9 @@
 
 /// The partner's book.
 #[derive(Clone, Default)]
-pub struct Charges(Arc<Mutex<BTreeMap<String, Charge>>>);
+pub struct ChargeLedger(Arc<Mutex<BTreeMap<String, Charge>>>);
 
-impl Charges {
+impl ChargeLedger {
     fn charge(&self, id: &str, answered: bool) {
         let mut book = self.0.lock().expect("the book");
         let charge = book.entry(id.to_owned()).or_default();
@@ -51,18 +51,18 @@
             match roll {
                 0 => {
                     book.charge(id, false);
-                    Act::Break
+                    EndpointAction::CloseConnection
                 }
-                1 => Act::Break,
-                2 => Act::Answer(BUSY),
-                3 => Act::Answer(ERROR),
+                1 => EndpointAction::CloseConnection,
+                2 => EndpointAction::Respond(BUSY),
+                3 => EndpointAction::Respond(ERROR),
                 4..8 => {
                     book.charge(id, true);
-                    Act::Late(wait, OK)
+                    EndpointAction::RespondAfter(wait, OK)
                 }
                 _ => {
                     book.charge(id, true);
-                    Act::Answer(OK)
+                    EndpointAction::Respond(OK)
                 }
             }
         })
--- a/crates/rig/src/control.rs
+++ b/crates/rig/src/control_service.rs
@@ -1,6 +1,6 @@
 //! A stand-in control service: sends what a test tells it, also half of it, and keeps every answer.
 
-use crate::{Page, PostScript};
+use crate::{HttpMessage, PostScript};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::io::{BufReader, Write};
@@ -11,7 +11,7 @@
 
 /// An answer to a version.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct VersionAnswer {
     pub version: Option<u64>,
     pub accepted: bool,
     pub reasons: String,
@@ -23,28 +23,28 @@
     stream: Option<TcpStream>,
     /// What each stream asked for.
     asked: Vec<String>,
-    answers: Vec<Answer>,
+    answers: Vec<VersionAnswer>,
     /// For the next answers, one each.
     scripts: VecDeque<PostScript>,
 }
 
 #[derive(Clone)]
-pub struct Control {
+pub struct ControlService {
     pub address: SocketAddr,
     inner: Arc<Mutex<Inner>>,
 }
 
-impl Default for Control {
+impl Default for ControlService {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Control {
+impl ControlService {
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let this = Control { address, inner: Arc::default() };
+        let this = ControlService { address, inner: Arc::default() };
         let own = this.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -62,17 +62,17 @@
     fn serve(&self, stream: TcpStream) {
         let mut out = stream.try_clone().expect("a handle");
         let mut from = BufReader::new(stream);
-        while let Some(page) = Page::read(&mut from) {
-            if page.first.starts_with("GET /v1/config?") {
+        while let Some(page) = HttpMessage::read(&mut from) {
+            if page.start_line.starts_with("GET /v1/config?") {
                 let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 if out.write_all(head).is_ok() {
                     let mut inner = self.inner.lock().expect("the service");
-                    inner.asked.push(page.first);
+                    inner.asked.push(page.start_line);
                     inner.stream = Some(out);
                 }
                 return;
             }
-            assert!(page.first.starts_with("POST /v1/config/answers "), "{}", page.first);
+            assert!(page.start_line.starts_with("POST /v1/config/answers "), "{}", page.start_line);
             let script = self.inner.lock().expect("the service").scripts.pop_front();
             if script.is_none_or(|script| script.takes()) {
                 self.note(&page);
@@ -88,9 +88,9 @@
     }
 
     /// Takes an answer.
-    fn note(&self, page: &Page) {
+    fn note(&self, page: &HttpMessage) {
         let answer: Value = serde_json::from_slice(&page.body).expect("an answer");
-        self.inner.lock().expect("the service").answers.push(Answer {
+        self.inner.lock().expect("the service").answers.push(VersionAnswer {
             version: answer["version"].as_u64(),
             accepted: answer["accepted"].as_bool().expect("a verdict"),
             reasons: answer["reasons"].to_string(),
@@ -120,7 +120,7 @@
     }
 
     /// Sends a whole version.
-    pub fn whole(&self, version: u64, config: &Value) -> bool {
+    pub fn send_version(&self, version: u64, config: &Value) -> bool {
         self.send(&(json!({"version": version, "config": config}).to_string() + "\n"))
     }
 
@@ -135,14 +135,14 @@
         }
     }
 
-    pub fn answers(&self) -> Vec<Answer> {
+    pub fn answers(&self) -> Vec<VersionAnswer> {
         self.inner.lock().expect("the service").answers.clone()
     }
 
     /// The first answer to a version, once it is there.
-    pub fn answer(&self, version: u64) -> Answer {
+    pub fn answer(&self, version: u64) -> VersionAnswer {
         let mut found = None;
-        crate::until(&format!("an answer to version {version}"), || {
+        crate::wait_until(&format!("an answer to version {version}"), || {
             found = self.answers().into_iter().find(|a| a.version == Some(version));
             found.is_some()
         });
--- a/crates/rig/src/rules.rs
+++ b/crates/rig/src/delivery_rules.rs
@@ -1,7 +1,7 @@
 //! The rules on lost requests and duplicates, checked on what the endpoints and the platform saw of a play. Messages are
 //! named after their class: `payment` must not be repeated, `notice` is keyed by zone, `status` may be repeated.
 
-use crate::repeating::{CallLog, ServedCall};
+use crate::duplicating_endpoint::{CallLog, ServedCall};
 use crate::{Discovery, MS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::thread;
@@ -17,7 +17,7 @@
 const NOT_ON_RECORD: Duration = Duration::from_millis(50);
 
 /// What is known once a play is over.
-pub struct Played {
+pub struct RunRecord {
     pub calls: Vec<ServedCall>,
     /// Messages whose client heard that they are taken on.
     pub taken: BTreeSet<String>,
@@ -26,18 +26,18 @@
     /// What the couriers logged.
     pub log: Vec<String>,
     /// The kills of couriers.
-    pub kills: Vec<Kill>,
+    pub kills: Vec<CourierKill>,
 }
 
 /// The end of a courier's process.
 #[derive(Clone, Copy, Debug)]
-pub struct Kill {
+pub struct CourierKill {
     pub at: Instant,
     /// Since when no write to the state folder had worked; None if writes worked.
     pub folder_failed_since: Option<Instant>,
 }
 
-impl Kill {
+impl CourierKill {
     /// Whether what a courier heard at a moment may be on no record: nothing else outlasts its process.
     fn may_have_erased(&self, heard: Instant) -> bool {
         let recorded_before = self.at - NOT_ON_RECORD;
@@ -48,7 +48,7 @@
 }
 
 /// Waits until all that was taken on has ended, for so long at most.
-pub fn await_ends(taken: &BTreeSet<String>, log: &CallLog, discovery: &Discovery, limit: Duration) {
+pub fn wait_for_ends(taken: &BTreeSet<String>, log: &CallLog, discovery: &Discovery, limit: Duration) {
     let end = Instant::now() + limit;
     while Instant::now() < end && !unended(taken, log, discovery).is_empty() {
         thread::sleep(20 * MS);
@@ -68,13 +68,13 @@
     calls.iter().filter(|c| matches!(c.status, Some(200 | GONE))).map(|c| &c.id).collect()
 }
 
-impl Played {
+impl RunRecord {
     /// Gathers it once nothing changes any more.
     pub fn new(taken: BTreeSet<String>, calls: &CallLog, discovery: &Discovery, log: Vec<String>) -> Self {
         let notice = |id: &String| Some((id.clone(), discovery.results(id).first()?.clone()));
         let notices = taken.iter().filter_map(notice).collect();
         let calls = calls.lock().expect("the log").clone();
-        Played { calls, taken, notices, log, kills: Vec::new() }
+        RunRecord { calls, taken, notices, log, kills: Vec::new() }
     }
 
     /// Its size, for the test's output.
--- a/crates/rig/src/repeating.rs
+++ b/crates/rig/src/duplicating_endpoint.rs
@@ -1,6 +1,6 @@
 //! A fake endpoint that sends second copies of its answers, and an account of what it did with each call.
 
-use crate::{MS, Page};
+use crate::{HttpMessage, MS};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -62,11 +62,11 @@
 pub type CallLog = Arc<Mutex<Vec<ServedCall>>>;
 
 /// Its connections are served each by a thread, until the process ends.
-pub struct RepeatingEndpoint {
+pub struct DuplicatingEndpoint {
     pub address: SocketAddr,
 }
 
-impl RepeatingEndpoint {
+impl DuplicatingEndpoint {
     /// `script` is asked for each call.
     pub fn start(
         name: &'static str,
@@ -82,7 +82,7 @@
                 thread::spawn(move || server.serve(stream, connection));
             }
         });
-        RepeatingEndpoint { address }
+        DuplicatingEndpoint { address }
     }
 }
 
@@ -122,7 +122,7 @@
         let rng = Mutex::new(SmallRng::seed_from_u64(seed * 100 + destination));
         let script = script.clone();
         let draw = move || script(&mut rng.lock().expect("the generator"));
-        let endpoint = RepeatingEndpoint::start(name, log, draw);
+        let endpoint = DuplicatingEndpoint::start(name, log, draw);
         json!({"host": format!("s-{site}{destination}"), "dial": endpoint.address.to_string(), "site": site,
             "class": "shops", "block": destination, "health": "ready", "share": 900.0, "born_ms": 0})
     })
@@ -140,7 +140,7 @@
         stream.set_nodelay(true).expect("no delay");
         let out = Arc::new(Mutex::new(stream.try_clone().expect("a handle")));
         let mut from = BufReader::new(stream);
-        while let Some(call) = Page::read(&mut from) {
+        while let Some(call) = HttpMessage::read(&mut from) {
             let script = (self.script)();
             let entry = self.arrived(&call, connection, from.get_ref());
             if !stays_open(from.get_ref(), script.delay) {
@@ -171,8 +171,8 @@
     }
 
     /// Notes a call; its place in the log.
-    fn arrived(&self, call: &Page, connection: usize, own: &TcpStream) -> usize {
-        let id = call.head("x-request-id").unwrap_or_default().to_owned();
+    fn arrived(&self, call: &HttpMessage, connection: usize, own: &TcpStream) -> usize {
+        let id = call.header("x-request-id").unwrap_or_default().to_owned();
         let stream = Some(Arc::new(own.try_clone().expect("a handle")));
         let mut log = self.log.lock().expect("the log");
         // One whose connection is closed already is not out, and has only been read late.
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -2,15 +2,15 @@
 //! platform, each on port 0. Tests wait for conditions, with a limit that only a fault reaches.
 
 pub mod broker;
-pub mod charges;
-pub mod control;
-pub mod faults;
-pub mod figures;
-pub mod names;
-pub mod publisher;
-pub mod repeating;
-pub mod rules;
-pub mod soak;
+pub mod charge_ledger;
+pub mod control_service;
+pub mod delivery_rules;
+pub mod duplicating_endpoint;
+pub mod machine_faults;
+pub mod mqtt_client;
+pub mod name_server;
+pub mod process_stats;
+pub mod trend;
 
 use serde_json::{Value, json};
 use std::collections::VecDeque;
@@ -25,7 +25,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const LIMIT: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 pub const MS: Duration = Duration::from_millis(1);
 
 /// An address with a free port. Its host is this process's own: on the one that all share, any connection of another
@@ -37,13 +37,13 @@
 }
 
 /// A figure from the environment, for a test that can be played for longer, or again.
-pub fn figure(name: &str, or: u64) -> u64 {
+pub fn env_or(name: &str, or: u64) -> u64 {
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
 }
 
 /// Waits until something holds; a fault if it never does.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + LIMIT;
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "never came: {what}");
         thread::sleep(5 * MS);
@@ -52,33 +52,33 @@
 
 /// A request or an answer, as it stood on the wire.
 #[derive(Clone, Debug, Default)]
-pub struct Page {
-    pub first: String,
-    pub heads: Vec<(String, String)>,
+pub struct HttpMessage {
+    pub start_line: String,
+    pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Page {
-    pub fn head(&self, name: &str) -> Option<&str> {
-        self.heads.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+impl HttpMessage {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    pub fn read(from: &mut impl BufRead) -> Option<Page> {
-        let mut page = Page::default();
+    pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
+        let mut page = HttpMessage::default();
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|n| *n > 0)?;
-        page.first = line.trim_end().to_owned();
+        page.start_line = line.trim_end().to_owned();
         loop {
             line.clear();
             from.read_line(&mut line).ok().filter(|n| *n > 0)?;
             let Some((name, value)) = line.trim_end().split_once(':') else { break };
-            page.heads.push((name.to_owned(), value.trim().to_owned()));
+            page.headers.push((name.to_owned(), value.trim().to_owned()));
         }
-        let length = page.head("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let length = page.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
         page.body = vec![0; length];
         from.read_exact(&mut page.body).ok()?;
         Some(page)
@@ -86,25 +86,25 @@
 }
 
 /// What a fake endpoint does with a call.
-pub enum Act {
-    Answer(&'static str),
-    AnswerAndClose(&'static str),
+pub enum EndpointAction {
+    Respond(&'static str),
+    RespondAndClose(&'static str),
     /// Answers, and resets the connection right behind it.
-    AnswerAndReset(&'static str),
+    RespondAndReset(&'static str),
     /// Answers once the time has passed.
-    Late(Duration, &'static str),
+    RespondAfter(Duration, &'static str),
     /// Answers 200 once the time has passed, with a body of its own.
-    Distinct(Duration),
+    RespondDistinct(Duration),
     Hang,
-    Break,
+    CloseConnection,
 }
 
 pub const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedCall {
     pub id: String,
-    pub page: Page,
+    pub page: HttpMessage,
     pub at: Instant,
     pub connection: usize,
     /// Its connection is one of those that the endpoint holds, where it holds only so many.
@@ -113,39 +113,45 @@
 
 pub struct Endpoint {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub seen: Arc<Mutex<Vec<ReceivedCall>>>,
     pub closed: Arc<AtomicUsize>,
 }
 
 impl Endpoint {
     /// `act` is asked with the number of the call, from 0.
-    pub fn new(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> Self {
+    pub fn new(act: impl Fn(usize) -> EndpointAction + Send + Sync + 'static) -> Self {
         Self::with(move |call, _| act(call))
     }
 
     /// `act` is asked with the number of the connection.
-    pub fn by_connection(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> Self {
+    pub fn by_connection(act: impl Fn(usize) -> EndpointAction + Send + Sync + 'static) -> Self {
         Self::with(move |_, connection| act(connection))
     }
 
     /// `act` is shown the call itself.
-    pub fn by_call(act: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> Self {
+    pub fn by_call(act: impl Fn(&ReceivedCall) -> EndpointAction + Send + Sync + 'static) -> Self {
         Self::open(usize::MAX, move |_, seen| act(seen))
     }
 
     /// Holds so many connections at once; calls on others have `admitted` false.
-    pub fn holding(connections: usize, act: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> Self {
+    pub fn holding(
+        connections: usize,
+        act: impl Fn(&ReceivedCall) -> EndpointAction + Send + Sync + 'static,
+    ) -> Self {
         Self::open(connections, move |_, seen| act(seen))
     }
 
-    fn with(act: impl Fn(usize, usize) -> Act + Send + Sync + 'static) -> Self {
+    fn with(act: impl Fn(usize, usize) -> EndpointAction + Send + Sync + 'static) -> Self {
         Self::open(usize::MAX, move |call, seen| act(call, seen.connection))
     }
 
-    fn open(places: usize, act: impl Fn(usize, &Seen) -> Act + Send + Sync + 'static) -> Self {
+    fn open(
+        places: usize,
+        act: impl Fn(usize, &ReceivedCall) -> EndpointAction + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let seen: Arc<Mutex<Vec<Seen>>> = Arc::default();
+        let seen: Arc<Mutex<Vec<ReceivedCall>>> = Arc::default();
         let closed: Arc<AtomicUsize> = Arc::default();
         let (act, all, connections) = (Arc::new(act), seen.clone(), AtomicUsize::new(0));
         let ends = closed.clone();
@@ -172,7 +178,7 @@
         self.closed.load(Ordering::SeqCst)
     }
 
-    pub fn calls(&self) -> Vec<Seen> {
+    pub fn calls(&self) -> Vec<ReceivedCall> {
         self.seen.lock().expect("calls").clone()
     }
 
@@ -184,46 +190,46 @@
 fn serve(
     stream: TcpStream,
     (connection, admitted): (usize, bool),
-    act: &dyn Fn(usize, &Seen) -> Act,
-    all: &Mutex<Vec<Seen>>,
+    act: &dyn Fn(usize, &ReceivedCall) -> EndpointAction,
+    all: &Mutex<Vec<ReceivedCall>>,
 ) {
     let mut out = stream.try_clone().expect("a handle");
     let mut from = BufReader::new(stream);
-    while let Some(page) = Page::read(&mut from) {
-        let id = page.head("x-request-id").unwrap_or_default().to_owned();
-        let seen = Seen { id, page, at: Instant::now(), connection, admitted };
+    while let Some(page) = HttpMessage::read(&mut from) {
+        let id = page.header("x-request-id").unwrap_or_default().to_owned();
+        let seen = ReceivedCall { id, page, at: Instant::now(), connection, admitted };
         let n = {
             let mut all = all.lock().expect("calls");
             all.push(seen.clone());
             all.len() - 1
         };
         let sent = match act(n, &seen) {
-            Act::Answer(text) => out.write_all(text.as_bytes()),
-            Act::AnswerAndClose(text) => {
+            EndpointAction::Respond(text) => out.write_all(text.as_bytes()),
+            EndpointAction::RespondAndClose(text) => {
                 let _ = out.write_all(text.as_bytes());
                 return;
             }
-            Act::AnswerAndReset(text) => {
+            EndpointAction::RespondAndReset(text) => {
                 let _ = out.write_all(text.as_bytes());
                 // A close that waits for nothing sends a reset.
                 let _ = socket2::SockRef::from(&out).set_linger(Some(Duration::ZERO));
                 return;
             }
-            Act::Late(time, text) => {
+            EndpointAction::RespondAfter(time, text) => {
                 thread::sleep(time);
                 out.write_all(text.as_bytes())
             }
-            Act::Distinct(time) => {
+            EndpointAction::RespondDistinct(time) => {
                 thread::sleep(time);
                 let port = out.local_addr().map_or(0, |own| own.port());
                 let body = format!("{port}-{n:08}");
                 write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
             }
-            Act::Hang => {
+            EndpointAction::Hang => {
                 let _ = from.read(&mut [0]);
                 return;
             }
-            Act::Break => return,
+            EndpointAction::CloseConnection => return,
         };
         if sent.is_err() {
             return;
@@ -239,7 +245,7 @@
     /// 503 after this time: at once as one that is crowded, late as one that is down or full of waiting calls.
     RefuseAfter(Duration),
     /// The head of an answer, and then a blank every 200 ms that never becomes a line.
-    NeverALine,
+    NeverCompleteLine,
 }
 
 /// What a fake platform or control service does with one post.
@@ -254,7 +260,7 @@
 
 impl PostScript {
     /// Taken at once, and a second copy of that comes while the next post is out; the next is refused after it.
-    pub const COPIED_THEN_REFUSED: [PostScript; 2] = [
+    pub const DUPLICATED_THEN_REFUSED: [PostScript; 2] = [
         PostScript { status: 204, delay: Duration::ZERO, copy_after: Some(Duration::from_millis(400)) },
         PostScript { status: 503, delay: Duration::from_millis(900), copy_after: None },
     ];
@@ -335,13 +341,13 @@
     fn serve(&self, stream: TcpStream) {
         let mut out = stream.try_clone().expect("a handle");
         let mut from = BufReader::new(stream);
-        while let Some(page) = Page::read(&mut from) {
-            if page.first.starts_with("GET /api/targets?stream=1") {
-                self.asked.lock().expect("asked").push(page.first.clone());
+        while let Some(page) = HttpMessage::read(&mut from) {
+            if page.start_line.starts_with("GET /api/targets?stream=1") {
+                self.asked.lock().expect("asked").push(page.start_line.clone());
                 let answer = *self.watch_answer.lock().expect("an answer");
                 match answer {
                     WatchAnswer::Serve => return self.watch(&mut out),
-                    WatchAnswer::NeverALine => return never_a_line(&mut out),
+                    WatchAnswer::NeverCompleteLine => return never_a_line(&mut out),
                     WatchAnswer::RefuseAfter(time) => {
                         thread::sleep(time);
                         let _ =
@@ -378,7 +384,7 @@
     }
 
     /// Takes the notices of a post.
-    fn note(&self, page: &Page) {
+    fn note(&self, page: &HttpMessage) {
         let text = String::from_utf8_lossy(&page.body).into_owned();
         let lines = text.lines().map(|l| serde_json::from_str(l).expect("a notice"));
         self.notices.lock().expect("notices").extend(lines);
@@ -417,12 +423,12 @@
     }
 
     /// Ends all open watches.
-    pub fn cut_watches(&self) {
+    pub fn close_watches(&self) {
         self.cut.store(self.watches.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
     /// All open watches fall silent and stay open.
-    pub fn mute_watches(&self) {
+    pub fn silence_watches(&self) {
         self.mute.store(self.watches.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
@@ -475,25 +481,25 @@
 }
 
 /// A folder of one test, removed with it.
-pub struct Folder(pub PathBuf);
+pub struct TestFolder(pub PathBuf);
 
-impl Folder {
+impl TestFolder {
     pub fn new() -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!("stairshed-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(path.join("state")).expect("a folder");
-        Folder(path)
+        TestFolder(path)
     }
 }
 
-impl Default for Folder {
+impl Default for TestFolder {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -505,7 +511,7 @@
     child: Child,
     log: Receiver<String>,
     /// What it said before it was ready.
-    pub first: Vec<String>,
+    pub startup_log: Vec<String>,
 }
 
 /// The courier's program, built beside the one that runs: a test stands in `deps/` under it.
@@ -515,12 +521,12 @@
     beside.into_iter().find(|path| path.is_file()).expect("stairshed is built beside this program")
 }
 
-pub fn command(folder: &Folder, discovery: &Discovery, config: &Value) -> Command {
+pub fn command(folder: &TestFolder, discovery: &Discovery, config: &Value) -> Command {
     command_of(&program(), folder, discovery, config)
 }
 
 /// The same for any courier.
-pub fn command_of(program: &Path, folder: &Folder, discovery: &Discovery, config: &Value) -> Command {
+pub fn command_of(program: &Path, folder: &TestFolder, discovery: &Discovery, config: &Value) -> Command {
     let path = folder.0.join("config.json");
     fs::write(&path, config.to_string()).expect("a config");
     let mut command = Command::new(program);
@@ -543,7 +549,7 @@
 }
 
 /// The operator's settings for a courier's command.
-pub fn with_settings(command: &mut Command, folder: &Folder, text: &str) {
+pub fn with_settings(command: &mut Command, folder: &TestFolder, text: &str) {
     let path = folder.0.join("settings.toml");
     fs::write(&path, text).expect("settings");
     command.arg("--settings").arg(path);
@@ -551,12 +557,12 @@
 
 impl Courier {
     /// Starts one that knows the list as discovery has it, and waits until it is ready.
-    pub fn start(folder: &Folder, discovery: &Discovery) -> Self {
+    pub fn start(folder: &TestFolder, discovery: &Discovery) -> Self {
         let known = discovery.lines.lock().expect("lines")[0].clone();
         Self::with(folder, discovery, &config(discovery, known))
     }
 
-    pub fn with(folder: &Folder, discovery: &Discovery, config: &Value) -> Self {
+    pub fn with(folder: &TestFolder, discovery: &Discovery, config: &Value) -> Self {
         Self::spawn(&mut command(folder, discovery, config))
     }
 
@@ -570,59 +576,62 @@
                 let _ = tell.send(line);
             })
         });
-        let mut first = Vec::new();
+        let mut startup_log = Vec::new();
         let address = loop {
-            let line = lines.recv_timeout(LIMIT).unwrap_or_else(|_| panic!("it never served: {first:?}"));
+            let line = lines
+                .recv_timeout(WAIT_TIMEOUT)
+                .unwrap_or_else(|_| panic!("it never served: {startup_log:?}"));
             let address = line.split("serves ").nth(1).and_then(|l| l.split(';').next());
             if let Some(address) = address.and_then(|a| a.parse().ok()) {
                 break address;
             }
-            first.push(line);
+            startup_log.push(line);
         };
-        let courier = Courier { address, child, log: lines, first };
-        until("ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 200));
+        let courier = Courier { address, child, log: lines, startup_log };
+        wait_until("ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 200));
         courier
     }
 
     /// One that serves an operator's file, which is written into the folder.
-    pub fn serve(folder: &Folder, file: &str) -> Self {
+    pub fn serve(folder: &TestFolder, file: &str) -> Self {
         Self::spawn(&mut serve_command(folder, file))
     }
 
     /// Its operator's pages, if it has them.
     pub fn admin(&self) -> SocketAddr {
-        let line = self.first.iter().find_map(|l| l.split("pages are at ").nth(1));
-        line.and_then(|l| l.parse().ok()).unwrap_or_else(|| panic!("no operator's pages: {:?}", self.first))
+        let line = self.startup_log.iter().find_map(|l| l.split("pages are at ").nth(1));
+        line.and_then(|l| l.parse().ok())
+            .unwrap_or_else(|| panic!("no operator's pages: {:?}", self.startup_log))
     }
 
     /// Where it serves MQTT clients, if it does.
     pub fn mqtt(&self) -> SocketAddr {
-        let line = self.first.iter().find_map(|l| l.split("clients are served at ").nth(1));
-        line.and_then(|l| l.parse().ok()).unwrap_or_else(|| panic!("no MQTT: {:?}", self.first))
+        let line = self.startup_log.iter().find_map(|l| l.split("clients are served at ").nth(1));
+        line.and_then(|l| l.parse().ok()).unwrap_or_else(|| panic!("no MQTT: {:?}", self.startup_log))
     }
 
     /// A page of the operator's.
     pub fn page(&self, path: &str) -> Value {
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
-        let page = raw(self.admin(), request.as_bytes()).expect("a page");
+        let page = exchange(self.admin(), request.as_bytes()).expect("a page");
         serde_json::from_slice(&page.body).expect("JSON")
     }
 
     /// Replaces its operator's file and tells it to read it again.
-    pub fn reread(&self, folder: &Folder, file: &str) {
+    pub fn replace_config_file(&self, folder: &TestFolder, file: &str) {
         fs::write(folder.0.join("next.toml"), file).expect("a file");
         fs::rename(folder.0.join("next.toml"), folder.0.join("stairshed.toml")).expect("in its place");
         self.signal("-HUP");
     }
 
     /// Hands a message in at a path; the answer.
-    pub fn post(&self, path: &str, id: &str, heads: &str, body: &str) -> Page {
+    pub fn post(&self, path: &str, id: &str, heads: &str, body: &str) -> HttpMessage {
         post(self.address, path, id, heads, body).expect("an answer")
     }
 
     /// What the kernel lets it write to one file; nobody needs privileges to lower that of their own. It must have
     /// been started as [`limitable`].
-    pub fn limit_files(&self, bytes: Option<u64>) {
+    pub fn set_file_size_limit(&self, bytes: Option<u64>) {
         use rustix::process::{Pid, Resource, Rlimit, prlimit};
         let pid = Pid::from_raw(self.child.id() as i32);
         prlimit(pid, Resource::Fsize, Rlimit { current: bytes, maximum: None }).expect("the limit is set");
@@ -639,8 +648,8 @@
     }
 
     /// Waits for a line of its log.
-    pub fn says(&self, words: &str) {
-        let end = Instant::now() + LIMIT;
+    pub fn wait_for_log(&self, words: &str) {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while let Ok(line) = self.log.recv_timeout(end.saturating_duration_since(Instant::now())) {
             if line.contains(words) {
                 return;
@@ -650,12 +659,12 @@
     }
 
     /// What it has logged and nobody has read yet.
-    pub fn logged(&self) -> Vec<String> {
+    pub fn unread_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
     /// Replaces its configuration and tells it to read it again.
-    pub fn reload(&self, folder: &Folder, text: &str) {
+    pub fn reload(&self, folder: &TestFolder, text: &str) {
         fs::write(folder.0.join("config.next"), text).expect("a config");
         fs::rename(folder.0.join("config.next"), folder.0.join("config.json")).expect("in its place");
         self.signal("-HUP");
@@ -673,24 +682,24 @@
 
     pub fn exit(&mut self) -> i32 {
         let mut code = None;
-        until("the end of the process", || {
+        wait_until("the end of the process", || {
             code = self.child.try_wait().expect("a status");
             code.is_some()
         });
         code.and_then(|c| c.code()).unwrap_or(-1)
     }
 
-    pub fn get(&self, path: &str) -> Option<Page> {
-        raw(self.address, format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
+    pub fn get(&self, path: &str) -> Option<HttpMessage> {
+        exchange(self.address, format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
     }
 
     /// Hands in a message; the answer.
-    pub fn hand_in(&self, id: &str, class: &str, dest: u64, time_ms: u64) -> Page {
-        raw(self.address, message(id, class, dest, time_ms).as_bytes()).expect("an answer")
+    pub fn submit(&self, id: &str, class: &str, dest: u64, time_ms: u64) -> HttpMessage {
+        exchange(self.address, message(id, class, dest, time_ms).as_bytes()).expect("an answer")
     }
 
-    pub fn take(&self, id: &str, class: &str, dest: u64, time_ms: u64) {
-        assert_eq!(self.hand_in(id, class, dest, time_ms).status(), 202, "{id}");
+    pub fn submit_accepted(&self, id: &str, class: &str, dest: u64, time_ms: u64) {
+        assert_eq!(self.submit(id, class, dest, time_ms).status(), 202, "{id}");
     }
 }
 
@@ -715,13 +724,13 @@
 }
 
 /// The command that serves an operator's file.
-pub fn serve_command(folder: &Folder, file: &str) -> Command {
+pub fn serve_command(folder: &TestFolder, file: &str) -> Command {
     serve_command_of(&program(), folder, file)
 }
 
 /// The command for a courier whose files can be limited: past the limit the kernel sends a signal that would end the
 /// process; ignored, the write fails (EFBIG).
-pub fn limitable(command: &Command) -> Command {
+pub fn ignoring_file_size_signal(command: &Command) -> Command {
     let mut shell = Command::new("sh");
     shell
         .arg("-c")
@@ -734,7 +743,7 @@
 }
 
 /// The same for any courier.
-pub fn serve_command_of(program: &Path, folder: &Folder, file: &str) -> Command {
+pub fn serve_command_of(program: &Path, folder: &TestFolder, file: &str) -> Command {
     let path = folder.0.join("stairshed.toml");
     fs::write(&path, file).expect("a file");
     let mut command = Command::new(program);
@@ -743,8 +752,8 @@
 }
 
 /// Hands a message in at a path of an operator's courier.
-pub fn post(to: SocketAddr, path: &str, id: &str, heads: &str, body: &str) -> Option<Page> {
-    raw(to, request(path, id, heads, body).as_bytes())
+pub fn post(to: SocketAddr, path: &str, id: &str, heads: &str, body: &str) -> Option<HttpMessage> {
+    exchange(to, request(path, id, heads, body).as_bytes())
 }
 
 /// The text of that.
@@ -761,7 +770,7 @@
     socket.bind(&SocketAddr::from((source, 0)).into()).expect("an address of the loopback");
     socket.connect(&to.into()).expect("a connection");
     let stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(LIMIT)).expect("a limit");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
     stream
 }
 
@@ -772,7 +781,7 @@
 }
 
 /// Outcomes in an operator's courier's file: each message's, in order.
-pub fn outcomes(folder: &Folder) -> Vec<(String, String)> {
+pub fn outcomes(folder: &TestFolder) -> Vec<(String, String)> {
     let text = fs::read_to_string(folder.0.join("state/outcomes.ndjson")).unwrap_or_default();
     let whole = text.rsplit_once('\n').map(|(whole, _)| whole).unwrap_or_default();
     let lines = whole.lines().map(|l| serde_json::from_str::<Value>(l).expect("a line of JSON"));
@@ -781,9 +790,9 @@
 }
 
 /// Sends bytes on a connection of their own; the answer, if one comes.
-pub fn raw(to: SocketAddr, bytes: &[u8]) -> Option<Page> {
+pub fn exchange(to: SocketAddr, bytes: &[u8]) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(LIMIT)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(bytes).ok()?;
-    Page::read(&mut BufReader::new(stream))
+    HttpMessage::read(&mut BufReader::new(stream))
 }
--- a/crates/rig/src/faults.rs
+++ b/crates/rig/src/machine_faults.rs
@@ -1,7 +1,7 @@
 //! Faults of the machine for one courier: the library `stairshed-preload` in its process, and the file that tells it which
 //! calls fail.
 
-use crate::Folder;
+use crate::TestFolder;
 use std::fs;
 use std::path::PathBuf;
 use std::process::Command;
@@ -18,7 +18,7 @@
 
 impl MachineFaults {
     /// Loads the library into the courier of this command. `rules` hold from its start.
-    pub fn load(command: &mut Command, folder: &Folder, rules: &str) -> Self {
+    pub fn load(command: &mut Command, folder: &TestFolder, rules: &str) -> Self {
         let faults = MachineFaults { path: folder.0.join("faults") };
         faults.write(rules);
         command
--- a/crates/rig/src/publisher.rs
+++ b/crates/rig/src/mqtt_client.rs
@@ -1,6 +1,6 @@
 //! A stand-in MQTT client that publishes to a courier: a packet at a time, and any bytes.
 
-use crate::LIMIT;
+use crate::WAIT_TIMEOUT;
 use bytes::Bytes;
 use stairshed_mqtt::packet::{Ack, Connack, Connect, Packet, Publish, Qos, Subscribe, Version};
 use stairshed_mqtt::{Reader, encode};
@@ -8,31 +8,31 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-pub struct Publisher {
+pub struct MqttClient {
     stream: TcpStream,
     reader: Reader,
     version: Version,
 }
 
 /// A CONNECT whose session lasts.
-pub fn lasting(version: Version, client: &str) -> Connect {
+pub fn persistent_session(version: Version, client: &str) -> Connect {
     Connect { clean: false, expiry: 600, ..Connect::new(version, client) }
 }
 
-impl Publisher {
+impl MqttClient {
     /// Opens a connection and says nothing.
-    pub fn open(to: SocketAddr, version: Version) -> Publisher {
+    pub fn open(to: SocketAddr, version: Version) -> MqttClient {
         let stream = TcpStream::connect(to).expect("a connection");
         stream.set_nodelay(true).expect("no delay");
-        stream.set_read_timeout(Some(LIMIT)).expect("a limit");
-        Publisher { stream, reader: Reader::client(version, 1 << 20), version }
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
+        MqttClient { stream, reader: Reader::client(version, 1 << 20), version }
     }
 
     /// Connects; the answer.
-    pub fn connect(to: SocketAddr, connect: Connect) -> (Publisher, Connack) {
-        let mut publisher = Publisher::open(to, connect.version);
+    pub fn connect(to: SocketAddr, connect: Connect) -> (MqttClient, Connack) {
+        let mut publisher = MqttClient::open(to, connect.version);
         publisher.send(Packet::Connect(Box::new(connect)));
-        match publisher.hear() {
+        match publisher.receive() {
             Some(Packet::Connack(connack)) => (publisher, *connack),
             other => panic!("no CONNACK: {other:?}"),
         }
@@ -40,16 +40,16 @@
 
     pub fn send(&mut self, packet: Packet) {
         let bytes = encode(self.version, packet, None).expect("written");
-        self.raw(&bytes);
+        self.send_bytes(&bytes);
     }
 
     /// Sends bytes; the courier may have closed the connection.
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
     /// The next packet; None once the connection is closed.
-    pub fn hear(&mut self) -> Option<Packet> {
+    pub fn receive(&mut self) -> Option<Packet> {
         let mut bytes = [0; 4096];
         loop {
             if let Some(packet) = self.reader.packet().expect("the courier sends sound packets") {
@@ -66,10 +66,10 @@
     }
 
     /// Whether nothing comes for so long.
-    pub fn hears_nothing_for(&mut self, time: Duration) -> bool {
+    pub fn receives_nothing_for(&mut self, time: Duration) -> bool {
         self.stream.set_read_timeout(Some(time)).expect("a limit");
         let read = self.stream.read(&mut [0]);
-        self.stream.set_read_timeout(Some(LIMIT)).expect("a limit");
+        self.stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a limit");
         matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
@@ -88,9 +88,9 @@
     }
 
     /// The acknowledgement that comes next, past outcomes, which it acknowledges.
-    pub fn acked(&mut self) -> Option<Packet> {
+    pub fn next_ack(&mut self) -> Option<Packet> {
         loop {
-            match self.hear()? {
+            match self.receive()? {
                 Packet::Publish(publish) => self.ack(&publish),
                 packet => return Some(packet),
             }
@@ -104,9 +104,9 @@
     }
 
     /// Publishes at QoS 1 until it is acknowledged; its reason code, or None if the connection was closed.
-    pub fn hand_in(&mut self, topic: &str, id: u16, body: &str, properties: &[(&str, &str)]) -> Option<u8> {
+    pub fn submit(&mut self, topic: &str, id: u16, body: &str, properties: &[(&str, &str)]) -> Option<u8> {
         self.publish(topic, Qos::AtLeastOnce, Some(id), body, properties);
-        match self.acked()? {
+        match self.next_ack()? {
             Packet::Puback(ack) if ack.id == id => Some(ack.code),
             other => panic!("no PUBACK: {other:?}"),
         }
@@ -116,7 +116,7 @@
     pub fn read_outcomes(&mut self, client: &str) {
         let filters = vec![(format!("$stairshed/outcomes/{client}"), Qos::AtLeastOnce)];
         self.send(Packet::Subscribe(Subscribe { id: 60_000, identified: false, filters }));
-        match self.acked() {
+        match self.next_ack() {
             Some(Packet::Suback { codes, .. }) => assert_eq!(codes, [1]),
             other => panic!("no SUBACK: {other:?}"),
         }
@@ -124,7 +124,7 @@
 
     /// The next outcome: id and result. It is acknowledged.
     pub fn outcome(&mut self) -> (String, String) {
-        match self.hear().expect("an outcome") {
+        match self.receive().expect("an outcome") {
             Packet::Publish(publish) => {
                 self.ack(&publish);
                 let line: serde_json::Value = serde_json::from_slice(&publish.payload).expect("JSON");
--- a/crates/rig/src/names.rs
+++ b/crates/rig/src/name_server.rs
@@ -8,14 +8,14 @@
 
 /// What it does with a question for a name.
 #[derive(Clone, Debug)]
-pub enum Zone {
+pub enum DnsAnswer {
     /// Addresses and their time to live, s.
     Addresses(Vec<Ipv4Addr>, u32),
     /// The same, over TCP only.
-    CutShort(Vec<Ipv4Addr>, u32),
+    Truncated(Vec<Ipv4Addr>, u32),
     /// SERVFAIL.
-    Fails,
-    Silent,
+    ServerFailure,
+    NoAnswer,
     /// First an answer with another id, then the right one.
     Forged(Vec<Ipv4Addr>, u32),
 }
@@ -23,7 +23,7 @@
 #[derive(Clone)]
 pub struct NameServer {
     pub address: SocketAddr,
-    zones: Arc<Mutex<BTreeMap<String, Zone>>>,
+    zones: Arc<Mutex<BTreeMap<String, DnsAnswer>>>,
     asked: Arc<Mutex<Vec<String>>>,
 }
 
@@ -90,7 +90,7 @@
         panic!("no port is free for both");
     }
 
-    pub fn set(&self, name: &str, zone: Zone) {
+    pub fn set(&self, name: &str, zone: DnsAnswer) {
         self.zones.lock().expect("the zones").insert(name.to_owned(), zone);
     }
 
@@ -98,11 +98,11 @@
         self.asked.lock().expect("the questions").iter().filter(|n| *n == name).count()
     }
 
-    fn zone(&self, bytes: &[u8]) -> Option<(Zone, usize)> {
+    fn zone(&self, bytes: &[u8]) -> Option<(DnsAnswer, usize)> {
         let (name, end) = question(bytes)?;
         self.asked.lock().expect("the questions").push(name.clone());
         let zone = self.zones.lock().expect("the zones").get(&name).cloned();
-        Some((zone.unwrap_or(Zone::Fails), end))
+        Some((zone.unwrap_or(DnsAnswer::ServerFailure), end))
     }
 
     fn datagrams(&self, socket: &UdpSocket) {
@@ -112,11 +112,11 @@
             let asked = &buffer[..n];
             let send = |bytes: Vec<u8>| drop(socket.send_to(&bytes, from));
             match zone {
-                Zone::Addresses(all, ttl) => send(answer(asked, end, &all, ttl, OK)),
-                Zone::CutShort(..) => send(answer(asked, end, &[], 0, CUT)),
-                Zone::Fails => send(answer(asked, end, &[], 0, FAILED)),
-                Zone::Silent => {}
-                Zone::Forged(all, ttl) => {
+                DnsAnswer::Addresses(all, ttl) => send(answer(asked, end, &all, ttl, OK)),
+                DnsAnswer::Truncated(..) => send(answer(asked, end, &[], 0, CUT)),
+                DnsAnswer::ServerFailure => send(answer(asked, end, &[], 0, FAILED)),
+                DnsAnswer::NoAnswer => {}
+                DnsAnswer::Forged(all, ttl) => {
                     let mut forged = answer(asked, end, &[Ipv4Addr::new(127, 0, 0, 99)], 60, OK);
                     forged[0] ^= 1;
                     send(forged);
@@ -136,7 +136,7 @@
             if stream.read_exact(&mut asked).is_err() {
                 continue;
             }
-            let Some((Zone::CutShort(all, ttl), end)) = self.zone(&asked) else { continue };
+            let Some((DnsAnswer::Truncated(all, ttl), end)) = self.zone(&asked) else { continue };
             let bytes = answer(&asked, end, &all, ttl, OK);
             let _ = stream.write_all(&[&(bytes.len() as u16).to_be_bytes()[..], &bytes].concat());
         }
--- a/crates/rig/src/figures.rs
+++ b/crates/rig/src/process_stats.rs
@@ -4,7 +4,7 @@
 const TICKS: f64 = 100.0;
 
 /// Seconds of CPU that a process has had.
-pub fn cpu(id: u32) -> f64 {
+pub fn cpu_seconds(id: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     // Behind the name, which may hold blanks, in brackets: the 12th and 13th fields from there.
     let fields: Vec<f64> = text
@@ -20,17 +20,17 @@
 }
 
 /// Peak resident memory, MB.
-pub fn peak(id: u32) -> f64 {
+pub fn peak_resident_mb(id: u32) -> f64 {
     status(id, "VmHWM:")
 }
 
 /// Resident memory, MB.
-pub fn resident(id: u32) -> f64 {
+pub fn resident_mb(id: u32) -> f64 {
     status(id, "VmRSS:")
 }
 
 /// Descriptors that a process has open; None once it is gone.
-pub fn descriptors(id: u32) -> Option<usize> {
+pub fn open_descriptors(id: u32) -> Option<usize> {
     std::fs::read_dir(format!("/proc/{id}/fd")).ok().map(Iterator::count)
 }
 
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/trend.rs
@@ -2,7 +2,7 @@
 
 /// One figure over time.
 #[derive(Clone, Debug, Default)]
-pub struct Series {
+pub struct TimeSeries {
     pub name: String,
     /// Hours since the start, and the figure.
     pub points: Vec<(f64, f64)>,
@@ -13,18 +13,18 @@
 pub struct Slope {
     pub mean: f64,
     /// Per hour, and what of it is noise: two standard errors.
-    pub an_hour: f64,
+    pub per_hour: f64,
     pub noise: f64,
 }
 
 impl Slope {
     /// Under 1 % of its mean an hour, or not to be told from its noise, or under `grain` an hour.
     pub fn is_flat(&self, grain: f64) -> bool {
-        self.an_hour <= (0.01 * self.mean).max(self.noise).max(grain)
+        self.per_hour <= (0.01 * self.mean).max(self.noise).max(grain)
     }
 }
 
-impl Series {
+impl TimeSeries {
     /// The slope over whole mornings of `period` hours, the first quarter of them left out as warm-up. Each point is
     /// held against the mean of its own place in the morning, so that the pattern itself is no slope. None with fewer
     /// than two mornings to compare.
@@ -63,14 +63,14 @@
         }
         let groups = all.len() as f64 / (mornings - warm) as f64;
         let (xx, xy) = all.iter().fold((0.0, 0.0), |(xx, xy), (x, y)| (xx + x * x, xy + x * y));
-        let an_hour = if xx > 0.0 { xy / xx } else { 0.0 };
-        let left: f64 = all.iter().map(|(x, y)| (y - an_hour * x).powi(2)).sum();
+        let per_hour = if xx > 0.0 { xy / xx } else { 0.0 };
+        let left: f64 = all.iter().map(|(x, y)| (y - per_hour * x).powi(2)).sum();
         let freedom = (all.len() as f64 - groups - 1.0).max(1.0);
         let noise = if xx > 0.0 { 2.0 * (left / freedom / xx).sqrt() } else { 0.0 };
-        Some(Slope { mean: sum / groups.max(1.0), an_hour, noise })
+        Some(Slope { mean: sum / groups.max(1.0), per_hour, noise })
     }
 }
 
 #[cfg(test)]
-#[path = "soak_test.rs"]
+#[path = "trend_test.rs"]
 mod tests;
--- a/crates/rig/src/soak_test.rs
+++ b/crates/rig/src/trend_test.rs
@@ -2,14 +2,14 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// Eight mornings of a wave with noise and a slope.
-fn waves(slope: f64, noise: f64) -> Series {
+fn waves(slope: f64, noise: f64) -> TimeSeries {
     let mut rng = SmallRng::seed_from_u64(7);
     let points = (0..4000).map(|n| {
         let at = f64::from(n) / 500.0 * 0.1;
         let wave = 1000.0 + 500.0 * (at / 0.1 * std::f64::consts::TAU).sin();
         (at, wave + slope * at + noise * rng.random_range(-1.0..1.0))
     });
-    Series { name: "waves".to_owned(), points: points.collect() }
+    TimeSeries { name: "waves".to_owned(), points: points.collect() }
 }
 
 #[test]
@@ -17,9 +17,12 @@
     let flat = waves(0.0, 30.0).slope(0.1).expect("eight mornings");
     assert!(flat.is_flat(0.0) && (900.0..1100.0).contains(&flat.mean), "{flat:?}");
     let creeps = waves(60.0, 30.0).slope(0.1).expect("eight mornings");
-    assert!(!creeps.is_flat(0.0) && (40.0..80.0).contains(&creeps.an_hour), "{creeps:?}");
+    assert!(!creeps.is_flat(0.0) && (40.0..80.0).contains(&creeps.per_hour), "{creeps:?}");
     assert!(creeps.is_flat(100.0), "under the grain");
     let falls = waves(-60.0, 30.0).slope(0.1).expect("eight mornings");
     assert!(falls.is_flat(0.0), "what falls does not creep: {falls:?}");
-    assert_eq!(Series { points: vec![(0.0, 1.0), (0.15, 1.0)], ..Series::default() }.slope(0.1), None);
+    assert_eq!(
+        TimeSeries { points: vec![(0.0, 1.0), (0.15, 1.0)], ..TimeSeries::default() }.slope(0.1),
+        None
+    );
 }
