--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -21,7 +21,7 @@
 use stairshed_config::change::{member_changes, removed_and_current_destinations};
 use stairshed_config::installation::{Document, Url};
 use stairshed_config::lines::LineBuffer;
-use stairshed_config::version::{Refusal, VersionAction, Version, VersionTracker};
+use stairshed_config::version::{Refusal, Version, VersionAction, VersionTracker};
 use stairshed_memory::Purpose;
 use std::cell::RefCell;
 use std::fs::{self, File};
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -4,7 +4,9 @@
 use super::Dispatcher;
 use super::held_message::HeldMessage;
 use crate::discovery::watch::DiscoveryWatch;
-use crate::events::{ConfigurationUpdate, EndpointList, Health, ListedEndpoint, MembershipChanges, diff_endpoints};
+use crate::events::{
+    ConfigurationUpdate, EndpointList, Health, ListedEndpoint, MembershipChanges, diff_endpoints,
+};
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -7,7 +7,7 @@
 use crate::memory_budget::MemoryBudget;
 use crate::process_memory;
 use stairshed_decide::memory_usage;
-use stairshed_journal::{Attempt, EndedMessage, AcceptedMessage, STATE_ENTRY_BYTES};
+use stairshed_journal::{AcceptedMessage, Attempt, EndedMessage, STATE_ENTRY_BYTES};
 use stairshed_memory::{Charge, ClientAccount, Level, Purpose, Refused, Reserve};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -16,7 +16,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use stairshed_journal::AcceptedMessage;
-use stairshed_memory::{Charge, ClientAccount, Purpose, ClientIdentification};
+use stairshed_memory::{Charge, ClientAccount, ClientIdentification, Purpose};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -3,7 +3,9 @@
 //! message.
 
 use crate::clock::unix_time;
-use crate::events::{DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason};
+use crate::events::{
+    DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
 use crate::ingress::users::Users;
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -7,7 +7,9 @@
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use stairshed_memory::rejected_connections::{LINGER_TIMEOUT, MAX_CONCURRENT, MAX_DISCARDED_BYTES, REQUEST_TIMEOUT, RejectionOutcome};
+use stairshed_memory::rejected_connections::{
+    LINGER_TIMEOUT, MAX_CONCURRENT, MAX_DISCARDED_BYTES, REQUEST_TIMEOUT, RejectionOutcome,
+};
 use stairshed_memory::{Purpose, Reason, Reserve};
 use stairshed_mqtt::frame::encode;
 use stairshed_mqtt::packet::{Packet, Version, code};
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -8,7 +8,7 @@
 use stairshed_config::installation;
 use stairshed_memory::caps::Bytes;
 use stairshed_memory::rejected_connections::Counts;
-use stairshed_memory::{Caps, Ledger, Level, PurposeUsage, Purpose, Refused, RejectedConnections};
+use stairshed_memory::{Caps, Ledger, Level, Purpose, PurposeUsage, Refused, RejectedConnections};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -8,7 +8,7 @@
 use stairshed_config::file::{self, MqttVersion};
 use stairshed_decide::interface::{Effect, EndpointId, Outcome};
 use stairshed_journal::AcceptedMessage;
-use stairshed_mqtt::client::{self, Client, AttemptResult, Message, Options};
+use stairshed_mqtt::client::{self, AttemptResult, Client, Message, Options};
 use stairshed_mqtt::packet::Publish;
 use stairshed_mqtt::{Qos, Version};
 use std::cell::{Cell, RefCell};
--- a/crates/courier/tests/mqtt.rs
+++ b/crates/courier/tests/mqtt.rs
@@ -1,7 +1,9 @@
 //! MQTT on real sockets, taking: clients that publish to the courier, with kills, repeats, bad manners, and a library of
 //! somebody else's.
 
-use stairshed_mqtt::packet::{Ack, Connect, Disconnect, Packet, Publish, Qos, Subscribe, Version, Will, code};
+use stairshed_mqtt::packet::{
+    Ack, Connect, Disconnect, Packet, Publish, Qos, Subscribe, Version, Will, code,
+};
 use stairshed_rig::mqtt_client::{MqttClient, persistent_session};
 use stairshed_rig::*;
 use std::io::Write;
--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -1,6 +1,9 @@
 //! Connections from their first byte to their last: CONNECT and its answer, keep alive, wills, takeover.
 
-use super::{After, MAX_CLIENT_ID_BYTES, Connection, Due, Effect, Outcome, Owner, Server, Stage, Timer, owner, refusal, silence, wait_property, will_message};
+use super::{
+    After, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer, owner,
+    refusal, silence, wait_property, will_message,
+};
 use crate::Time;
 use crate::error::ConnectionError;
 use crate::frame::Reader;
--- a/crates/mqtt/src/server/outcomes.rs
+++ b/crates/mqtt/src/server/outcomes.rs
@@ -1,6 +1,6 @@
 //! What clients are told of their messages: their subscription, and the outcomes on their way.
 
-use super::{After, Effect, MAX_OUTCOMES_IN_FLIGHT, Outcome, OUTCOME_TOPIC_PREFIX, Server, Stage};
+use super::{After, Effect, MAX_OUTCOMES_IN_FLIGHT, OUTCOME_TOPIC_PREFIX, Outcome, Server, Stage};
 use crate::error::ConnectionError;
 use crate::packet::{Packet, Publish, Qos, Subscribe, Version, code};
 use crate::session::Session;
--- a/crates/mqtt/src/server/publish.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -1,6 +1,6 @@
 //! What clients hand in: PUBLISH, the offer made of it, and its acknowledgements.
 
-use super::{After, Answer, Effect, Offer, Pending, MAX_UNRELEASED_PACKET_IDS, Server, wait_property};
+use super::{After, Answer, Effect, MAX_UNRELEASED_PACKET_IDS, Offer, Pending, Server, wait_property};
 use crate::Time;
 use crate::error::ConnectionError;
 use crate::packet::{Ack, Packet, Properties, Publish, Qos, Version, code};
