--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -7,83 +7,83 @@
 /// The version that is written. A higher one in a file ends the start.
 pub const FORMAT_VERSION: u16 = 1;
 const MAGIC: &[u8; 8] = b"SHEDJRNL";
-pub(crate) const HEADER: usize = 8 + 2 + 2 + 8 + 8 + 8 + 8 + 4;
+pub(crate) const HEADER_BYTES: usize = 8 + 2 + 2 + 8 + 8 + 8 + 8 + 4;
 /// Length, checksum and sequence number.
-pub(crate) const FRAME: usize = 4 + 4 + 8;
+pub(crate) const FRAME_HEADER_BYTES: usize = 4 + 4 + 8;
 /// No record is longer, whatever the settings: a copy holds its attempts, too, and a folder may come from a
 /// courier with other settings.
-const RECORD_MOST: usize = 16 * 1024 * 1024;
+const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
 /// A frame that says: this segment is whole, and the next one exists. Its sequence number is the next
 /// segment's first, and is not used up by it.
 const SEAL: &[u8] = b"sealed";
-pub(crate) const SEAL_FRAME: usize = FRAME + SEAL.len();
+pub(crate) const SEAL_FRAME_BYTES: usize = FRAME_HEADER_BYTES + SEAL.len();
 const SUFFIX: &str = ".seg";
 
 /// What a segment says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Header {
     /// Written with syncs: what was not synced may be missing, in any order.
-    pub machine: bool,
+    pub sync_writes: bool,
     /// Written while an old format was being taken over.
-    pub takeover: bool,
+    pub migration: bool,
     pub number: u64,
     /// Sequence number of its first record.
-    pub first: u64,
+    pub first_seq: u64,
     /// Segments below this number were not needed any more when it was begun.
     pub oldest: u64,
     /// Records up to this sequence number were on the device.
-    pub synced: u64,
+    pub synced_seq: u64,
 }
 
 impl Header {
     pub fn bytes(&self) -> Vec<u8> {
-        let mut to = Vec::with_capacity(HEADER);
+        let mut to = Vec::with_capacity(HEADER_BYTES);
         to.put_slice(MAGIC);
         to.put_u16_le(FORMAT_VERSION);
-        to.put_u16_le(u16::from(self.machine) | u16::from(self.takeover) << 1);
+        to.put_u16_le(u16::from(self.sync_writes) | u16::from(self.migration) << 1);
         to.put_u64_le(self.number);
-        to.put_u64_le(self.first);
+        to.put_u64_le(self.first_seq);
         to.put_u64_le(self.oldest);
-        to.put_u64_le(self.synced);
+        to.put_u64_le(self.synced_seq);
         to.put_u32_le(crc32fast::hash(&to));
         to
     }
 
-    pub fn read(bytes: &[u8]) -> Result<Header, BadHeader> {
-        if bytes.len() < HEADER {
-            return Err(BadHeader::Short);
+    pub fn read(bytes: &[u8]) -> Result<Header, HeaderError> {
+        if bytes.len() < HEADER_BYTES {
+            return Err(HeaderError::Truncated);
         }
         let u16_at = |at: usize| u16::from_le_bytes([bytes[at], bytes[at + 1]]);
         let sum = u32::from_le_bytes([bytes[44], bytes[45], bytes[46], bytes[47]]);
-        let sound = crc32fast::hash(&bytes[..HEADER - 4]) == sum;
+        let sound = crc32fast::hash(&bytes[..HEADER_BYTES - 4]) == sum;
         if &bytes[..8] != MAGIC {
-            return Err(BadHeader::Spoilt);
+            return Err(HeaderError::Corrupt);
         }
         // All versions keep these bytes and their checksum: a flipped bit must not look like a newer format.
         if sound && u16_at(8) > FORMAT_VERSION {
-            return Err(BadHeader::Newer(u16_at(8)));
+            return Err(HeaderError::NewerVersion(u16_at(8)));
         }
         if !sound {
-            return Err(BadHeader::Spoilt);
+            return Err(HeaderError::Corrupt);
         }
         let u64_at = |at: usize| u64_le(&bytes[at..at + 8]);
         let flags = u16_at(10);
         Ok(Header {
-            machine: flags & 1 != 0,
-            takeover: flags & 2 != 0,
+            sync_writes: flags & 1 != 0,
+            migration: flags & 2 != 0,
             number: u64_at(12),
-            first: u64_at(20),
+            first_seq: u64_at(20),
             oldest: u64_at(28),
-            synced: u64_at(36),
+            synced_seq: u64_at(36),
         })
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum BadHeader {
-    Short,
-    Spoilt,
-    Newer(u16),
+pub(crate) enum HeaderError {
+    Truncated,
+    Corrupt,
+    NewerVersion(u16),
 }
 
 fn u64_le(bytes: &[u8]) -> u64 {
@@ -105,17 +105,17 @@
 /// Puts a frame round what `fill` writes.
 pub(crate) fn put_frame(to: &mut Vec<u8>, seq: u64, fill: impl FnOnce(&mut Vec<u8>)) {
     let at = to.len();
-    to.put_bytes(0, FRAME);
+    to.put_bytes(0, FRAME_HEADER_BYTES);
     fill(to);
-    let length = (to.len() - at - FRAME) as u32;
+    let length = (to.len() - at - FRAME_HEADER_BYTES) as u32;
     to[at..at + 4].copy_from_slice(&length.to_le_bytes());
-    to[at + 8..at + FRAME].copy_from_slice(&seq.to_le_bytes());
+    to[at + 8..at + FRAME_HEADER_BYTES].copy_from_slice(&seq.to_le_bytes());
     let sum = checksum(&to[at..]);
     to[at + 4..at + 8].copy_from_slice(&sum.to_le_bytes());
 }
 
 pub(crate) fn seal_frame(next: u64) -> Vec<u8> {
-    let mut to = Vec::with_capacity(SEAL_FRAME);
+    let mut to = Vec::with_capacity(SEAL_FRAME_BYTES);
     put_frame(&mut to, next, |to| to.put_slice(SEAL));
     to
 }
@@ -147,23 +147,23 @@
 /// Reads the frame at `at`, if a sound one stands there.
 pub(crate) fn frame_at(bytes: &[u8], at: usize) -> Option<Frame> {
     let rest = bytes.get(at..)?;
-    if rest.len() <= FRAME {
+    if rest.len() <= FRAME_HEADER_BYTES {
         return None;
     }
     let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
     // A length that no record has is part of a torn or spoilt frame, not a reason to read on.
-    if length == 0 || length > RECORD_MOST || FRAME + length > rest.len() {
+    if length == 0 || length > MAX_RECORD_BYTES || FRAME_HEADER_BYTES + length > rest.len() {
         return None;
     }
-    let frame = &rest[..FRAME + length];
+    let frame = &rest[..FRAME_HEADER_BYTES + length];
     let sum = u32::from_le_bytes([rest[4], rest[5], rest[6], rest[7]]);
     if checksum(frame) != sum {
         return None;
     }
-    let (seq, payload) = (u64_le(&rest[8..FRAME]), &frame[FRAME..]);
+    let (seq, payload) = (u64_le(&rest[8..FRAME_HEADER_BYTES]), &frame[FRAME_HEADER_BYTES..]);
     let content = match payload == SEAL {
         true => Content::Seal,
-        false => Content::Record(Record::read(payload)?),
+        false => Content::Record(Record::decode(payload)?),
     };
     Some(Frame { at, end: at + frame.len(), seq, content })
 }
@@ -173,8 +173,8 @@
 pub(crate) fn next_frame(bytes: &[u8], at: usize, expected: u64) -> Option<Frame> {
     // Each lost record took a byte at least.
     let seqs = expected..=expected.saturating_add(bytes.len() as u64);
-    (at..bytes.len().saturating_sub(FRAME)).find_map(|at| {
-        seqs.contains(&u64_le(&bytes[at + 8..at + FRAME])).then(|| frame_at(bytes, at)).flatten()
+    (at..bytes.len().saturating_sub(FRAME_HEADER_BYTES)).find_map(|at| {
+        seqs.contains(&u64_le(&bytes[at + 8..at + FRAME_HEADER_BYTES])).then(|| frame_at(bytes, at)).flatten()
     })
 }
 
--- a/crates/journal/src/frame_test.rs
+++ b/crates/journal/src/frame_test.rs
@@ -2,22 +2,23 @@
 
 #[test]
 fn a_header_reads_back_and_shows_every_flipped_bit() {
-    let header = Header { machine: true, takeover: false, number: 3, first: 9, oldest: 2, synced: 8 };
+    let header =
+        Header { sync_writes: true, migration: false, number: 3, first_seq: 9, oldest: 2, synced_seq: 8 };
     let bytes = header.bytes();
-    assert_eq!(bytes.len(), HEADER);
+    assert_eq!(bytes.len(), HEADER_BYTES);
     assert_eq!(Header::read(&bytes), Ok(header));
-    for bit in 0..HEADER * 8 {
+    for bit in 0..HEADER_BYTES * 8 {
         let mut spoilt = bytes.clone();
         spoilt[bit / 8] ^= 1 << (bit % 8);
         assert!(Header::read(&spoilt).is_err(), "bit {bit}");
     }
-    assert_eq!(Header::read(&bytes[..HEADER - 1]), Err(BadHeader::Short));
+    assert_eq!(Header::read(&bytes[..HEADER_BYTES - 1]), Err(HeaderError::Truncated));
 }
 
 #[test]
 fn a_frame_shows_every_flipped_bit_and_every_cut() {
     let mut bytes = Vec::new();
-    put_frame(&mut bytes, 7, |to| Record::Ended { message: 5 }.put(to));
+    put_frame(&mut bytes, 7, |to| Record::Ended { message: 5 }.encode(to));
     let frame = frame_at(&bytes, 0).expect("a frame");
     assert_eq!((frame.seq, frame.content), (7, Content::Record(Record::Ended { message: 5 })));
     for bit in 0..bytes.len() * 8 {
@@ -41,11 +42,11 @@
 #[test]
 fn reading_goes_on_behind_what_is_spoilt() {
     let mut bytes = Vec::new();
-    put_frame(&mut bytes, 1, |to| Record::Ended { message: 1 }.put(to));
+    put_frame(&mut bytes, 1, |to| Record::Ended { message: 1 }.encode(to));
     let second = bytes.len();
-    put_frame(&mut bytes, 2, |to| Record::Ended { message: 2 }.put(to));
+    put_frame(&mut bytes, 2, |to| Record::Ended { message: 2 }.encode(to));
     let third = bytes.len();
-    put_frame(&mut bytes, 3, |to| Record::Ended { message: 3 }.put(to));
+    put_frame(&mut bytes, 3, |to| Record::Ended { message: 3 }.encode(to));
     bytes[second + 20] ^= 1;
     let next = next_frame(&bytes, second, 2).expect("the third");
     assert_eq!((next.at, next.seq), (third, 3));
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -4,34 +4,34 @@
 use crate::error::{Damage, Error, Refusal};
 use crate::frame;
 use crate::legacy;
-use crate::log::{FRAME_BYTES, Log, Op, Shape};
+use crate::log::{FRAME_OVERHEAD_BYTES, Log, LogConfig, Op};
 use crate::options::{Durability, OnDamage, Options};
 use crate::record::{self, AcceptedMessage, Attempt, EndedMessage, LiveMessage, Note, Record, Verdict};
 use crate::recover::{Recovered, recover};
-use crate::state::{Item, State, lasting};
+use crate::state::{Item, State, with_end_record};
 use crate::storage::{Storage, StoredFile, read_into};
-use crate::sync::{SyncJob, SyncOutcome, Trust};
+use crate::sync::{DiskTrust, SyncJob, SyncOutcome};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// Room set aside on the disk for what is owed.
-const ASIDE: &str = "set-aside";
+const RESERVE_FILE: &str = "set-aside";
 /// It grows and shrinks by this much, bytes: a call for each message would be too dear.
-const ASIDE_STEP: u64 = 256 * 1024;
+const RESERVE_STEP_BYTES: u64 = 256 * 1024;
 /// What is left of a segment that could not be read all through.
-const DAMAGED: &str = ".damaged";
+const DAMAGED_SUFFIX: &str = ".damaged";
 /// With less room than this such a segment is not kept for the operator: it would take the messages' room.
-const KEEP_DAMAGED_FROM: u64 = 64 * 1024 * 1024;
+const MIN_CAPACITY_TO_KEEP_DAMAGED_BYTES: u64 = 64 * 1024 * 1024;
 /// What an open segment takes in memory, bytes.
-const FILE: u64 = 300;
+const OPEN_FILE_MEMORY_BYTES: u64 = 300;
 /// The head, seal and padding of a new segment, bytes.
-const ROLL: u64 = 1024;
+const ROLL_OVERHEAD_BYTES: u64 = 1024;
 /// Shows after a failed sync whether the device works again; a segment each time would fill the room.
-const PROBE: &str = "probe";
+const PROBE_FILE: &str = "probe";
 /// Failed syncs after which it is said that nothing works.
-const SYNC_FAILURES: u32 = 3;
+const REPORTED_SYNC_FAILURES: u32 = 3;
 
 /// What a start found.
 #[derive(Debug, Default)]
@@ -74,24 +74,24 @@
     log: Log,
     files: BTreeMap<u64, Arc<dyn StoredFile>>,
     /// Records up to here are written.
-    written: u64,
+    written_seq: u64,
     /// The last record that asks for a sync.
-    wanted: u64,
+    wanted_seq: u64,
     /// Segments that were written to since the last sync began, and whether names changed.
     dirty: BTreeSet<u64>,
     names_dirty: bool,
-    sync_out: bool,
+    sync_in_flight: bool,
     /// The last flush failed.
-    stuck: bool,
-    trust: Trust,
-    failures: u32,
+    flush_failed: bool,
+    disk_trust: DiskTrust,
+    sync_failures: u32,
     /// Segments below this number are to be emptied, whatever is in them.
-    empty_below: u64,
-    aside: u64,
+    evacuate_below: u64,
+    reserve_file_bytes: u64,
     /// Segments to be kept under another name when they are removed, and the room that such files take.
     damaged: BTreeSet<u64>,
     damaged_bytes: u64,
-    put_bytes: u64,
+    written_bytes: u64,
     copied_bytes: u64,
 }
 
@@ -103,7 +103,7 @@
     pub fn open(storage: Arc<dyn Storage>, options: Options) -> Result<(Self, RecoveryReport), Error> {
         options.check()?;
         let names = storage.list().map_err(|e| Error::io("journal", "list", e))?;
-        let old = names.iter().any(|n| n == legacy::NAME);
+        let old = names.iter().any(|n| n == legacy::FILE_NAME);
         let mut found = recover(&*storage, &options, None)?;
         if options.on_damage == OnDamage::Stop
             && let Some(damage) = found.damages.first()
@@ -112,24 +112,26 @@
         }
         let remove = |name: &str| storage.remove(name).map_err(|e| Error::io(name, "remove", e));
         if old {
-            if !found.takeover {
+            if !found.migration {
                 return Err(Error::ConflictingFormats);
             }
             // Written by a take-over that was cut short: the old file still holds all.
             let begun: Vec<u64> =
-                found.segments.keys().chain(&found.stale).chain(&found.foreign).copied().collect();
+                found.segments.keys().chain(&found.stale).chain(&found.misplaced).copied().collect();
             for number in begun {
                 remove(&frame::segment_name(number))?;
             }
             found = Recovered { next_number: 1, next_seq: 1, ..Recovered::default() };
         }
-        for name in names.iter().filter(|n| [legacy::NEXT, ASIDE, PROBE].contains(&n.as_str())) {
+        for name in
+            names.iter().filter(|n| [legacy::TEMP_FILE_NAME, RESERVE_FILE, PROBE_FILE].contains(&n.as_str()))
+        {
             remove(name)?;
         }
         for number in &found.stale {
             remove(&frame::segment_name(*number))?;
         }
-        let mut journal = Self::over(storage.clone(), options, &mut found, old, &names)?;
+        let mut journal = Self::from_recovered(storage.clone(), options, &mut found, old, &names)?;
         let mut report = RecoveryReport {
             damages: found.damages,
             lost_messages: found.lost_messages,
@@ -138,7 +140,7 @@
             ..RecoveryReport::default()
         };
         if old {
-            report.migrated = Some(journal.take_over(&mut report)?);
+            report.migrated = Some(journal.migrate_legacy(&mut report)?);
         }
         if !report.damages.is_empty() {
             report.presumed_sent = journal.salvage(found.lost_before)?;
@@ -148,18 +150,18 @@
             journal.sync_now()?;
         }
         // Not before all is salvaged: they are what tells a start that something is missing.
-        for number in found.foreign.iter().filter(|_| !old) {
-            journal.give_up(*number, true)?;
+        for number in found.misplaced.iter().filter(|_| !old) {
+            journal.retire_file(*number, true)?;
         }
         Ok((journal, report))
     }
 
     /// The journal as recovered, with a torn tail cut off.
-    fn over(
+    fn from_recovered(
         storage: Arc<dyn Storage>,
         options: Options,
         found: &mut Recovered,
-        takeover: bool,
+        migration: bool,
         names: &[String],
     ) -> Result<Self, Error> {
         let mut files = BTreeMap::new();
@@ -173,47 +175,48 @@
             file.set_size(size).map_err(|e| Error::io(&frame::segment_name(number), "truncate", e))?;
         }
         let mut damaged_bytes = 0;
-        for name in names.iter().filter(|n| n.ends_with(DAMAGED)) {
+        for name in names.iter().filter(|n| n.ends_with(DAMAGED_SUFFIX)) {
             let size = storage.open(name).and_then(|f| f.size());
             damaged_bytes += size.map_err(|e| Error::io(name, "size", e))?.next_multiple_of(512);
         }
-        let shape = Shape {
+        let config = LogConfig {
             segment: options.segment(),
-            machine: options.durability == Durability::Machine,
-            takeover,
+            sync_writes: options.durability == Durability::Machine,
+            migration,
         };
         let segments = std::mem::take(&mut found.segments);
         let dirty: BTreeSet<u64> = segments.keys().copied().collect();
-        let log = Log::new(shape, segments, (found.next_number, found.next_seq), found.go_on);
-        let written = log.last_seq();
+        let log = Log::new(config, segments, (found.next_number, found.next_seq), found.append_to_last);
+        let written_seq = log.last_seq();
         Ok(Journal {
             storage,
             options,
             state: std::mem::take(&mut found.state),
             log,
             files,
-            written,
-            wanted: written,
+            written_seq,
+            wanted_seq: written_seq,
             dirty,
             names_dirty: true,
-            sync_out: false,
-            stuck: false,
-            trust: Trust::Well,
-            failures: 0,
-            empty_below: 0,
-            aside: 0,
+            sync_in_flight: false,
+            flush_failed: false,
+            disk_trust: DiskTrust::Trusted,
+            sync_failures: 0,
+            evacuate_below: 0,
+            reserve_file_bytes: 0,
             damaged: std::mem::take(&mut found.damaged),
             damaged_bytes,
-            put_bytes: 0,
+            written_bytes: 0,
             copied_bytes: 0,
         })
     }
 
     /// Copies what the old format's file holds, then removes that: until then it is what counts.
-    fn take_over(&mut self, report: &mut RecoveryReport) -> Result<usize, Error> {
-        let file = self.storage.open(legacy::NAME).map_err(|e| Error::io(legacy::NAME, "open", e))?;
+    fn migrate_legacy(&mut self, report: &mut RecoveryReport) -> Result<usize, Error> {
+        let file =
+            self.storage.open(legacy::FILE_NAME).map_err(|e| Error::io(legacy::FILE_NAME, "open", e))?;
         let mut bytes = Vec::new();
-        read_into(&*file, &mut bytes).map_err(|e| Error::io(legacy::NAME, "read", e))?;
+        read_into(&*file, &mut bytes).map_err(|e| Error::io(legacy::FILE_NAME, "read", e))?;
         let (live, _, sound) = legacy::replay(&bytes);
         report.truncated_bytes += (bytes.len() - sound) as u64;
         let messages = live.len();
@@ -224,14 +227,14 @@
         if self.options.durability == Durability::Machine {
             self.sync_now()?;
         }
-        self.storage.remove(legacy::NAME).map_err(|e| Error::io(legacy::NAME, "remove", e))?;
+        self.storage.remove(legacy::FILE_NAME).map_err(|e| Error::io(legacy::FILE_NAME, "remove", e))?;
         if self.options.durability == Durability::Machine {
             // A power cut must not bring the old file back beside what comes next.
             self.storage.sync_names().map_err(|e| Error::io("journal", "sync", e))?;
         }
         // What comes from now on must not be taken for part of the take-over, should the old program run
         // here once more.
-        self.log.end_takeover();
+        self.log.end_migration();
         Ok(messages)
     }
 
@@ -240,13 +243,13 @@
     fn salvage(&mut self, lost_before: u64) -> Result<Vec<u64>, Error> {
         let suspected = self.state.undecided_before(lost_before);
         for message in &suspected {
-            let sent = self.state.latest();
+            let sent = self.state.latest_time();
             if let Some(live) = self.get(*message) {
                 let index = live.attempts.len().min(usize::from(u16::MAX)) as u16;
                 self.put(0, Record::Attempt { message: *message, index, attempt: Attempt::unknown(sent) });
             }
         }
-        self.empty_all_below(self.log.newest())?;
+        self.evacuate_below_segment(self.log.newest())?;
         Ok(suspected)
     }
 
@@ -256,7 +259,7 @@
     }
 
     pub fn get(&self, message: u64) -> Option<&LiveMessage> {
-        self.state.get(message).and_then(|slot| slot.item.live())
+        self.state.get(message).and_then(|entry| entry.item.live())
     }
 
     /// What stays of messages that have ended, by number.
@@ -269,7 +272,7 @@
 
     /// What stays of one that has ended.
     pub fn ended_message(&self, message: u64) -> Option<&Rc<EndedMessage>> {
-        match self.state.get(message).map(|slot| &slot.item) {
+        match self.state.get(message).map(|entry| &entry.item) {
             Some(Item::Kept(kept)) => Some(kept),
             _ => None,
         }
@@ -294,17 +297,17 @@
 
     /// The highest number that any record names.
     pub fn last_number(&self) -> u64 {
-        self.state.last()
+        self.state.last_number()
     }
 
     /// The latest time that a record tells, Unix time: a clock that shows less has jumped back.
     pub fn latest_time(&self) -> Duration {
-        self.state.latest()
+        self.state.latest_time()
     }
 
     /// Bytes of memory that the journal takes beside its messages: buffers, notes and its own tables.
     pub fn memory(&self) -> u64 {
-        self.log.memory() + self.state.notes() + self.files.len() as u64 * FILE
+        self.log.memory() + self.state.notes() + self.files.len() as u64 * OPEN_FILE_MEMORY_BYTES
     }
 
     pub fn usage(&self) -> Usage {
@@ -312,17 +315,17 @@
             room: self.options.capacity_bytes,
             used: self.used(),
             live: self.state.bytes(),
-            owed: self.state.owed(),
-            live_most: self.options.live_most(),
+            owed: self.state.outstanding_bytes(),
+            live_most: self.options.max_live_bytes(),
             messages: self.len() as u64,
             segments: self.log.count() as u64,
-            written: self.put_bytes,
+            written: self.written_bytes,
             copied: self.copied_bytes,
         }
     }
 
     fn used(&self) -> u64 {
-        self.log.used() + self.aside + self.damaged_bytes
+        self.log.used() + self.reserve_file_bytes + self.damaged_bytes
     }
 
     /// Whether a message can be taken on, with room for all that it may still need.
@@ -330,34 +333,36 @@
     /// # Errors
     /// Why it cannot just now.
     pub fn can_accept(&mut self, accepted: &AcceptedMessage) -> Result<(), Refusal> {
-        if self.trust != Trust::Well {
+        if self.disk_trust != DiskTrust::Trusted {
             return Err(Refusal::DiskUnreliable);
         }
         if record::snapshot_bytes(accepted) > self.options.max_record_bytes as u64
-            || self.state.weight() + self.options.weight(accepted) > self.options.live_most()
+            || self.state.reserved_bytes() + self.options.reserved_bytes(accepted)
+                > self.options.max_live_bytes()
         {
             return Err(Refusal::Full);
         }
         match self.options.preallocate {
-            true => self.set_aside(self.options.trail(self.options.reserved_attempts)),
+            true => self.reserve_space(self.options.followup_bytes(self.options.reserved_attempts)),
             false => Ok(()),
         }
     }
 
     /// Sets room aside for what is owed and `more`.
-    fn set_aside(&mut self, more: u64) -> Result<(), Refusal> {
-        let wanted = self.aside_wanted(more);
-        if wanted > self.aside {
-            let to = wanted + ASIDE_STEP;
-            self.storage.preallocate(ASIDE, to).map_err(|_| Refusal::DiskFull)?;
+    fn reserve_space(&mut self, more: u64) -> Result<(), Refusal> {
+        let wanted = self.wanted_reserve_file_bytes(more);
+        if wanted > self.reserve_file_bytes {
+            let to = wanted + RESERVE_STEP_BYTES;
+            self.storage.preallocate(RESERVE_FILE, to).map_err(|_| Refusal::DiskFull)?;
             self.names_dirty = true;
-            self.aside = to;
+            self.reserve_file_bytes = to;
         }
         Ok(())
     }
 
-    fn aside_wanted(&self, more: u64) -> u64 {
-        (self.state.owed() + more + self.options.copy_room()).next_multiple_of(ASIDE_STEP)
+    fn wanted_reserve_file_bytes(&self, more: u64) -> u64 {
+        (self.state.outstanding_bytes() + more + self.options.compaction_reserve_bytes())
+            .next_multiple_of(RESERVE_STEP_BYTES)
     }
 
     /// Takes a message on. Ask [`Journal::can_accept`] first.
@@ -366,9 +371,9 @@
     }
 
     fn snapshot(&mut self, message: u64, live: LiveMessage) -> u64 {
-        let weight = self.state.get(message).map_or(0, |slot| slot.weight);
-        let weight = weight.max(self.options.weight(&live.accepted));
-        self.put(weight, Record::Snapshot { message, live })
+        let reserved_bytes = self.state.get(message).map_or(0, |entry| entry.reserved_bytes);
+        let reserved_bytes = reserved_bytes.max(self.options.reserved_bytes(&live.accepted));
+        self.put(reserved_bytes, Record::Snapshot { message, live })
     }
 
     /// Records an attempt, before its first byte goes out. Returns its place among the message's attempts.
@@ -376,18 +381,20 @@
     /// # Errors
     /// If it is beyond what room was kept for and there is no other. It must not be made then.
     pub fn record_attempt(&mut self, message: u64, attempt: Attempt) -> Result<u32, Refusal> {
-        let Some(slot) = self.state.get(message) else { return Ok(0) };
-        let Some(live) = slot.item.live() else { return Ok(0) };
+        let Some(entry) = self.state.get(message) else { return Ok(0) };
+        let Some(live) = entry.item.live() else { return Ok(0) };
         let names = (attempt.host.len() + attempt.zone.len()) as u64;
-        let outcome = FRAME_BYTES + record::NEVER_RAN_BYTES;
-        let end = 2 * FRAME_BYTES + record::JUDGED_BYTES + record::ENDED_BYTES;
-        let needed = slot.bytes + FRAME_BYTES + record::attempt_bytes(names) + outcome + end;
-        let more = needed.saturating_sub(slot.weight);
+        let outcome = FRAME_OVERHEAD_BYTES + record::NEVER_RAN_BYTES;
+        let end = 2 * FRAME_OVERHEAD_BYTES + record::JUDGED_BYTES + record::ENDED_BYTES;
+        let needed = entry.bytes + FRAME_OVERHEAD_BYTES + record::attempt_bytes(names) + outcome + end;
+        let more = needed.saturating_sub(entry.reserved_bytes);
         let index = live.attempts.len();
-        if index >= usize::from(u16::MAX) || self.state.weight() + more > self.options.live_most() {
+        if index >= usize::from(u16::MAX)
+            || self.state.reserved_bytes() + more > self.options.max_live_bytes()
+        {
             return Err(Refusal::Full);
         }
-        self.state.weigh(message, more);
+        self.state.reserve_more(message, more);
         self.put(0, Record::Attempt { message, index: index as u16, attempt });
         Ok(index as u32)
     }
@@ -417,13 +424,13 @@
     /// The message has ended, and this stays of it. Takes less room than the message did, which is free again.
     pub fn replace_with_ended(&mut self, message: u64, kept: EndedMessage) {
         if self.state.get(message).is_some() {
-            self.put_lasting(Record::Kept { message, kept: Rc::new(kept) });
+            self.replace_entry(Record::Kept { message, kept: Rc::new(kept) });
         }
     }
 
     /// The same for one that was never taken on. Ask [`Journal::can_store_note`] first.
     pub fn store_ended(&mut self, message: u64, kept: EndedMessage) {
-        self.put_lasting(Record::Kept { message, kept: Rc::new(kept) });
+        self.replace_entry(Record::Kept { message, kept: Rc::new(kept) });
     }
 
     /// Whether a note of so many bytes, its key included, can be put beside those that are there.
@@ -431,12 +438,16 @@
     /// # Errors
     /// Why it cannot just now.
     pub fn can_store_note(&mut self, bytes: u64) -> Result<(), Refusal> {
-        let weight = lasting(FRAME_BYTES + record::NOTE_BYTES + bytes);
-        match weight {
-            _ if self.trust != Trust::Well => Err(Refusal::DiskUnreliable),
+        let reserved_bytes = with_end_record(FRAME_OVERHEAD_BYTES + record::NOTE_BYTES + bytes);
+        match reserved_bytes {
+            _ if self.disk_trust != DiskTrust::Trusted => Err(Refusal::DiskUnreliable),
             _ if record::NOTE_BYTES + bytes > self.options.max_record_bytes as u64 => Err(Refusal::Full),
-            weight if self.state.weight() + weight > self.options.live_most() => Err(Refusal::Full),
-            weight if self.options.preallocate => self.set_aside(weight),
+            reserved_bytes
+                if self.state.reserved_bytes() + reserved_bytes > self.options.max_live_bytes() =>
+            {
+                Err(Refusal::Full)
+            }
+            reserved_bytes if self.options.preallocate => self.reserve_space(reserved_bytes),
             _ => Ok(()),
         }
     }
@@ -444,74 +455,77 @@
     /// Puts a note under a number, in the place of the one that was there. Ask [`Journal::can_store_note`] first.
     /// The number must be one that no message has, above [`Journal::last_number`] for a new one.
     pub fn store_note(&mut self, number: u64, note: Note) {
-        self.put_lasting(Record::Note { number, note: Rc::new(note) });
+        self.replace_entry(Record::Note { number, note: Rc::new(note) });
     }
 
-    fn put_lasting(&mut self, record: Record) {
-        let weight = lasting(FRAME_BYTES + record.size());
-        self.put(weight, record);
+    fn replace_entry(&mut self, record: Record) {
+        let reserved_bytes = with_end_record(FRAME_OVERHEAD_BYTES + record.size());
+        self.put(reserved_bytes, record);
     }
 
-    fn put(&mut self, weight: u64, record: Record) -> u64 {
-        self.make_room(FRAME_BYTES + record.size());
-        self.put_planned(weight, record)
+    fn put(&mut self, reserved_bytes: u64, record: Record) -> u64 {
+        self.make_room(FRAME_OVERHEAD_BYTES + record.size());
+        self.append_record(reserved_bytes, record)
     }
 
-    fn put_planned(&mut self, weight: u64, record: Record) -> u64 {
-        let (seq, size) = self.log.put(weight, &record);
-        self.put_bytes += size;
-        self.wanted = seq;
+    fn append_record(&mut self, reserved_bytes: u64, record: Record) -> u64 {
+        let (seq, size) = self.log.put(reserved_bytes, &record);
+        self.written_bytes += size;
+        self.wanted_seq = seq;
         self.state.apply(record, seq, size, &self.options);
         seq
     }
 
     /// Bytes that the log may take while nothing is being copied.
     fn usable(&self) -> u64 {
-        let machine = match self.options.durability {
+        let sync_writes = match self.options.durability {
             Durability::Process => 0,
             // After a failed sync all that lives is written anew before anything old can go.
-            Durability::Machine => self.state.weight(),
+            Durability::Machine => self.state.reserved_bytes(),
         };
-        let taken = self.options.copy_room() + self.aside + self.damaged_bytes + machine;
+        let taken = self.options.compaction_reserve_bytes()
+            + self.reserve_file_bytes
+            + self.damaged_bytes
+            + sync_writes;
         self.options.capacity_bytes.saturating_sub(taken)
     }
 
     /// Frees segments until a record fits. Room for the copies is always there: no more than
     /// [`Options::copy_room`] begins in one segment.
     fn make_room(&mut self, bytes: u64) {
-        if self.trust != Trust::Well {
+        if self.disk_trust != DiskTrust::Trusted {
             // Room for all that is written anew was kept, and nothing old may go before that is done.
             return;
         }
         for _ in 0..=self.log.count() {
-            if self.log.used() + bytes + ROLL <= self.usable() || self.dead() == 0 {
+            if self.log.used() + bytes + ROLL_OVERHEAD_BYTES <= self.usable() || self.dead_bytes() == 0 {
                 return;
             }
-            self.empty_oldest(true);
+            self.evacuate_oldest(true);
         }
     }
 
-    fn dead(&self) -> u64 {
+    fn dead_bytes(&self) -> u64 {
         self.log.size().saturating_sub(self.state.bytes())
     }
 
     /// Copies all that lives out of the oldest segment, and gives it up.
-    fn empty_oldest(&mut self, at_once: bool) {
-        if self.log.second().is_none() {
+    fn evacuate_oldest(&mut self, immediately: bool) {
+        if self.log.second_segment_start().is_none() {
             self.log.roll();
         }
-        while self.copy_first().is_some() {}
-        self.log.retire(at_once);
+        while self.copy_next_entry().is_some() {}
+        self.log.retire(immediately);
     }
 
     /// Copies one message out of the oldest segment; its bytes, or None if none is left there.
-    fn copy_first(&mut self) -> Option<u64> {
-        let end = self.log.second()?;
+    fn copy_next_entry(&mut self) -> Option<u64> {
+        let end = self.log.second_segment_start()?;
         let (_, message) = self.state.first().filter(|(seq, _)| *seq < end)?;
-        let slot = self.state.get(message)?;
-        let (weight, copy) = (slot.weight, slot.item.record(message));
-        let bytes = FRAME_BYTES + copy.size();
-        self.put_planned(weight, copy);
+        let entry = self.state.get(message)?;
+        let (reserved_bytes, copy) = (entry.reserved_bytes, entry.item.record(message));
+        let bytes = FRAME_OVERHEAD_BYTES + copy.size();
+        self.append_record(reserved_bytes, copy);
         self.copied_bytes += bytes;
         Some(bytes)
     }
@@ -522,27 +536,27 @@
     pub fn wants_compaction(&self) -> bool {
         let spare = self.usable().saturating_sub(self.state.bytes());
         let live = self.state.bytes().max(self.options.segment());
-        let worth = self.log.oldest_below(self.empty_below)
+        let worth = self.log.has_segment_below(self.evacuate_below)
             || self.oldest_is_dead()
-            || self.dead() > live.min(spare / 4 * 3);
-        worth && self.trust != Trust::Probing && self.log.second().is_some()
+            || self.dead_bytes() > live.min(spare / 4 * 3);
+        worth && self.disk_trust != DiskTrust::Probing && self.log.second_segment_start().is_some()
     }
 
     fn oldest_is_dead(&self) -> bool {
         let first = self.state.first().map_or(u64::MAX, |(seq, _)| seq);
-        self.log.second().is_some_and(|end| first >= end)
+        self.log.second_segment_start().is_some_and(|end| first >= end)
     }
 
     /// Does a step of compaction: copies `most` bytes, or one message more, and frees what is empty by then.
     /// [`Journal::wants_compaction`] tells whether more is to be done. Call [`Journal::flush`] behind it.
     pub fn compact(&mut self, most: u64) {
-        if self.stuck {
+        if self.flush_failed {
             // The disk does not take what is planned already.
             return;
         }
         let (mut copied, mut freed) = (0, 0);
         while self.wants_compaction() && copied < most && freed < most {
-            match self.copy_first() {
+            match self.copy_next_entry() {
                 Some(bytes) => copied += bytes,
                 None => {
                     // Removing costs by the size of what is removed.
@@ -551,13 +565,15 @@
                 }
             }
         }
-        if self.trust == Trust::Rewriting && !self.log.oldest_below(self.empty_below) {
-            self.trust = Trust::Rewritten(self.log.last_seq());
+        if self.disk_trust == DiskTrust::Rewriting && !self.log.has_segment_below(self.evacuate_below) {
+            self.disk_trust = DiskTrust::Rewritten(self.log.last_seq());
         }
-        if self.options.preallocate && self.aside > self.aside_wanted(0) + 4 * ASIDE_STEP {
-            let to = self.aside_wanted(0) + ASIDE_STEP;
-            if self.storage.preallocate(ASIDE, to).is_ok() {
-                self.aside = to;
+        if self.options.preallocate
+            && self.reserve_file_bytes > self.wanted_reserve_file_bytes(0) + 4 * RESERVE_STEP_BYTES
+        {
+            let to = self.wanted_reserve_file_bytes(0) + RESERVE_STEP_BYTES;
+            if self.storage.preallocate(RESERVE_FILE, to).is_ok() {
+                self.reserve_file_bytes = to;
             }
         }
     }
@@ -569,13 +585,13 @@
     /// As [`Journal::flush`].
     pub fn compact_all(&mut self) -> Result<(), Error> {
         self.log.roll();
-        self.empty_all_below(self.log.newest())
+        self.evacuate_below_segment(self.log.newest())
     }
 
     /// Writes what is planned at each step, so that no more of it waits in memory than one segment's copies.
-    fn empty_all_below(&mut self, number: u64) -> Result<(), Error> {
-        while self.log.oldest_below(number) {
-            self.empty_oldest(true);
+    fn evacuate_below_segment(&mut self, number: u64) -> Result<(), Error> {
+        while self.log.has_segment_below(number) {
+            self.evacuate_oldest(true);
             self.flush()?;
         }
         self.flush()
@@ -589,23 +605,23 @@
     pub fn flush(&mut self) -> Result<(), Error> {
         while let Some(op) = self.log.queue.pop_front() {
             let mut done = self.execute(&op);
-            while self.aside > 0 && done.as_ref().is_err_and(Error::is_full) {
+            while self.reserve_file_bytes > 0 && done.as_ref().is_err_and(Error::is_full) {
                 // This is what the room was set aside for.
-                let to = self.aside.saturating_sub(ASIDE_STEP);
-                let name = ASIDE;
+                let to = self.reserve_file_bytes.saturating_sub(RESERVE_STEP_BYTES);
+                let name = RESERVE_FILE;
                 self.storage.preallocate(name, to).map_err(|e| Error::io(name, "shrink", e))?;
-                self.aside = to;
+                self.reserve_file_bytes = to;
                 done = self.execute(&op);
             }
             if let Err(e) = done {
                 self.log.queue.push_front(op);
-                self.stuck = true;
+                self.flush_failed = true;
                 return Err(e);
             }
-            self.log.done(op);
+            self.log.finish_op(op);
         }
-        self.stuck = false;
-        self.written = self.log.last_seq();
+        self.flush_failed = false;
+        self.written_seq = self.log.last_seq();
         Ok(())
     }
 
@@ -637,7 +653,7 @@
             }
             Op::Sync => self.sync_files()?,
             Op::Remove { number } => {
-                self.give_up(*number, self.damaged.contains(number))?;
+                self.retire_file(*number, self.damaged.contains(number))?;
                 self.files.remove(number);
                 self.dirty.remove(number);
             }
@@ -647,12 +663,12 @@
 
     /// Removes a segment's file, or leaves it to the operator under another name if it is damaged and there
     /// is room.
-    fn give_up(&mut self, number: u64, damaged: bool) -> Result<(), Error> {
+    fn retire_file(&mut self, number: u64, damaged: bool) -> Result<(), Error> {
         let name = frame::segment_name(number);
-        if damaged && self.options.capacity_bytes >= KEEP_DAMAGED_FROM {
+        if damaged && self.options.capacity_bytes >= MIN_CAPACITY_TO_KEEP_DAMAGED_BYTES {
             let size = self.storage.open(&name).and_then(|f| f.size());
             let size = size.map_err(|e| Error::io(&name, "size", e))?;
-            let kept = format!("{name}{DAMAGED}");
+            let kept = format!("{name}{DAMAGED_SUFFIX}");
             self.storage.rename(&name, &kept).map_err(|e| Error::io(&name, "rename", e))?;
             self.damaged_bytes += size.next_multiple_of(512);
         } else {
@@ -677,7 +693,7 @@
     /// Syncs here and now: at the start, when nobody waits.
     fn sync_now(&mut self) -> Result<(), Error> {
         self.sync_files()?;
-        self.log.synced(self.written);
+        self.log.mark_synced(self.written_seq);
         Ok(())
     }
 
@@ -690,40 +706,40 @@
     /// wait.
     pub fn durable(&self) -> u64 {
         match self.options.durability {
-            Durability::Process => self.written,
-            Durability::Machine => self.log.synced,
+            Durability::Process => self.written_seq,
+            Durability::Machine => self.log.synced_seq,
         }
     }
 
     /// Whether all that was done is kept.
     pub fn is_durable(&self) -> bool {
-        self.durable() >= self.wanted
+        self.durable() >= self.wanted_seq
     }
 
     /// The sync that is due, if one is and none is under way: one for all that waits.
     pub fn begin_sync(&mut self) -> Option<SyncJob> {
-        let machine = self.options.durability == Durability::Machine;
-        if machine && self.trust == Trust::Probing && !self.sync_out {
+        let sync_writes = self.options.durability == Durability::Machine;
+        if sync_writes && self.disk_trust == DiskTrust::Probing && !self.sync_in_flight {
             let file = self.probe().ok()?;
-            self.sync_out = true;
+            self.sync_in_flight = true;
             return Some(SyncJob { storage: self.storage.clone(), files: vec![file], names: true, upto: 0 });
         }
-        let due = self.wanted > self.log.synced && self.written >= self.wanted;
-        if !machine || self.sync_out || !due {
+        let due = self.wanted_seq > self.log.synced_seq && self.written_seq >= self.wanted_seq;
+        if !sync_writes || self.sync_in_flight || !due {
             return None;
         }
-        self.sync_out = true;
+        self.sync_in_flight = true;
         let files = std::mem::take(&mut self.dirty);
         let files = files.iter().filter_map(|n| self.files.get(n).cloned()).collect();
         let names = std::mem::take(&mut self.names_dirty);
-        Some(SyncJob { storage: self.storage.clone(), files, names, upto: self.written })
+        Some(SyncJob { storage: self.storage.clone(), files, names, upto: self.written_seq })
     }
 
     /// A file that no sync has failed on.
     fn probe(&self) -> std::io::Result<Arc<dyn StoredFile>> {
         // One from the try before is gone already, unless that could not be removed.
-        let _ = self.storage.remove(PROBE);
-        let file = self.storage.create(PROBE)?;
+        let _ = self.storage.remove(PROBE_FILE);
+        let file = self.storage.create(PROBE_FILE)?;
         file.write_at(0, &[0; 512])?;
         Ok(file)
     }
@@ -731,7 +747,7 @@
     /// False from a failed sync on until all that lives is kept again. Syncs are to be tried again after a
     /// pause meanwhile.
     pub fn is_disk_trusted(&self) -> bool {
-        self.trust == Trust::Well
+        self.disk_trust == DiskTrust::Trusted
     }
 
     /// Takes in what became of a sync. [`Journal::flush`] and [`Journal::compact`] carry on from there.
@@ -739,39 +755,39 @@
     /// # Errors
     /// [`Error::SyncFailed`], once, when several have failed in a row. The journal goes on trying.
     pub fn finish_sync(&mut self, done: SyncOutcome) -> Result<(), Error> {
-        self.sync_out = false;
+        self.sync_in_flight = false;
         if done.result.is_err() {
-            self.failures += 1;
+            self.sync_failures += 1;
             // Nothing of these segments is believed to be on the device, and none is synced again.
-            self.log.distrust();
-            self.trust = Trust::Probing;
-            return match self.failures == SYNC_FAILURES {
-                true => Err(Error::SyncFailed { failures: self.failures }),
+            self.log.discard_pending_seals();
+            self.disk_trust = DiskTrust::Probing;
+            return match self.sync_failures == REPORTED_SYNC_FAILURES {
+                true => Err(Error::SyncFailed { failures: self.sync_failures }),
                 false => Ok(()),
             };
         }
-        self.failures = 0;
-        match self.trust {
-            Trust::Probing => {
+        self.sync_failures = 0;
+        match self.disk_trust {
+            DiskTrust::Probing => {
                 // If it stays it takes 512 bytes, and the next start removes it.
-                let _ = self.storage.remove(PROBE);
+                let _ = self.storage.remove(PROBE_FILE);
                 self.log.roll();
-                self.empty_below = self.log.newest();
+                self.evacuate_below = self.log.newest();
                 self.dirty.clear();
                 self.names_dirty = true;
-                self.trust = Trust::Rewriting;
+                self.disk_trust = DiskTrust::Rewriting;
                 return Ok(());
             }
-            Trust::Rewriting => return Ok(()),
-            Trust::Rewritten(seq) if done.upto < seq => return Ok(()),
-            Trust::Rewritten(_) => self.trust = Trust::Well,
-            Trust::Well => {}
+            DiskTrust::Rewriting => return Ok(()),
+            DiskTrust::Rewritten(seq) if done.upto < seq => return Ok(()),
+            DiskTrust::Rewritten(_) => self.disk_trust = DiskTrust::Trusted,
+            DiskTrust::Trusted => {}
         }
-        self.log.synced(done.upto);
+        self.log.mark_synced(done.upto);
         // Asks for no sync of its own, or there would be no end of them.
-        let wanted = self.wanted;
+        let wanted_seq = self.wanted_seq;
         self.put(0, Record::Synced { upto: done.upto });
-        self.wanted = wanted;
+        self.wanted_seq = wanted_seq;
         Ok(())
     }
 }
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -1,17 +1,17 @@
 //! The format before segments: one file, `journal`, of records with length and checksum. Read once, when a
 //! folder of an older courier is taken over; never written.
 
-use crate::record::{AcceptedMessage, Attempt, Fields, LiveMessage, Verdict};
+use crate::record::{AcceptedMessage, Attempt, FieldReader, LiveMessage, Verdict};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// The file's name, and that of a copy that was cut short.
-pub(crate) const NAME: &str = "journal";
-pub(crate) const NEXT: &str = "journal.next";
+pub(crate) const FILE_NAME: &str = "journal";
+pub(crate) const TEMP_FILE_NAME: &str = "journal.next";
 /// No record is longer: a body, an id, a key and room for the rest.
-const RECORD_MOST: usize = 128 * 1024;
+const MAX_RECORD_BYTES: usize = 128 * 1024;
 
 const ACCEPTED: u8 = 1;
 const ATTEMPT: u8 = 2;
@@ -20,14 +20,14 @@
 const ENDED: u8 = 5;
 
 /// A text behind its length in four bytes.
-fn text(f: &mut Fields) -> Option<String> {
+fn text(f: &mut FieldReader) -> Option<String> {
     let n = f.u32()? as usize;
     String::from_utf8(f.take(n)?.to_vec()).ok()
 }
 
 /// Applies one record; None if it cannot be read.
 fn apply(live: &mut BTreeMap<u64, LiveMessage>, last: &mut u64, record: &[u8]) -> Option<()> {
-    let mut f = Fields(record);
+    let mut f = FieldReader(record);
     let (kind, message) = (f.byte()?, f.u64()?);
     *last = message.max(*last);
     match kind {
@@ -82,10 +82,11 @@
 /// Replays what is sound; returns the live messages, the highest number and the length of the sound part.
 pub(crate) fn replay(bytes: &[u8]) -> (BTreeMap<u64, LiveMessage>, u64, usize) {
     let (mut live, mut last, mut sound) = (BTreeMap::new(), 0, 0);
-    let mut f = Fields(bytes);
+    let mut f = FieldReader(bytes);
     while let (Some(len), Some(sum)) = (f.u32(), f.u32()) {
         // A length that no record has is part of a torn or spoilt tail, not a reason to read on.
-        let record = f.take(len as usize).filter(|r| r.len() <= RECORD_MOST && crc32fast::hash(r) == sum);
+        let record =
+            f.take(len as usize).filter(|r| r.len() <= MAX_RECORD_BYTES && crc32fast::hash(r) == sum);
         if record.and_then(|r| apply(&mut live, &mut last, r)).is_none() {
             break;
         }
--- a/crates/journal/src/legacy_test.rs
+++ b/crates/journal/src/legacy_test.rs
@@ -127,19 +127,22 @@
     #[test]
     fn every_message_is_taken_over_and_the_old_file_goes() {
         let (file, _) = written();
-        let folder = FaultyStorage::from_image(BTreeMap::from([(NAME.to_owned(), file.clone())]));
+        let folder = FaultyStorage::from_image(BTreeMap::from([(FILE_NAME.to_owned(), file.clone())]));
         let (journal, report) =
             Journal::open(Arc::new(folder.clone()), options(Durability::Process)).expect("opens");
         assert_eq!(report.migrated, Some(2));
         assert_eq!(state(&journal), replay(&file).0);
-        assert!(!folder.list().expect("names").iter().any(|n| n == NAME));
+        assert!(!folder.list().expect("names").iter().any(|n| n == FILE_NAME));
     }
 
     #[test]
     fn a_take_over_that_is_cut_short_at_any_byte_loses_nothing() {
         for durability in [Durability::Process, Durability::Machine] {
             let (file, _) = written();
-            let before = BTreeMap::from([(NAME.to_owned(), file.clone()), (NEXT.to_owned(), vec![1, 2])]);
+            let before = BTreeMap::from([
+                (FILE_NAME.to_owned(), file.clone()),
+                (TEMP_FILE_NAME.to_owned(), vec![1, 2]),
+            ]);
             let folder = FaultyStorage::from_image(before.clone());
             Journal::open(Arc::new(folder.clone()), options(durability)).expect("opens");
             let mut replayed = Replay::from_image(&before);
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -1,7 +1,7 @@
 //! Plans the log: which segment a record goes to, when a new one begins, and what is to be done on disk, in
 //! which order. Does none of it: the operations wait in a queue that [`crate::journal`] works off.
 
-use crate::frame::{self, FRAME, HEADER, Header, SEAL_FRAME};
+use crate::frame::{self, FRAME_HEADER_BYTES, HEADER_BYTES, Header, SEAL_FRAME_BYTES};
 use crate::record::Record;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -27,27 +27,27 @@
 #[derive(Debug)]
 pub(crate) struct Segment {
     /// Sequence number of its first record.
-    pub first: u64,
+    pub first_seq: u64,
     /// Bytes, as planned.
     pub size: u64,
     /// Weight of the messages that begin in it: no more is copied to free it.
-    pub weight: u64,
+    pub reserved_bytes: u64,
 }
 
 /// What does not change while the log grows.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct LogConfig {
     /// Bytes of a segment, and weight of what begins in one.
     pub segment: u64,
-    pub machine: bool,
-    pub takeover: bool,
+    pub sync_writes: bool,
+    pub migration: bool,
 }
 
 /// A buffer is kept for the next write up to this size, bytes: one of a busy moment would stay for good.
-const BUFFER_MOST: usize = 128 * 1024;
+const MAX_BUFFER_BYTES: usize = 128 * 1024;
 
 pub(crate) struct Log {
-    shape: Shape,
+    config: LogConfig,
     segments: BTreeMap<u64, Segment>,
     next_number: u64,
     next_seq: u64,
@@ -59,26 +59,31 @@
     /// A buffer that was written, to be filled again.
     buffer: Vec<u8>,
     /// Up to here records are known to be on the device.
-    pub synced: u64,
+    pub synced_seq: u64,
     used: u64,
     size: u64,
 }
 
-fn on_disk(size: u64) -> u64 {
+fn disk_bytes(size: u64) -> u64 {
     size.next_multiple_of(512)
 }
 
 impl Log {
     /// Goes on behind these segments. The last one is written on if `go_on` says so.
-    pub fn new(shape: Shape, segments: BTreeMap<u64, Segment>, next: (u64, u64), go_on: bool) -> Self {
+    pub fn new(
+        config: LogConfig,
+        segments: BTreeMap<u64, Segment>,
+        next: (u64, u64),
+        append_to_last: bool,
+    ) -> Self {
         let (next_number, next_seq) = next;
         let (mut used, mut size) = (0, 0);
         for s in segments.values() {
-            used += on_disk(s.size);
+            used += disk_bytes(s.size);
             size += s.size;
         }
         let mut log = Log {
-            shape,
+            config,
             segments,
             next_number,
             next_seq,
@@ -86,11 +91,11 @@
             seals: VecDeque::new(),
             queue: VecDeque::new(),
             buffer: Vec::new(),
-            synced: 0,
+            synced_seq: 0,
             used,
             size,
         };
-        if !go_on || log.segments.is_empty() {
+        if !append_to_last || log.segments.is_empty() {
             log.begin();
         }
         log
@@ -108,12 +113,12 @@
 
     /// Bytes of memory: what waits to be written, and the tables.
     pub fn memory(&self) -> u64 {
-        let queued = |op: &Op| match op {
+        let pending_write = |op: &Op| match op {
             Op::Write { bytes, .. } => bytes.capacity(),
             Op::Create { .. } | Op::Sync | Op::Remove { .. } => 0,
         };
         let queue: usize =
-            self.queue.iter().map(queued).sum::<usize>() + self.queue.capacity() * size_of::<Op>();
+            self.queue.iter().map(pending_write).sum::<usize>() + self.queue.capacity() * size_of::<Op>();
         (queue + self.buffer.capacity() + self.segments.len() * 2 * size_of::<Segment>()) as u64
     }
 
@@ -134,13 +139,13 @@
         self.segments.keys().next_back().copied().unwrap_or(self.next_number)
     }
 
-    pub fn oldest_below(&self, number: u64) -> bool {
+    pub fn has_segment_below(&self, number: u64) -> bool {
         self.oldest() < number
     }
 
     /// Where the second-oldest segment begins; None while there is only one.
-    pub fn second(&self) -> Option<u64> {
-        self.segments.values().nth(1).map(|s| s.first)
+    pub fn second_segment_start(&self) -> Option<u64> {
+        self.segments.values().nth(1).map(|s| s.first_seq)
     }
 
     /// Begins a segment behind the others, which are then whole.
@@ -148,15 +153,15 @@
         let (number, oldest) = (self.next_number, self.oldest());
         self.next_number += 1;
         let header = Header {
-            machine: self.shape.machine,
-            takeover: self.shape.takeover,
+            sync_writes: self.config.sync_writes,
+            migration: self.config.migration,
             number,
-            first: self.next_seq,
+            first_seq: self.next_seq,
             oldest,
-            synced: self.synced,
+            synced_seq: self.synced_seq,
         };
         self.queue.push_back(Op::Create { number });
-        self.segments.insert(number, Segment { first: self.next_seq, size: 0, weight: 0 });
+        self.segments.insert(number, Segment { first_seq: self.next_seq, size: 0, reserved_bytes: 0 });
         self.write(number, &header.bytes());
     }
 
@@ -164,33 +169,33 @@
     pub fn roll(&mut self) {
         let old = self.newest();
         self.begin();
-        if self.shape.machine {
+        if self.config.sync_writes {
             // A seal says that the next segment exists, which a power cut must not make untrue.
             if let Some(s) = self.segments.get(&old) {
                 self.seals.push_back((self.last_seq().max(1), old, s.size));
             }
-            self.grow(old, SEAL_FRAME as u64);
+            self.extend_segment(old, SEAL_FRAME_BYTES as u64);
         } else {
             self.write(old, &frame::seal_frame(self.next_seq));
         }
     }
 
-    fn grow(&mut self, number: u64, bytes: u64) -> u64 {
+    fn extend_segment(&mut self, number: u64, bytes: u64) -> u64 {
         let Some(s) = self.segments.get_mut(&number) else { return 0 };
         let at = s.size;
         s.size += bytes;
-        self.used += on_disk(s.size) - on_disk(at);
+        self.used += disk_bytes(s.size) - disk_bytes(at);
         self.size += bytes;
         at
     }
 
     fn write(&mut self, number: u64, bytes: &[u8]) {
-        let at = self.grow(number, bytes.len() as u64);
-        self.queued(number, at).extend_from_slice(bytes);
+        let at = self.extend_segment(number, bytes.len() as u64);
+        self.pending_write(number, at).extend_from_slice(bytes);
     }
 
     /// Where bytes for this place go in the queue: what follows at once is one write.
-    fn queued(&mut self, number: u64, at: u64) -> &mut Vec<u8> {
+    fn pending_write(&mut self, number: u64, at: u64) -> &mut Vec<u8> {
         let follows = matches!(self.queue.back(),
             Some(Op::Write { number: n, at: a, bytes }) if *n == number && *a + bytes.len() as u64 == at);
         if !follows {
@@ -205,30 +210,31 @@
 
     /// Adds a record of a message that weighs `weight` if it begins with it, else 0. Returns its sequence
     /// number and its bytes.
-    pub fn put(&mut self, weight: u64, record: &Record) -> (u64, u64) {
-        let (size, active) = (FRAME as u64 + record.size(), self.newest());
+    pub fn put(&mut self, reserved_bytes: u64, record: &Record) -> (u64, u64) {
+        let (size, active) = (FRAME_HEADER_BYTES as u64 + record.size(), self.newest());
         let s = self.segments.get(&active);
-        let heavy = s.is_some_and(|s| s.weight > 0 && s.weight + weight > self.shape.segment);
-        let long = s.is_some_and(|s| {
-            s.size > HEADER as u64 && s.size + size + SEAL_FRAME as u64 > self.shape.segment
+        let exceeds_reservation = s
+            .is_some_and(|s| s.reserved_bytes > 0 && s.reserved_bytes + reserved_bytes > self.config.segment);
+        let exceeds_length = s.is_some_and(|s| {
+            s.size > HEADER_BYTES as u64 && s.size + size + SEAL_FRAME_BYTES as u64 > self.config.segment
         });
-        if (weight > 0 && heavy) || long {
+        if (reserved_bytes > 0 && exceeds_reservation) || exceeds_length {
             self.roll();
         }
         let active = self.newest();
         if let Some(s) = self.segments.get_mut(&active) {
-            s.weight += weight;
+            s.reserved_bytes += reserved_bytes;
         }
-        let (at, seq) = (self.grow(active, size), self.next_seq);
-        let to = self.queued(active, at);
-        frame::put_frame(to, seq, |to| record.put(to));
+        let (at, seq) = (self.extend_segment(active, size), self.next_seq);
+        let to = self.pending_write(active, at);
+        frame::put_frame(to, seq, |to| record.encode(to));
         self.next_seq += 1;
         (seq, size)
     }
 
     /// Gives up the oldest segment, in which nothing is needed any more. `at_once` syncs on the way, where
     /// that is needed, instead of waiting for the next sync.
-    pub fn retire(&mut self, at_once: bool) {
+    pub fn retire(&mut self, immediately: bool) {
         if self.segments.len() < 2 {
             return;
         }
@@ -238,12 +244,12 @@
         // After damage there may be none of the next number.
         let oldest = self.segments.first_key_value().map_or(number + 1, |(next, _)| *next);
         let (seq, _) = self.put(0, &Record::Trim { oldest });
-        let used = on_disk(segment.size);
-        if self.shape.machine && !at_once {
+        let used = disk_bytes(segment.size);
+        if self.config.sync_writes && !immediately {
             self.retiring.push_back((seq, number, used));
             return;
         }
-        if self.shape.machine {
+        if self.config.sync_writes {
             self.queue.push_back(Op::Sync);
             while let Some((_, number, used)) = self.retiring.pop_front() {
                 self.remove(number, used);
@@ -258,9 +264,9 @@
     }
 
     /// An operation is done.
-    pub fn done(&mut self, op: Op) {
+    pub fn finish_op(&mut self, op: Op) {
         if let Op::Write { mut bytes, .. } = op
-            && bytes.capacity() <= BUFFER_MOST
+            && bytes.capacity() <= MAX_BUFFER_BYTES
         {
             bytes.clear();
             self.buffer = bytes;
@@ -268,12 +274,12 @@
     }
 
     /// All up to `seq` is on the device: what waited for that follows.
-    pub fn synced(&mut self, seq: u64) {
-        self.synced = self.synced.max(seq);
+    pub fn mark_synced(&mut self, seq: u64) {
+        self.synced_seq = self.synced_seq.max(seq);
         while let Some((_, number, at)) = self.seals.pop_front_if(|(need, ..)| *need <= seq) {
-            let next = self.segments.range(number + 1..).next().map(|(_, s)| s.first);
+            let next = self.segments.range(number + 1..).next().map(|(_, s)| s.first_seq);
             if let Some(next) = next {
-                self.queued(number, at).extend_from_slice(&frame::seal_frame(next));
+                self.pending_write(number, at).extend_from_slice(&frame::seal_frame(next));
             }
         }
         while let Some((_, number, used)) = self.retiring.pop_front_if(|(need, ..)| *need <= seq) {
@@ -282,16 +288,16 @@
     }
 
     /// Begins a segment that is not part of a take-over.
-    pub fn end_takeover(&mut self) {
-        self.shape.takeover = false;
+    pub fn end_migration(&mut self) {
+        self.config.migration = false;
         self.roll();
     }
 
     /// What was to be sealed or removed waits for good: the device does not keep what is written.
-    pub fn distrust(&mut self) {
+    pub fn discard_pending_seals(&mut self) {
         self.seals.clear();
     }
 }
 
 /// Bytes that a frame adds to a record.
-pub(crate) const FRAME_BYTES: u64 = FRAME as u64;
+pub(crate) const FRAME_OVERHEAD_BYTES: u64 = FRAME_HEADER_BYTES as u64;
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -1,7 +1,7 @@
 //! How much room the journal has, how it is divided, and what a record on disk is worth.
 
 use crate::error::Error;
-use crate::frame::{FRAME, HEADER, SEAL_FRAME};
+use crate::frame::{FRAME_HEADER_BYTES, HEADER_BYTES, SEAL_FRAME_BYTES};
 use crate::record::{self, AcceptedMessage};
 
 /// When a record counts as kept.
@@ -49,17 +49,17 @@
 }
 
 /// A body of 64 KiB with an id, a key and headroom for names.
-const RECORD_MOST: usize = 72 * 1024;
+const DEFAULT_MAX_RECORD_BYTES: usize = 72 * 1024;
 /// Where there is little room a record is this share of it at most: one body must not fill a segment that
 /// then costs as much again to copy.
-const RECORD_SHARE: u64 = 16;
+const MIN_CAPACITY_IN_RECORDS: u64 = 16;
 /// Larger segments take longer to remove, and removal is one call on the serving thread.
-const SEGMENT_MOST: u64 = 4 * 1024 * 1024;
+const MAX_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
 /// Segments that the room is divided into, where they come out between the bounds.
-const SEGMENTS: u64 = 32;
+const TARGET_SEGMENTS: u64 = 32;
 /// With syncs all that lives may have to be written anew before anything old can go (a failed sync), so it
 /// takes less than half.
-const MACHINE_SHARE: f64 = 0.45;
+const MAX_SYNCED_LIVE_FRACTION: f64 = 0.45;
 
 impl Options {
     /// The settings of the platform's courier, with this much room.
@@ -67,7 +67,8 @@
         Options {
             capacity_bytes: room,
             segment_bytes: None,
-            max_record_bytes: RECORD_MOST.min(usize::try_from(room / RECORD_SHARE).unwrap_or(RECORD_MOST)),
+            max_record_bytes: DEFAULT_MAX_RECORD_BYTES
+                .min(usize::try_from(room / MIN_CAPACITY_IN_RECORDS).unwrap_or(DEFAULT_MAX_RECORD_BYTES)),
             durability: Durability::Process,
             preallocate: false,
             reserved_attempts: 6,
@@ -80,47 +81,51 @@
     /// Bytes of a segment. Also bounds the messages that begin in one, with all that they may still need: so
     /// much at most is copied before its room is free again.
     pub(crate) fn segment(&self) -> u64 {
-        let min_segment = self.frame_most() + self.trail(self.reserved_attempts);
+        let min_segment = self.max_frame_bytes() + self.followup_bytes(self.reserved_attempts);
         self.segment_bytes
-            .unwrap_or_else(|| (self.capacity_bytes / SEGMENTS).clamp(2 * min_segment, SEGMENT_MOST))
+            .unwrap_or_else(|| {
+                (self.capacity_bytes / TARGET_SEGMENTS).clamp(2 * min_segment, MAX_SEGMENT_BYTES)
+            })
             .max(min_segment)
     }
 
-    pub(crate) fn frame_most(&self) -> u64 {
-        (FRAME + self.max_record_bytes + HEADER + SEAL_FRAME) as u64
+    pub(crate) fn max_frame_bytes(&self) -> u64 {
+        (FRAME_HEADER_BYTES + self.max_record_bytes + HEADER_BYTES + SEAL_FRAME_BYTES) as u64
     }
 
     /// Room that only compaction may use: the copies out of one segment, and the heads of those they go to.
-    pub(crate) fn copy_room(&self) -> u64 {
+    pub(crate) fn compaction_reserve_bytes(&self) -> u64 {
         self.segment() + 8 * 512
     }
 
     /// What a message may add after its acceptance, frames included.
-    pub(crate) fn trail(&self, attempts: u64) -> u64 {
-        let frame = FRAME as u64;
+    pub(crate) fn followup_bytes(&self, attempts: u64) -> u64 {
+        let frame = FRAME_HEADER_BYTES as u64;
         attempts * (2 * frame + record::attempt_bytes(self.reserved_name_bytes) + record::NEVER_RAN_BYTES)
             + (frame + record::JUDGED_BYTES)
             + (frame + record::ENDED_BYTES)
     }
 
     /// All that a message may take.
-    pub(crate) fn weight(&self, accepted: &AcceptedMessage) -> u64 {
-        FRAME as u64 + record::snapshot_bytes(accepted) + self.trail(self.reserved_attempts)
+    pub(crate) fn reserved_bytes(&self, accepted: &AcceptedMessage) -> u64 {
+        FRAME_HEADER_BYTES as u64
+            + record::snapshot_bytes(accepted)
+            + self.followup_bytes(self.reserved_attempts)
     }
 
     /// What the weights of all live messages may come to.
-    pub(crate) fn live_most(&self) -> u64 {
+    pub(crate) fn max_live_bytes(&self) -> u64 {
         let share = match self.durability {
             Durability::Process => self.max_live_fraction,
-            Durability::Machine => self.max_live_fraction.min(MACHINE_SHARE),
+            Durability::Machine => self.max_live_fraction.min(MAX_SYNCED_LIVE_FRACTION),
         };
-        (self.capacity_bytes.saturating_sub(self.copy_room()) as f64 * share) as u64
+        (self.capacity_bytes.saturating_sub(self.compaction_reserve_bytes()) as f64 * share) as u64
     }
 
     /// # Errors
     /// [`Error::CapacityTooSmall`] if one message, its copy and the copies out of one segment do not fit.
     pub(crate) fn check(&self) -> Result<(), Error> {
-        let required = self.copy_room() + 4 * self.frame_most() + 4 * 1024;
+        let required = self.compaction_reserve_bytes() + 4 * self.max_frame_bytes() + 4 * 1024;
         let required = match self.durability {
             Durability::Process => required,
             Durability::Machine => required * 2,
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -159,38 +159,38 @@
 const NOTE: u8 = 11;
 
 /// Kind and number at the head of each record.
-const HEAD: usize = 1 + 8;
+const HEAD_BYTES: usize = 1 + 8;
 /// Bytes of these records, without their frames. A test holds them against what is written.
-pub(crate) const NEVER_RAN_BYTES: u64 = HEAD as u64 + 2;
-pub(crate) const JUDGED_BYTES: u64 = HEAD as u64 + VERDICT_BYTES;
-pub(crate) const ENDED_BYTES: u64 = HEAD as u64;
+pub(crate) const NEVER_RAN_BYTES: u64 = HEAD_BYTES as u64 + 2;
+pub(crate) const JUDGED_BYTES: u64 = HEAD_BYTES as u64 + VERDICT_BYTES;
+pub(crate) const ENDED_BYTES: u64 = HEAD_BYTES as u64;
 const VERDICT_BYTES: u64 = 1 + 8;
 /// A note's record without its key and its value.
-pub(crate) const NOTE_BYTES: u64 = HEAD as u64 + 2 + 4;
+pub(crate) const NOTE_BYTES: u64 = HEAD_BYTES as u64 + 2 + 4;
 /// An attempt within a snapshot, without its names.
 const SNAPSHOT_ATTEMPT_BYTES: u64 = 1 + 8 + 2 + 2;
 
 /// Bytes of an attempt's record with names of `names` bytes together.
 pub(crate) fn attempt_bytes(names: u64) -> u64 {
-    HEAD as u64 + 2 + 8 + 2 + 2 + names
+    HEAD_BYTES as u64 + 2 + 8 + 2 + 2 + names
 }
 
 /// Bytes of the snapshot of a message that has no attempts yet.
 pub(crate) fn snapshot_bytes(accepted: &AcceptedMessage) -> u64 {
     let texts = accepted.id.len() + accepted.class.len() + accepted.key.as_ref().map_or(0, String::len);
     let routed = accepted.routed.as_ref().map_or(0, routed_bytes);
-    HEAD as u64 + 8 + 8 + 8 + 2 + 2 + 1 + 2 + 2 + 1 + 4 + (texts + accepted.body.len() + routed) as u64
+    HEAD_BYTES as u64 + 8 + 8 + 8 + 2 + 2 + 1 + 2 + 2 + 1 + 4 + (texts + accepted.body.len() + routed) as u64
 }
 
 /// Whether a snapshot has the form that came with fronts that tell their clients how messages ended.
-fn is_owned(r: &RoutedRequest) -> bool {
+fn has_owner_fields(r: &RoutedRequest) -> bool {
     r.owner.is_some() || !r.remember_for.is_zero()
 }
 
 fn routed_bytes(r: &RoutedRequest) -> usize {
     let headers: usize = r.headers.iter().map(|(n, v)| 4 + n.len() + v.len()).sum();
     let order_key = r.order_key.as_ref().map_or(0, String::len);
-    let owner = if is_owned(r) { 1 + 2 + r.owner.as_ref().map_or(0, String::len) + 8 } else { 0 };
+    let owner = if has_owner_fields(r) { 1 + 2 + r.owner.as_ref().map_or(0, String::len) + 8 } else { 0 };
     owner
         + 8
         + 2
@@ -228,13 +228,13 @@
     to.put_u8(effect);
     to.put_u64_le(micros(window));
     put_option(to, r.order_key.as_deref());
-    if is_owned(r) {
+    if has_owner_fields(r) {
         put_option(to, r.owner.as_deref());
         to.put_u64_le(micros(r.remember_for));
     }
 }
 
-fn read_routed(f: &mut Fields, owned: bool) -> Option<RoutedRequest> {
+fn read_routed(f: &mut FieldReader, owned: bool) -> Option<RoutedRequest> {
     let (version, route, method, path) = (f.u64()?, f.text()?, f.text()?, f.text()?);
     let headers = (0..f.u16()?).map(|_| Some((f.text()?, f.text()?))).collect::<Option<Vec<_>>>()?;
     let (effect, window) = (f.byte()?, f.time()?);
@@ -282,7 +282,7 @@
     let accepted = &live.accepted;
     to.put_u8(match &accepted.routed {
         None => SNAPSHOT,
-        Some(routed) if is_owned(routed) => OWNED,
+        Some(routed) if has_owner_fields(routed) => OWNED,
         Some(_) => ROUTED,
     });
     to.put_u64_le(message);
@@ -326,15 +326,15 @@
             Record::Ended { .. } => ENDED_BYTES,
             Record::Kept { kept, .. } => {
                 let owner = kept.owner.as_ref().map_or(0, String::len);
-                HEAD as u64 + 2 + kept.id.len() as u64 + 1 + 2 + owner as u64 + VERDICT_BYTES + 8
+                HEAD_BYTES as u64 + 2 + kept.id.len() as u64 + 1 + 2 + owner as u64 + VERDICT_BYTES + 8
             }
             Record::Note { note, .. } => NOTE_BYTES + (note.key.len() + note.value.len()) as u64,
-            Record::Trim { .. } | Record::Synced { .. } => HEAD as u64,
+            Record::Trim { .. } | Record::Synced { .. } => HEAD_BYTES as u64,
         }
     }
 
     /// Writes the record without its frame.
-    pub(crate) fn put(&self, to: &mut Vec<u8>) {
+    pub(crate) fn encode(&self, to: &mut Vec<u8>) {
         let mut head = |kind: u8, number: u64| {
             to.put_u8(kind);
             to.put_u64_le(number);
@@ -382,8 +382,8 @@
     }
 
     /// Reads a record; None if it is none that this version writes.
-    pub(crate) fn read(bytes: &[u8]) -> Option<Record> {
-        let mut f = Fields(bytes);
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Record> {
+        let mut f = FieldReader(bytes);
         let (kind, number) = (f.byte()?, f.u64()?);
         let record = match kind {
             SNAPSHOT | ROUTED | OWNED => {
@@ -434,7 +434,7 @@
     }
 }
 
-fn read_snapshot(f: &mut Fields, kind: u8) -> Option<LiveMessage> {
+fn read_snapshot(f: &mut FieldReader, kind: u8) -> Option<LiveMessage> {
     let (accepted_at, deadline, destination) = (f.time()?, f.time()?, f.u64()?);
     let (id, class, key) = (f.text()?, f.text()?, f.option()?);
     let attempts = (0..f.u16()?)
@@ -452,14 +452,14 @@
 }
 
 /// None outside: not to be read; None inside: no verdict yet.
-fn read_verdict(f: &mut Fields) -> Option<Option<Verdict>> {
+fn read_verdict(f: &mut FieldReader) -> Option<Option<Verdict>> {
     match f.byte()? {
         0 => Some(None),
         kind => verdict_of(kind, f).map(Some),
     }
 }
 
-fn verdict_of(kind: u8, f: &mut Fields) -> Option<Verdict> {
+fn verdict_of(kind: u8, f: &mut FieldReader) -> Option<Verdict> {
     let wait = f.time()?;
     match kind {
         1 => Some(Verdict::Dead),
@@ -470,9 +470,9 @@
 }
 
 /// Reads fields; None once something does not fit.
-pub(crate) struct Fields<'a>(pub &'a [u8]);
+pub(crate) struct FieldReader<'a>(pub &'a [u8]);
 
-impl<'a> Fields<'a> {
+impl<'a> FieldReader<'a> {
     pub fn take(&mut self, n: usize) -> Option<&'a [u8]> {
         let (head, rest) = self.0.split_at_checked(n)?;
         self.0 = rest;
--- a/crates/journal/src/record_test.rs
+++ b/crates/journal/src/record_test.rs
@@ -2,7 +2,7 @@
 
 fn bytes(record: &Record) -> Vec<u8> {
     let mut to = Vec::new();
-    record.put(&mut to);
+    record.encode(&mut to);
     to
 }
 
@@ -73,11 +73,11 @@
 fn each_record_reads_back_and_no_part_of_one_does() {
     for record in all() {
         let whole = bytes(&record);
-        assert_eq!(Record::read(&whole).as_ref(), Some(&record));
+        assert_eq!(Record::decode(&whole).as_ref(), Some(&record));
         for cut in 0..whole.len() {
-            assert_eq!(Record::read(&whole[..cut]), None, "{record:?} cut at {cut}");
+            assert_eq!(Record::decode(&whole[..cut]), None, "{record:?} cut at {cut}");
         }
-        assert_eq!(Record::read(&[&whole[..], &[0]].concat()), None, "one byte more");
+        assert_eq!(Record::decode(&[&whole[..], &[0]].concat()), None, "one byte more");
     }
 }
 
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -2,17 +2,17 @@
 //! part that had been whole and cannot be read any more.
 
 use crate::error::{Damage, Error};
-use crate::frame::{self, BadHeader, Content, FORMAT_VERSION, HEADER, Header};
+use crate::frame::{self, Content, FORMAT_VERSION, HEADER_BYTES, Header, HeaderError};
 use crate::log::Segment;
 use crate::options::{Durability, Options};
 use crate::record::{EndedMessage, LiveMessage, Note, Record};
-use crate::state::{Item, State, lasting};
+use crate::state::{Item, State, with_end_record};
 use crate::storage::{Storage, read_into};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// Is shown each record that holds, with its sequence number.
-type See<'a> = Option<&'a mut dyn FnMut(u64, &Record)>;
+type Observer<'a> = Option<&'a mut dyn FnMut(u64, &Record)>;
 
 /// What the segments come to.
 #[derive(Default)]
@@ -24,7 +24,7 @@
     /// Segments that are there and not needed: trimmed, never begun, or behind a torn place.
     pub stale: Vec<u64>,
     /// Files in a segment's place whose head names another. Nothing in them is believed.
-    pub foreign: Vec<u64>,
+    pub misplaced: Vec<u64>,
     /// The last segment and its sound bytes, where it has more.
     pub cut: Option<(u64, u64)>,
     pub truncated_bytes: u64,
@@ -36,16 +36,16 @@
     /// Sequence number behind the last lost record: messages that begin before it may have been sent.
     pub lost_before: u64,
     /// Whether the last segment can be written on.
-    pub go_on: bool,
+    pub append_to_last: bool,
     /// All segments were written while an old format was being taken over.
-    pub takeover: bool,
+    pub migration: bool,
     /// Bytes that were read.
     pub read: u64,
 }
 
 /// A place behind which the log goes on, with something missing.
 #[derive(Clone, Copy)]
-struct Hole {
+struct Gap {
     number: u64,
     /// The last segment that it reaches into.
     to: u64,
@@ -59,14 +59,14 @@
 
 /// What one pass over the segments found.
 #[derive(Default)]
-struct Pass {
+struct Scan {
     state: State,
     segments: BTreeMap<u64, Segment>,
-    holes: Vec<Hole>,
+    gaps: Vec<Gap>,
     /// With the place of the record that says it.
     trims: Vec<(u64, u64, u64)>,
     /// Records up to here were on the device, as later ones tell.
-    synced: u64,
+    synced_seq: u64,
     next_seq: u64,
     cut: Option<(u64, u64)>,
     cut_bytes: u64,
@@ -80,20 +80,24 @@
 /// # Errors
 /// [`Error::NewerFormat`], or [`Error::Io`] with the file that could not be read. What is spoilt is no error
 /// here but a [`Damage`].
-pub(crate) fn recover(storage: &dyn Storage, options: &Options, see: See) -> Result<Recovered, Error> {
+pub(crate) fn recover(
+    storage: &dyn Storage,
+    options: &Options,
+    observe: Observer,
+) -> Result<Recovered, Error> {
     let names = storage.list().map_err(|e| Error::io("journal", "list", e))?;
     let numbers: BTreeSet<u64> = names.iter().filter_map(|n| frame::segment_number(n)).collect();
     let headers = headers(storage, &numbers)?;
-    let mut told = headers.values().filter_map(|head| match head {
-        Head::Sound(h) | Head::Foreign(h) => Some(h),
-        Head::Unreadable => None,
+    let mut known = headers.values().filter_map(|head| match head {
+        SegmentHeader::Sound(h) | SegmentHeader::Misplaced(h) => Some(h),
+        SegmentHeader::Unreadable => None,
     });
     // From the first that is there, also if it is not needed: so its neighbours' numbers are known.
     let from = numbers.first().copied().unwrap_or_default();
-    let mut first = pass(storage, options, &headers, from, None, None)?;
+    let mut first = scan(storage, options, &headers, from, None, None)?;
     // What stands behind a torn place was not synced either, so nothing of it was relied on: neither what it
     // says of older segments. Without that more of them are needed, which may show a place further back.
-    let mut limit: Option<Hole> = None;
+    let mut limit: Option<Gap> = None;
     let mut oldest = oldest_needed(&headers, &first, limit);
     while let Some(torn) = torn(&first, oldest)
         && limit.is_none_or(|l| (torn.number, torn.at) < (l.number, l.at))
@@ -102,12 +106,12 @@
         oldest = oldest_needed(&headers, &first, limit);
     }
     // Mostly that was all of it.
-    if see.is_some() || oldest != from || limit.is_some() {
-        first = pass(storage, options, &headers, oldest, limit, see)?;
+    if observe.is_some() || oldest != from || limit.is_some() {
+        first = scan(storage, options, &headers, oldest, limit, observe)?;
     }
-    let lost_before = first.holes.iter().map(|h| h.last_lost.saturating_add(1)).max().unwrap_or_default();
+    let lost_before = first.gaps.iter().map(|h| h.last_lost.saturating_add(1)).max().unwrap_or_default();
     let damages: Vec<Damage> = first
-        .holes
+        .gaps
         .iter()
         .map(|h| Damage {
             file: frame::segment_name(h.number),
@@ -120,28 +124,28 @@
     // Without damage a record without its message can only be one that the next snapshot took in.
     let lost_messages = match damages.is_empty() {
         true => Vec::new(),
-        false => first.state.headless().iter().copied().collect(),
+        false => first.state.orphans().iter().copied().collect(),
     };
-    let foreign = |n: &u64| matches!(headers.get(n), Some(Head::Foreign(_)));
+    let misplaced = |n: &u64| matches!(headers.get(n), Some(SegmentHeader::Misplaced(_)));
     let left = numbers.iter().copied().filter(|n| !first.segments.contains_key(n));
-    let (foreign, stale): (Vec<u64>, Vec<u64>) = left.partition(foreign);
+    let (misplaced, stale): (Vec<u64>, Vec<u64>) = left.partition(misplaced);
     let last = first.segments.keys().next_back().copied();
     Ok(Recovered {
-        go_on: damages.is_empty()
+        append_to_last: damages.is_empty()
             && !first.sealed
-            && last
-                .and_then(|n| headers.get(&n)?.sound())
-                .is_some_and(|h| !h.takeover && h.machine == (options.durability == Durability::Machine)),
-        takeover: told.all(|h| h.takeover),
-        damaged: first.holes.iter().map(|h| h.number).filter(|n| first.segments.contains_key(n)).collect(),
+            && last.and_then(|n| headers.get(&n)?.valid_end()).is_some_and(|h| {
+                !h.migration && h.sync_writes == (options.durability == Durability::Machine)
+            }),
+        migration: known.all(|h| h.migration),
+        damaged: first.gaps.iter().map(|h| h.number).filter(|n| first.segments.contains_key(n)).collect(),
         // Without a gap: one that never began, or is dropped, leaves its number to the next. Only what stands
         // there until all is salvaged does not.
-        next_number: last.max(foreign.last().copied()).map_or(oldest.max(1), |n| n + 1),
+        next_number: last.max(misplaced.last().copied()).map_or(oldest.max(1), |n| n + 1),
         next_seq: first.next_seq.max(1),
         state: first.state,
         segments: first.segments,
         stale,
-        foreign,
+        misplaced,
         cut: first.cut,
         truncated_bytes: first.cut_bytes,
         damages,
@@ -152,24 +156,24 @@
 }
 
 /// What stands at the head of a segment's file.
-enum Head {
+enum SegmentHeader {
     Sound(Header),
     /// Of another segment: whoever copied files about put it here. What it says of which segments are needed
     /// is that one's word, and would have segments removed that are needed here.
-    Foreign(Header),
+    Misplaced(Header),
     Unreadable,
 }
 
-impl Head {
-    fn sound(&self) -> Option<&Header> {
+impl SegmentHeader {
+    fn valid_end(&self) -> Option<&Header> {
         match self {
-            Head::Sound(header) => Some(header),
-            Head::Foreign(_) | Head::Unreadable => None,
+            SegmentHeader::Sound(header) => Some(header),
+            SegmentHeader::Misplaced(_) | SegmentHeader::Unreadable => None,
         }
     }
 }
 
-type Headers = BTreeMap<u64, Head>;
+type Headers = BTreeMap<u64, SegmentHeader>;
 
 fn headers(storage: &dyn Storage, numbers: &BTreeSet<u64>) -> Result<Headers, Error> {
     let mut headers = BTreeMap::new();
@@ -177,15 +181,15 @@
         let name = frame::segment_name(*number);
         let file = storage.open(&name).map_err(|e| Error::io(&name, "open", e))?;
         let size = file.size().map_err(|e| Error::io(&name, "size", e))?;
-        let mut head = vec![0; (HEADER as u64).min(size) as usize];
+        let mut head = vec![0; (HEADER_BYTES as u64).min(size) as usize];
         file.read_at(0, &mut head).map_err(|e| Error::io(&name, "read", e))?;
         let head = match Header::read(&head) {
-            Ok(header) if header.number == *number => Head::Sound(header),
-            Ok(header) => Head::Foreign(header),
-            Err(BadHeader::Newer(found)) => {
+            Ok(header) if header.number == *number => SegmentHeader::Sound(header),
+            Ok(header) => SegmentHeader::Misplaced(header),
+            Err(HeaderError::NewerVersion(found)) => {
                 return Err(Error::NewerFormat { file: name, found, known: FORMAT_VERSION });
             }
-            Err(BadHeader::Short | BadHeader::Spoilt) => Head::Unreadable,
+            Err(HeaderError::Truncated | HeaderError::Corrupt) => SegmentHeader::Unreadable,
         };
         headers.insert(*number, head);
     }
@@ -196,43 +200,43 @@
 /// then the nearest behind: the settings may have changed since, and a part that was whole would pass for a
 /// torn tail.
 fn written_with_syncs(headers: &Headers, number: u64, options: &Options) -> bool {
-    let before = headers.range(..=number).rev().find_map(|(_, h)| h.sound());
-    let nearest = before.or_else(|| headers.range(number..).find_map(|(_, h)| h.sound()));
-    nearest.map_or(options.durability == Durability::Machine, |h| h.machine)
+    let before = headers.range(..=number).rev().find_map(|(_, h)| h.valid_end());
+    let nearest = before.or_else(|| headers.range(number..).find_map(|(_, h)| h.valid_end()));
+    nearest.map_or(options.durability == Durability::Machine, |h| h.sync_writes)
 }
 
 /// The oldest segment that is needed, as all say that stand before `limit`.
-fn oldest_needed(headers: &Headers, pass: &Pass, limit: Option<Hole>) -> u64 {
+fn oldest_needed(headers: &Headers, scan: &Scan, limit: Option<Gap>) -> u64 {
     let kept = headers.iter().filter(|(n, _)| limit.is_none_or(|l| **n <= l.number));
-    let headers = kept.filter_map(|(_, h)| h.sound()).map(|h| h.oldest);
-    let before = pass.trims.iter().filter(|(n, at, _)| limit.is_none_or(|l| (*n, *at) < (l.number, l.at)));
+    let headers = kept.filter_map(|(_, h)| h.valid_end()).map(|h| h.oldest);
+    let before = scan.trims.iter().filter(|(n, at, _)| limit.is_none_or(|l| (*n, *at) < (l.number, l.at)));
     headers.chain(before.map(|(_, _, oldest)| *oldest)).max().unwrap_or_default()
 }
 
 /// The first hole that is no more than unsynced writes which a power cut took.
-fn torn(pass: &Pass, oldest: u64) -> Option<Hole> {
-    let holes = pass.holes.iter().filter(|h| h.to >= oldest);
-    holes.copied().find(|h| h.may_be_torn && h.first_lost > pass.synced)
+fn torn(scan: &Scan, oldest: u64) -> Option<Gap> {
+    let gaps = scan.gaps.iter().filter(|h| h.to >= oldest);
+    gaps.copied().find(|h| h.may_be_torn && h.first_lost > scan.synced_seq)
 }
 
 /// Reads all segments from `oldest` on, up to `limit`, and applies what is sound.
-fn pass(
+fn scan(
     storage: &dyn Storage,
     options: &Options,
     headers: &Headers,
     oldest: u64,
-    limit: Option<Hole>,
-    mut see: See,
-) -> Result<Pass, Error> {
-    let mut p = Pass::default();
+    limit: Option<Gap>,
+    mut observe: Observer,
+) -> Result<Scan, Error> {
+    let mut p = Scan::default();
     let mut buffer = Vec::new();
     let mut wanted = oldest;
     // The last segment that was whole had another behind it.
     let mut before = None;
     let last = headers.keys().next_back().copied();
-    let foreign = |from: u64| headers.range(from..).any(|(_, h)| matches!(h, Head::Foreign(_)));
+    let misplaced = |from: u64| headers.range(from..).any(|(_, h)| matches!(h, SegmentHeader::Misplaced(_)));
     for (number, header) in headers.range(oldest..) {
-        if matches!(header, Head::Foreign(_)) {
+        if matches!(header, SegmentHeader::Misplaced(_)) {
             // So its place counts as missing.
             continue;
         }
@@ -244,39 +248,39 @@
         read_into(&*file, &mut buffer).map_err(|e| Error::io(&name, "read", e))?;
         let bytes = &buffer[..];
         p.read += bytes.len() as u64;
-        let machine = written_with_syncs(headers, *number, options);
-        let header = header.sound();
-        let mut reader = Reader { bytes, number: *number, machine };
-        let begun = header.is_some() || reader.next(HEADER.min(bytes.len()), p.next_seq).is_some();
+        let sync_writes = written_with_syncs(headers, *number, options);
+        let header = header.valid_end();
+        let mut reader = Reader { bytes, number: *number, sync_writes };
+        let begun = header.is_some() || reader.next(HEADER_BYTES.min(bytes.len()), p.next_seq).is_some();
         if !begun && last == Some(*number) && !p.sealed {
             // Killed while it was begun: nothing was in it yet.
             p.cut_bytes += bytes.len() as u64;
             break;
         }
         if let Some(h) = header {
-            p.synced = p.synced.max(h.synced);
+            p.synced_seq = p.synced_seq.max(h.synced_seq);
             // Without what came before, its numbers begin here.
             if p.next_seq == 0 && wanted == *number {
-                p.next_seq = h.first;
+                p.next_seq = h.first_seq;
             }
         }
         if *number > wanted && wanted > 0 {
-            let first = header.map_or(p.next_seq, |h| h.first);
+            let first = header.map_or(p.next_seq, |h| h.first_seq);
             let lost = (p.next_seq, first.saturating_sub(1).max(p.next_seq));
-            p.holes.push(Hole {
+            p.gaps.push(Gap {
                 number: wanted,
                 to: number - 1,
                 at: 0,
                 why: "the segment is missing",
                 first_lost: lost.0,
                 last_lost: lost.1,
-                may_be_torn: machine
+                may_be_torn: sync_writes
                     && before.is_none_or(|sealed: bool| !sealed)
                     && !headers.contains_key(&wanted),
             });
             p.next_seq = p.next_seq.max(first);
         } else if header.is_none() && (begun || p.sealed) {
-            p.holes.push(Hole {
+            p.gaps.push(Gap {
                 number: *number,
                 to: *number,
                 at: 0,
@@ -284,69 +288,70 @@
                 first_lost: p.next_seq,
                 last_lost: if begun { p.next_seq.saturating_sub(1) } else { p.next_seq },
                 // The seal before it was written when this head was there.
-                may_be_torn: machine && !p.sealed,
+                may_be_torn: sync_writes && !p.sealed,
             });
             p.next_seq += u64::from(!begun);
         }
         wanted = number + 1;
-        let first = p.next_seq;
-        p.segments.insert(*number, Segment { first, size: bytes.len() as u64, weight: 0 });
+        let first_seq = p.next_seq;
+        p.segments.insert(*number, Segment { first_seq, size: bytes.len() as u64, reserved_bytes: 0 });
         p.sealed = false;
         p.cut = None;
         let end = limit.filter(|l| l.number == *number).map_or(bytes.len() as u64, |l| l.at);
         reader.bytes = &bytes[..end.min(bytes.len() as u64) as usize];
-        let sound = reader.read(&mut p, options, &mut see);
+        let valid_end = reader.read(&mut p, options, &mut observe);
         before = Some(p.sealed);
-        if sound < bytes.len() as u64 {
-            p.cut = Some((*number, sound));
+        if valid_end < bytes.len() as u64 {
+            p.cut = Some((*number, valid_end));
             // Known to be no hole only at the very end of the log.
             let behind = headers.range(number + 1..).any(|(n, _)| limit.is_none_or(|l| *n <= l.number));
             if behind {
-                let next = headers.range(number + 1..).find_map(|(n, h)| Some((n - 1, h.sound()?.first)));
+                let next =
+                    headers.range(number + 1..).find_map(|(n, h)| Some((n - 1, h.valid_end()?.first_seq)));
                 // What stands between the two is part of it, if no head says where it begins.
                 let (to, next) = next.unwrap_or((*number, p.next_seq));
                 // A torn seal hides nothing.
                 if next > p.next_seq {
-                    p.holes.push(Hole {
+                    p.gaps.push(Gap {
                         number: *number,
                         to,
-                        at: sound,
+                        at: valid_end,
                         why: "the bytes cannot be read",
                         first_lost: p.next_seq,
                         last_lost: next - 1,
-                        may_be_torn: machine,
+                        may_be_torn: sync_writes,
                     });
                     p.next_seq = next;
                 }
             }
         } else if let Some((_, h)) = headers.range(number + 1..).next()
             && limit.is_none_or(|l| l.number > *number)
-            && let Some(h) = h.sound()
-            && h.first > p.next_seq
+            && let Some(h) = h.valid_end()
+            && h.first_seq > p.next_seq
             && headers.contains_key(&wanted)
         {
             // It ends cleanly, and the next begins further on: its tail is gone.
-            p.holes.push(Hole {
+            p.gaps.push(Gap {
                 number: *number,
                 to: *number,
-                at: sound,
+                at: valid_end,
                 why: "the segment ends too early",
                 first_lost: p.next_seq,
-                last_lost: h.first - 1,
-                may_be_torn: machine && !p.sealed,
+                last_lost: h.first_seq - 1,
+                may_be_torn: sync_writes && !p.sealed,
             });
-            p.next_seq = h.first;
+            p.next_seq = h.first_seq;
         }
     }
     // Only of the last segment: what is torn in one before it may be the seal, and nothing follows it there.
-    if let Some((number, sound)) = p.cut
+    if let Some((number, valid_end)) = p.cut
         && let Some(s) = p.segments.get_mut(&number)
     {
-        p.cut_bytes += s.size - sound;
-        s.size = sound;
+        p.cut_bytes += s.size - valid_end;
+        s.size = valid_end;
     }
-    if limit.is_none() && (p.sealed || foreign(wanted.max(oldest))) {
-        p.holes.push(Hole {
+    if limit.is_none() && (p.sealed || misplaced(wanted.max(oldest))) {
+        p.gaps.push(Gap {
             number: wanted,
             to: wanted,
             at: 0,
@@ -363,7 +368,7 @@
 struct Reader<'a> {
     bytes: &'a [u8],
     number: u64,
-    machine: bool,
+    sync_writes: bool,
 }
 
 impl Reader<'_> {
@@ -372,22 +377,22 @@
     }
 
     /// Applies all sound frames; where the sound part ends.
-    fn read(&self, p: &mut Pass, options: &Options, see: &mut See) -> u64 {
-        let mut at = HEADER.min(self.bytes.len());
+    fn read(&self, p: &mut Scan, options: &Options, observe: &mut Observer) -> u64 {
+        let mut at = HEADER_BYTES.min(self.bytes.len());
         while at < self.bytes.len() {
             let frame = frame::frame_at(self.bytes, at).filter(|f| f.seq == p.next_seq);
             let frame = match frame {
                 Some(frame) => frame,
                 None => {
                     let Some(next) = self.next(at, p.next_seq) else { return at as u64 };
-                    p.holes.push(Hole {
+                    p.gaps.push(Gap {
                         number: self.number,
                         to: self.number,
                         at: at as u64,
                         why: "the bytes cannot be read",
                         first_lost: p.next_seq,
                         last_lost: next.seq.saturating_sub(1),
-                        may_be_torn: self.machine,
+                        may_be_torn: self.sync_writes,
                     });
                     next
                 }
@@ -404,19 +409,19 @@
                     p.next_seq = frame.seq + 1;
                     match record {
                         Record::Trim { oldest } => p.trims.push((self.number, frame.at as u64, oldest)),
-                        Record::Synced { upto } => p.synced = p.synced.max(upto),
+                        Record::Synced { upto } => p.synced_seq = p.synced_seq.max(upto),
                         _ => {}
                     }
-                    if let Some(see) = see {
-                        see(frame.seq, &record);
+                    if let Some(observe) = observe {
+                        observe(frame.seq, &record);
                     }
-                    let weight = match &record {
-                        Record::Snapshot { live, .. } => options.weight(&live.accepted),
-                        Record::Kept { .. } | Record::Note { .. } => lasting(bytes),
+                    let reserved_bytes = match &record {
+                        Record::Snapshot { live, .. } => options.reserved_bytes(&live.accepted),
+                        Record::Kept { .. } | Record::Note { .. } => with_end_record(bytes),
                         _ => 0,
                     };
                     if let Some(s) = p.segments.get_mut(&self.number) {
-                        s.weight += weight;
+                        s.reserved_bytes += reserved_bytes;
                     }
                     p.state.apply(record, frame.seq, bytes, options);
                 }
@@ -449,9 +454,9 @@
 pub fn read(
     storage: &dyn Storage,
     options: &Options,
-    see: &mut dyn FnMut(u64, &Record),
+    observe: &mut dyn FnMut(u64, &Record),
 ) -> Result<JournalContents, Error> {
-    let found = recover(storage, options, Some(see))?;
+    let found = recover(storage, options, Some(observe))?;
     let (mut ended_messages, mut notes) = (BTreeMap::new(), BTreeMap::new());
     for (number, item) in found.state.items() {
         match item {
--- a/crates/journal/src/storage/faulty.rs
+++ b/crates/journal/src/storage/faulty.rs
@@ -119,22 +119,22 @@
     fn write(&self, file: usize, at: u64, bytes: &[u8]) -> (usize, io::Result<()>) {
         let mut inner = self.inner();
         let step = Step::Write { file, at, bytes: bytes.to_vec() };
-        let (most, told) = match Self::fault(&mut inner, &step) {
+        let (most, outcome) = match Self::fault(&mut inner, &step) {
             None => (bytes.len(), Ok(())),
             Some(Fault::Fails(kind)) => (0, Err(kind)),
             Some(Fault::Short(n)) => (n.clamp(1, bytes.len()), Ok(())),
             Some(Fault::Torn(n, kind)) => (n.min(bytes.len()), Err(kind)),
         };
         let room = inner.room(file, at);
-        let (most, told) = match room < most as u64 {
+        let (most, outcome) = match room < most as u64 {
             true if room == 0 => (0, Err(io::ErrorKind::StorageFull)),
-            true => (room as usize, told),
-            false => (most, told),
+            true => (room as usize, outcome),
+            false => (most, outcome),
         };
         if most > 0 {
             inner.note(Step::Write { file, at, bytes: bytes[..most].to_vec() });
         }
-        (most, told.map_err(io::Error::from))
+        (most, outcome.map_err(io::Error::from))
     }
 }
 
@@ -240,11 +240,11 @@
     }
 
     fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<usize> {
-        let (n, told) = self.folder.write(self.file, at, bytes);
+        let (n, outcome) = self.folder.write(self.file, at, bytes);
         if n > 0 {
             self.content.write_at(at, &bytes[..n])?;
         }
-        told.map(|()| n)
+        outcome.map(|()| n)
     }
 
     fn set_size(&self, size: u64) -> io::Result<()> {
--- a/crates/journal/src/sync.rs
+++ b/crates/journal/src/sync.rs
@@ -32,8 +32,8 @@
 /// What a sync that failed leaves to be done. A second sync of the same file may succeed without having
 /// written what the first one lost, so none is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trust {
-    Well,
+pub(crate) enum DiskTrust {
+    Trusted,
     /// A fresh file, made for it and removed again, shows whether the device works.
     Probing,
     /// It does: all that lives is written anew behind the segments from before.
