--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, with the file it went wrong in and what to do.
+//! Errors of the journal. Messages name the file concerned and what the operator can do.
 
 use std::io;
 
@@ -44,21 +44,22 @@
     }
 }
 
-/// A part of the journal that cannot be read although it had been written: not the torn tail that a crash
-/// leaves. What it hid is told; messages that it may have been about count as sent.
+/// A part of the journal that had been written completely but can no longer be read, as opposed to the torn
+/// tail that a crash leaves. Messages that a lost record may concern are presumed sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}: byte {offset}: {why}; records {first_lost} to {last_lost} are lost")]
 pub struct Damage {
     pub file: String,
-    /// Where in the file, or 0 if it is missing.
+    /// Byte offset in the file; 0 if the file is missing.
     pub offset: u64,
     pub why: &'static str,
-    /// Sequence numbers of the records that it hid. None are lost if the second is the smaller.
+    /// Sequence numbers of the first and last lost record. No record is lost if `last_lost` is below
+    /// `first_lost`.
     pub first_lost: u64,
     pub last_lost: u64,
 }
 
-/// Why a new message is not taken on just now. What was accepted before is not touched by it.
+/// Why a new message is refused for now. Messages accepted earlier are not affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     #[error("the journal's room is taken up by messages that have not ended")]
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -1,35 +1,35 @@
-//! Segment files: their names, their header and the frames that hold records, and how a file is read that a
-//! crash or a fault of the disk may have left behind.
+//! Segment files: their names, headers and frames, and reading frames from a file that a crash or a disk
+//! fault may have damaged.
 
 use crate::record::Record;
 use bytes::BufMut;
 
-/// The version that is written. A higher one in a file ends the start.
+/// The format version that is written. The journal does not open if a file has a higher one.
 pub const FORMAT_VERSION: u16 = 1;
 const MAGIC: &[u8; 8] = b"SHEDJRNL";
 pub(crate) const HEADER_BYTES: usize = 8 + 2 + 2 + 8 + 8 + 8 + 8 + 4;
 /// Length, checksum and sequence number.
 pub(crate) const FRAME_HEADER_BYTES: usize = 4 + 4 + 8;
-/// No record is longer, whatever the settings: a copy holds its attempts, too, and a folder may come from a
-/// courier with other settings.
+/// Upper limit for any record, whatever the options: a copy also holds the attempts, and the files may come
+/// from a courier with other options.
 const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
-/// A frame that says: this segment is whole, and the next one exists. Its sequence number is the next
-/// segment's first, and is not used up by it.
+/// Payload of the frame that ends a complete segment and states that the next one exists. Its sequence number
+/// is that of the next segment's first record, which uses it again.
 const SEAL: &[u8] = b"sealed";
 pub(crate) const SEAL_FRAME_BYTES: usize = FRAME_HEADER_BYTES + SEAL.len();
 const SUFFIX: &str = ".seg";
 
-/// What a segment says of itself.
+/// Header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Header {
-    /// Written with syncs: what was not synced may be missing, in any order.
+    /// Written with syncs: after a power failure any part that was not synced may be missing.
     pub sync_writes: bool,
-    /// Written while an old format was being taken over.
+    /// Written during a migration from the old format.
     pub migration: bool,
     pub number: u64,
     /// Sequence number of its first record.
     pub first_seq: u64,
-    /// Segments below this number were not needed any more when it was begun.
+    /// Segments below this number held no live records when this one was created.
     pub oldest: u64,
     /// Records up to this sequence number were on the device.
     pub synced_seq: u64,
@@ -59,7 +59,8 @@
         if &bytes[..8] != MAGIC {
             return Err(HeaderError::Corrupt);
         }
-        // All versions keep these bytes and their checksum: a flipped bit must not look like a newer format.
+        // All versions keep these bytes and their checksum, so that a flipped bit is not taken for a newer
+        // format.
         if sound && u16_at(8) > FORMAT_VERSION {
             return Err(HeaderError::NewerVersion(u16_at(8)));
         }
@@ -94,15 +95,15 @@
     format!("{number:016x}{SUFFIX}")
 }
 
-/// The number that a file's name gives, if it is a segment's.
+/// The segment number in a file name, if it is the name of a segment.
 pub(crate) fn segment_number(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(SUFFIX).filter(|d| d.len() == 16)?;
-    // Names are compared as they are written: other spellings of a number are other files.
+    // Only the canonical spelling counts: another spelling of the number is another file.
     let number = u64::from_str_radix(digits, 16).ok()?;
     (segment_name(number) == name).then_some(number)
 }
 
-/// Puts a frame round what `fill` writes.
+/// Appends a frame whose payload `fill` writes.
 pub(crate) fn put_frame(to: &mut Vec<u8>, seq: u64, fill: impl FnOnce(&mut Vec<u8>)) {
     let at = to.len();
     to.put_bytes(0, FRAME_HEADER_BYTES);
@@ -120,7 +121,8 @@
     to
 }
 
-/// Over all of a frame but the checksum itself, so that a flipped bit in the length or the number shows too.
+/// Covers the whole frame except the checksum itself, so that a flipped bit in the length or the sequence
+/// number is detected too.
 fn checksum(frame: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(&frame[..4]);
@@ -128,14 +130,14 @@
     sum.finalize()
 }
 
-/// What stands in a frame.
+/// Payload of a frame.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Content {
     Record(Record),
     Seal,
 }
 
-/// One sound frame.
+/// A valid frame.
 #[derive(Debug)]
 pub(crate) struct Frame {
     pub at: usize,
@@ -144,14 +146,14 @@
     pub content: Content,
 }
 
-/// Reads the frame at `at`, if a sound one stands there.
+/// Reads the frame at offset `at`, if it is valid.
 pub(crate) fn frame_at(bytes: &[u8], at: usize) -> Option<Frame> {
     let rest = bytes.get(at..)?;
     if rest.len() <= FRAME_HEADER_BYTES {
         return None;
     }
     let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
-    // A length that no record has is part of a torn or spoilt frame, not a reason to read on.
+    // A length that no record has belongs to a torn or corrupt frame.
     if length == 0 || length > MAX_RECORD_BYTES || FRAME_HEADER_BYTES + length > rest.len() {
         return None;
     }
@@ -168,10 +170,11 @@
     Some(Frame { at, end: at + frame.len(), seq, content })
 }
 
-/// The first sound frame at or behind `at` that goes on from `expected` or later, after bytes that cannot be
-/// read. Few offsets look like a frame at all, so few checksums are taken.
+/// Finds the first valid frame at or after `at` whose sequence number is `expected` or higher, to
+/// resynchronise after corrupt bytes. The check of the sequence number comes first, so few checksums are
+/// computed.
 pub(crate) fn next_frame(bytes: &[u8], at: usize, expected: u64) -> Option<Frame> {
-    // Each lost record took a byte at least.
+    // Each lost record took at least one byte.
     let seqs = expected..=expected.saturating_add(bytes.len() as u64);
     (at..bytes.len().saturating_sub(FRAME_HEADER_BYTES)).find_map(|at| {
         seqs.contains(&u64_le(&bytes[at + 8..at + FRAME_HEADER_BYTES])).then(|| frame_at(bytes, at)).flatten()
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -1,12 +1,11 @@
-//! Plans the log: which segment a record goes to, when a new one begins, and what is to be done on disk, in
-//! which order. Does none of it: the operations wait in a queue that [`crate::journal`] works off.
+//! Plans the log: the segment for each record, when to start a new segment, and the order of disk operations.
+//! It does no I/O; [`crate::journal`] executes the queued operations.
 
 use crate::frame::{self, FRAME_HEADER_BYTES, HEADER_BYTES, Header, SEAL_FRAME_BYTES};
 use crate::record::Record;
 use std::collections::{BTreeMap, VecDeque};
 
-/// One call, or a run of writes, on the disk. They are done in order: a prefix of them is what a crash
-/// leaves.
+/// A disk operation. Operations are executed in order, so a crash leaves the effects of a prefix.
 #[derive(Debug)]
 pub(crate) enum Op {
     Create {
@@ -17,7 +16,7 @@
         at: u64,
         bytes: Vec<u8>,
     },
-    /// Everything up to here onto the device, before what follows.
+    /// Syncs everything queued so far before the next operation.
     Sync,
     Remove {
         number: u64,
@@ -28,22 +27,24 @@
 pub(crate) struct Segment {
     /// Sequence number of its first record.
     pub first_seq: u64,
-    /// Bytes, as planned.
+    /// Size in bytes, including queued writes.
     pub size: u64,
-    /// Weight of the messages that begin in it: no more is copied to free it.
+    /// Space reserved for the messages that begin in it, which limits the bytes to copy before it can be
+    /// removed.
     pub reserved_bytes: u64,
 }
 
-/// What does not change while the log grows.
+/// Settings that do not change while the log is open.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LogConfig {
-    /// Bytes of a segment, and weight of what begins in one.
+    /// Segment size in bytes, and upper limit for the space reserved for messages that begin in a segment.
     pub segment: u64,
     pub sync_writes: bool,
     pub migration: bool,
 }
 
-/// A buffer is kept for the next write up to this size, bytes: one of a busy moment would stay for good.
+/// Larger write buffers are freed instead of being reused: a load peak would otherwise hold its memory
+/// forever.
 const MAX_BUFFER_BYTES: usize = 128 * 1024;
 
 pub(crate) struct Log {
@@ -51,14 +52,16 @@
     segments: BTreeMap<u64, Segment>,
     next_number: u64,
     next_seq: u64,
-    /// Not needed any more, but not removed before the record that says so is on the device.
+    /// Segments without live records that wait until their `Trim` record is on the device: sequence number of
+    /// that record, segment number, bytes on disk.
     retiring: VecDeque<(u64, u64, u64)>,
-    /// To be sealed once all up to the sequence number is on the device: the number and where.
+    /// Seals that wait until all records of their segment are on the device: sequence number, segment number,
+    /// offset.
     seals: VecDeque<(u64, u64, u64)>,
     pub queue: VecDeque<Op>,
-    /// A buffer that was written, to be filled again.
+    /// A buffer that was written and can be reused.
     buffer: Vec<u8>,
-    /// Up to here records are known to be on the device.
+    /// Records up to this sequence number are known to be on the device.
     pub synced_seq: u64,
     used: u64,
     size: u64,
@@ -69,7 +72,7 @@
 }
 
 impl Log {
-    /// Goes on behind these segments. The last one is written on if `go_on` says so.
+    /// Continues after these segments; appends to the last one if `append_to_last` is set.
     pub fn new(
         config: LogConfig,
         segments: BTreeMap<u64, Segment>,
@@ -101,17 +104,17 @@
         log
     }
 
-    /// Bytes of all segments, each counted in whole 512, those included that wait to be removed.
+    /// Bytes on disk of all segments, each rounded up to 512, including segments that wait for removal.
     pub fn used(&self) -> u64 {
         self.used
     }
 
-    /// Bytes of the segments that are needed.
+    /// Bytes of all segments that do not wait for removal.
     pub fn size(&self) -> u64 {
         self.size
     }
 
-    /// Bytes of memory: what waits to be written, and the tables.
+    /// Memory in bytes for queued writes and tables.
     pub fn memory(&self) -> u64 {
         let pending_write = |op: &Op| match op {
             Op::Write { bytes, .. } => bytes.capacity(),
@@ -143,12 +146,12 @@
         self.oldest() < number
     }
 
-    /// Where the second-oldest segment begins; None while there is only one.
+    /// Sequence number at which the second-oldest segment begins; `None` if there is only one segment.
     pub fn second_segment_start(&self) -> Option<u64> {
         self.segments.values().nth(1).map(|s| s.first_seq)
     }
 
-    /// Begins a segment behind the others, which are then whole.
+    /// Starts a new segment; the others are then complete.
     pub fn begin(&mut self) {
         let (number, oldest) = (self.next_number, self.oldest());
         self.next_number += 1;
@@ -165,12 +168,13 @@
         self.write(number, &header.bytes());
     }
 
-    /// Ends the newest segment and begins another.
+    /// Seals the newest segment and starts a new one.
     pub fn roll(&mut self) {
         let old = self.newest();
         self.begin();
         if self.config.sync_writes {
-            // A seal says that the next segment exists, which a power cut must not make untrue.
+            // A seal states that the next segment exists. It is written only after that is on the device, so
+            // that a power failure cannot make it wrong.
             if let Some(s) = self.segments.get(&old) {
                 self.seals.push_back((self.last_seq().max(1), old, s.size));
             }
@@ -194,7 +198,7 @@
         self.pending_write(number, at).extend_from_slice(bytes);
     }
 
-    /// Where bytes for this place go in the queue: what follows at once is one write.
+    /// The buffer of the queued write for this place; contiguous writes are merged.
     fn pending_write(&mut self, number: u64, at: u64) -> &mut Vec<u8> {
         let follows = matches!(self.queue.back(),
             Some(Op::Write { number: n, at: a, bytes }) if *n == number && *a + bytes.len() as u64 == at);
@@ -208,8 +212,8 @@
         }
     }
 
-    /// Adds a record of a message that weighs `weight` if it begins with it, else 0. Returns its sequence
-    /// number and its bytes.
+    /// Appends a record. `reserved_bytes` is the reservation of a message that begins with it, else 0.
+    /// Returns the sequence number and the size in bytes.
     pub fn put(&mut self, reserved_bytes: u64, record: &Record) -> (u64, u64) {
         let (size, active) = (FRAME_HEADER_BYTES as u64 + record.size(), self.newest());
         let s = self.segments.get(&active);
@@ -232,8 +236,8 @@
         (seq, size)
     }
 
-    /// Gives up the oldest segment, in which nothing is needed any more. `at_once` syncs on the way, where
-    /// that is needed, instead of waiting for the next sync.
+    /// Removes the oldest segment, which has no live records. With `immediately`, queues the sync that this
+    /// needs instead of waiting for the next one.
     pub fn retire(&mut self, immediately: bool) {
         if self.segments.len() < 2 {
             return;
@@ -241,7 +245,7 @@
         let Some((number, segment)) = self.segments.pop_first() else { return };
         self.size -= segment.size;
         self.seals.retain(|(_, n, _)| *n != number);
-        // After damage there may be none of the next number.
+        // After damage the next number may be missing.
         let oldest = self.segments.first_key_value().map_or(number + 1, |(next, _)| *next);
         let (seq, _) = self.put(0, &Record::Trim { oldest });
         let used = disk_bytes(segment.size);
@@ -263,7 +267,7 @@
         self.queue.push_back(Op::Remove { number });
     }
 
-    /// An operation is done.
+    /// Takes back an executed operation to reuse its buffer.
     pub fn finish_op(&mut self, op: Op) {
         if let Op::Write { mut bytes, .. } = op
             && bytes.capacity() <= MAX_BUFFER_BYTES
@@ -273,7 +277,8 @@
         }
     }
 
-    /// All up to `seq` is on the device: what waited for that follows.
+    /// Records that all records up to `seq` are on the device, and queues the seals and removals that waited
+    /// for that.
     pub fn mark_synced(&mut self, seq: u64) {
         self.synced_seq = self.synced_seq.max(seq);
         while let Some((_, number, at)) = self.seals.pop_front_if(|(need, ..)| *need <= seq) {
@@ -287,13 +292,13 @@
         }
     }
 
-    /// Begins a segment that is not part of a take-over.
+    /// Starts a segment that is not part of the migration.
     pub fn end_migration(&mut self) {
         self.config.migration = false;
         self.roll();
     }
 
-    /// What was to be sealed or removed waits for good: the device does not keep what is written.
+    /// Drops the pending seals after a failed sync: the records before them may not be on the device.
     pub fn discard_pending_seals(&mut self) {
         self.seals.clear();
     }
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -1,68 +1,69 @@
-//! How much room the journal has, how it is divided, and what a record on disk is worth.
+//! Journal options: capacity, how it is divided, and durability.
 
 use crate::error::Error;
 use crate::frame::{FRAME_HEADER_BYTES, HEADER_BYTES, SEAL_FRAME_BYTES};
 use crate::record::{self, AcceptedMessage};
 
-/// When a record counts as kept.
+/// When a record counts as durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Durability {
-    /// Once it is written: it outlasts the process, also SIGKILL, not a power cut.
+    /// After the write: it survives a crash of the process, including SIGKILL, but not a power failure.
     #[default]
     Process,
-    /// Once it is synced: it outlasts a power cut.
+    /// After the sync: it survives a power failure.
     Machine,
 }
 
-/// What a start does with a journal of which a part cannot be read.
+/// What to do at startup if a part of the journal cannot be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OnDamage {
-    /// Goes on with what can be read; whatever may have been hidden counts as sent.
+    /// Continue with the readable records; messages that a lost record may concern are presumed sent.
     #[default]
     Salvage,
-    /// Ends, with nothing changed.
+    /// Refuse to start and leave all files unchanged.
     Stop,
 }
 
-/// The settings of a journal.
+/// Options of a journal.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Bytes that all its files may take, each counted in whole 512.
+    /// Maximum total size of all files in bytes, each rounded up to 512.
     pub capacity_bytes: u64,
-    /// Bytes of a segment; None for a share of the room.
+    /// Segment size in bytes; `None` derives it from the capacity.
     pub segment_bytes: Option<u64>,
-    /// Bytes of the longest record: a body with its head.
+    /// Maximum size of a record in bytes: a body with its header fields.
     pub max_record_bytes: usize,
     pub durability: Durability,
-    /// Sets room aside on the disk itself for what accepted messages may still need, so that nothing else
-    /// can take it.
+    /// Preallocates disk space for records that accepted messages may still need, so that no other program
+    /// can use it.
     pub preallocate: bool,
-    /// Attempts for which room is kept, and bytes of the host's and zone's name together in each. What goes
-    /// beyond takes other room, and is refused where there is none.
+    /// Attempts per message for which space is reserved, and bytes reserved in each for the names of host and
+    /// zone together. Attempts beyond that use free space and are refused if there is none.
     pub reserved_attempts: u64,
     pub reserved_name_bytes: u64,
-    /// Share of the room that live messages may take, with all that they may still need.
+    /// Maximum fraction of the capacity for live messages, including the space reserved for them.
     pub max_live_fraction: f64,
     pub on_damage: OnDamage,
 }
 
 /// A body of 64 KiB with an id, a key and headroom for names.
 const DEFAULT_MAX_RECORD_BYTES: usize = 72 * 1024;
-/// Where there is little room a record is this share of it at most: one body must not fill a segment that
-/// then costs as much again to copy.
+/// Lower bound of the capacity in records of maximum size: with a small capacity the maximum record size is
+/// reduced, because a body that fills a segment costs as much again to copy.
 const MIN_CAPACITY_IN_RECORDS: u64 = 16;
-/// Larger segments take longer to remove, and removal is one call on the serving thread.
+/// Removing a segment is one call on the serving thread, and takes longer for larger segments.
 const MAX_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
-/// Segments that the room is divided into, where they come out between the bounds.
+/// Number of segments that the capacity is divided into, unless the size limits of a segment give another
+/// number.
 const TARGET_SEGMENTS: u64 = 32;
-/// With syncs all that lives may have to be written anew before anything old can go (a failed sync), so it
-/// takes less than half.
+/// After a failed sync all live records may have to be rewritten before any old segment can be removed, so
+/// they may take less than half of the capacity.
 const MAX_SYNCED_LIVE_FRACTION: f64 = 0.45;
 
 impl Options {
-    /// The settings of the platform's courier, with this much room.
+    /// The options of the platform's courier, with this capacity in bytes.
     pub fn new(room: u64) -> Self {
         Options {
             capacity_bytes: room,
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Bytes of a segment. Also bounds the messages that begin in one, with all that they may still need: so
-    /// much at most is copied before its room is free again.
+    /// Segment size in bytes. It also limits the space reserved for the messages that begin in one segment,
+    /// and so the bytes that must be copied before the segment can be removed.
     pub(crate) fn segment(&self) -> u64 {
         let min_segment = self.max_frame_bytes() + self.followup_bytes(self.reserved_attempts);
         self.segment_bytes
@@ -93,12 +94,13 @@
         (FRAME_HEADER_BYTES + self.max_record_bytes + HEADER_BYTES + SEAL_FRAME_BYTES) as u64
     }
 
-    /// Room that only compaction may use: the copies out of one segment, and the heads of those they go to.
+    /// Space in bytes that only compaction may use: the copies out of one segment, and the headers of the
+    /// segments they are written to.
     pub(crate) fn compaction_reserve_bytes(&self) -> u64 {
         self.segment() + 8 * 512
     }
 
-    /// What a message may add after its acceptance, frames included.
+    /// Maximum number of bytes that a message adds after its acceptance, including frames.
     pub(crate) fn followup_bytes(&self, attempts: u64) -> u64 {
         let frame = FRAME_HEADER_BYTES as u64;
         attempts * (2 * frame + record::attempt_bytes(self.reserved_name_bytes) + record::NEVER_RAN_BYTES)
@@ -106,14 +108,14 @@
             + (frame + record::ENDED_BYTES)
     }
 
-    /// All that a message may take.
+    /// Maximum number of bytes that a message takes in the log.
     pub(crate) fn reserved_bytes(&self, accepted: &AcceptedMessage) -> u64 {
         FRAME_HEADER_BYTES as u64
             + record::snapshot_bytes(accepted)
             + self.followup_bytes(self.reserved_attempts)
     }
 
-    /// What the weights of all live messages may come to.
+    /// Upper limit for the sum of the space reserved for all live messages.
     pub(crate) fn max_live_bytes(&self) -> u64 {
         let share = match self.durability {
             Durability::Process => self.max_live_fraction,
@@ -122,6 +124,8 @@
         (self.capacity_bytes.saturating_sub(self.compaction_reserve_bytes()) as f64 * share) as u64
     }
 
+    /// Checks that the capacity is large enough.
+    ///
     /// # Errors
     /// [`Error::CapacityTooSmall`] if one message, its copy and the copies out of one segment do not fit.
     pub(crate) fn check(&self) -> Result<(), Error> {
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,89 +1,90 @@
-//! What the journal keeps of a message, and how each record is written. `docs/journal-format.md` gives the
-//! same byte by byte. Integers are little-endian.
+//! The record types and their encoding, which `docs/journal-format.md` specifies byte by byte. Integers are
+//! little-endian.
 
 use bytes::{BufMut, Bytes};
 use stairshed_decide::interface::{Effect, KeyScope};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A message as its client handed it in.
+/// A message as its client submitted it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedMessage {
     pub id: String,
     pub class: String,
     pub destination: u64,
     pub key: Option<String>,
-    /// When it was taken on, Unix time; zero if that is not known (the old format).
+    /// Time of acceptance, Unix time; zero if unknown, as in the old format.
     pub accepted_at: Duration,
-    /// When its time is up, Unix time.
+    /// Time after which the message is not delivered any more, Unix time.
     pub deadline: Duration,
     pub body: Bytes,
-    /// How an operator's route sends it on; None for the platform's messages.
+    /// The request that an operator's route made of it; `None` for a message in the platform protocol.
     pub routed: Option<RoutedRequest>,
 }
 
-/// What a route made of a message. On record, so that it is sent by one version of the configuration from its
-/// start to its end, whatever has changed since.
+/// The request that a route made of a message. It is recorded so that all attempts use the same version of
+/// the configuration, whatever has changed since.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutedRequest {
-    /// The version; 0 for the operator's file.
+    /// Version of the configuration; 0 for the operator's file.
     pub version: u64,
     pub route: String,
     pub method: String,
     pub path: String,
     pub headers: Vec<(String, String)>,
-    /// What a repeat did by the class as it was: a class that changes later is never less strict for it.
+    /// The effect of the class at acceptance: a later change of the class must not relax it.
     pub effect: Effect,
-    /// What it is ordered by, where its class asks for that.
+    /// Key by which its class orders messages, if it does.
     pub order_key: Option<String>,
-    /// The client that is told how it ended, where its front tells that: see [`EndedMessage::owner`].
+    /// The client that is notified of the outcome, if its protocol supports that; see
+    /// [`EndedMessage::owner`].
     pub owner: Option<String>,
-    /// How long its id is remembered from when it was taken on, though it has ended: a repeat within that time
-    /// is known as one. Zero for not at all.
+    /// How long the id is remembered after acceptance, even if the message has ended, so that a duplicate is
+    /// recognised. Zero if it is not remembered.
     pub remember_for: Duration,
 }
 
-/// What stays of a message that has ended, for as long as a repeat of it must be known as one, or its client
-/// has not been told how it ended.
+/// What is kept of an ended message while a duplicate of it must be recognised or its client has not
+/// acknowledged the outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedMessage {
     pub id: String,
-    /// The client that is told how it ended; None for one that is not told, or has been.
+    /// The client to notify of the outcome; `None` if there is none, or if it has been notified.
     pub owner: Option<String>,
-    /// None if it was delivered.
+    /// `None` if the message was delivered.
     pub verdict: Option<Verdict>,
-    /// Until when its id is remembered, Unix time.
+    /// Time until which the id is remembered, Unix time.
     pub until: Duration,
 }
 
-/// A few bytes under a name, for another part of the courier that must outlast the process: the state of an
-/// MQTT session, say.
+/// A named value that another part of the courier stores across restarts, such as the state of an MQTT
+/// session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Note {
     pub key: String,
     pub value: Bytes,
 }
 
-/// An attempt, recorded before its first byte goes out.
+/// An attempt. It is recorded before its first byte is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Empty where the record of the attempt itself was lost: see [`crate::Damage`].
+    /// Empty if the record of the attempt was lost; see [`crate::Damage`].
     pub host: String,
     pub zone: String,
-    /// Unix time.
+    /// Time of the attempt, Unix time.
     pub sent_at: Duration,
-    /// Whether it may have run; true until an outcome proves the contrary.
+    /// Whether the message may have taken effect; true until an outcome proves that it did not.
     pub may_have_run: bool,
 }
 
 impl Attempt {
-    /// An attempt that a lost part of the journal may have held: it may have run, anywhere.
+    /// An attempt that a lost record may have described: it may have run, at an unknown host.
     pub(crate) fn unknown(sent_at: Duration) -> Self {
         Attempt { host: String::new(), zone: String::new(), sent_at, may_have_run: true }
     }
 }
 
-/// How a message ends that is not delivered.
+/// How a message ends if it is not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Dead,
@@ -95,20 +96,20 @@
 pub struct LiveMessage {
     pub accepted: Rc<AcceptedMessage>,
     pub attempts: Vec<Attempt>,
-    /// Decided, but the notice is not acknowledged.
+    /// Set once decided; the notice of it is not acknowledged yet.
     pub verdict: Option<Verdict>,
 }
 
 /// One record of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// A message whole, as it stands: at its acceptance, and each time that compaction copies it. Takes the
-    /// place of all that came before it under this number.
+    /// The complete state of a message, written at its acceptance and whenever compaction copies it. Replaces
+    /// all earlier records of this number.
     Snapshot {
         message: u64,
         live: LiveMessage,
     },
-    /// Carries the attempt's place in the list, so that it can be applied twice without harm.
+    /// Contains the index of the attempt, so that applying the record twice has no effect.
     Attempt {
         message: u64,
         index: u16,
@@ -125,21 +126,21 @@
     Ended {
         message: u64,
     },
-    /// What stays of a message. Takes the place of all that came before it under this number.
+    /// What is kept of an ended message. Replaces all earlier records of this number.
     Kept {
         message: u64,
         kept: Rc<EndedMessage>,
     },
-    /// A note. Takes the place of the one before it under this number, which is of the messages' numbers.
+    /// A note. Replaces the earlier note of this number; notes and messages share one number range.
     Note {
         number: u64,
         note: Rc<Note>,
     },
-    /// Segments below this number hold nothing that is still needed, and may be gone.
+    /// Segments below this number hold no live records and may have been removed.
     Trim {
         oldest: u64,
     },
-    /// All records up to this sequence number were on the device when this one was written.
+    /// All records up to this sequence number were on the device when this record was written.
     Synced {
         upto: u64,
     },
@@ -152,37 +153,38 @@
 const ENDED: u8 = 5;
 const TRIM: u8 = 6;
 const SYNCED: u8 = 7;
-/// A snapshot with [`RoutedRequest`] behind it; and one with its owner and for how long it is remembered, too.
+/// A snapshot followed by a [`RoutedRequest`]; `OWNED` adds the owner and the time for which the id is
+/// remembered.
 const ROUTED: u8 = 8;
 const OWNED: u8 = 9;
 const KEPT: u8 = 10;
 const NOTE: u8 = 11;
 
-/// Kind and number at the head of each record.
+/// Kind and number, which start every record.
 const HEAD_BYTES: usize = 1 + 8;
-/// Bytes of these records, without their frames. A test holds them against what is written.
+/// Encoded sizes of these records without their frames. A test compares them with the encoded records.
 pub(crate) const NEVER_RAN_BYTES: u64 = HEAD_BYTES as u64 + 2;
 pub(crate) const JUDGED_BYTES: u64 = HEAD_BYTES as u64 + VERDICT_BYTES;
 pub(crate) const ENDED_BYTES: u64 = HEAD_BYTES as u64;
 const VERDICT_BYTES: u64 = 1 + 8;
-/// A note's record without its key and its value.
+/// Size of a note's record without key and value.
 pub(crate) const NOTE_BYTES: u64 = HEAD_BYTES as u64 + 2 + 4;
-/// An attempt within a snapshot, without its names.
+/// Size of an attempt within a snapshot, without its names.
 const SNAPSHOT_ATTEMPT_BYTES: u64 = 1 + 8 + 2 + 2;
 
-/// Bytes of an attempt's record with names of `names` bytes together.
+/// Size of an attempt's record whose names have `names` bytes together.
 pub(crate) fn attempt_bytes(names: u64) -> u64 {
     HEAD_BYTES as u64 + 2 + 8 + 2 + 2 + names
 }
 
-/// Bytes of the snapshot of a message that has no attempts yet.
+/// Size of the snapshot of a message that has no attempts yet.
 pub(crate) fn snapshot_bytes(accepted: &AcceptedMessage) -> u64 {
     let texts = accepted.id.len() + accepted.class.len() + accepted.key.as_ref().map_or(0, String::len);
     let routed = accepted.routed.as_ref().map_or(0, routed_bytes);
     HEAD_BYTES as u64 + 8 + 8 + 8 + 2 + 2 + 1 + 2 + 2 + 1 + 4 + (texts + accepted.body.len() + routed) as u64
 }
 
-/// Whether a snapshot has the form that came with fronts that tell their clients how messages ended.
+/// Whether the snapshot needs the fields for protocols that notify their clients of outcomes.
 fn has_owner_fields(r: &RoutedRequest) -> bool {
     r.owner.is_some() || !r.remember_for.is_zero()
 }
@@ -257,7 +259,7 @@
 }
 
 fn put_text(to: &mut Vec<u8>, text: &str) {
-    // The courier bounds ids, keys, classes and names far below this; a longer one would spoil the record.
+    // The courier limits ids, keys, classes and names to far less; a longer one would corrupt the record.
     debug_assert!(text.len() <= usize::from(u16::MAX));
     to.put_u16_le(text.len() as u16);
     to.put_slice(text.as_bytes());
@@ -277,7 +279,7 @@
     to.put_u64_le(wait);
 }
 
-/// Writes the snapshot of a message.
+/// Encodes the snapshot of a message.
 fn put_snapshot(to: &mut Vec<u8>, message: u64, live: &LiveMessage) {
     let accepted = &live.accepted;
     to.put_u8(match &accepted.routed {
@@ -311,7 +313,7 @@
 }
 
 impl Record {
-    /// Bytes that [`Record::put`] writes.
+    /// Number of bytes that [`Record::encode`] writes.
     pub(crate) fn size(&self) -> u64 {
         let names = |a: &Attempt| (a.host.len() + a.zone.len()) as u64;
         match self {
@@ -333,7 +335,7 @@
         }
     }
 
-    /// Writes the record without its frame.
+    /// Encodes the record without its frame.
     pub(crate) fn encode(&self, to: &mut Vec<u8>) {
         let mut head = |kind: u8, number: u64| {
             to.put_u8(kind);
@@ -381,7 +383,7 @@
         }
     }
 
-    /// Reads a record; None if it is none that this version writes.
+    /// Decodes a record; `None` if this version writes no such record.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Record> {
         let mut f = FieldReader(bytes);
         let (kind, number) = (f.byte()?, f.u64()?);
@@ -419,7 +421,7 @@
         f.0.is_empty().then_some(record)
     }
 
-    /// The message that it is about, or the note, if it is about one.
+    /// Number of the message or note that the record belongs to, if any.
     pub fn message(&self) -> Option<u64> {
         match self {
             Record::Snapshot { message, .. }
@@ -451,7 +453,7 @@
     Some(LiveMessage { accepted: Rc::new(accepted), attempts, verdict })
 }
 
-/// None outside: not to be read; None inside: no verdict yet.
+/// The outer `None` is a decoding error; the inner `None` means no verdict yet.
 fn read_verdict(f: &mut FieldReader) -> Option<Option<Verdict>> {
     match f.byte()? {
         0 => Some(None),
@@ -469,7 +471,7 @@
     }
 }
 
-/// Reads fields; None once something does not fit.
+/// Decodes fields in order; each method returns `None` if the input does not match.
 pub(crate) struct FieldReader<'a>(pub &'a [u8]);
 
 impl<'a> FieldReader<'a> {
@@ -504,7 +506,7 @@
         String::from_utf8(self.take(n.into())?.to_vec()).ok()
     }
 
-    /// A text that may be missing.
+    /// An optional text.
     pub fn option(&mut self) -> Option<Option<String>> {
         let (there, text) = (self.byte()? == 1, self.text()?);
         Some(there.then_some(text))
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -133,7 +133,7 @@
     Ok(Recovered {
         append_to_last: damages.is_empty()
             && !first.sealed
-            && last.and_then(|n| headers.get(&n)?.valid_end()).is_some_and(|h| {
+            && last.and_then(|n| headers.get(&n)?.valid()).is_some_and(|h| {
                 !h.migration && h.sync_writes == (options.durability == Durability::Machine)
             }),
         migration: known.all(|h| h.migration),
@@ -165,7 +165,7 @@
 }
 
 impl SegmentHeader {
-    fn valid_end(&self) -> Option<&Header> {
+    fn valid(&self) -> Option<&Header> {
         match self {
             SegmentHeader::Sound(header) => Some(header),
             SegmentHeader::Misplaced(_) | SegmentHeader::Unreadable => None,
@@ -200,15 +200,15 @@
 /// then the nearest behind: the settings may have changed since, and a part that was whole would pass for a
 /// torn tail.
 fn written_with_syncs(headers: &Headers, number: u64, options: &Options) -> bool {
-    let before = headers.range(..=number).rev().find_map(|(_, h)| h.valid_end());
-    let nearest = before.or_else(|| headers.range(number..).find_map(|(_, h)| h.valid_end()));
+    let before = headers.range(..=number).rev().find_map(|(_, h)| h.valid());
+    let nearest = before.or_else(|| headers.range(number..).find_map(|(_, h)| h.valid()));
     nearest.map_or(options.durability == Durability::Machine, |h| h.sync_writes)
 }
 
 /// The oldest segment that is needed, as all say that stand before `limit`.
 fn oldest_needed(headers: &Headers, scan: &Scan, limit: Option<Gap>) -> u64 {
     let kept = headers.iter().filter(|(n, _)| limit.is_none_or(|l| **n <= l.number));
-    let headers = kept.filter_map(|(_, h)| h.valid_end()).map(|h| h.oldest);
+    let headers = kept.filter_map(|(_, h)| h.valid()).map(|h| h.oldest);
     let before = scan.trims.iter().filter(|(n, at, _)| limit.is_none_or(|l| (*n, *at) < (l.number, l.at)));
     headers.chain(before.map(|(_, _, oldest)| *oldest)).max().unwrap_or_default()
 }
@@ -249,7 +249,7 @@
         let bytes = &buffer[..];
         p.read += bytes.len() as u64;
         let sync_writes = written_with_syncs(headers, *number, options);
-        let header = header.valid_end();
+        let header = header.valid();
         let mut reader = Reader { bytes, number: *number, sync_writes };
         let begun = header.is_some() || reader.next(HEADER_BYTES.min(bytes.len()), p.next_seq).is_some();
         if !begun && last == Some(*number) && !p.sealed {
@@ -306,8 +306,7 @@
             // Known to be no hole only at the very end of the log.
             let behind = headers.range(number + 1..).any(|(n, _)| limit.is_none_or(|l| *n <= l.number));
             if behind {
-                let next =
-                    headers.range(number + 1..).find_map(|(n, h)| Some((n - 1, h.valid_end()?.first_seq)));
+                let next = headers.range(number + 1..).find_map(|(n, h)| Some((n - 1, h.valid()?.first_seq)));
                 // What stands between the two is part of it, if no head says where it begins.
                 let (to, next) = next.unwrap_or((*number, p.next_seq));
                 // A torn seal hides nothing.
@@ -326,7 +325,7 @@
             }
         } else if let Some((_, h)) = headers.range(number + 1..).next()
             && limit.is_none_or(|l| l.number > *number)
-            && let Some(h) = h.valid_end()
+            && let Some(h) = h.valid()
             && h.first_seq > p.next_seq
             && headers.contains_key(&wanted)
         {
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -1,5 +1,5 @@
-//! What the records come to: the messages that live, where each begins in the log, and what they weigh. The
-//! same code applies a record when it is written and when it is read again.
+//! The state that the records add up to: live messages, where each begins in the log, and the space reserved
+//! for it. Writing and recovery apply records with the same code.
 
 use crate::log::FRAME_OVERHEAD_BYTES;
 use crate::options::Options;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a number stands for.
+/// What is stored under a number.
 #[derive(Clone)]
 pub(crate) enum Item {
     Live(LiveMessage),
@@ -17,7 +17,7 @@
 }
 
 impl Item {
-    /// The record that says the same.
+    /// The record that restores this item.
     pub fn record(&self, number: u64) -> Record {
         match self {
             Item::Live(live) => Record::Snapshot { message: number, live: live.clone() },
@@ -36,39 +36,39 @@
 
 pub(crate) struct Entry {
     pub item: Item,
-    /// Sequence number of its latest snapshot: nothing about it before that is needed.
+    /// Sequence number of its latest snapshot; earlier records of it are dead.
     pub seq: u64,
-    /// Bytes of its records that are needed, frames included.
+    /// Bytes of its live records, including frames.
     pub bytes: u64,
-    /// The most that `bytes` may come to.
+    /// Upper limit for `bytes`.
     pub reserved_bytes: u64,
 }
 
 #[derive(Default)]
 pub(crate) struct State {
     entries: BTreeMap<u64, Entry>,
-    /// By where they begin in the log: those of the oldest segment first.
+    /// Numbers by the sequence number at which they begin, so the oldest segment comes first.
     order: BTreeMap<u64, u64>,
-    /// Sums over all slots.
+    /// Sums over all entries.
     reserved_bytes: u64,
     bytes: u64,
-    /// Bytes of notes' keys and values, with their rows.
+    /// Memory in bytes for the notes' keys, values and entries.
     notes: u64,
-    /// The highest number that any record names.
+    /// Highest number in any record.
     last_number: u64,
-    /// The latest time that any record tells, Unix time.
+    /// Latest time in any record, Unix time.
     latest_time: Duration,
-    /// Messages with records and no beginning. Empty at the end of a log of which nothing is lost.
+    /// Numbers that have records but no snapshot. Empty at the end of an undamaged log.
     orphans: BTreeSet<u64>,
 }
 
-/// What a record weighs that only its end may follow.
+/// Space for a record that only an `Ended` record can follow.
 pub(crate) fn with_end_record(bytes: u64) -> u64 {
     bytes + FRAME_OVERHEAD_BYTES + ENDED_BYTES
 }
 
-/// What a row takes in memory: its slot and its place in the order, in B-trees whose nodes are half full, since
-/// numbers rise.
+/// Memory of an entry: the entry itself and its place in the order, in B-trees whose nodes are half full
+/// because numbers are inserted in ascending order.
 pub const STATE_ENTRY_BYTES: u64 =
     ((size_of::<(u64, Entry)>() + size_of::<(u64, u64)>() + 4) * 11 / 6) as u64;
 
@@ -93,7 +93,7 @@
                 let sent = live.attempts.iter().map(|a| a.sent_at).max();
                 self.latest_time =
                     self.latest_time.max(sent.unwrap_or_default()).max(live.accepted.accepted_at);
-                // A copy weighs what the message did; it is no longer than what it replaces.
+                // A copy keeps the reservation; it is no longer than the records that it replaces.
                 let reserved_bytes = before
                     .map_or(0, |entry| entry.reserved_bytes)
                     .max(options.reserved_bytes(&live.accepted))
@@ -122,7 +122,7 @@
             Record::Attempt { index, attempt, .. } => {
                 self.latest_time = self.latest_time.max(attempt.sent_at);
                 self.append_to_entry(message, bytes, |live| {
-                    // Those between were lost with a part of the log.
+                    // The records of the attempts in between were lost.
                     while live.attempts.len() < usize::from(index) {
                         live.attempts.push(Attempt::unknown(attempt.sent_at));
                     }
@@ -148,7 +148,7 @@
             self.orphans.insert(message);
             return;
         };
-        // Nothing is recorded of an attempt once its message has ended.
+        // Attempts are not recorded after their message has ended.
         if let Item::Live(live) = &mut entry.item {
             change(live);
         }
@@ -159,7 +159,7 @@
         self.reserved_bytes += more;
     }
 
-    /// Lets a message weigh `more`.
+    /// Reserves `more` bytes for a message.
     pub fn reserve_more(&mut self, message: u64, more: u64) {
         if let Some(entry) = self.entries.get_mut(&message) {
             entry.reserved_bytes += more;
@@ -196,12 +196,12 @@
         self.entries.iter().map(|(number, entry)| (*number, &entry.item))
     }
 
-    /// Where the message begins that begins first, and which it is.
+    /// Sequence number and number of the entry that begins first in the log.
     pub fn first(&self) -> Option<(u64, u64)> {
         self.order.first_key_value().map(|(seq, message)| (*seq, *message))
     }
 
-    /// Bytes of memory that notes take.
+    /// Memory in bytes that notes take.
     pub fn notes(&self) -> u64 {
         self.notes
     }
@@ -214,7 +214,7 @@
         self.bytes
     }
 
-    /// Bytes that the live messages may still add.
+    /// Bytes that are reserved and not written yet.
     pub fn outstanding_bytes(&self) -> u64 {
         self.reserved_bytes - self.bytes
     }
@@ -231,7 +231,7 @@
         &self.orphans
     }
 
-    /// Messages that live, begin before `seq` and have no verdict.
+    /// Live messages without a verdict that begin before `seq`.
     pub fn undecided_before(&self, seq: u64) -> Vec<u64> {
         let begun = self.order.range(..seq).map(|(_, message)| *message);
         begun
--- a/crates/journal/src/storage/faulty.rs
+++ b/crates/journal/src/storage/faulty.rs
@@ -1,6 +1,6 @@
-//! Files in memory that fail as told: a call that errs, a write that stops short, a disk that fills, and the
-//! images that a killed process or a power cut leaves behind. Every changing call is kept as a [`Step`], so a
-//! test can look at the folder as it stood at any of them, down to the byte.
+//! In-memory files with injected faults: failing calls, short writes, a full disk, and the images that a
+//! killed process or a power failure leaves. Every modifying call is recorded as a [`Step`], so that a test
+//! can inspect the directory after any step, down to a single byte.
 
 use super::memory::{MemoryStorage, put};
 use super::{Storage, StoredFile};
@@ -9,8 +9,8 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A call that changes the folder, or makes a change last. Files go by a number of their own: a handle stays
-/// with its file when that gets another name.
+/// A call that modifies the directory or makes changes durable. Files are identified by a number, so that a
+/// handle stays with its file after a rename.
 #[derive(Clone, Debug)]
 pub enum Step {
     Create { name: String, file: usize },
@@ -22,14 +22,14 @@
     SyncNames,
 }
 
-/// What goes wrong with a call.
+/// A fault that is injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails, with nothing done.
+    /// The call fails without effect.
     Fails(io::ErrorKind),
-    /// A write puts down so many bytes and says so.
+    /// A write succeeds for this many bytes only.
     Short(usize),
-    /// A write puts down so many bytes, then fails.
+    /// A write fails after writing this many bytes.
     Torn(usize, io::ErrorKind),
 }
 
@@ -46,7 +46,7 @@
     capacity: Option<u64>,
 }
 
-/// A folder in memory whose calls may fail. Clones share it.
+/// An in-memory directory whose calls may fail. Clones share it.
 #[derive(Clone, Default)]
 pub struct FaultyStorage {
     content: MemoryStorage,
@@ -54,7 +54,7 @@
 }
 
 impl FaultyStorage {
-    /// Over a folder with this content.
+    /// A directory with this content.
     pub fn from_image(image: BTreeMap<String, Vec<u8>>) -> Self {
         let mut inner = Inner::default();
         for (name, bytes) in &image {
@@ -69,27 +69,27 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From now on each changing call is shown to `script`, with its number, before it is done.
+    /// From now on each modifying call is passed to `script` with its index before it is executed.
     pub fn set_fault_script(&self, script: impl FnMut(usize, &Step) -> Option<Fault> + Send + 'static) {
         self.inner().script = Some(Box::new(script));
     }
 
-    /// From now on nothing fails but for want of room.
+    /// Stops injecting faults; calls can still fail for lack of space.
     pub fn clear_faults(&self) {
         self.inner().script = None;
     }
 
-    /// The disk holds so many bytes, each file counted in whole 512; None for no bound.
+    /// Sets the size of the disk in bytes, each file rounded up to 512; `None` for no limit.
     pub fn set_capacity(&self, bytes: Option<u64>) {
         self.inner().capacity = bytes;
     }
 
-    /// Bytes of all files, each counted in whole 512.
+    /// Bytes of all files, each rounded up to 512.
     pub fn used(&self) -> u64 {
         self.content.used()
     }
 
-    /// All that was done since the start.
+    /// All modifying calls so far.
     pub fn steps(&self) -> Vec<Step> {
         self.inner().steps.clone()
     }
@@ -98,14 +98,14 @@
         self.content.image()
     }
 
-    /// The script's word on a call.
+    /// The fault for a call, if the script returns one.
     fn fault(inner: &mut Inner, step: &Step) -> Option<Fault> {
         let n = inner.calls;
         inner.calls += 1;
         inner.script.as_mut().and_then(|script| script(n, step))
     }
 
-    /// A call that is done whole or not at all: noted, unless it fails.
+    /// Executes a call that has its full effect or fails without any, and records it in the first case.
     fn call(&self, step: Step) -> io::Result<()> {
         let mut inner = self.inner();
         if let Some(Fault::Fails(kind)) = Self::fault(&mut inner, &step) {
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// How many bytes of a write go down, and what is told then.
+    /// How many bytes of a write are written, and its result.
     fn write(&self, file: usize, at: u64, bytes: &[u8]) -> (usize, io::Result<()>) {
         let mut inner = self.inner();
         let step = Step::Write { file, at, bytes: bytes.to_vec() };
@@ -169,18 +169,18 @@
         self.steps.push(step);
     }
 
-    /// How many bytes can be written to a file from `at` on.
+    /// Number of bytes that can be written to a file from offset `at`.
     fn room(&self, file: usize, at: u64) -> u64 {
         let Some(capacity) = self.capacity else { return u64::MAX };
         let others = self.sizes.iter().filter(|(f, _)| **f != file);
         let others: u64 = others.map(|(_, size)| size.next_multiple_of(512)).sum();
-        // What is there already can be written over.
+        // Existing bytes can be overwritten.
         let own = self.sizes.get(&file).copied().unwrap_or_default().next_multiple_of(512);
         (capacity.saturating_sub(others) / 512 * 512).max(own).saturating_sub(at)
     }
 }
 
-/// A handle of a file.
+/// An open file.
 struct Handle {
     folder: FaultyStorage,
     file: usize,
@@ -260,13 +260,13 @@
     }
 }
 
-/// Plays steps again, one by one, and knows what would be left after a crash between any two.
+/// Replays steps one by one and computes what a crash after any of them would leave.
 #[derive(Clone, Default)]
 pub struct Replay {
-    /// As the running system sees it.
+    /// The state that the running system sees.
     names: BTreeMap<String, usize>,
     files: BTreeMap<usize, Vec<u8>>,
-    /// What outlasts a power cut for sure, and the steps since that may or may not.
+    /// The state that survives a power failure, and the later steps, which may or may not.
     synced_names: BTreeMap<String, usize>,
     synced_files: BTreeMap<usize, Vec<u8>>,
     name_steps: Vec<Step>,
@@ -274,7 +274,7 @@
 }
 
 impl Replay {
-    /// From a folder that is wholly on the device.
+    /// Starts from a directory that is completely on the device.
     pub fn from_image(image: &BTreeMap<String, Vec<u8>>) -> Self {
         let mut replay = Replay::default();
         for (file, (name, bytes)) in image.iter().enumerate() {
@@ -309,13 +309,13 @@
         self.files.retain(|file, _| self.names.values().chain(self.synced_names.values()).any(|f| f == file));
     }
 
-    /// The folder as a process finds it that starts after the one before was killed here.
+    /// The directory that the next process finds if this one is killed now.
     pub fn after_kill(&self) -> BTreeMap<String, Vec<u8>> {
         let bytes = |file: &usize| self.files.get(file).cloned().unwrap_or_default();
         self.names.iter().map(|(name, file)| (name.clone(), bytes(file))).collect()
     }
 
-    /// The folder after a power cut here: of what was not synced any part may be there, in any order.
+    /// The directory after a power failure now: any part of what was not synced may be there, in any order.
     pub fn after_power_cut(&self, rng: &mut impl Rng) -> BTreeMap<String, Vec<u8>> {
         let mut names = self.synced_names.clone();
         for step in &self.name_steps {
--- a/crates/journal/src/storage/files.rs
+++ b/crates/journal/src/storage/files.rs
@@ -1,5 +1,5 @@
-//! Real files in one folder, which is locked: two processes on it would each take the other's records for
-//! a fault.
+//! Real files in a locked directory. Without the lock, two processes would take each other's records for
+//! damage.
 
 use super::{Storage, StoredFile};
 use crate::error::Error;
@@ -9,20 +9,21 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Holds the lock; its content means nothing.
+/// Name of the lock file; its content is not used.
 pub(crate) const LOCK: &str = "lock";
 
-/// A folder of files. The lock lasts as long as this value.
+/// A directory of files. The lock is held until this value is dropped.
 pub struct FileStorage {
     folder: PathBuf,
     _lock: Option<File>,
 }
 
 impl FileStorage {
-    /// Takes the folder for this process alone.
+    /// Locks the directory exclusively.
     ///
     /// # Errors
-    /// [`Error::Locked`] if another process has it, [`Error::NotADirectory`] if there is none.
+    /// [`Error::Locked`] if another process holds the lock, [`Error::NotADirectory`] if there is no such
+    /// directory.
     pub fn lock(folder: &Path) -> Result<Self, Error> {
         Self::check(folder)?;
         let shown = folder.join(LOCK).display().to_string();
@@ -32,15 +33,15 @@
         Ok(FileStorage { folder: folder.to_owned(), _lock: Some(lock) })
     }
 
-    /// Opens the folder to read only, if no process has it: nothing is made in it, not even a lock.
+    /// Opens the directory for reading if no process has locked it. Creates nothing, not even a lock file.
     ///
     /// # Errors
-    /// As [`Files::lock`].
+    /// As [`FileStorage::lock`].
     pub fn read_only(folder: &Path) -> Result<Self, Error> {
         Self::check(folder)?;
         let lock = match File::open(folder.join(LOCK)) {
             Ok(lock) => {
-                // Several may look at once.
+                // Several processes may read at the same time.
                 Self::hold(lock.try_lock_shared(), folder)?;
                 Some(lock)
             }
@@ -88,7 +89,7 @@
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn StoredFile>> {
         let open = OpenOptions::new().read(true).write(true).open(self.path(name));
-        // A folder that is only inspected may be one that this user cannot write.
+        // A user who only inspects a directory may lack permission to write.
         let open = open.or_else(|e| match e.kind() {
             io::ErrorKind::PermissionDenied | io::ErrorKind::ReadOnlyFilesystem => {
                 File::open(self.path(name))
--- a/crates/journal/src/storage/memory.rs
+++ b/crates/journal/src/storage/memory.rs
@@ -1,5 +1,4 @@
-//! Files in memory, without faults: for tests of what stands above, and as the content behind
-//! [`super::faulty`].
+//! In-memory files without faults, for tests, and as the content behind [`super::faulty`].
 
 use super::{Storage, StoredFile};
 use std::collections::BTreeMap;
@@ -8,7 +7,7 @@
 
 pub type MemoryFile = Arc<Mutex<Vec<u8>>>;
 
-/// A folder of files in memory. Clones share it.
+/// An in-memory directory. Clones share it.
 #[derive(Clone, Default)]
 pub struct MemoryStorage {
     files: Arc<Mutex<BTreeMap<String, MemoryFile>>>,
@@ -19,18 +18,18 @@
 }
 
 impl MemoryStorage {
-    /// A folder with these files.
+    /// A directory with these files.
     pub fn with(files: impl IntoIterator<Item = (String, Vec<u8>)>) -> Self {
         let files = files.into_iter().map(|(name, bytes)| (name, Arc::new(Mutex::new(bytes))));
         MemoryStorage { files: Arc::new(Mutex::new(files.collect())) }
     }
 
-    /// All files as they stand.
+    /// A copy of all files.
     pub fn image(&self) -> BTreeMap<String, Vec<u8>> {
         lock(&self.files).iter().map(|(name, bytes)| (name.clone(), lock(bytes).clone())).collect()
     }
 
-    /// MemoryFile of all files, each counted in whole 512.
+    /// Bytes of all files, each rounded up to 512.
     pub fn used(&self) -> u64 {
         lock(&self.files).values().map(|b| (lock(b).len() as u64).next_multiple_of(512)).sum()
     }
@@ -107,7 +106,7 @@
     }
 }
 
-/// Writes into a file's bytes; a gap before them is zeros.
+/// Writes into a file's bytes, filling a gap before them with zeros.
 pub(crate) fn put(file: &mut Vec<u8>, at: u64, bytes: &[u8]) {
     let (at, end) = (at as usize, at as usize + bytes.len());
     if file.len() < end {
--- a/crates/journal/src/sync.rs
+++ b/crates/journal/src/sync.rs
@@ -1,10 +1,11 @@
-//! Group commit: one sync for all that waits, run on another thread, and how far the disk is trusted.
+//! Group commit: one sync for all pending records, run on another thread, and whether the disk can be trusted
+//! after a failed one.
 
 use crate::storage::{Storage, StoredFile};
 use std::io;
 use std::sync::Arc;
 
-/// A sync that is due. Run it where it may take its time, and hand what comes back to
+/// A pending sync. [`SyncJob::run`] blocks, so call it on another thread and pass the outcome to
 /// [`crate::Journal::finish_sync`].
 pub struct SyncJob {
     pub(crate) storage: Arc<dyn Storage>,
@@ -13,7 +14,7 @@
     pub(crate) upto: u64,
 }
 
-/// What became of a [`SyncJob`].
+/// Result of a [`SyncJob`].
 #[derive(Debug)]
 pub struct SyncOutcome {
     pub(crate) upto: u64,
@@ -21,7 +22,7 @@
 }
 
 impl SyncJob {
-    /// Syncs, and blocks until the device has answered.
+    /// Syncs the files and blocks until the device has answered.
     pub fn run(self) -> SyncOutcome {
         let files = self.files.iter().try_for_each(|file| file.sync());
         let result = files.and_then(|()| if self.names { self.storage.sync_names() } else { Ok(()) });
@@ -29,15 +30,16 @@
     }
 }
 
-/// What a sync that failed leaves to be done. A second sync of the same file may succeed without having
-/// written what the first one lost, so none is tried.
+/// Recovery from a failed sync. A second sync of the same file may succeed without having written what the
+/// first one lost, so it is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskTrust {
     Trusted,
-    /// A fresh file, made for it and removed again, shows whether the device works.
+    /// Syncing a newly created file, which is removed again, tests whether the device works.
     Probing,
-    /// It does: all that lives is written anew behind the segments from before.
+    /// The device works: all live records are being rewritten to new segments.
     Rewriting,
-    /// All of it is written up to this record; once that is on the device all is well.
+    /// All live records are rewritten up to this sequence number; the disk is trusted once they are on the
+    /// device.
     Rewritten(u64),
 }
