--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,5 +1,5 @@
-//! The journal itself: takes records, plans them into the log, brings them to the disk, keeps room for what
-//! is owed, and copies what lives out of old segments in bounded steps.
+//! The journal: appends records, writes them to the storage, reserves space for records that accepted
+//! messages still need, and compacts old segments in bounded steps.
 
 use crate::error::{Damage, Error, Refusal};
 use crate::frame;
@@ -16,53 +16,54 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Room set aside on the disk for what is owed.
+/// File whose preallocated blocks reserve disk space for records that accepted messages still need.
 const RESERVE_FILE: &str = "set-aside";
-/// It grows and shrinks by this much, bytes: a call for each message would be too dear.
+/// Step in bytes by which that file grows and shrinks: a call for each message would be too expensive.
 const RESERVE_STEP_BYTES: u64 = 256 * 1024;
-/// What is left of a segment that could not be read all through.
+/// Suffix of a segment that could not be read completely and is kept for the operator.
 const DAMAGED_SUFFIX: &str = ".damaged";
-/// With less room than this such a segment is not kept for the operator: it would take the messages' room.
+/// With a smaller capacity such a segment is removed, because it would take the space of messages.
 const MIN_CAPACITY_TO_KEEP_DAMAGED_BYTES: u64 = 64 * 1024 * 1024;
-/// What an open segment takes in memory, bytes.
+/// Approximate memory of an open segment, in bytes.
 const OPEN_FILE_MEMORY_BYTES: u64 = 300;
-/// The head, seal and padding of a new segment, bytes.
+/// Header, seal and padding of a new segment, in bytes.
 const ROLL_OVERHEAD_BYTES: u64 = 1024;
-/// Shows after a failed sync whether the device works again; a segment each time would fill the room.
+/// File that is synced after a failed sync to test whether the device works again. A new segment for each
+/// test would fill the capacity.
 const PROBE_FILE: &str = "probe";
-/// Failed syncs after which it is said that nothing works.
+/// Number of consecutive failed syncs that is reported as an error.
 const REPORTED_SYNC_FAILURES: u32 = 3;
 
-/// What a start found.
+/// Findings of a start.
 #[derive(Debug, Default)]
 pub struct RecoveryReport {
     /// Parts that could not be read.
     pub damages: Vec<Damage>,
-    /// Messages that were accepted and cannot be told any more: their beginning is lost.
+    /// Numbers of accepted messages whose snapshot is lost, so that their id and body are unknown.
     pub lost_messages: Vec<u64>,
-    /// Messages that live and count as sent, since a lost record may say so.
+    /// Live messages that count as sent because a lost record may have said so.
     pub presumed_sent: Vec<u64>,
-    /// Bytes of a torn tail that were cut off.
+    /// Bytes of a torn tail that were truncated.
     pub truncated_bytes: u64,
-    /// Messages taken over from the old format; None if there was no file of it.
+    /// Number of messages migrated from the old format; `None` if there was no file of it.
     pub migrated: Option<usize>,
     pub read_bytes: u64,
 }
 
-/// How the journal stands.
+/// Space usage and counters, in bytes unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Usage {
     pub room: u64,
-    /// Bytes of all files, each counted in whole 512.
+    /// Bytes of all files, each rounded up to 512.
     pub used: u64,
-    /// Bytes of records that are needed, and what the messages may still add.
+    /// Bytes of live records, and bytes that live messages may still add.
     pub live: u64,
     pub owed: u64,
-    /// What live and owed may come to.
+    /// Upper limit for the sum of `live` and `owed`.
     pub live_most: u64,
     pub messages: u64,
     pub segments: u64,
-    /// Bytes written since the start: all, and copies among them.
+    /// Bytes written since the start, and the part of them that compaction wrote.
     pub written: u64,
     pub copied: u64,
 }
@@ -73,22 +74,22 @@
     state: State,
     log: Log,
     files: BTreeMap<u64, Arc<dyn StoredFile>>,
-    /// Records up to here are written.
+    /// Records up to this sequence number are written.
     written_seq: u64,
-    /// The last record that asks for a sync.
+    /// Sequence number of the last record that needs a sync.
     wanted_seq: u64,
-    /// Segments that were written to since the last sync began, and whether names changed.
+    /// Segments written since the last sync began, and whether file names changed.
     dirty: BTreeSet<u64>,
     names_dirty: bool,
     sync_in_flight: bool,
-    /// The last flush failed.
+    /// Whether the last flush failed.
     flush_failed: bool,
     disk_trust: DiskTrust,
     sync_failures: u32,
-    /// Segments below this number are to be emptied, whatever is in them.
+    /// Segments below this number are compacted regardless of their dead bytes.
     evacuate_below: u64,
     reserve_file_bytes: u64,
-    /// Segments to be kept under another name when they are removed, and the room that such files take.
+    /// Damaged segments, which are renamed instead of removed, and the disk space of renamed ones.
     damaged: BTreeSet<u64>,
     damaged_bytes: u64,
     written_bytes: u64,
@@ -96,10 +97,11 @@
 }
 
 impl Journal {
-    /// Opens the journal in `storage`, taking over a folder of the old format.
+    /// Opens the journal in `storage` and migrates a directory of the old format.
     ///
     /// # Errors
-    /// See [`Error`]. A folder of a newer format, and with [`OnDamage::Stop`] a damaged one, is left as it is.
+    /// See [`Error`]. A directory of a newer format is left unchanged, and so is a damaged one with
+    /// [`OnDamage::Stop`].
     pub fn open(storage: Arc<dyn Storage>, options: Options) -> Result<(Self, RecoveryReport), Error> {
         options.check()?;
         let names = storage.list().map_err(|e| Error::io("journal", "list", e))?;
@@ -115,7 +117,7 @@
             if !found.migration {
                 return Err(Error::ConflictingFormats);
             }
-            // Written by a take-over that was cut short: the old file still holds all.
+            // A migration was interrupted: the old file still holds all messages.
             let begun: Vec<u64> =
                 found.segments.keys().chain(&found.stale).chain(&found.misplaced).copied().collect();
             for number in begun {
@@ -149,14 +151,14 @@
         if journal.options.durability == Durability::Machine {
             journal.sync_now()?;
         }
-        // Not before all is salvaged: they are what tells a start that something is missing.
+        // Only after the salvage: these files are what shows the next start that something is missing.
         for number in found.misplaced.iter().filter(|_| !old) {
             journal.retire_file(*number, true)?;
         }
         Ok((journal, report))
     }
 
-    /// The journal as recovered, with a torn tail cut off.
+    /// Builds the journal from the recovered state and truncates a torn tail.
     fn from_recovered(
         storage: Arc<dyn Storage>,
         options: Options,
@@ -211,7 +213,8 @@
         })
     }
 
-    /// Copies what the old format's file holds, then removes that: until then it is what counts.
+    /// Copies the messages of the old format's file, then removes the file. Until then the old file is
+    /// authoritative.
     fn migrate_legacy(&mut self, report: &mut RecoveryReport) -> Result<usize, Error> {
         let file =
             self.storage.open(legacy::FILE_NAME).map_err(|e| Error::io(legacy::FILE_NAME, "open", e))?;
@@ -229,17 +232,16 @@
         }
         self.storage.remove(legacy::FILE_NAME).map_err(|e| Error::io(legacy::FILE_NAME, "remove", e))?;
         if self.options.durability == Durability::Machine {
-            // A power cut must not bring the old file back beside what comes next.
+            // A power failure must not restore the old file beside newer records.
             self.storage.sync_names().map_err(|e| Error::io("journal", "sync", e))?;
         }
-        // What comes from now on must not be taken for part of the take-over, should the old program run
-        // here once more.
+        // Later records must not count as part of the migration, in case the old program runs here again.
         self.log.end_migration();
         Ok(messages)
     }
 
-    /// After damage: what may have been sent counts as sent, and all that lives moves away from what cannot
-    /// be read.
+    /// After damage, records an attempt for each message that may have been sent, and moves all live records
+    /// out of the older segments.
     fn salvage(&mut self, lost_before: u64) -> Result<Vec<u64>, Error> {
         let suspected = self.state.undecided_before(lost_before);
         for message in &suspected {
@@ -262,7 +264,7 @@
         self.state.get(message).and_then(|entry| entry.item.live())
     }
 
-    /// What stays of messages that have ended, by number.
+    /// The records of ended messages, by number.
     pub fn ended_messages(&self) -> impl Iterator<Item = (u64, &Rc<EndedMessage>)> {
         self.state.items().filter_map(|(number, item)| match item {
             Item::Kept(kept) => Some((number, kept)),
@@ -270,7 +272,7 @@
         })
     }
 
-    /// What stays of one that has ended.
+    /// The record of an ended message.
     pub fn ended_message(&self, message: u64) -> Option<&Rc<EndedMessage>> {
         match self.state.get(message).map(|entry| &entry.item) {
             Some(Item::Kept(kept)) => Some(kept),
@@ -286,7 +288,7 @@
         })
     }
 
-    /// How many messages live.
+    /// Number of live messages.
     pub fn len(&self) -> usize {
         self.live().count()
     }
@@ -295,17 +297,17 @@
         self.len() == 0
     }
 
-    /// The highest number that any record names.
+    /// Highest number in any record.
     pub fn last_number(&self) -> u64 {
         self.state.last_number()
     }
 
-    /// The latest time that a record tells, Unix time: a clock that shows less has jumped back.
+    /// Latest time in any record, Unix time. A clock that shows an earlier time has jumped back.
     pub fn latest_time(&self) -> Duration {
         self.state.latest_time()
     }
 
-    /// Bytes of memory that the journal takes beside its messages: buffers, notes and its own tables.
+    /// Memory in bytes besides the messages: buffers, notes and tables.
     pub fn memory(&self) -> u64 {
         self.log.memory() + self.state.notes() + self.files.len() as u64 * OPEN_FILE_MEMORY_BYTES
     }
@@ -328,10 +330,10 @@
         self.log.used() + self.reserve_file_bytes + self.damaged_bytes
     }
 
-    /// Whether a message can be taken on, with room for all that it may still need.
+    /// Whether a message can be accepted, with space for all records that it may need.
     ///
     /// # Errors
-    /// Why it cannot just now.
+    /// The reason why it cannot be accepted now.
     pub fn can_accept(&mut self, accepted: &AcceptedMessage) -> Result<(), Refusal> {
         if self.disk_trust != DiskTrust::Trusted {
             return Err(Refusal::DiskUnreliable);
@@ -348,7 +350,7 @@
         }
     }
 
-    /// Sets room aside for what is owed and `more`.
+    /// Preallocates disk space for the outstanding reservations and `more` bytes.
     fn reserve_space(&mut self, more: u64) -> Result<(), Refusal> {
         let wanted = self.wanted_reserve_file_bytes(more);
         if wanted > self.reserve_file_bytes {
@@ -365,7 +367,7 @@
             .next_multiple_of(RESERVE_STEP_BYTES)
     }
 
-    /// Takes a message on. Ask [`Journal::can_accept`] first.
+    /// Accepts a message. Call [`Journal::can_accept`] first.
     pub fn accept(&mut self, message: u64, accepted: Rc<AcceptedMessage>) {
         self.snapshot(message, LiveMessage { accepted, attempts: Vec::new(), verdict: None });
     }
@@ -376,10 +378,10 @@
         self.put(reserved_bytes, Record::Snapshot { message, live })
     }
 
-    /// Records an attempt, before its first byte goes out. Returns its place among the message's attempts.
+    /// Records an attempt, before its first byte is sent. Returns its index among the message's attempts.
     ///
     /// # Errors
-    /// If it is beyond what room was kept for and there is no other. It must not be made then.
+    /// The attempt exceeds the reservation and there is no free space. It must not be made then.
     pub fn record_attempt(&mut self, message: u64, attempt: Attempt) -> Result<u32, Refusal> {
         let Some(entry) = self.state.get(message) else { return Ok(0) };
         let Some(live) = entry.item.live() else { return Ok(0) };
@@ -399,7 +401,8 @@
         Ok(index as u32)
     }
 
-    /// An attempt has proof that it never ran. One that may have run needs no record: that is what is assumed.
+    /// Records the proof that an attempt never ran. An attempt that may have run needs no record, because
+    /// that is the default.
     pub fn record_never_ran(&mut self, message: u64, attempt: u32) {
         let open = self.get(message).and_then(|m| m.attempts.get(attempt as usize));
         if open.is_some_and(|a| a.may_have_run) {
@@ -414,29 +417,29 @@
         }
     }
 
-    /// Nothing more is owed for the message, or the note is needed no more.
+    /// Records that the message has ended completely, or that the note is removed.
     pub fn record_end(&mut self, message: u64) {
         if self.state.get(message).is_some() {
             self.put(0, Record::Ended { message });
         }
     }
 
-    /// The message has ended, and this stays of it. Takes less room than the message did, which is free again.
+    /// Replaces a message by the record of its end, which is smaller; the remaining space is free again.
     pub fn replace_with_ended(&mut self, message: u64, kept: EndedMessage) {
         if self.state.get(message).is_some() {
             self.replace_entry(Record::Kept { message, kept: Rc::new(kept) });
         }
     }
 
-    /// The same for one that was never taken on. Ask [`Journal::can_store_note`] first.
+    /// Stores the record of an ended message that was never accepted. Call [`Journal::can_store_note`] first.
     pub fn store_ended(&mut self, message: u64, kept: EndedMessage) {
         self.replace_entry(Record::Kept { message, kept: Rc::new(kept) });
     }
 
-    /// Whether a note of so many bytes, its key included, can be put beside those that are there.
+    /// Whether there is space for a note of this many bytes, including its key.
     ///
     /// # Errors
-    /// Why it cannot just now.
+    /// The reason why it cannot be stored now.
     pub fn can_store_note(&mut self, bytes: u64) -> Result<(), Refusal> {
         let reserved_bytes = with_end_record(FRAME_OVERHEAD_BYTES + record::NOTE_BYTES + bytes);
         match reserved_bytes {
@@ -452,8 +455,8 @@
         }
     }
 
-    /// Puts a note under a number, in the place of the one that was there. Ask [`Journal::can_store_note`] first.
-    /// The number must be one that no message has, above [`Journal::last_number`] for a new one.
+    /// Stores a note under a number, replacing an earlier one. Call [`Journal::can_store_note`] first. The
+    /// number must not be that of a message; a new note needs one above [`Journal::last_number`].
     pub fn store_note(&mut self, number: u64, note: Note) {
         self.replace_entry(Record::Note { number, note: Rc::new(note) });
     }
@@ -476,11 +479,11 @@
         seq
     }
 
-    /// Bytes that the log may take while nothing is being copied.
+    /// Bytes that the log may take outside compaction.
     fn usable(&self) -> u64 {
         let sync_writes = match self.options.durability {
             Durability::Process => 0,
-            // After a failed sync all that lives is written anew before anything old can go.
+            // After a failed sync all live records are rewritten before any old segment can be removed.
             Durability::Machine => self.state.reserved_bytes(),
         };
         let taken = self.options.compaction_reserve_bytes()
@@ -490,11 +493,11 @@
         self.options.capacity_bytes.saturating_sub(taken)
     }
 
-    /// Frees segments until a record fits. Room for the copies is always there: no more than
-    /// [`Options::copy_room`] begins in one segment.
+    /// Compacts segments until a record fits. There is always space for the copies, because at most
+    /// [`Options::compaction_reserve_bytes`] begin in one segment.
     fn make_room(&mut self, bytes: u64) {
         if self.disk_trust != DiskTrust::Trusted {
-            // Room for all that is written anew was kept, and nothing old may go before that is done.
+            // Space for the rewrite is reserved, and no old segment may be removed before it is complete.
             return;
         }
         for _ in 0..=self.log.count() {
@@ -509,7 +512,7 @@
         self.log.size().saturating_sub(self.state.bytes())
     }
 
-    /// Copies all that lives out of the oldest segment, and gives it up.
+    /// Copies all live records out of the oldest segment, and retires it.
     fn evacuate_oldest(&mut self, immediately: bool) {
         if self.log.second_segment_start().is_none() {
             self.log.roll();
@@ -518,7 +521,8 @@
         self.log.retire(immediately);
     }
 
-    /// Copies one message out of the oldest segment; its bytes, or None if none is left there.
+    /// Copies one entry out of the oldest segment. Returns its size in bytes, or `None` if no live entry is
+    /// left.
     fn copy_next_entry(&mut self) -> Option<u64> {
         let end = self.log.second_segment_start()?;
         let (_, message) = self.state.first().filter(|(seq, _)| *seq < end)?;
@@ -530,9 +534,9 @@
         Some(bytes)
     }
 
-    /// Whether old segments hold so much that is dead that copying what lives out of them is worth it. So
-    /// much dead is let stand as lives, or three quarters of what the live ones leave of the room: each byte
-    /// is then copied once at most for each that is freed, more where room is short.
+    /// Whether compaction is worth its cost. Dead bytes may reach the number of live bytes, or three quarters
+    /// of the space that the live ones leave free if that is less. At most one byte is then copied for each
+    /// byte freed, and more only if space is short.
     pub fn wants_compaction(&self) -> bool {
         let spare = self.usable().saturating_sub(self.state.bytes());
         let live = self.state.bytes().max(self.options.segment());
@@ -547,11 +551,12 @@
         self.log.second_segment_start().is_some_and(|end| first >= end)
     }
 
-    /// Does a step of compaction: copies `most` bytes, or one message more, and frees what is empty by then.
-    /// [`Journal::wants_compaction`] tells whether more is to be done. Call [`Journal::flush`] behind it.
+    /// Runs one step of compaction: copies about `most` bytes, at least one message, and retires segments
+    /// that have become empty. [`Journal::wants_compaction`] tells whether another step is needed. Call
+    /// [`Journal::flush`] afterwards.
     pub fn compact(&mut self, most: u64) {
         if self.flush_failed {
-            // The disk does not take what is planned already.
+            // Queued operations already fail, so none are added.
             return;
         }
         let (mut copied, mut freed) = (0, 0);
@@ -559,7 +564,7 @@
             match self.copy_next_entry() {
                 Some(bytes) => copied += bytes,
                 None => {
-                    // Removing costs by the size of what is removed.
+                    // The cost of a removal grows with the size of the segment.
                     freed += self.options.segment();
                     self.log.retire(false);
                 }
@@ -578,8 +583,8 @@
         }
     }
 
-    /// Copies all that lives into fresh segments and removes the others, in one go: for a journal that
-    /// serves nobody.
+    /// Copies all live records to new segments and removes the others in one call. For a journal that is not
+    /// in service.
     ///
     /// # Errors
     /// As [`Journal::flush`].
@@ -588,7 +593,7 @@
         self.evacuate_below_segment(self.log.newest())
     }
 
-    /// Writes what is planned at each step, so that no more of it waits in memory than one segment's copies.
+    /// Flushes after each segment, so that at most one segment's copies wait in memory.
     fn evacuate_below_segment(&mut self, number: u64) -> Result<(), Error> {
         while self.log.has_segment_below(number) {
             self.evacuate_oldest(true);
@@ -597,8 +602,9 @@
         self.flush()
     }
 
-    /// Brings all records to the disk: when it returns they outlast the process. After an error they wait
-    /// here, in order, and go first the next time; nothing that depends on them may be done until then.
+    /// Writes all queued records: when it returns they survive a crash of the process. After an error they
+    /// stay queued in order and are written first next time; nothing that depends on them may happen until
+    /// then.
     ///
     /// # Errors
     /// [`Error::Io`] with the file and the call.
@@ -606,7 +612,7 @@
         while let Some(op) = self.log.queue.pop_front() {
             let mut done = self.execute(&op);
             while self.reserve_file_bytes > 0 && done.as_ref().is_err_and(Error::is_full) {
-                // This is what the room was set aside for.
+                // The disk is full: use the preallocated space.
                 let to = self.reserve_file_bytes.saturating_sub(RESERVE_STEP_BYTES);
                 let name = RESERVE_FILE;
                 self.storage.preallocate(name, to).map_err(|e| Error::io(name, "shrink", e))?;
@@ -634,7 +640,7 @@
                 self.files.insert(*number, file);
             }
             Op::Write { number, at, bytes } => {
-                // A segment that is gone by now needs no seal.
+                // A segment that has been removed needs no seal.
                 let Some(file) = self.files.get(number) else { return Ok(()) };
                 let mut done = 0;
                 while done < bytes.len() {
@@ -642,8 +648,8 @@
                         Ok(n) => done += n,
                         Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
                         Err(e) => {
-                            // What is half there would come back as taken on after a crash, though its client
-                            // was refused. If this fails too, the next try still writes over it.
+                            // After a crash a partial write could restore a message whose client was refused,
+                            // so it is truncated. If that fails too, the next attempt still overwrites it.
                             let _ = file.set_size(*at);
                             return Err(Error::io(&frame::segment_name(*number), "write", e));
                         }
@@ -661,8 +667,8 @@
         Ok(())
     }
 
-    /// Removes a segment's file, or leaves it to the operator under another name if it is damaged and there
-    /// is room.
+    /// Removes a segment's file, or renames it for the operator if it is damaged and the capacity is large
+    /// enough.
     fn retire_file(&mut self, number: u64, damaged: bool) -> Result<(), Error> {
         let name = frame::segment_name(number);
         if damaged && self.options.capacity_bytes >= MIN_CAPACITY_TO_KEEP_DAMAGED_BYTES {
@@ -690,20 +696,20 @@
         Ok(())
     }
 
-    /// Syncs here and now: at the start, when nobody waits.
+    /// Syncs on the calling thread, at startup, when nothing else waits.
     fn sync_now(&mut self) -> Result<(), Error> {
         self.sync_files()?;
         self.log.mark_synced(self.written_seq);
         Ok(())
     }
 
-    /// The sequence number of the last record that was put.
+    /// Sequence number of the last record.
     pub fn last_seq(&self) -> u64 {
         self.log.last_seq()
     }
 
-    /// Records up to this sequence number are kept, as the settings mean it. What depends on a later one must
-    /// wait.
+    /// Records up to this sequence number are durable as defined by [`Durability`]. Whatever depends on a
+    /// later record must wait.
     pub fn durable(&self) -> u64 {
         match self.options.durability {
             Durability::Process => self.written_seq,
@@ -711,12 +717,12 @@
         }
     }
 
-    /// Whether all that was done is kept.
+    /// Whether all records are durable.
     pub fn is_durable(&self) -> bool {
         self.durable() >= self.wanted_seq
     }
 
-    /// The sync that is due, if one is and none is under way: one for all that waits.
+    /// Returns the pending sync, which covers all waiting records, if there is one and no other is in flight.
     pub fn begin_sync(&mut self) -> Option<SyncJob> {
         let sync_writes = self.options.durability == Durability::Machine;
         if sync_writes && self.disk_trust == DiskTrust::Probing && !self.sync_in_flight {
@@ -735,30 +741,30 @@
         Some(SyncJob { storage: self.storage.clone(), files, names, upto: self.written_seq })
     }
 
-    /// A file that no sync has failed on.
+    /// Creates a new file, on which no sync has failed.
     fn probe(&self) -> std::io::Result<Arc<dyn StoredFile>> {
-        // One from the try before is gone already, unless that could not be removed.
+        // An earlier probe file still exists only if it could not be removed.
         let _ = self.storage.remove(PROBE_FILE);
         let file = self.storage.create(PROBE_FILE)?;
         file.write_at(0, &[0; 512])?;
         Ok(file)
     }
 
-    /// False from a failed sync on until all that lives is kept again. Syncs are to be tried again after a
-    /// pause meanwhile.
+    /// False from a failed sync until all live records are durable again. Meanwhile the caller retries syncs
+    /// after a pause.
     pub fn is_disk_trusted(&self) -> bool {
         self.disk_trust == DiskTrust::Trusted
     }
 
-    /// Takes in what became of a sync. [`Journal::flush`] and [`Journal::compact`] carry on from there.
+    /// Processes the outcome of a sync. Follow with [`Journal::flush`] and [`Journal::compact`].
     ///
     /// # Errors
-    /// [`Error::SyncFailed`], once, when several have failed in a row. The journal goes on trying.
+    /// [`Error::SyncFailed`], once, after several consecutive failures. The journal continues to retry.
     pub fn finish_sync(&mut self, done: SyncOutcome) -> Result<(), Error> {
         self.sync_in_flight = false;
         if done.result.is_err() {
             self.sync_failures += 1;
-            // Nothing of these segments is believed to be on the device, and none is synced again.
+            // Records in these segments may not be on the device, and their files are never synced again.
             self.log.discard_pending_seals();
             self.disk_trust = DiskTrust::Probing;
             return match self.sync_failures == REPORTED_SYNC_FAILURES {
@@ -769,7 +775,7 @@
         self.sync_failures = 0;
         match self.disk_trust {
             DiskTrust::Probing => {
-                // If it stays it takes 512 bytes, and the next start removes it.
+                // A remaining file takes 512 bytes, and the next start removes it.
                 let _ = self.storage.remove(PROBE_FILE);
                 self.log.roll();
                 self.evacuate_below = self.log.newest();
@@ -784,7 +790,7 @@
             DiskTrust::Trusted => {}
         }
         self.log.mark_synced(done.upto);
-        // Asks for no sync of its own, or there would be no end of them.
+        // The `Synced` record must not request a sync itself, or syncs would never end.
         let wanted_seq = self.wanted_seq;
         self.put(0, Record::Synced { upto: done.upto });
         self.wanted_seq = wanted_seq;
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -1,5 +1,5 @@
-//! The format before segments: one file, `journal`, of records with length and checksum. Read once, when a
-//! folder of an older courier is taken over; never written.
+//! Reader of the format before segments: a single file, `journal`, of records with length and checksum. It is
+//! read once, when a directory of an older version is migrated, and never written.
 
 use crate::record::{AcceptedMessage, Attempt, FieldReader, LiveMessage, Verdict};
 use bytes::Bytes;
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The file's name, and that of a copy that was cut short.
+/// Name of the file, and of an incomplete copy of it.
 pub(crate) const FILE_NAME: &str = "journal";
 pub(crate) const TEMP_FILE_NAME: &str = "journal.next";
-/// No record is longer: a body, an id, a key and room for the rest.
+/// Upper limit for a record: a body, an id, a key and headroom for the rest.
 const MAX_RECORD_BYTES: usize = 128 * 1024;
 
 const ACCEPTED: u8 = 1;
@@ -19,13 +19,13 @@
 const VERDICT: u8 = 4;
 const ENDED: u8 = 5;
 
-/// A text behind its length in four bytes.
+/// A text with a length prefix of four bytes.
 fn text(f: &mut FieldReader) -> Option<String> {
     let n = f.u32()? as usize;
     String::from_utf8(f.take(n)?.to_vec()).ok()
 }
 
-/// Applies one record; None if it cannot be read.
+/// Applies one record; `None` if it cannot be read.
 fn apply(live: &mut BTreeMap<u64, LiveMessage>, last: &mut u64, record: &[u8]) -> Option<()> {
     let mut f = FieldReader(record);
     let (kind, message) = (f.byte()?, f.u64()?);
@@ -79,12 +79,12 @@
     Some(())
 }
 
-/// Replays what is sound; returns the live messages, the highest number and the length of the sound part.
+/// Replays the valid records. Returns the live messages, the highest number and the length of the valid part.
 pub(crate) fn replay(bytes: &[u8]) -> (BTreeMap<u64, LiveMessage>, u64, usize) {
     let (mut live, mut last, mut sound) = (BTreeMap::new(), 0, 0);
     let mut f = FieldReader(bytes);
     while let (Some(len), Some(sum)) = (f.u32(), f.u32()) {
-        // A length that no record has is part of a torn or spoilt tail, not a reason to read on.
+        // A length that no record has belongs to a torn or corrupt tail.
         let record =
             f.take(len as usize).filter(|r| r.len() <= MAX_RECORD_BYTES && crc32fast::hash(r) == sum);
         if record.and_then(|r| apply(&mut live, &mut last, r)).is_none() {
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,18 +1,18 @@
-//! The record on disk of what a courier has taken on: a log in numbered segments, from which alone the state
-//! is rebuilt. No sockets, no clock, no threads of its own.
+//! Durable record of accepted messages: a write-ahead log in numbered segments, from which the state is
+//! rebuilt. It opens no sockets, reads no clock and starts no threads.
 //!
 //! ```text
-//!   Journal  accept, attempt, never_ran, judge, end      flush, compact, begin_sync, finish_sync
-//!      |  \                                                  |
-//!      |   State: what lives, where it begins, its weight    |  does what the queue says, in order
-//!      |                                                     v
-//!     Log: which segment, when a new one, what to remove -> queue of operations -> Storage
+//!   Journal  accept, record_attempt, record_verdict, record_end    flush, compact, begin_sync, finish_sync
+//!      |  \                                                             |
+//!      |   State: live messages, their position, reserved space         |  executes the queue in order
+//!      |                                                                v
+//!     Log: segment of each record, new segments, removals  -> queue of operations -> Storage
 //! ```
 //!
-//! Read in this order: [`record`] (what is kept), `frame` (how it stands in a file), `log` (where it goes;
-//! plans, does nothing), `state` (what it comes to), [`journal`] (the engine), `recover` (a start), and
-//! [`storage`] with its real files, memory and faults. `docs/journal.md` tells why it is built so, and
-//! `docs/journal-format.md` the format byte by byte.
+//! Reading order: [`record`] (record types), `frame` (their encoding in a file), `log` (plans segments and
+//! operations without I/O), `state` (what the records add up to), [`journal`] (the engine), `recover`
+//! (startup), and [`storage`] with its backends: files, memory and injected faults. `docs/journal.md`
+//! explains the design, and `docs/journal-format.md` specifies the format byte by byte.
 
 pub mod error;
 mod frame;
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -1,5 +1,5 @@
-//! Rebuilds the state from the segments alone, and tells a torn tail, which every crash may leave, from a
-//! part that had been whole and cannot be read any more.
+//! Rebuilds the state from the segments. Distinguishes a torn tail, which any crash may leave, from damage to
+//! records that had been written completely.
 
 use crate::error::{Damage, Error};
 use crate::frame::{self, Content, FORMAT_VERSION, HEADER_BYTES, Header, HeaderError};
@@ -11,61 +11,61 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Is shown each record that holds, with its sequence number.
+/// Callback for each valid record, with its sequence number.
 type Observer<'a> = Option<&'a mut dyn FnMut(u64, &Record)>;
 
-/// What the segments come to.
+/// The result of recovery.
 #[derive(Default)]
 pub(crate) struct Recovered {
     pub state: State,
     pub segments: BTreeMap<u64, Segment>,
-    /// Segments of which a part cannot be read.
+    /// Segments with unreadable parts.
     pub damaged: BTreeSet<u64>,
-    /// Segments that are there and not needed: trimmed, never begun, or behind a torn place.
+    /// Existing segments that are not needed: trimmed, incompletely created, or after a torn write.
     pub stale: Vec<u64>,
-    /// Files in a segment's place whose head names another. Nothing in them is believed.
+    /// Files whose header names another segment. Their content is ignored.
     pub misplaced: Vec<u64>,
-    /// The last segment and its sound bytes, where it has more.
+    /// The last segment and the length of its valid part, if it is longer than that.
     pub cut: Option<(u64, u64)>,
     pub truncated_bytes: u64,
     pub next_number: u64,
     pub next_seq: u64,
     pub damages: Vec<Damage>,
-    /// Messages that were accepted and whose beginning is lost.
+    /// Accepted messages whose snapshot is lost.
     pub lost_messages: Vec<u64>,
-    /// Sequence number behind the last lost record: messages that begin before it may have been sent.
+    /// The sequence number after the last lost record: messages that begin before it may have been sent.
     pub lost_before: u64,
-    /// Whether the last segment can be written on.
+    /// Whether new records can be appended to the last segment.
     pub append_to_last: bool,
-    /// All segments were written while an old format was being taken over.
+    /// Whether all segments were written during a migration from the old format.
     pub migration: bool,
-    /// Bytes that were read.
+    /// Number of bytes read.
     pub read: u64,
 }
 
-/// A place behind which the log goes on, with something missing.
+/// A place in the log where records are missing.
 #[derive(Clone, Copy)]
 struct Gap {
     number: u64,
-    /// The last segment that it reaches into.
+    /// The last segment that the gap reaches into.
     to: u64,
     at: u64,
     why: &'static str,
     first_lost: u64,
     last_lost: u64,
-    /// It may be no more than what a power cut leaves of writes that were not synced.
+    /// Whether a power failure during unsynced writes can explain the gap.
     may_be_torn: bool,
 }
 
-/// What one pass over the segments found.
+/// The result of one scan over the segments.
 #[derive(Default)]
 struct Scan {
     state: State,
     segments: BTreeMap<u64, Segment>,
     gaps: Vec<Gap>,
-    /// With the place of the record that says it.
+    /// `Trim` records: segment, offset, and the oldest segment they name.
     trims: Vec<(u64, u64, u64)>,
-    /// Records up to here were on the device, as later ones tell.
+    /// Later records state that records up to this sequence number were on the device.
     synced_seq: u64,
     next_seq: u64,
     cut: Option<(u64, u64)>,
@@ -74,12 +74,12 @@
     read: u64,
 }
 
-/// Reads the segments in `storage` and changes nothing. `see` is shown each record that holds, with its
-/// sequence number.
+/// Reads the segments in `storage` without changing anything. `observe` is called for each valid record, with
+/// its sequence number.
 ///
 /// # Errors
-/// [`Error::NewerFormat`], or [`Error::Io`] with the file that could not be read. What is spoilt is no error
-/// here but a [`Damage`].
+/// [`Error::NewerFormat`], or [`Error::Io`] with the file that could not be read. Corrupt content is reported
+/// as [`Damage`] instead.
 pub(crate) fn recover(
     storage: &dyn Storage,
     options: &Options,
@@ -92,11 +92,13 @@
         SegmentHeader::Sound(h) | SegmentHeader::Misplaced(h) => Some(h),
         SegmentHeader::Unreadable => None,
     });
-    // From the first that is there, also if it is not needed: so its neighbours' numbers are known.
+    // Starts at the first existing segment, even if it is not needed, so that the sequence numbers around a
+    // gap are known.
     let from = numbers.first().copied().unwrap_or_default();
     let mut first = scan(storage, options, &headers, from, None, None)?;
-    // What stands behind a torn place was not synced either, so nothing of it was relied on: neither what it
-    // says of older segments. Without that more of them are needed, which may show a place further back.
+    // Records after a torn write were not synced, so nothing relied on them, and their statements about
+    // trimmed segments do not count. Without those, older segments are needed again, which may have an
+    // earlier torn write.
     let mut limit: Option<Gap> = None;
     let mut oldest = oldest_needed(&headers, &first, limit);
     while let Some(torn) = torn(&first, oldest)
@@ -105,7 +107,7 @@
         limit = Some(torn);
         oldest = oldest_needed(&headers, &first, limit);
     }
-    // Mostly that was all of it.
+    // Usually the first scan is sufficient.
     if observe.is_some() || oldest != from || limit.is_some() {
         first = scan(storage, options, &headers, oldest, limit, observe)?;
     }
@@ -121,7 +123,7 @@
             last_lost: h.last_lost,
         })
         .collect();
-    // Without damage a record without its message can only be one that the next snapshot took in.
+    // Without damage, a record without a message can only be one that a later snapshot replaced.
     let lost_messages = match damages.is_empty() {
         true => Vec::new(),
         false => first.state.orphans().iter().copied().collect(),
@@ -138,8 +140,8 @@
             }),
         migration: known.all(|h| h.migration),
         damaged: first.gaps.iter().map(|h| h.number).filter(|n| first.segments.contains_key(n)).collect(),
-        // Without a gap: one that never began, or is dropped, leaves its number to the next. Only what stands
-        // there until all is salvaged does not.
+        // Numbers have no gaps: a segment that was incompletely created or dropped leaves its number to the
+        // next one. Only misplaced files, which stay until the salvage is done, keep theirs.
         next_number: last.max(misplaced.last().copied()).map_or(oldest.max(1), |n| n + 1),
         next_seq: first.next_seq.max(1),
         state: first.state,
@@ -155,11 +157,11 @@
     })
 }
 
-/// What stands at the head of a segment's file.
+/// What the start of a segment's file contains.
 enum SegmentHeader {
     Sound(Header),
-    /// Of another segment: whoever copied files about put it here. What it says of which segments are needed
-    /// is that one's word, and would have segments removed that are needed here.
+    /// The header of another segment: files have been copied or renamed. Its statement about trimmed segments
+    /// belongs to that segment, and would remove segments that are needed here.
     Misplaced(Header),
     Unreadable,
 }
@@ -196,16 +198,16 @@
     Ok(headers)
 }
 
-/// Whether a segment was written with syncs. Where its own head cannot be read the nearest one before tells,
-/// then the nearest behind: the settings may have changed since, and a part that was whole would pass for a
-/// torn tail.
+/// Whether a segment was written with syncs. If its header is unreadable, the nearest readable header before
+/// it decides, then the nearest after it. The current options do not: they may have changed, and damage would
+/// be taken for a torn tail.
 fn written_with_syncs(headers: &Headers, number: u64, options: &Options) -> bool {
     let before = headers.range(..=number).rev().find_map(|(_, h)| h.valid());
     let nearest = before.or_else(|| headers.range(number..).find_map(|(_, h)| h.valid()));
     nearest.map_or(options.durability == Durability::Machine, |h| h.sync_writes)
 }
 
-/// The oldest segment that is needed, as all say that stand before `limit`.
+/// The oldest segment that is needed, according to all headers and `Trim` records before `limit`.
 fn oldest_needed(headers: &Headers, scan: &Scan, limit: Option<Gap>) -> u64 {
     let kept = headers.iter().filter(|(n, _)| limit.is_none_or(|l| **n <= l.number));
     let headers = kept.filter_map(|(_, h)| h.valid()).map(|h| h.oldest);
@@ -213,13 +215,13 @@
     headers.chain(before.map(|(_, _, oldest)| *oldest)).max().unwrap_or_default()
 }
 
-/// The first hole that is no more than unsynced writes which a power cut took.
+/// The first gap that a power failure during unsynced writes can explain.
 fn torn(scan: &Scan, oldest: u64) -> Option<Gap> {
     let gaps = scan.gaps.iter().filter(|h| h.to >= oldest);
     gaps.copied().find(|h| h.may_be_torn && h.first_lost > scan.synced_seq)
 }
 
-/// Reads all segments from `oldest` on, up to `limit`, and applies what is sound.
+/// Reads all segments from `oldest` up to `limit` and applies the valid records.
 fn scan(
     storage: &dyn Storage,
     options: &Options,
@@ -231,13 +233,13 @@
     let mut p = Scan::default();
     let mut buffer = Vec::new();
     let mut wanted = oldest;
-    // The last segment that was whole had another behind it.
+    // Whether the previous segment was sealed, that is, whether another one followed it.
     let mut before = None;
     let last = headers.keys().next_back().copied();
     let misplaced = |from: u64| headers.range(from..).any(|(_, h)| matches!(h, SegmentHeader::Misplaced(_)));
     for (number, header) in headers.range(oldest..) {
         if matches!(header, SegmentHeader::Misplaced(_)) {
-            // So its place counts as missing.
+            // The segment at this place counts as missing.
             continue;
         }
         if limit.is_some_and(|l| *number > l.number || *number == l.number && l.at == 0) {
@@ -253,13 +255,13 @@
         let mut reader = Reader { bytes, number: *number, sync_writes };
         let begun = header.is_some() || reader.next(HEADER_BYTES.min(bytes.len()), p.next_seq).is_some();
         if !begun && last == Some(*number) && !p.sealed {
-            // Killed while it was begun: nothing was in it yet.
+            // The process was killed while it created this segment, which held no records yet.
             p.cut_bytes += bytes.len() as u64;
             break;
         }
         if let Some(h) = header {
             p.synced_seq = p.synced_seq.max(h.synced_seq);
-            // Without what came before, its numbers begin here.
+            // Without earlier segments, sequence numbers start at this header.
             if p.next_seq == 0 && wanted == *number {
                 p.next_seq = h.first_seq;
             }
@@ -287,7 +289,7 @@
                 why: "the head cannot be read",
                 first_lost: p.next_seq,
                 last_lost: if begun { p.next_seq.saturating_sub(1) } else { p.next_seq },
-                // The seal before it was written when this head was there.
+                // The previous segment's seal was written when this header existed.
                 may_be_torn: sync_writes && !p.sealed,
             });
             p.next_seq += u64::from(!begun);
@@ -303,13 +305,13 @@
         before = Some(p.sealed);
         if valid_end < bytes.len() as u64 {
             p.cut = Some((*number, valid_end));
-            // Known to be no hole only at the very end of the log.
+            // An invalid tail is certainly no gap only at the very end of the log.
             let behind = headers.range(number + 1..).any(|(n, _)| limit.is_none_or(|l| *n <= l.number));
             if behind {
                 let next = headers.range(number + 1..).find_map(|(n, h)| Some((n - 1, h.valid()?.first_seq)));
-                // What stands between the two is part of it, if no head says where it begins.
+                // Segments without a readable header in between belong to the gap.
                 let (to, next) = next.unwrap_or((*number, p.next_seq));
-                // A torn seal hides nothing.
+                // A torn seal hides no records.
                 if next > p.next_seq {
                     p.gaps.push(Gap {
                         number: *number,
@@ -329,7 +331,8 @@
             && h.first_seq > p.next_seq
             && headers.contains_key(&wanted)
         {
-            // It ends cleanly, and the next begins further on: its tail is gone.
+            // The segment ends with a valid frame, but the next one starts at a later sequence number: its
+            // tail is missing.
             p.gaps.push(Gap {
                 number: *number,
                 to: *number,
@@ -342,7 +345,8 @@
             p.next_seq = h.first_seq;
         }
     }
-    // Only of the last segment: what is torn in one before it may be the seal, and nothing follows it there.
+    // Only the last segment is truncated. The torn part of an earlier one may be its seal, and nothing is
+    // appended there.
     if let Some((number, valid_end)) = p.cut
         && let Some(s) = p.segments.get_mut(&number)
     {
@@ -375,7 +379,7 @@
         frame::next_frame(self.bytes, at, expected)
     }
 
-    /// Applies all sound frames; where the sound part ends.
+    /// Applies all valid frames and returns the offset at which they end.
     fn read(&self, p: &mut Scan, options: &Options, observe: &mut Observer) -> u64 {
         let mut at = HEADER_BYTES.min(self.bytes.len());
         while at < self.bytes.len() {
@@ -430,14 +434,14 @@
     }
 }
 
-/// What a folder holds, as a reader finds it that changes nothing.
+/// Content of a journal that was read without changing it.
 pub struct JournalContents {
     pub live: BTreeMap<u64, LiveMessage>,
-    /// What stays of messages that have ended, and notes.
+    /// Records of ended messages, and notes.
     pub ended_messages: BTreeMap<u64, Rc<EndedMessage>>,
     pub notes: BTreeMap<u64, Rc<Note>>,
     pub segments: usize,
-    /// Bytes of all segments, and of the records among them that are needed.
+    /// Bytes of all segments, and of the live records among them.
     pub bytes: u64,
     pub live_bytes: u64,
     pub truncated_bytes: u64,
@@ -445,8 +449,8 @@
     pub lost_messages: Vec<u64>,
 }
 
-/// Reads a folder and changes nothing in it. `see` is shown every record that can be read, with its sequence
-/// number, in order.
+/// Reads a journal without changing it. `observe` is called for every readable record in order, with its
+/// sequence number.
 ///
 /// # Errors
 /// [`Error::NewerFormat`], or [`Error::Io`] with the file that could not be read.
