--- a/crates/journal/benches/journal.rs
+++ b/crates/journal/benches/journal.rs
@@ -1,10 +1,11 @@
-//! Measures the journal beside the raw calls of the same bytes, and its compaction beside the rewrite that it had
-//! before, in one run on one disk:
+//! Compares the journal with raw writes of the same number of bytes, and its compaction with the full rewrite
+//! that it replaced, in one run on one disk:
 //!
 //!     cargo bench -p stairshed-journal
 //!
-//! `BENCH_DIR` names the folder (default: the target folder's disk), `BENCH_RECOVER_MB` how much is recovered
-//! (default 1000), `BENCH_ONLY` one of append, compaction, amplification, recovery. Takes a few minutes and up to 3 GB.
+//! `BENCH_DIR` is the directory (default: in the target folder), `BENCH_RECOVER_MB` the size of the journal to
+//! recover in MB (default 1000), and `BENCH_ONLY` selects one of append, compaction, amplification and recovery.
+//! The run takes a few minutes and up to 3 GB.
 
 use bytes::Bytes;
 use stairshed_journal::{AcceptedMessage, Durability, FileStorage, Journal, Options};
@@ -50,7 +51,8 @@
     rate
 }
 
-/// Rounds of which the median counts: the page cache makes single ones differ by a factor of two.
+/// Number of rounds, of which the median is reported: the page cache makes single rounds differ by a factor
+/// of two.
 const ROUNDS: usize = 5;
 
 struct Append {
@@ -60,15 +62,16 @@
 }
 
 impl Append {
-    /// Bytes written and the time it took. A message is taken on and ended; `batch` of them share a write.
+    /// Returns the bytes written and the time taken. Each message is accepted and ended; `batch` messages
+    /// share a write.
     fn journal(&self) -> (u64, Duration) {
         let durability = if self.sync { Durability::Machine } else { Durability::Process };
         let path = folder("append");
         let mut journal = open(&path, Options { durability, ..Options::new(2_000_000_000) });
-        // Made beforehand, as the clients' requests are.
-        let letters: Vec<_> = (1..=self.total).map(|n| sample_message(n, BODY)).collect();
+        // Created in advance, so that the measurement excludes it.
+        let messages: Vec<_> = (1..=self.total).map(|n| sample_message(n, BODY)).collect();
         let begin = Instant::now();
-        for (n, accepted) in (1..=self.total).zip(letters) {
+        for (n, accepted) in (1..=self.total).zip(messages) {
             journal.accept(n, accepted);
             journal.record_end(n);
             if n % self.batch == 0 {
@@ -83,12 +86,13 @@
         (journal.usage().written, begin.elapsed())
     }
 
-    /// The same bytes, in as many writes, into one file.
+    /// Writes the same number of bytes, in as many writes, to one file.
     fn raw(&self, bytes: u64) -> Duration {
         let path = folder("raw").join("raw");
         let mut file = File::create(&path).expect("a file");
         let writes = self.total / self.batch;
-        // All of them, as messages are: one piece over and over would come from the processor's cache.
+        // A separate piece for each write: a single piece written repeatedly would stay in the processor's
+        // cache.
         let all = vec![7u8; bytes as usize];
         let begin = Instant::now();
         for piece in all.chunks((bytes / writes) as usize) {
@@ -104,8 +108,8 @@
         let (total, batch) = (self.total, self.batch);
         let kind = if self.sync { "each write synced" } else { "not synced" };
         println!(
-            "\nappend: {total} messages of {BODY} bytes, taken on and ended, {batch} to a write, {kind}; \
-             medians of {ROUNDS} rounds in turn"
+            "\nappend: {total} messages of {BODY} bytes, accepted and ended, {batch} per write, {kind}; \
+             medians of {ROUNDS} alternating rounds"
         );
         let (mut ours, mut raws, mut written) = (Vec::new(), Vec::new(), 0);
         for _ in 0..ROUNDS {
@@ -117,7 +121,7 @@
         ours.sort();
         raws.sort();
         let rate = row("  this journal", total, written, ours[ROUNDS / 2]);
-        let raw = row("  the raw calls", total, written, raws[ROUNDS / 2]);
+        let raw = row("  raw writes", total, written, raws[ROUNDS / 2]);
         println!(
             "  share of raw: {:.0} % (raw from {:.0} to {:.0} MB/s)",
             100.0 * rate / raw,
@@ -140,9 +144,9 @@
     );
 }
 
-/// 100 MB live, of which a message in turn ends and another comes, until all has been copied twice.
+/// 100 MB of live messages; each turn accepts one and ends one, until 200 MB have been copied.
 fn compaction() {
-    println!("\ncompaction: 100 MB live, each turn takes one message on and ends one");
+    println!("\ncompaction: 100 MB live, each turn accepts one message and ends one");
     let path = folder("compact");
     let live = 100_000_000 / (BODY as u64 + 116);
     let mut journal = open(&path, Options::new(400_000_000));
@@ -156,7 +160,7 @@
     let (mut turns, mut n) = (Vec::new(), live);
     let before = journal.usage();
     while journal.usage().copied < before.copied + 200_000_000 {
-        // A third of the messages live long: ends strike two of three.
+        // A third of the messages are long-lived: two of three turns end an old message.
         let begin = Instant::now();
         n += 1;
         journal.accept(n, sample_message(n, BODY));
@@ -167,10 +171,11 @@
         journal.flush().expect("written");
         turns.push(begin.elapsed());
     }
-    pauses(turns, "  a turn of this journal, compaction at work");
+    pauses(turns, "  a turn of this journal, during compaction");
     let usage = journal.usage();
     println!("  {:.0} MB copied, {:.0} MB used", usage.copied as f64 / 1e6, usage.used as f64 / 1e6);
-    // What was done before: all that lives to a new file in one call, renamed over the old one.
+    // The earlier method: all live messages written to a new file in one call, which then replaces the old
+    // one.
     let mut rewrites = Vec::new();
     for _ in 0..3 {
         let begin = Instant::now();
@@ -191,7 +196,7 @@
         fs::rename(path.join("whole.next"), path.join("whole")).expect("renamed");
         rewrites.push(begin.elapsed());
     }
-    pauses(rewrites, "  the rewrite of the whole, as it was before");
+    pauses(rewrites, "  the full rewrite that compaction replaced");
 }
 
 fn recovery() {
@@ -228,7 +233,7 @@
         bytes
     };
     for cold in [true, false] {
-        // Once it is on the device the system may forget it, if asked.
+        // Once synced, the files can be dropped from the page cache.
         let forget = || {
             for entry in fs::read_dir(&path).expect("the folder").flatten().filter(|_| cold) {
                 let file = File::open(entry.path()).expect("a file");
@@ -250,9 +255,9 @@
     }
 }
 
-/// Ends strike at random, which is the worst for a log whose oldest segment is emptied first.
+/// Messages end at random, the worst case for a log that compacts its oldest segment first.
 fn amplification() {
-    println!("\nwrite amplification: 40 MB of room, messages of {BODY} bytes end at random");
+    println!("\nwrite amplification: 40 MB capacity, messages of {BODY} bytes end at random");
     for share in [0.5, 0.9] {
         let path = folder("amplify");
         let mut journal = open(
@@ -265,17 +270,17 @@
             },
         );
         let wanted = (40_000_000.0 * share) as u64;
-        let (mut live, mut n, mut dice) = (Vec::new(), 0u64, 88172645463325252u64);
+        let (mut live, mut n, mut random) = (Vec::new(), 0u64, 88172645463325252u64);
         let mut base = None;
         while n < 400_000 {
             n += 1;
             let new = sample_message(n, BODY);
             if journal.usage().live >= wanted || journal.can_accept(&new).is_err() {
-                // Full: from here on it is steady.
-                dice ^= dice << 13;
-                dice ^= dice >> 7;
-                dice ^= dice << 17;
-                let at = (dice % live.len() as u64) as usize;
+                // The journal is full: from here on the load is steady.
+                random ^= random << 13;
+                random ^= random >> 7;
+                random ^= random << 17;
+                let at = (random % live.len() as u64) as usize;
                 journal.record_end(live.swap_remove(at));
                 base.get_or_insert_with(|| journal.usage());
             }
@@ -291,7 +296,7 @@
         let (all, copied) = (to.written - from.written, to.copied - from.copied);
         let live = 100.0 * to.live as f64 / to.room as f64;
         println!(
-            "  {live:.1} % of the room live: {:.2} bytes written for 1",
+            "  {live:.1} % of the capacity live: write amplification {:.2}",
             all as f64 / (all - copied) as f64
         );
     }
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -7,18 +7,18 @@
 pub enum Error {
     #[error("{file}: {call}: {source}")]
     Io { file: String, call: &'static str, source: io::Error },
-    #[error("{folder}: another process holds the lock of this folder; stop it, or name another folder")]
+    #[error("{folder}: another process holds the lock on this directory; stop it, or use another directory")]
     Locked { folder: String },
-    #[error("{folder}: is not a folder; name one that exists and can be written")]
+    #[error("{folder}: not a directory; name an existing directory that is writable")]
     NotADirectory { folder: String },
     #[error(
-        "{file}: format version {found}, and this program knows {known} at most; nothing was changed. Start \
-         the newer program on this folder"
+        "{file}: format version {found} is newer than version {known}, the newest that this program reads; \
+         nothing was changed. Start the newer program on this directory"
     )]
     NewerFormat { file: String, found: u16, known: u16 },
     #[error(
-        "journal: a file of the old format stands beside segments that it was not taken over into; nothing \
-         was changed. Move away the one that is out of date"
+        "journal: a file of the old format exists beside segments that were not migrated from it; nothing was \
+         changed. Move away the one that is out of date"
     )]
     ConflictingFormats,
     #[error("journal: room = {capacity} bytes is too small; at least {required} bytes are required")]
@@ -62,10 +62,10 @@
 /// Why a new message is refused for now. Messages accepted earlier are not affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    #[error("the journal's room is taken up by messages that have not ended")]
+    #[error("the journal is full of messages that have not ended")]
     Full,
-    #[error("the disk has no room for what the message may still need on record")]
+    #[error("the disk has no space for the records that the message may still need")]
     DiskFull,
-    #[error("the disk does not keep what is written to it")]
+    #[error("a sync failed, and the disk is not trusted until its data is rewritten")]
     DiskUnreliable,
 }
--- a/crates/journal/src/legacy_test.rs
+++ b/crates/journal/src/legacy_test.rs
@@ -1,4 +1,4 @@
-//! The old format's reader against files as the old courier wrote them.
+//! Tests of the old format's reader with files as the old version wrote them.
 
 use super::*;
 use bytes::BufMut;
@@ -60,8 +60,8 @@
     }
 }
 
-/// A file with each kind of record, and the length behind each.
-fn written() -> (Vec<u8>, Vec<usize>) {
+/// A file with a record of each kind, and the offset after each record.
+fn file_with_all_records() -> (Vec<u8>, Vec<usize>) {
     let records = [
         accepted_record(1, &sample_message("a", b"bo\0dy")),
         accepted_record(2, &sample_message("b", b"")),
@@ -85,7 +85,7 @@
 
 #[test]
 fn every_record_of_the_old_format_is_read() {
-    let (file, _) = written();
+    let (file, _) = file_with_all_records();
     let (live, last, sound) = replay(&file);
     assert_eq!((live.len(), last, sound), (2, 3, file.len()));
     let one = &live[&1];
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_torn_tail_of_the_old_format_hides_nothing_before_it() {
-    let (file, ends) = written();
+    let (file, ends) = file_with_all_records();
     for cut in 0..=file.len() {
         let (live, _, sound) = replay(&file[..cut]);
         let end = ends.iter().rev().find(|end| **end <= cut).expect("the start");
@@ -107,7 +107,7 @@
     }
 }
 
-mod take_over {
+mod migration {
     use super::*;
     use crate::journal::Journal;
     use crate::options::{Durability, Options};
@@ -125,8 +125,8 @@
     }
 
     #[test]
-    fn every_message_is_taken_over_and_the_old_file_goes() {
-        let (file, _) = written();
+    fn migration_keeps_every_message_and_removes_the_old_file() {
+        let (file, _) = file_with_all_records();
         let folder = FaultyStorage::from_image(BTreeMap::from([(FILE_NAME.to_owned(), file.clone())]));
         let (journal, report) =
             Journal::open(Arc::new(folder.clone()), options(Durability::Process)).expect("opens");
@@ -136,9 +136,9 @@
     }
 
     #[test]
-    fn a_take_over_that_is_cut_short_at_any_byte_loses_nothing() {
+    fn a_migration_interrupted_at_any_byte_loses_nothing() {
         for durability in [Durability::Process, Durability::Machine] {
-            let (file, _) = written();
+            let (file, _) = file_with_all_records();
             let before = BTreeMap::from([
                 (FILE_NAME.to_owned(), file.clone()),
                 (TEMP_FILE_NAME.to_owned(), vec![1, 2]),
--- a/crates/journal/src/record_test.rs
+++ b/crates/journal/src/record_test.rs
@@ -6,7 +6,7 @@
     to
 }
 
-fn all() -> Vec<Record> {
+fn all_records() -> Vec<Record> {
     let accepted = AcceptedMessage {
         id: "id".to_owned(),
         class: "payment".to_owned(),
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn each_record_reads_back_and_no_part_of_one_does() {
-    for record in all() {
+fn every_record_round_trips_and_no_prefix_of_one_decodes() {
+    for record in all_records() {
         let whole = bytes(&record);
         assert_eq!(Record::decode(&whole).as_ref(), Some(&record));
         for cut in 0..whole.len() {
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn the_room_that_is_reckoned_is_the_room_that_is_written() {
-    for record in all() {
+fn computed_sizes_match_encoded_sizes() {
+    for record in all_records() {
         assert_eq!(bytes(&record).len() as u64, record.size(), "{record:?}");
     }
 }
 
 #[test]
-fn a_copy_takes_no_more_than_the_records_that_it_replaces() {
-    let Record::Snapshot { live, .. } = all().remove(1) else { panic!("the second is a snapshot") };
+fn a_snapshot_is_no_larger_than_the_records_it_replaces() {
+    let Record::Snapshot { live, .. } = all_records().remove(1) else { panic!("the second is a snapshot") };
     let mut parts = snapshot_bytes(&live.accepted) + JUDGED_BYTES;
     for a in &live.attempts {
         parts += attempt_bytes((a.host.len() + a.zone.len()) as u64);
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -286,7 +286,7 @@
                 number: *number,
                 to: *number,
                 at: 0,
-                why: "the head cannot be read",
+                why: "the header cannot be read",
                 first_lost: p.next_seq,
                 last_lost: if begun { p.next_seq.saturating_sub(1) } else { p.next_seq },
                 // The previous segment's seal was written when this header existed.
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A journal beside a plain map that says what it must hold, over a folder in memory.
+//! A journal in an in-memory directory, together with a plain map as a model of what it must hold.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -13,14 +13,14 @@
 use std::time::Duration;
 
 pub type Map = BTreeMap<u64, LiveMessage>;
-/// What stays of messages that have ended, and notes.
-pub type Rest = (BTreeMap<u64, EndedMessage>, BTreeMap<u64, Note>);
+/// Records of ended messages, and notes.
+pub type EndedAndNotes = (BTreeMap<u64, EndedMessage>, BTreeMap<u64, Note>);
 pub type Image = BTreeMap<String, Vec<u8>>;
 
 pub const NOW: Duration = Duration::from_secs(1_790_000_000);
 
-/// Small segments, so that a short history has many.
-pub fn small(durability: Durability) -> Options {
+/// Options with small segments, so that a short history has many.
+pub fn small_options(durability: Durability) -> Options {
     Options {
         segment_bytes: Some(1500),
         max_record_bytes: 600,
@@ -53,74 +53,75 @@
     journal.live().map(|(n, m)| (n, m.clone())).collect()
 }
 
-pub fn rest(journal: &Journal) -> Rest {
+pub fn ended_and_notes(journal: &Journal) -> EndedAndNotes {
     let kept = journal.ended_messages().map(|(n, k)| (n, EndedMessage::clone(k))).collect();
     (kept, journal.notes().map(|(n, note)| (n, Note::clone(note))).collect())
 }
 
-/// All that a journal holds.
-pub fn whole(journal: &Journal) -> (Map, Rest) {
-    (state(journal), rest(journal))
+/// Everything that a journal holds.
+pub fn contents(journal: &Journal) -> (Map, EndedAndNotes) {
+    (state(journal), ended_and_notes(journal))
 }
 
 pub fn open(folder: &FaultyStorage, options: Options) -> (Journal, RecoveryReport) {
     Journal::open(Arc::new(folder.clone()), options).expect("the journal opens")
 }
 
-/// What is done to a journal. Messages are named by their place among those that live.
+/// An operation on a journal. Messages are identified by their index among the live ones, modulo their
+/// number.
 #[derive(Clone, Debug)]
-pub enum Do {
+pub enum Operation {
     Accept(usize),
     Attempt(usize),
     NeverRan(usize, usize),
-    Judge(usize, u8),
+    SetVerdict(usize, u8),
     End(usize),
-    /// A message has ended, and something of it stays.
-    Keep(usize, bool),
-    /// That is needed no more.
-    Forget(usize),
-    /// A new note, or the one of this place anew.
-    Note(usize, usize),
-    Unnote(usize),
+    /// Ends a message and keeps a record of it, with an owner if true.
+    ReplaceWithEnded(usize, bool),
+    /// Removes the record of an ended message.
+    RemoveEnded(usize),
+    /// Stores a new note, or replaces the note with this index.
+    StoreNote(usize, usize),
+    RemoveNote(usize),
     Flush,
     Compact(u64),
     Sync,
 }
 
-/// A journal and the map beside it.
-pub struct Pair {
+/// A journal and its model.
+pub struct ModelledJournal {
     pub folder: FaultyStorage,
     pub journal: Journal,
     pub map: Map,
-    pub rest: Rest,
+    pub ended_and_notes: EndedAndNotes,
     next: u64,
 }
 
-/// The number in this place of those that are there.
-fn place<T>(of: &BTreeMap<u64, T>, n: usize) -> Option<u64> {
+/// The key with index `n`, modulo the length of the map.
+fn nth_key<T>(of: &BTreeMap<u64, T>, n: usize) -> Option<u64> {
     (!of.is_empty()).then(|| *of.keys().nth(n % of.len()).expect("it is in range"))
 }
 
-impl Pair {
+impl ModelledJournal {
     pub fn new(folder: FaultyStorage, options: Options) -> Self {
         let (journal, _) = open(&folder, options);
         let map = state(&journal);
-        let (rest, next) = (rest(&journal), journal.last_number() + 1);
-        Pair { folder, journal, map, rest, next }
+        let (ended_and_notes, next) = (ended_and_notes(&journal), journal.last_number() + 1);
+        ModelledJournal { folder, journal, map, ended_and_notes, next }
     }
 
     fn pick(&self, n: usize) -> Option<u64> {
-        place(&self.map, n)
+        nth_key(&self.map, n)
     }
 
-    pub fn whole(&self) -> (Map, Rest) {
-        (self.map.clone(), self.rest.clone())
+    pub fn contents(&self) -> (Map, EndedAndNotes) {
+        (self.map.clone(), self.ended_and_notes.clone())
     }
 
-    /// Does one thing to both. True if it was kept, as the settings mean it, when it returned.
-    pub fn act(&mut self, what: &Do) -> bool {
-        match what {
-            Do::Accept(body) => {
+    /// Applies an operation to both. Returns whether everything was durable when it returned.
+    pub fn apply(&mut self, operation: &Operation) -> bool {
+        match operation {
+            Operation::Accept(body) => {
                 let (number, accepted) = (self.next, sample_message(self.next, *body));
                 if self.journal.can_accept(&accepted).is_ok() {
                     self.next += 1;
@@ -128,7 +129,7 @@
                     self.map.insert(number, LiveMessage { accepted, attempts: Vec::new(), verdict: None });
                 }
             }
-            Do::Attempt(n) => {
+            Operation::Attempt(n) => {
                 if let Some(number) = self.pick(*n) {
                     let new = attempt(self.next + *n as u64);
                     if self.journal.record_attempt(number, new.clone()).is_ok() {
@@ -136,7 +137,7 @@
                     }
                 }
             }
-            Do::NeverRan(n, a) => {
+            Operation::NeverRan(n, a) => {
                 if let Some(number) = self.pick(*n) {
                     let attempts = &mut self.map.get_mut(&number).expect("it lives").attempts;
                     if !attempts.is_empty() {
@@ -146,7 +147,7 @@
                     }
                 }
             }
-            Do::Judge(n, kind) => {
+            Operation::SetVerdict(n, kind) => {
                 if let Some(number) = self.pick(*n)
                     && self.map[&number].verdict.is_none()
                 {
@@ -156,13 +157,13 @@
                     self.map.get_mut(&number).expect("it lives").verdict = Some(verdict);
                 }
             }
-            Do::End(n) => {
+            Operation::End(n) => {
                 if let Some(number) = self.pick(*n) {
                     self.journal.record_end(number);
                     self.map.remove(&number);
                 }
             }
-            Do::Keep(n, owned) => {
+            Operation::ReplaceWithEnded(n, owned) => {
                 if let Some(number) = self.pick(*n)
                     && let Some(live) = self.map.remove(&number)
                 {
@@ -171,40 +172,40 @@
                     let kept =
                         EndedMessage { id, owner, verdict: live.verdict, until: live.accepted.deadline };
                     self.journal.replace_with_ended(number, kept.clone());
-                    self.rest.0.insert(number, kept);
+                    self.ended_and_notes.0.insert(number, kept);
                 }
             }
-            Do::Forget(n) => {
-                if let Some(number) = place(&self.rest.0, *n) {
+            Operation::RemoveEnded(n) => {
+                if let Some(number) = nth_key(&self.ended_and_notes.0, *n) {
                     self.journal.record_end(number);
-                    self.rest.0.remove(&number);
+                    self.ended_and_notes.0.remove(&number);
                 }
             }
-            Do::Note(n, length) => {
-                let number = place(&self.rest.1, *n).filter(|_| n % 2 == 0).unwrap_or(self.next);
+            Operation::StoreNote(n, length) => {
+                let number = nth_key(&self.ended_and_notes.1, *n).filter(|_| n % 2 == 0).unwrap_or(self.next);
                 let note =
                     Note { key: format!("note/{number}"), value: Bytes::from(vec![*n as u8; *length]) };
                 if self.journal.can_store_note((note.key.len() + length) as u64).is_ok() {
                     self.next = self.next.max(number + 1);
                     self.journal.store_note(number, note.clone());
-                    self.rest.1.insert(number, note);
+                    self.ended_and_notes.1.insert(number, note);
                 }
             }
-            Do::Unnote(n) => {
-                if let Some(number) = place(&self.rest.1, *n) {
+            Operation::RemoveNote(n) => {
+                if let Some(number) = nth_key(&self.ended_and_notes.1, *n) {
                     self.journal.record_end(number);
-                    self.rest.1.remove(&number);
+                    self.ended_and_notes.1.remove(&number);
                 }
             }
-            Do::Flush => return self.journal.flush().is_ok() && self.journal.is_durable(),
-            Do::Compact(most) => {
+            Operation::Flush => return self.journal.flush().is_ok() && self.journal.is_durable(),
+            Operation::Compact(most) => {
                 self.journal.compact(*most);
                 return self.journal.flush().is_ok() && self.journal.is_durable();
             }
-            Do::Sync => {
+            Operation::Sync => {
                 let flushed = self.journal.flush().is_ok();
                 if let Some(job) = self.journal.begin_sync() {
-                    // A failure is told by what is kept.
+                    // The return value tells whether the records are durable.
                     let _ = self.journal.finish_sync(job.run());
                 }
                 return flushed && self.journal.is_durable();
--- a/crates/journal/tests/model.rs
+++ b/crates/journal/tests/model.rs
@@ -1,7 +1,7 @@
-//! Random histories, with the journal beside a plain map, and a crash at every call to the disk, at every
-//! byte of every write, and by power cuts that lose and reorder what was not synced.
+//! Random histories compared with a model, with a crash at every call to the disk, at every byte of every
+//! write, and by power failures that lose and reorder unsynced writes.
 //!
-//! `JOURNAL_SEED=N` plays one seed again, `JOURNAL_CASES=N` more histories than CI does.
+//! `JOURNAL_SEED=N` repeats one seed; `JOURNAL_CASES=N` runs more histories than CI does.
 
 mod common;
 use common::*;
@@ -17,42 +17,43 @@
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
 }
 
-fn what() -> impl Strategy<Value = Do> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        6 => (0usize..500).prop_map(Do::Accept),
-        5 => (0usize..1000).prop_map(Do::Attempt),
-        2 => ((0usize..1000), (0usize..1000)).prop_map(|(m, a)| Do::NeverRan(m, a)),
-        2 => ((0usize..1000), 0u8..3).prop_map(|(m, k)| Do::Judge(m, k)),
-        3 => (0usize..1000).prop_map(Do::End),
-        2 => ((0usize..1000), any::<bool>()).prop_map(|(m, o)| Do::Keep(m, o)),
-        1 => (0usize..1000).prop_map(Do::Forget),
-        2 => ((0usize..1000), (0usize..200)).prop_map(|(n, l)| Do::Note(n, l)),
-        1 => (0usize..1000).prop_map(Do::Unnote),
-        4 => Just(Do::Flush),
-        3 => (1u64..2000).prop_map(Do::Compact),
-        2 => Just(Do::Sync),
+        6 => (0usize..500).prop_map(Operation::Accept),
+        5 => (0usize..1000).prop_map(Operation::Attempt),
+        2 => ((0usize..1000), (0usize..1000)).prop_map(|(m, a)| Operation::NeverRan(m, a)),
+        2 => ((0usize..1000), 0u8..3).prop_map(|(m, k)| Operation::SetVerdict(m, k)),
+        3 => (0usize..1000).prop_map(Operation::End),
+        2 => ((0usize..1000), any::<bool>()).prop_map(|(m, o)| Operation::ReplaceWithEnded(m, o)),
+        1 => (0usize..1000).prop_map(Operation::RemoveEnded),
+        2 => ((0usize..1000), (0usize..200)).prop_map(|(n, l)| Operation::StoreNote(n, l)),
+        1 => (0usize..1000).prop_map(Operation::RemoveNote),
+        4 => Just(Operation::Flush),
+        3 => (1u64..2000).prop_map(Operation::Compact),
+        2 => Just(Operation::Sync),
     ]
 }
 
-/// A history that was played, with what must be found after a crash at each step.
+/// The steps of an executed history, and what recovery must find after a crash at each of them.
 struct Played {
     steps: Vec<Step>,
-    /// The map after each thing that was done.
-    maps: Vec<(Map, Rest)>,
-    /// Behind so many steps: what was kept by then, and what had been done.
+    /// The model's state after each operation.
+    maps: Vec<(Map, EndedAndNotes)>,
+    /// For each operation: number of storage steps, index of the last durable state, index of the current
+    /// state.
     marks: Vec<(usize, usize, usize)>,
 }
 
-fn play(history: &[Do], durability: Durability) -> Result<Played, TestCaseError> {
+fn play(history: &[Operation], durability: Durability) -> Result<Played, TestCaseError> {
     let folder = FaultyStorage::default();
-    let mut pair = Pair::new(folder.clone(), small(durability));
-    let (mut maps, mut kept) = (vec![pair.whole()], 0);
+    let mut modelled = ModelledJournal::new(folder.clone(), small_options(durability));
+    let (mut maps, mut kept) = (vec![modelled.contents()], 0);
     let mut marks = vec![(folder.steps().len(), 0, 0)];
-    for (n, what) in history.iter().enumerate() {
-        let is_kept = pair.act(what);
-        prop_assert!(whole(&pair.journal) == pair.whole(), "after {} {:?}", n, what);
+    for (n, operation) in history.iter().enumerate() {
+        let is_kept = modelled.apply(operation);
+        prop_assert!(contents(&modelled.journal) == modelled.contents(), "after {} {:?}", n, operation);
         prop_assert!(folder.used() <= 60_000, "{} bytes after {}", folder.used(), n);
-        maps.push(pair.whole());
+        maps.push(modelled.contents());
         if is_kept {
             kept = maps.len() - 1;
         }
@@ -62,7 +63,7 @@
 }
 
 impl Played {
-    /// What may be found after a crash behind `step`, by place in `maps`.
+    /// Indices in `maps` of the states that recovery may find after a crash after `step`.
     fn allowed(&self, step: usize) -> std::ops::RangeInclusive<usize> {
         let next = self.marks.partition_point(|(steps, ..)| *steps <= step);
         let kept = self.marks[next.saturating_sub(1)].1;
@@ -72,13 +73,19 @@
 
     fn check(&self, image: Image, step: usize, durability: Durability) -> Result<(), TestCaseError> {
         let folder = FaultyStorage::from_image(image.clone());
-        let (mut journal, report) = open(&folder, small(durability));
-        prop_assert_eq!(&report.damages, &[], "a crash is no damage, step {}", step);
-        let found = whole(&journal);
+        let (mut journal, report) = open(&folder, small_options(durability));
+        prop_assert_eq!(&report.damages, &[], "a crash must not count as damage, step {}", step);
+        let found = contents(&journal);
         let allowed = self.allowed(step);
         let fits = self.maps[allowed.clone()].contains(&found);
-        prop_assert!(fits, "step {}: {:?} is none of the states {:?}", step, found.0.keys(), allowed);
-        // A crash of the start itself changes nothing.
+        prop_assert!(
+            fits,
+            "step {}: {:?} is not one of the allowed states {:?}",
+            step,
+            found.0.keys(),
+            allowed
+        );
+        // A crash during recovery changes nothing.
         if step.is_multiple_of(7) {
             let mut again = Replay::from_image(&image);
             let mut rng = SmallRng::seed_from_u64(step as u64);
@@ -88,27 +95,27 @@
                     Durability::Process => again.after_kill(),
                     Durability::Machine => again.after_power_cut(&mut rng),
                 };
-                let (journal, report) = open(&FaultyStorage::from_image(left), small(durability));
-                prop_assert_eq!(&report.damages, &[], "step {}, started twice", step);
-                prop_assert!(whole(&journal) == found, "step {}, started twice", step);
+                let (journal, report) = open(&FaultyStorage::from_image(left), small_options(durability));
+                prop_assert_eq!(&report.damages, &[], "step {}, second recovery", step);
+                prop_assert!(contents(&journal) == found, "step {}, second recovery", step);
             }
         }
-        // It goes on from there.
+        // The recovered journal accepts new records.
         if step.is_multiple_of(5) {
             let next = sample_message(journal.last_number() + 1, 10);
             if journal.can_accept(&next).is_ok() {
                 journal.accept(journal.last_number() + 1, next);
             }
             journal.flush().expect("memory does not fail");
-            let (again, report) = open(&folder, small(durability));
-            prop_assert_eq!(&report.damages, &[], "step {}, gone on", step);
-            prop_assert!(whole(&again) == whole(&journal), "step {}, gone on", step);
+            let (again, report) = open(&folder, small_options(durability));
+            prop_assert_eq!(&report.damages, &[], "step {}, after new records", step);
+            prop_assert!(contents(&again) == contents(&journal), "step {}, after new records", step);
         }
         Ok(())
     }
 }
 
-fn run(cases: u64, length: usize, test: impl Fn(Vec<Do>) -> Result<(), TestCaseError>) {
+fn run(cases: u64, length: usize, test: impl Fn(Vec<Operation>) -> Result<(), TestCaseError>) {
     let seed = number("JOURNAL_SEED", 1);
     let config = Config {
         cases: number("JOURNAL_CASES", cases) as u32,
@@ -119,7 +126,7 @@
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&seed.to_le_bytes());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
-    let histories = prop::collection::vec(what(), 1..length);
+    let histories = prop::collection::vec(operation(), 1..length);
     if let Err(e) = TestRunner::new_with_rng(config, rng).run(&histories, test) {
         panic!("JOURNAL_SEED={seed}: {e}");
     }
