--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -119,7 +119,7 @@
 }
 
 #[derive(Debug)]
-struct Flight {
+struct Attempt {
     message: u64,
     /// What goes again after a reconnect; None once PUBREC has come.
     publish: Option<Publish>,
@@ -127,9 +127,9 @@
     stage: Stage,
     /// In this order they are sent, and sent again [MQTT-4.6.0-1].
     order: u64,
-    queued: Time,
+    queued_at: Time,
     /// Since when its acknowledgement is owed on this connection.
-    sent: Time,
+    awaiting_since: Time,
     response_timeout: Time,
     until: Time,
     retransmit_until: Time,
@@ -141,39 +141,39 @@
 struct Chunk {
     bytes: BytesMut,
     /// Some of it is handed over.
-    begun: bool,
+    started: bool,
     /// The PUBLISH that it is.
     publish: Option<u16>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Link {
+enum ConnectionState {
     /// None, and none is wanted.
     None,
-    Opening {
+    Connecting {
         since: Time,
     },
     /// There, and waits for [`Client::resuming_recorded`].
-    Recording {
+    RecordingResuming {
         since: Time,
     },
     /// CONNECT is sent.
-    Greeting {
+    AwaitingConnack {
         since: Time,
         clean: bool,
     },
-    Up,
+    Connected,
     /// After a failure, until then.
-    Pause {
+    Backoff {
         until: Time,
     },
 }
 
 pub struct Client {
     options: Options,
-    link: Link,
+    state: ConnectionState,
     reader: Reader,
-    flights: BTreeMap<u16, Flight>,
+    attempts: BTreeMap<u16, Attempt>,
     chunks: VecDeque<Chunk>,
     next_id: u16,
     next_order: u64,
@@ -182,17 +182,17 @@
     receive_maximum: usize,
     max_packet_size: Option<u32>,
     keep_alive: u16,
-    heard: Time,
-    wrote: Time,
-    pinged: Option<Time>,
+    last_received: Time,
+    last_write: Time,
+    ping_sent_at: Option<Time>,
     /// The broker has told to wait.
     wait_until: Time,
     /// The session on the broker is one that was begun in this life.
-    clear: bool,
+    session_known: bool,
     /// That a session is being resumed is on record.
-    attested: bool,
+    resuming_on_record: bool,
     /// Nothing new goes out from then on.
-    parted: Option<Time>,
+    drain_at: Option<Time>,
     effects: VecDeque<Effect>,
 }
 
@@ -202,9 +202,9 @@
         let keep_alive = options.keep_alive;
         Client {
             options,
-            link: Link::None,
+            state: ConnectionState::None,
             reader,
-            flights: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             chunks: VecDeque::new(),
             next_id: 1,
             next_order: 0,
@@ -212,13 +212,13 @@
             receive_maximum: usize::from(u16::MAX),
             max_packet_size: None,
             keep_alive,
-            heard: Time::ZERO,
-            wrote: Time::ZERO,
-            pinged: None,
+            last_received: Time::ZERO,
+            last_write: Time::ZERO,
+            ping_sent_at: None,
             wait_until: Time::ZERO,
-            clear: false,
-            attested: false,
-            parted: None,
+            session_known: false,
+            resuming_on_record: false,
+            drain_at: None,
             effects: VecDeque::new(),
         }
     }
@@ -230,18 +230,18 @@
 
     /// Packet ids in use.
     pub fn in_use(&self) -> usize {
-        self.flights.len()
+        self.attempts.len()
     }
 
     /// The id under which the next message would go; None if as many are on their way as may be. It is taken with
     /// [`Client::publish`]. Ids go round, so that one is used again as late as can be: an acknowledgement that
     /// comes twice must not be taken for that of another message.
     pub fn reserve(&mut self) -> Option<u16> {
-        if self.flights.len() >= self.options.in_flight.min(usize::from(u16::MAX)) {
+        if self.attempts.len() >= self.options.in_flight.min(usize::from(u16::MAX)) {
             return None;
         }
         let mut id = self.next_id;
-        while self.flights.contains_key(&id) {
+        while self.attempts.contains_key(&id) {
             id = id.checked_add(1).unwrap_or(1);
         }
         self.next_id = id.checked_add(1).unwrap_or(1);
@@ -251,7 +251,7 @@
     /// Sends a message under a reserved id.
     pub fn publish(&mut self, id: u16, message: Message, now: Time) {
         self.insert(id, message, Stage::Queued, now);
-        self.carry_on(now);
+        self.advance(now);
     }
 
     /// Takes in an attempt of an earlier life whose fate is open; `released` if its PUBREC has come.
@@ -259,7 +259,7 @@
         self.insert(id, message, if released { Stage::Released } else { Stage::Sent }, now);
         // What comes next must not meet late acknowledgements of those before.
         self.next_id = self.next_id.max(id).checked_add(1).unwrap_or(1);
-        self.carry_on(now);
+        self.advance(now);
     }
 
     /// Keeps an id from being used as long as the session lasts: it is that of a message that has ended.
@@ -272,8 +272,8 @@
             Stage::Sent,
             now,
         );
-        if let Some(flight) = self.flights.get_mut(&id) {
-            flight.abandoned = true;
+        if let Some(attempt) = self.attempts.get_mut(&id) {
+            attempt.abandoned = true;
         }
     }
 
@@ -282,71 +282,71 @@
         let qos = publish.qos;
         let topic = self.options.topic.clone();
         let publish = Publish { topic, id: Some(id), dup: false, retain: false, alias: None, ..publish };
-        let flight = Flight {
+        let attempt = Attempt {
             message: number,
             publish: (stage != Stage::Released).then_some(publish),
             qos,
             stage,
             order: self.next_order,
-            queued: now,
-            sent: now,
+            queued_at: now,
+            awaiting_since: now,
             response_timeout,
             until,
             retransmit_until,
             abandoned: false,
         };
         self.next_order += 1;
-        self.flights.insert(id, flight);
+        self.attempts.insert(id, attempt);
     }
 
     /// Calls a message off, which can be done only as long as nothing of it is written. One that is on its way goes
     /// on, and its end is told when it comes.
     pub fn cancel(&mut self, message: u64) {
-        let of = self.flights.iter().find(|(_, f)| f.message == message && !f.abandoned).map(|(id, _)| *id);
-        if let Some(id) = of.filter(|id| self.untouched(*id)) {
-            self.take_back(id, AttemptResult::Rejected);
+        let of = self.attempts.iter().find(|(_, f)| f.message == message && !f.abandoned).map(|(id, _)| *id);
+        if let Some(id) = of.filter(|id| self.is_unsent(*id)) {
+            self.withdraw(id, AttemptResult::Rejected);
         }
     }
 
     /// Whether nothing of it is handed over.
-    fn untouched(&self, id: u16) -> bool {
-        match self.flights.get(&id).map(|f| f.stage) {
+    fn is_unsent(&self, id: u16) -> bool {
+        match self.attempts.get(&id).map(|f| f.stage) {
             Some(Stage::Queued) => true,
-            Some(Stage::Writing) => self.chunks.iter().any(|c| c.publish == Some(id) && !c.begun),
+            Some(Stage::Writing) => self.chunks.iter().any(|c| c.publish == Some(id) && !c.started),
             _ => false,
         }
     }
 
-    fn take_back(&mut self, id: u16, end: AttemptResult) {
+    fn withdraw(&mut self, id: u16, end: AttemptResult) {
         self.chunks.retain(|c| c.publish != Some(id));
         self.ended(id, end);
     }
 
-    fn take_all_back(&mut self, end: AttemptResult) {
-        let all: Vec<u16> = self.flights.keys().copied().filter(|id| self.untouched(*id)).collect();
+    fn withdraw_all_unsent(&mut self, end: AttemptResult) {
+        let all: Vec<u16> = self.attempts.keys().copied().filter(|id| self.is_unsent(*id)).collect();
         for id in all {
-            self.take_back(id, end);
+            self.withdraw(id, end);
         }
     }
 
     /// The attempt has ended, and its packet id is free.
     fn ended(&mut self, id: u16, end: AttemptResult) {
-        let Some(flight) = self.flights.remove(&id) else { return };
-        self.effects.push_back(Effect::FreePacketId { id, message: flight.message });
-        if !flight.abandoned {
-            self.effects.push_back(Effect::Ended { id, message: flight.message, end });
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        self.effects.push_back(Effect::FreePacketId { id, message: attempt.message });
+        if !attempt.abandoned {
+            self.effects.push_back(Effect::Ended { id, message: attempt.message, end });
         }
     }
 
     /// Nothing new goes to the broker from `at` on: it drains, or is gone. What is on its way is let finish.
     pub fn drain_from(&mut self, at: Time, now: Time) {
-        self.parted.get_or_insert(at);
-        self.carry_on(now);
+        self.drain_at.get_or_insert(at);
+        self.advance(now);
     }
 
     /// It takes messages again.
     pub fn cancel_drain(&mut self) {
-        self.parted = None;
+        self.drain_at = None;
     }
 
     // ---- the connection ------------------------------------------------------------------------------------
@@ -362,20 +362,20 @@
 
     /// So many bytes of it are handed over.
     pub fn bytes_written(&mut self, mut bytes: usize, now: Time) {
-        self.wrote = now;
+        self.last_write = now;
         while bytes > 0 {
             let Some(chunk) = self.chunks.front_mut() else { return };
             let part = bytes.min(chunk.bytes.len());
             chunk.bytes.advance(part);
-            chunk.begun = true;
+            chunk.started = true;
             bytes -= part;
             if !chunk.bytes.is_empty() {
                 return;
             }
             let whole = self.chunks.pop_front().and_then(|c| c.publish);
-            if let Some(flight) = whole.and_then(|id| self.flights.get_mut(&id)) {
-                flight.stage = Stage::Sent;
-                flight.sent = now;
+            if let Some(attempt) = whole.and_then(|id| self.attempts.get_mut(&id)) {
+                attempt.stage = Stage::Sent;
+                attempt.awaiting_since = now;
             }
         }
     }
@@ -386,11 +386,11 @@
     /// next one says that a session is present, and it is not ours: what goes again there would take effect twice. So
     /// once such a CONNECT has left, no CONNACK means that the session counts as lost, also over a restart.
     pub fn connection_opened(&mut self, now: Time) {
-        let Link::Opening { since } = self.link else { return };
+        let ConnectionState::Connecting { since } = self.state else { return };
         // With no fate open the session has nothing for us; whatever it may still hold from an earlier life would
         // take a new message under an old id for a repeat.
-        let nothing_open = !self.flights.values().any(|f| is_open(f) && !f.abandoned);
-        let unknown = !self.clear || self.flights.values().any(|f| f.abandoned);
+        let nothing_open = !self.attempts.values().any(|f| may_have_reached_broker(f) && !f.abandoned);
+        let unknown = !self.session_known || self.attempts.values().any(|f| f.abandoned);
         let clean = match self.options.version {
             Version::V5 => nothing_open,
             // A clean session of 3.1.1 ends with its connection, and nothing could be resumed: it is only begun to
@@ -398,21 +398,21 @@
             Version::V311 => nothing_open && unknown,
         };
         if nothing_open {
-            return self.greet(since, clean, now);
+            return self.send_connect(since, clean, now);
         }
-        self.link = Link::Recording { since };
-        self.attested = true;
+        self.state = ConnectionState::RecordingResuming { since };
+        self.resuming_on_record = true;
         self.effects.push_back(Effect::RecordResuming);
     }
 
     /// That the session is being resumed is on record.
     pub fn resuming_recorded(&mut self, now: Time) {
-        if let Link::Recording { since } = self.link {
-            self.greet(since, false, now);
+        if let ConnectionState::RecordingResuming { since } = self.state {
+            self.send_connect(since, false, now);
         }
     }
 
-    fn greet(&mut self, since: Time, clean: bool, now: Time) {
+    fn send_connect(&mut self, since: Time, clean: bool, now: Time) {
         let o = &self.options;
         let connect = Connect {
             clean,
@@ -424,55 +424,55 @@
             ..Connect::new(o.version, &o.client)
         };
         self.reader = Reader::client(o.version, MAX_PACKET_BYTES);
-        self.link = Link::Greeting { since, clean };
-        (self.heard, self.wrote, self.pinged) = (now, now, None);
+        self.state = ConnectionState::AwaitingConnack { since, clean };
+        (self.last_received, self.last_write, self.ping_sent_at) = (now, now, None);
         self.write(Packet::Connect(Box::new(connect)), None);
     }
 
     /// The connection has ended, or could not be had.
     pub fn connection_lost(&mut self, now: Time) {
-        if !matches!(self.link, Link::None | Link::Pause { .. }) {
-            self.unlink(now);
+        if !matches!(self.state, ConnectionState::None | ConnectionState::Backoff { .. }) {
+            self.connection_ended(now);
         }
     }
 
     /// What became of the session is known.
-    fn attest_no_more(&mut self) {
-        if std::mem::take(&mut self.attested) {
+    fn clear_resuming_record(&mut self) {
+        if std::mem::take(&mut self.resuming_on_record) {
             self.effects.push_back(Effect::ClearResuming);
         }
     }
 
     /// After a connection's end: what was not handed over whole never ran.
-    fn unlink(&mut self, now: Time) {
-        let greeting = matches!(self.link, Link::Greeting { .. });
-        if self.attested && greeting && self.chunks.front().is_none_or(|c| c.begun) {
+    fn connection_ended(&mut self, now: Time) {
+        let greeting = matches!(self.state, ConnectionState::AwaitingConnack { .. });
+        if self.resuming_on_record && greeting && self.chunks.front().is_none_or(|c| c.started) {
             self.effects.push_back(Effect::Log(
                 "no CONNACK while a session was resumed: it counts as lost".to_owned(),
             ));
             self.lose_session();
-            self.clear = false;
+            self.session_known = false;
         }
-        self.attest_no_more();
+        self.clear_resuming_record();
         self.chunks.clear();
-        let cut: Vec<u16> =
-            self.flights.iter().filter(|(_, f)| f.stage == Stage::Writing).map(|(id, _)| *id).collect();
-        for id in cut {
+        let partly_written: Vec<u16> =
+            self.attempts.iter().filter(|(_, f)| f.stage == Stage::Writing).map(|(id, _)| *id).collect();
+        for id in partly_written {
             self.ended(id, AttemptResult::Unsent);
         }
-        self.link = Link::Pause { until: (now + self.backoff).max(self.wait_until) };
+        self.state = ConnectionState::Backoff { until: (now + self.backoff).max(self.wait_until) };
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
-        self.carry_on(now);
+        self.advance(now);
     }
 
-    fn drop_link(&mut self, now: Time) {
+    fn drop_connection(&mut self, now: Time) {
         self.close(None);
-        self.unlink(now);
+        self.connection_ended(now);
     }
 
     /// Closes the connection, with a DISCONNECT where that makes sense and nothing is half handed over.
     fn close(&mut self, code: Option<u8>) {
-        let between = self.chunks.front().is_none_or(|c| !c.begun);
+        let between = self.chunks.front().is_none_or(|c| !c.started);
         let packet = code.filter(|_| between).map(|code| Packet::Disconnect(Disconnect::new(code)));
         let final_bytes = packet.and_then(|p| encode(self.options.version, p, self.max_packet_size).ok());
         self.effects.push_back(Effect::Close { final_bytes: final_bytes.unwrap_or_default() });
@@ -481,7 +481,7 @@
     fn write(&mut self, packet: Packet, publish: Option<u16>) -> bool {
         match encode(self.options.version, packet, self.max_packet_size) {
             Ok(bytes) => {
-                self.chunks.push_back(Chunk { bytes, begun: false, publish });
+                self.chunks.push_back(Chunk { bytes, started: false, publish });
                 true
             }
             Err(_) => false,
@@ -490,7 +490,7 @@
 
     /// What has come from the broker.
     pub fn received(&mut self, bytes: &[u8], now: Time) {
-        if !matches!(self.link, Link::Greeting { .. } | Link::Up) {
+        if !matches!(self.state, ConnectionState::AwaitingConnack { .. } | ConnectionState::Connected) {
             return;
         }
         self.reader.push(bytes);
@@ -498,36 +498,40 @@
             let done = match self.reader.packet() {
                 Ok(None) => break,
                 Ok(Some(packet)) => {
-                    self.heard = now;
-                    self.pinged = None;
-                    self.packet(packet, now)
+                    self.last_received = now;
+                    self.ping_sent_at = None;
+                    self.handle_packet(packet, now)
                 }
                 Err(error) => Err(error),
             };
             if let Err(error) = done {
                 let text = format!("the broker is at fault: {error}");
                 self.effects.push_back(Effect::Log(text));
-                let up = self.link == Link::Up && self.options.version == Version::V5;
+                let up = self.state == ConnectionState::Connected && self.options.version == Version::V5;
                 self.close(up.then_some(error.code));
-                return self.unlink(now);
+                return self.connection_ended(now);
             }
-            if !matches!(self.link, Link::Greeting { .. } | Link::Up) {
+            if !matches!(self.state, ConnectionState::AwaitingConnack { .. } | ConnectionState::Connected) {
                 return;
             }
         }
-        self.carry_on(now);
+        self.advance(now);
     }
 
-    fn packet(&mut self, packet: Packet, now: Time) -> Result<(), ConnectionError> {
-        match (self.link, packet) {
-            (Link::Greeting { clean, .. }, Packet::Connack(connack)) => self.greeted(clean, &connack, now),
-            (Link::Greeting { .. }, _) => Err(ConnectionError::protocol("something before the CONNACK")),
-            (_, Packet::Puback(ack)) => self.acked(&ack, now),
-            (_, Packet::Pubrec(ack)) => self.pubrec(&ack, now),
-            (_, Packet::Pubcomp(ack)) => self.pubcomp(&ack),
+    fn handle_packet(&mut self, packet: Packet, now: Time) -> Result<(), ConnectionError> {
+        match (self.state, packet) {
+            (ConnectionState::AwaitingConnack { clean, .. }, Packet::Connack(connack)) => {
+                self.handle_connack(clean, &connack, now)
+            }
+            (ConnectionState::AwaitingConnack { .. }, _) => {
+                Err(ConnectionError::protocol("something before the CONNACK"))
+            }
+            (_, Packet::Puback(ack)) => self.handle_puback(&ack, now),
+            (_, Packet::Pubrec(ack)) => self.handle_pubrec(&ack, now),
+            (_, Packet::Pubcomp(ack)) => self.handle_pubcomp(&ack),
             (_, Packet::Pingresp) => Ok(()),
             (_, Packet::Disconnect(disconnect)) if self.options.version == Version::V5 => {
-                self.disconnected(&disconnect, now);
+                self.handle_disconnect(&disconnect, now);
                 Ok(())
             }
             // Of an earlier subscription of somebody's under this name: nothing here reads it.
@@ -536,54 +540,59 @@
         }
     }
 
-    fn greeted(&mut self, clean: bool, connack: &Connack, now: Time) -> Result<(), ConnectionError> {
+    fn handle_connack(&mut self, clean: bool, connack: &Connack, now: Time) -> Result<(), ConnectionError> {
         // Also a refusal says so: it begins no session.
-        self.attest_no_more();
+        self.clear_resuming_record();
         if connack.code != code::SUCCESS {
-            self.turned_away(connack, now);
+            self.connection_refused(connack, now);
             return Ok(());
         }
         if clean && connack.session_present {
             return Err(ConnectionError::protocol("a session for a clean start [MQTT-3.2.2-4]"));
         }
-        self.link = Link::Up;
+        self.state = ConnectionState::Connected;
         self.backoff = INITIAL_BACKOFF;
         self.receive_maximum = usize::from(connack.receive_maximum);
         self.max_packet_size = connack.max_packet_size;
         self.keep_alive = connack.keep_alive.unwrap_or(self.options.keep_alive);
-        let too_high = |f: &Flight| f.stage == Stage::Queued && f.qos > connack.max_qos;
-        let refused: Vec<u16> = self.flights.iter().filter(|(_, f)| too_high(f)).map(|(id, _)| *id).collect();
+        let too_high = |f: &Attempt| f.stage == Stage::Queued && f.qos > connack.max_qos;
+        let refused: Vec<u16> =
+            self.attempts.iter().filter(|(_, f)| too_high(f)).map(|(id, _)| *id).collect();
         for id in refused {
             let text = format!(
                 "the broker takes QoS {} at most, which is less than a message needs",
                 connack.max_qos.value()
             );
             self.effects.push_back(Effect::Log(text));
-            self.take_back(id, AttemptResult::Rejected);
+            self.withdraw(id, AttemptResult::Rejected);
         }
         if !connack.session_present {
             self.lose_session();
-            self.clear = true;
+            self.session_known = true;
             if clean && self.options.version == Version::V311 {
                 self.close(Some(code::SUCCESS));
-                self.link = Link::Pause { until: now };
+                self.state = ConnectionState::Backoff { until: now };
             }
             return Ok(());
         }
-        let mut again: Vec<(u64, u16)> =
-            self.flights.iter().filter(|(_, f)| is_open(f)).map(|(id, f)| (f.order, *id)).collect();
-        again.sort_unstable();
-        for (_, id) in again {
-            let Some(flight) = self.flights.get_mut(&id) else { continue };
-            flight.sent = now;
-            match (flight.stage, &flight.publish) {
+        let mut retransmissions: Vec<(u64, u16)> = self
+            .attempts
+            .iter()
+            .filter(|(_, f)| may_have_reached_broker(f))
+            .map(|(id, f)| (f.order, *id))
+            .collect();
+        retransmissions.sort_unstable();
+        for (_, id) in retransmissions {
+            let Some(attempt) = self.attempts.get_mut(&id) else { continue };
+            attempt.awaiting_since = now;
+            match (attempt.stage, &attempt.publish) {
                 (Stage::Released, _) => drop(self.write(Packet::Pubrel(Ack::new(id, code::SUCCESS)), None)),
                 // Its message has ended, and nothing more is sent for that. The id stays in use.
-                (Stage::Sent, _) if flight.abandoned => {}
+                (Stage::Sent, _) if attempt.abandoned => {}
                 // The receivers behind the broker know its key no more.
-                (Stage::Sent, _) if flight.qos == Qos::AtLeastOnce && now >= flight.retransmit_until => {
-                    flight.abandoned = true;
-                    let message = flight.message;
+                (Stage::Sent, _) if attempt.qos == Qos::AtLeastOnce && now >= attempt.retransmit_until => {
+                    attempt.abandoned = true;
+                    let message = attempt.message;
                     self.effects.push_back(Effect::Ended { id, message, end: AttemptResult::Lost });
                 }
                 (Stage::Sent, Some(publish)) => {
@@ -599,14 +608,15 @@
 
     /// Whatever the broker had not acknowledged may have run. Nothing is sent again from here: the class decides.
     fn lose_session(&mut self) {
-        let open: Vec<u16> = self.flights.iter().filter(|(_, f)| is_open(f)).map(|(id, _)| *id).collect();
+        let open: Vec<u16> =
+            self.attempts.iter().filter(|(_, f)| may_have_reached_broker(f)).map(|(id, _)| *id).collect();
         for id in open {
             self.ended(id, AttemptResult::Lost);
         }
     }
 
     /// The broker takes no connection now, or none of ours.
-    fn turned_away(&mut self, connack: &Connack, now: Time) {
+    fn connection_refused(&mut self, connack: &Connack, now: Time) {
         let code = connack.code;
         let busy = match self.options.version {
             Version::V311 => code == 3,
@@ -620,13 +630,13 @@
             None => format!("the broker takes no connection (0x{code:02X}): {reason}"),
         };
         self.effects.push_back(Effect::Log(text));
-        let wait = told_wait(&connack.properties);
-        self.wait(wait, now);
-        self.take_all_back(if busy { AttemptResult::Busy { wait } } else { AttemptResult::Unsent });
-        self.drop_link(now);
+        let wait = retry_after(&connack.properties);
+        self.delay_new_attempts(wait, now);
+        self.withdraw_all_unsent(if busy { AttemptResult::Busy { wait } } else { AttemptResult::Unsent });
+        self.drop_connection(now);
     }
 
-    fn disconnected(&mut self, disconnect: &Disconnect, now: Time) {
+    fn handle_disconnect(&mut self, disconnect: &Disconnect, now: Time) {
         let code = disconnect.code;
         let reason = disconnect.reason.as_deref().unwrap_or("no reason told");
         let other =
@@ -635,15 +645,15 @@
         self.effects.push_back(Effect::Log(format!(
             "the broker ends the connection (0x{code:02X}){other}: {reason}"
         )));
-        let wait = told_wait(&disconnect.properties);
-        self.wait(wait, now);
+        let wait = retry_after(&disconnect.properties);
+        self.delay_new_attempts(wait, now);
         if matches!(code, code::RECEIVE_MAXIMUM_EXCEEDED | code::QUOTA_EXCEEDED | code::SERVER_BUSY | 0x96) {
-            self.take_all_back(AttemptResult::Busy { wait });
+            self.withdraw_all_unsent(AttemptResult::Busy { wait });
         }
-        self.drop_link(now);
+        self.drop_connection(now);
     }
 
-    fn wait(&mut self, wait: Option<Duration>, now: Time) {
+    fn delay_new_attempts(&mut self, wait: Option<Duration>, now: Time) {
         if let Some(wait) = wait {
             self.wait_until = self.wait_until.max(now + wait);
         }
@@ -651,14 +661,14 @@
 
     // ---- acknowledgements ------------------------------------------------------------------------------------
 
-    fn acked(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
-        let Some(flight) = self.flights.get(&ack.id) else {
+    fn handle_puback(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
+        let Some(attempt) = self.attempts.get(&ack.id) else {
             // Of one that has ended: a repeat, which says nothing new.
             return Ok(());
         };
-        match flight.stage {
-            Stage::Sent if flight.qos == Qos::AtLeastOnce => {
-                self.judged(ack, now);
+        match attempt.stage {
+            Stage::Sent if attempt.qos == Qos::AtLeastOnce => {
+                self.publish_answered(ack, now);
                 Ok(())
             }
             Stage::Queued | Stage::Writing => {
@@ -668,19 +678,21 @@
         }
     }
 
-    fn pubrec(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
-        let Some(flight) = self.flights.get_mut(&ack.id) else {
+    fn handle_pubrec(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
+        let Some(attempt) = self.attempts.get_mut(&ack.id) else {
             let code =
                 if self.options.version == Version::V5 { code::PACKET_ID_NOT_FOUND } else { code::SUCCESS };
             self.write(Packet::Pubrel(Ack::new(ack.id, code)), None);
             return Ok(());
         };
-        match flight.stage {
-            Stage::Sent if flight.qos == Qos::ExactlyOnce && ack.code >= 0x80 => self.judged(ack, now),
-            Stage::Sent if flight.qos == Qos::ExactlyOnce => {
+        match attempt.stage {
+            Stage::Sent if attempt.qos == Qos::ExactlyOnce && ack.code >= 0x80 => {
+                self.publish_answered(ack, now)
+            }
+            Stage::Sent if attempt.qos == Qos::ExactlyOnce => {
                 // The PUBLISH must not go again from now on [MQTT-4.3.3-6], and PUBREL is owed: on record first.
-                (flight.stage, flight.publish) = (Stage::Releasing, None);
-                self.effects.push_back(Effect::RecordPubrec { id: ack.id, message: flight.message });
+                (attempt.stage, attempt.publish) = (Stage::Releasing, None);
+                self.effects.push_back(Effect::RecordPubrec { id: ack.id, message: attempt.message });
             }
             Stage::Releasing => {}
             Stage::Released => drop(self.write(Packet::Pubrel(Ack::new(ack.id, code::SUCCESS)), None)),
@@ -694,15 +706,17 @@
 
     /// PUBREC is on record: its release goes out.
     pub fn pubrec_recorded(&mut self, id: u16, now: Time) {
-        let Some(flight) = self.flights.get_mut(&id).filter(|f| f.stage == Stage::Releasing) else { return };
-        (flight.stage, flight.sent) = (Stage::Released, now);
-        if self.link == Link::Up {
+        let Some(attempt) = self.attempts.get_mut(&id).filter(|f| f.stage == Stage::Releasing) else {
+            return;
+        };
+        (attempt.stage, attempt.awaiting_since) = (Stage::Released, now);
+        if self.state == ConnectionState::Connected {
             self.write(Packet::Pubrel(Ack::new(id, code::SUCCESS)), None);
         }
     }
 
-    fn pubcomp(&mut self, ack: &Ack) -> Result<(), ConnectionError> {
-        match self.flights.get(&ack.id).map(|f| f.stage) {
+    fn handle_pubcomp(&mut self, ack: &Ack) -> Result<(), ConnectionError> {
+        match self.attempts.get(&ack.id).map(|f| f.stage) {
             // Also with "packet identifier not found": it had the release before, and its PUBCOMP was lost.
             Some(Stage::Released) => self.ended(ack.id, AttemptResult::Delivered),
             None => {}
@@ -712,8 +726,8 @@
     }
 
     /// The broker's word on a PUBLISH.
-    fn judged(&mut self, ack: &Ack, now: Time) {
-        let wait = told_wait(&ack.properties);
+    fn publish_answered(&mut self, ack: &Ack, now: Time) {
+        let wait = retry_after(&ack.properties);
         let end = match ack.code {
             0..0x80 => AttemptResult::Delivered,
             code::QUOTA_EXCEEDED => AttemptResult::Busy { wait },
@@ -732,8 +746,8 @@
         self.ended(ack.id, end);
         if let Some(told) = wait.filter(|_| matches!(end, AttemptResult::Busy { .. })) {
             // Those that are on their way are let go, and nothing after them.
-            self.wait(wait, now);
-            self.take_all_back(AttemptResult::Busy { wait: Some(told) });
+            self.delay_new_attempts(wait, now);
+            self.withdraw_all_unsent(AttemptResult::Busy { wait: Some(told) });
         }
     }
 
@@ -741,83 +755,85 @@
 
     /// Does what is due by now.
     pub fn handle_timeout(&mut self, now: Time) {
-        self.carry_on(now);
+        self.advance(now);
     }
 
-    fn carry_on(&mut self, now: Time) {
-        self.give_up(now);
-        let parted = self.parted.is_some_and(|at| at <= now);
-        if parted {
-            self.take_all_back(AttemptResult::Unsent);
+    fn advance(&mut self, now: Time) {
+        self.expire_attempts(now);
+        let draining = self.drain_at.is_some_and(|at| at <= now);
+        if draining {
+            self.withdraw_all_unsent(AttemptResult::Unsent);
         }
         if self.wait_until > now {
             let wait = Some(self.wait_until - now);
-            self.take_all_back(AttemptResult::Busy { wait });
+            self.withdraw_all_unsent(AttemptResult::Busy { wait });
         }
-        let wanted = self.wanted();
-        match self.link {
-            Link::None if wanted => self.open(now),
-            Link::Pause { until } if until <= now => match wanted {
+        let has_work = self.has_work();
+        match self.state {
+            ConnectionState::None if has_work => self.open(now),
+            ConnectionState::Backoff { until } if until <= now => match has_work {
                 true => self.open(now),
-                false => self.link = Link::None,
+                false => self.state = ConnectionState::None,
             },
-            Link::Opening { since } | Link::Recording { since } | Link::Greeting { since, .. }
+            ConnectionState::Connecting { since }
+            | ConnectionState::RecordingResuming { since }
+            | ConnectionState::AwaitingConnack { since, .. }
                 if now >= since + self.options.connect_timeout =>
             {
-                self.drop_link(now);
+                self.drop_connection(now);
             }
-            Link::Up if !wanted && parted => self.close_if_idle(),
-            Link::Up => self.serve(now),
+            ConnectionState::Connected if !has_work && draining => self.close_if_idle(),
+            ConnectionState::Connected => self.service_connection(now),
             _ => {}
         }
     }
 
     /// Whether anything is still to be done at the broker: not for messages that have ended and whose PUBLISH has no
     /// acknowledgement, since nothing more is sent for those.
-    fn wanted(&self) -> bool {
-        self.flights.values().any(|f| !f.abandoned || matches!(f.stage, Stage::Releasing | Stage::Released))
+    fn has_work(&self) -> bool {
+        self.attempts.values().any(|f| !f.abandoned || matches!(f.stage, Stage::Releasing | Stage::Released))
     }
 
     fn open(&mut self, now: Time) {
-        self.link = Link::Opening { since: now };
+        self.state = ConnectionState::Connecting { since: now };
         self.effects.push_back(Effect::Open);
     }
 
     /// Ends a connection that nobody needs; the session stays with the broker as long as it was asked to keep it.
     pub fn close_if_idle(&mut self) {
-        if self.link == Link::Up && !self.wanted() {
+        if self.state == ConnectionState::Connected && !self.has_work() {
             self.close(Some(code::SUCCESS));
             self.chunks.clear();
-            self.link = Link::None;
+            self.state = ConnectionState::None;
         }
     }
 
     /// What has waited too long: for a connection, or for its acknowledgement.
-    fn give_up(&mut self, now: Time) {
-        let late = |f: &Flight| now >= f.until && !f.abandoned;
-        let unsent = |f: &Flight| now >= f.until.min(f.queued + self.options.connect_timeout);
-        let over: Vec<u16> =
-            self.flights.iter().filter(|(_, f)| late(f) || unsent(f)).map(|(id, _)| *id).collect();
-        for id in over {
-            let Some(flight) = self.flights.get(&id) else { continue };
-            match flight.stage {
+    fn expire_attempts(&mut self, now: Time) {
+        let late = |f: &Attempt| now >= f.until && !f.abandoned;
+        let unsent = |f: &Attempt| now >= f.until.min(f.queued_at + self.options.connect_timeout);
+        let expired: Vec<u16> =
+            self.attempts.iter().filter(|(_, f)| late(f) || unsent(f)).map(|(id, _)| *id).collect();
+        for id in expired {
+            let Some(attempt) = self.attempts.get(&id) else { continue };
+            match attempt.stage {
                 // Up and within the broker's bounds, or not up: either way it has no place in time.
-                Stage::Queued => self.take_back(
+                Stage::Queued => self.withdraw(
                     id,
-                    if self.link == Link::Up {
+                    if self.state == ConnectionState::Connected {
                         AttemptResult::Busy { wait: None }
                     } else {
                         AttemptResult::Unsent
                     },
                 ),
-                Stage::Writing if self.untouched(id) && now >= flight.until => {
-                    self.take_back(id, AttemptResult::Unsent)
+                Stage::Writing if self.is_unsent(id) && now >= attempt.until => {
+                    self.withdraw(id, AttemptResult::Unsent)
                 }
-                _ if flight.abandoned || now < flight.until => {}
+                _ if attempt.abandoned || now < attempt.until => {}
                 _ => {
-                    let message = flight.message;
-                    if let Some(flight) = self.flights.get_mut(&id) {
-                        flight.abandoned = true;
+                    let message = attempt.message;
+                    if let Some(attempt) = self.attempts.get_mut(&id) {
+                        attempt.abandoned = true;
                     }
                     self.effects.push_back(Effect::Ended { id, message, end: AttemptResult::TimedOut });
                 }
@@ -825,44 +841,48 @@
         }
     }
 
-    fn serve(&mut self, now: Time) {
+    fn service_connection(&mut self, now: Time) {
         // A connection on which nothing comes while something is owed is given up; its session is resumed.
-        let owed =
-            self.flights.values().filter(|f| is_open(f) && !f.abandoned && f.stage != Stage::Releasing);
-        let mute =
-            owed.map(|f| f.sent.max(self.heard) + f.response_timeout).min().is_some_and(|at| at <= now);
-        let unheard = self.pinged.is_some_and(|at| now >= at + PING_TIMEOUT);
-        if mute || unheard {
+        let awaiting_response = self
+            .attempts
+            .values()
+            .filter(|f| may_have_reached_broker(f) && !f.abandoned && f.stage != Stage::Releasing);
+        let response_overdue = awaiting_response
+            .map(|f| f.awaiting_since.max(self.last_received) + f.response_timeout)
+            .min()
+            .is_some_and(|at| at <= now);
+        let ping_overdue = self.ping_sent_at.is_some_and(|at| now >= at + PING_TIMEOUT);
+        if response_overdue || ping_overdue {
             self.effects.push_back(Effect::Log(
                 "the broker has fallen silent: the connection is given up".to_owned(),
             ));
-            return self.drop_link(now);
+            return self.drop_connection(now);
         }
         if self.keep_alive > 0
-            && self.pinged.is_none()
-            && now >= self.wrote + Duration::from_secs(u64::from(self.keep_alive))
+            && self.ping_sent_at.is_none()
+            && now >= self.last_write + Duration::from_secs(u64::from(self.keep_alive))
         {
             self.write(Packet::Pingreq, None);
-            (self.pinged, self.wrote) = (Some(now), now);
+            (self.ping_sent_at, self.last_write) = (Some(now), now);
         }
         // All that has a PUBLISH on the way or unacknowledged counts [MQTT-3.3.4-7].
-        let mut out = self.flights.values().filter(|f| f.stage != Stage::Queued).count();
-        let mut queued: Vec<(u64, u16)> = self
-            .flights
+        let mut in_flight = self.attempts.values().filter(|f| f.stage != Stage::Queued).count();
+        let mut queued_messages: Vec<(u64, u16)> = self
+            .attempts
             .iter()
             .filter(|(_, f)| f.stage == Stage::Queued)
             .map(|(id, f)| (f.order, *id))
             .collect();
-        queued.sort_unstable();
-        for (_, id) in queued {
-            if out >= self.receive_maximum {
+        queued_messages.sort_unstable();
+        for (_, id) in queued_messages {
+            if in_flight >= self.receive_maximum {
                 break;
             }
-            let Some(flight) = self.flights.get_mut(&id) else { continue };
-            let Some(publish) = flight.publish.clone() else { continue };
-            flight.stage = Stage::Writing;
+            let Some(attempt) = self.attempts.get_mut(&id) else { continue };
+            let Some(publish) = attempt.publish.clone() else { continue };
+            attempt.stage = Stage::Writing;
             if self.write(Packet::Publish(Box::new(publish)), Some(id)) {
-                out += 1;
+                in_flight += 1;
             } else {
                 self.effects.push_back(Effect::Log("a message is longer than the broker takes".to_owned()));
                 self.ended(id, AttemptResult::Rejected);
@@ -873,39 +893,40 @@
     /// When [`Client::handle_timeout`] is to be called.
     pub fn timeout(&self) -> Option<Time> {
         let connect = self.options.connect_timeout;
-        let link = match self.link {
-            Link::Opening { since } | Link::Recording { since } | Link::Greeting { since, .. } => {
-                Some(since + connect)
-            }
-            Link::Pause { until } => Some(until),
-            Link::Up => {
-                let ping = self.wrote + Duration::from_secs(u64::from(self.keep_alive));
+        let state = match self.state {
+            ConnectionState::Connecting { since }
+            | ConnectionState::RecordingResuming { since }
+            | ConnectionState::AwaitingConnack { since, .. } => Some(since + connect),
+            ConnectionState::Backoff { until } => Some(until),
+            ConnectionState::Connected => {
+                let ping = self.last_write + Duration::from_secs(u64::from(self.keep_alive));
                 let ping = (self.keep_alive > 0).then_some(ping);
-                self.pinged.map(|at| at + PING_TIMEOUT).or(ping)
+                self.ping_sent_at.map(|at| at + PING_TIMEOUT).or(ping)
             }
-            Link::None => None,
+            ConnectionState::None => None,
         };
-        let flight = |f: &Flight| match f.stage {
+        let attempt = |f: &Attempt| match f.stage {
             _ if f.abandoned => None,
-            Stage::Queued => Some(f.until.min(f.queued + connect)),
-            Stage::Sent | Stage::Released if self.link == Link::Up => {
-                Some(f.until.min(f.sent.max(self.heard).saturating_add(f.response_timeout)))
+            Stage::Queued => Some(f.until.min(f.queued_at + connect)),
+            Stage::Sent | Stage::Released if self.state == ConnectionState::Connected => {
+                Some(f.until.min(f.awaiting_since.max(self.last_received).saturating_add(f.response_timeout)))
             }
             _ => Some(f.until),
         };
-        let parted = self.parted.filter(|_| self.flights.keys().any(|id| self.untouched(*id)));
-        let parted = parted.or(self.parted.filter(|_| self.link == Link::Up && !self.wanted()));
-        self.flights.values().filter_map(flight).chain(link).chain(parted).min()
+        let drain_at = self.drain_at.filter(|_| self.attempts.keys().any(|id| self.is_unsent(*id)));
+        let drain_at = drain_at
+            .or(self.drain_at.filter(|_| self.state == ConnectionState::Connected && !self.has_work()));
+        self.attempts.values().filter_map(attempt).chain(state).chain(drain_at).min()
     }
 }
 
 /// Whether the broker may have it.
-fn is_open(f: &Flight) -> bool {
+fn may_have_reached_broker(f: &Attempt) -> bool {
     matches!(f.stage, Stage::Sent | Stage::Releasing | Stage::Released)
 }
 
 /// `retry-after`, in seconds, as this courier tells it, too.
-fn told_wait(properties: &crate::packet::Properties) -> Option<Duration> {
+fn retry_after(properties: &crate::packet::Properties) -> Option<Duration> {
     let seconds: f64 = property(properties, "retry-after")?.trim().parse().ok()?;
     (seconds > 0.0 && seconds <= MAX_RETRY_AFTER_SECONDS).then(|| Duration::from_secs_f64(seconds))
 }
--- a/crates/mqtt/src/client_test.rs
+++ b/crates/mqtt/src/client_test.rs
@@ -18,7 +18,7 @@
 }
 
 /// A client with what it asked for; the broker is played by the test.
-struct Play {
+struct Harness {
     client: Client,
     now: Time,
     broker: Reader,
@@ -26,10 +26,10 @@
     qos: Qos,
 }
 
-impl Play {
+impl Harness {
     fn new(version: Version, qos: Qos) -> Self {
         let now = Duration::from_secs(100);
-        Play { client: Client::new(options(version)), now, broker: Reader::server(1 << 20), version, qos }
+        Harness { client: Client::new(options(version)), now, broker: Reader::server(1 << 20), version, qos }
     }
 
     fn message(&self, number: u64) -> Message {
@@ -56,7 +56,7 @@
     }
 
     /// Hands over all that waits; what the broker reads of it.
-    fn take(&mut self) -> Vec<Packet> {
+    fn read_output(&mut self) -> Vec<Packet> {
         let bytes: Vec<u8> = {
             let mut slices = Vec::new();
             self.client.output(&mut slices);
@@ -67,7 +67,7 @@
         std::iter::from_fn(|| self.broker.packet().expect("sound")).collect()
     }
 
-    fn tell(&mut self, packet: Packet) {
+    fn reply(&mut self, packet: Packet) {
         let bytes = encode(self.version, packet, None).expect("written");
         self.client.received(&bytes, self.now);
     }
@@ -77,27 +77,27 @@
         self.broker = Reader::server(1 << 20);
         self.client.connection_opened(self.now);
         self.client.resuming_recorded(self.now);
-        match self.take().remove(0) {
+        match self.read_output().remove(0) {
             Packet::Connect(connect) => *connect,
             other => panic!("{other:?}"),
         }
     }
 
-    fn up(&mut self, session_present: bool) -> Connect {
+    fn connect(&mut self, session_present: bool) -> Connect {
         let connect = self.open();
-        self.tell(Packet::Connack(Box::new(Connack { session_present, ..Connack::new(0) })));
+        self.reply(Packet::Connack(Box::new(Connack { session_present, ..Connack::new(0) })));
         if self.version == Version::V311 && connect.clean {
             self.now += MS;
             self.client.handle_timeout(self.now);
             let again = self.open();
             assert!(!again.clean, "the second begins a session that lasts");
-            self.tell(Packet::Connack(Box::new(Connack::new(0))));
+            self.reply(Packet::Connack(Box::new(Connack::new(0))));
         }
         connect
     }
 
     /// The connection breaks, and the pause behind it passes.
-    fn break_off(&mut self) {
+    fn disconnect_and_wait(&mut self) {
         self.client.connection_lost(self.now);
         self.now += 3000 * MS;
         self.client.handle_timeout(self.now);
@@ -116,26 +116,26 @@
 #[test]
 fn an_acknowledged_message_is_delivered_at_both_qualities() {
     for version in BOTH {
-        let mut play = Play::new(version, Qos::AtLeastOnce);
-        let id = play.send(1);
-        assert_eq!(play.effects(), [Effect::Open]);
-        assert!(play.up(false).clean);
-        assert_eq!(published(&play.take()), [(id, false)]);
-        play.tell(Packet::Puback(Ack::new(id, 0)));
-        assert!(play.ends().contains(&(1, AttemptResult::Delivered)));
-        let mut play = Play::new(version, Qos::ExactlyOnce);
-        let id = play.send(1);
-        play.up(false);
-        assert_eq!(published(&play.take()), [(id, false)]);
-        play.effects();
-        play.tell(Packet::Pubrec(Ack::new(id, 0)));
-        assert_eq!(play.effects(), [Effect::RecordPubrec { id, message: 1 }]);
-        assert_eq!(play.take(), [], "no PUBREL before it is on record");
-        play.client.pubrec_recorded(id, play.now);
-        assert_eq!(play.take(), [Packet::Pubrel(Ack::new(id, 0))]);
-        play.tell(Packet::Pubcomp(Ack::new(id, 0)));
-        assert_eq!(play.ends(), [(1, AttemptResult::Delivered)]);
-        assert_eq!(play.client.in_use(), 0);
+        let mut harness = Harness::new(version, Qos::AtLeastOnce);
+        let id = harness.send(1);
+        assert_eq!(harness.effects(), [Effect::Open]);
+        assert!(harness.connect(false).clean);
+        assert_eq!(published(&harness.read_output()), [(id, false)]);
+        harness.reply(Packet::Puback(Ack::new(id, 0)));
+        assert!(harness.ends().contains(&(1, AttemptResult::Delivered)));
+        let mut harness = Harness::new(version, Qos::ExactlyOnce);
+        let id = harness.send(1);
+        harness.connect(false);
+        assert_eq!(published(&harness.read_output()), [(id, false)]);
+        harness.effects();
+        harness.reply(Packet::Pubrec(Ack::new(id, 0)));
+        assert_eq!(harness.effects(), [Effect::RecordPubrec { id, message: 1 }]);
+        assert_eq!(harness.read_output(), [], "no PUBREL before it is on record");
+        harness.client.pubrec_recorded(id, harness.now);
+        assert_eq!(harness.read_output(), [Packet::Pubrel(Ack::new(id, 0))]);
+        harness.reply(Packet::Pubcomp(Ack::new(id, 0)));
+        assert_eq!(harness.ends(), [(1, AttemptResult::Delivered)]);
+        assert_eq!(harness.client.in_use(), 0);
     }
 }
 
@@ -144,86 +144,86 @@
 #[test]
 fn a_drop_behind_the_last_byte_resumes_the_same_attempt_where_the_session_is_there() {
     for version in BOTH {
-        let mut play = Play::new(version, Qos::ExactlyOnce);
-        let (a, b) = (play.send(1), play.send(2));
-        play.up(false);
-        assert_eq!(published(&play.take()), [(a, false), (b, false)]);
-        play.tell(Packet::Pubrec(Ack::new(a, 0)));
-        play.client.pubrec_recorded(a, play.now);
-        play.effects();
-        play.break_off();
-        assert_eq!(play.effects(), [Effect::Open], "its fate is open: no end, and nothing new");
-        assert!(!play.up(true).clean);
-        let again = play.take();
+        let mut harness = Harness::new(version, Qos::ExactlyOnce);
+        let (a, b) = (harness.send(1), harness.send(2));
+        harness.connect(false);
+        assert_eq!(published(&harness.read_output()), [(a, false), (b, false)]);
+        harness.reply(Packet::Pubrec(Ack::new(a, 0)));
+        harness.client.pubrec_recorded(a, harness.now);
+        harness.effects();
+        harness.disconnect_and_wait();
+        assert_eq!(harness.effects(), [Effect::Open], "its fate is open: no end, and nothing new");
+        assert!(!harness.connect(true).clean);
+        let again = harness.read_output();
         assert_eq!(again[0], Packet::Pubrel(Ack::new(a, 0)), "never a new PUBLISH [MQTT-4.3.3-6]");
         assert_eq!(published(&again), [(b, true)], "the same packet with DUP [MQTT-3.3.1-1]");
-        play.tell(Packet::Pubcomp(Ack::new(a, code::SUCCESS)));
-        play.tell(Packet::Pubrec(Ack::new(b, 0)));
-        play.client.pubrec_recorded(b, play.now);
-        play.tell(Packet::Pubcomp(Ack::new(b, 0)));
-        assert_eq!(play.ends(), [(1, AttemptResult::Delivered), (2, AttemptResult::Delivered)]);
+        harness.reply(Packet::Pubcomp(Ack::new(a, code::SUCCESS)));
+        harness.reply(Packet::Pubrec(Ack::new(b, 0)));
+        harness.client.pubrec_recorded(b, harness.now);
+        harness.reply(Packet::Pubcomp(Ack::new(b, 0)));
+        assert_eq!(harness.ends(), [(1, AttemptResult::Delivered), (2, AttemptResult::Delivered)]);
     }
 }
 
 #[test]
 fn a_session_whose_connack_is_lost_counts_as_lost_since_the_next_would_be_another() {
     for version in BOTH {
-        let mut play = Play::new(version, Qos::ExactlyOnce);
-        play.send(1);
-        play.up(false);
-        play.take();
-        play.break_off();
-        play.effects();
-        play.client.connection_opened(play.now);
-        assert_eq!(play.client.poll(), Some(Effect::RecordResuming));
-        assert_eq!(play.take(), [], "no CONNECT before that is on record");
+        let mut harness = Harness::new(version, Qos::ExactlyOnce);
+        harness.send(1);
+        harness.connect(false);
+        harness.read_output();
+        harness.disconnect_and_wait();
+        harness.effects();
+        harness.client.connection_opened(harness.now);
+        assert_eq!(harness.client.poll(), Some(Effect::RecordResuming));
+        assert_eq!(harness.read_output(), [], "no CONNECT before that is on record");
         // Lost before CONNECT has left nothing is in doubt.
-        play.client.connection_lost(play.now);
-        assert_eq!(play.client.poll(), Some(Effect::ClearResuming));
-        play.now += 3000 * MS;
-        play.client.handle_timeout(play.now);
-        assert_eq!(play.effects(), [Effect::Open]);
-        let connect = play.open();
+        harness.client.connection_lost(harness.now);
+        assert_eq!(harness.client.poll(), Some(Effect::ClearResuming));
+        harness.now += 3000 * MS;
+        harness.client.handle_timeout(harness.now);
+        assert_eq!(harness.effects(), [Effect::Open]);
+        let connect = harness.open();
         assert!(!connect.clean);
-        play.client.connection_lost(play.now);
-        assert_eq!(play.ends(), [(1, AttemptResult::Lost)]);
+        harness.client.connection_lost(harness.now);
+        assert_eq!(harness.ends(), [(1, AttemptResult::Lost)]);
         // The next begins anew.
-        play.send(2);
-        play.now += 3000 * MS;
-        play.client.handle_timeout(play.now);
-        play.send(3);
-        assert!(play.up(false).clean);
+        harness.send(2);
+        harness.now += 3000 * MS;
+        harness.client.handle_timeout(harness.now);
+        harness.send(3);
+        assert!(harness.connect(false).clean);
     }
 }
 
 #[test]
 fn at_qos_1_nothing_goes_again_once_its_key_is_forgotten() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let id = play.client.reserve().expect("an id");
-    let message = Message { retransmit_until: play.now + 1000 * MS, ..play.message(1) };
-    play.client.publish(id, message, play.now);
-    play.up(false);
-    play.take();
-    play.break_off();
-    play.effects();
-    play.up(true);
-    assert_eq!(play.ends(), [(1, AttemptResult::Lost)]);
-    assert_eq!(published(&play.take()), []);
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let id = harness.client.reserve().expect("an id");
+    let message = Message { retransmit_until: harness.now + 1000 * MS, ..harness.message(1) };
+    harness.client.publish(id, message, harness.now);
+    harness.connect(false);
+    harness.read_output();
+    harness.disconnect_and_wait();
+    harness.effects();
+    harness.connect(true);
+    assert_eq!(harness.ends(), [(1, AttemptResult::Lost)]);
+    assert_eq!(published(&harness.read_output()), []);
 }
 
 // Of 5.0: MQTT-3.2.2-5
 #[test]
 fn a_lost_session_says_that_it_may_have_run_and_sends_nothing_again() {
     for version in BOTH {
-        let mut play = Play::new(version, Qos::AtLeastOnce);
-        play.send(1);
-        play.up(false);
-        play.take();
-        play.break_off();
-        play.effects();
-        assert!(!play.up(false).clean);
-        assert_eq!(play.ends(), [(1, AttemptResult::Lost)]);
-        assert_eq!(published(&play.take()), []);
+        let mut harness = Harness::new(version, Qos::AtLeastOnce);
+        harness.send(1);
+        harness.connect(false);
+        harness.read_output();
+        harness.disconnect_and_wait();
+        harness.effects();
+        assert!(!harness.connect(false).clean);
+        assert_eq!(harness.ends(), [(1, AttemptResult::Lost)]);
+        assert_eq!(published(&harness.read_output()), []);
     }
 }
 
@@ -231,26 +231,26 @@
 fn what_was_cut_before_its_last_byte_never_ran() {
     for version in BOTH {
         let whole = {
-            let mut play = Play::new(version, Qos::AtLeastOnce);
-            play.send(1);
-            play.up(false);
+            let mut harness = Harness::new(version, Qos::AtLeastOnce);
+            harness.send(1);
+            harness.connect(false);
             let mut slices = Vec::new();
-            play.client.output(&mut slices);
+            harness.client.output(&mut slices);
             slices.iter().map(|s| s.len()).sum::<usize>()
         };
         for cut in 0..=whole {
-            let mut play = Play::new(version, Qos::AtLeastOnce);
-            play.send(1);
-            play.up(false);
-            play.effects();
-            play.client.bytes_written(cut, play.now);
-            play.client.connection_lost(play.now);
+            let mut harness = Harness::new(version, Qos::AtLeastOnce);
+            harness.send(1);
+            harness.connect(false);
+            harness.effects();
+            harness.client.bytes_written(cut, harness.now);
+            harness.client.connection_lost(harness.now);
             let wanted: &[(u64, AttemptResult)] = match cut {
                 // All of it, and its fate is open.
                 cut if cut == whole => &[],
                 _ => &[(1, AttemptResult::Unsent)],
             };
-            assert_eq!(play.ends(), wanted, "cut at {cut} of {whole}");
+            assert_eq!(harness.ends(), wanted, "cut at {cut} of {whole}");
         }
     }
 }
@@ -258,86 +258,86 @@
 // Of 5.0: MQTT-4.3.3-7
 #[test]
 fn an_acknowledgement_that_comes_late_is_that_of_the_one_attempt() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let id = play.send(1);
-    play.up(false);
-    play.take();
-    play.effects();
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let id = harness.send(1);
+    harness.connect(false);
+    harness.read_output();
+    harness.effects();
     // Heard of now and then, so that the connection is no mute one.
     for _ in 0..4 {
-        play.now += 4000 * MS;
-        play.client.handle_timeout(play.now);
-        play.tell(Packet::Pingresp);
-        assert_eq!(play.ends(), [], "nothing ends while its fate is open");
+        harness.now += 4000 * MS;
+        harness.client.handle_timeout(harness.now);
+        harness.reply(Packet::Pingresp);
+        assert_eq!(harness.ends(), [], "nothing ends while its fate is open");
     }
-    play.tell(Packet::Puback(Ack::new(id, 0)));
-    assert_eq!(play.ends(), [(1, AttemptResult::Delivered)]);
+    harness.reply(Packet::Puback(Ack::new(id, 0)));
+    assert_eq!(harness.ends(), [(1, AttemptResult::Delivered)]);
 }
 
 #[test]
 fn a_message_whose_time_is_up_ends_and_is_never_sent_again_and_its_id_stays_in_use() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let id = play.send(1);
-    play.up(false);
-    play.take();
-    play.effects();
-    play.now += 20_000 * MS;
-    play.client.handle_timeout(play.now);
-    assert_eq!(play.ends(), [(1, AttemptResult::TimedOut)]);
-    assert_eq!(play.client.in_use(), 1);
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let id = harness.send(1);
+    harness.connect(false);
+    harness.read_output();
+    harness.effects();
+    harness.now += 20_000 * MS;
+    harness.client.handle_timeout(harness.now);
+    assert_eq!(harness.ends(), [(1, AttemptResult::TimedOut)]);
+    assert_eq!(harness.client.in_use(), 1);
     // Another begins, so that the session must be kept.
-    let other = play.send(2);
+    let other = harness.send(2);
     assert_ne!(other, id);
-    assert_eq!(published(&play.take()), [(other, false)]);
-    play.client.connection_lost(play.now);
-    play.now += 100 * MS;
-    play.client.handle_timeout(play.now);
-    play.up(true);
-    assert_eq!(published(&play.take()), [(other, true)], "not the one that has ended");
-    play.tell(Packet::Puback(Ack::new(other, 0)));
-    assert!(play.ends().contains(&(2, AttemptResult::Delivered)));
+    assert_eq!(published(&harness.read_output()), [(other, false)]);
+    harness.client.connection_lost(harness.now);
+    harness.now += 100 * MS;
+    harness.client.handle_timeout(harness.now);
+    harness.connect(true);
+    assert_eq!(published(&harness.read_output()), [(other, true)], "not the one that has ended");
+    harness.reply(Packet::Puback(Ack::new(other, 0)));
+    assert!(harness.ends().contains(&(2, AttemptResult::Delivered)));
 }
 
 #[test]
 fn a_mute_connection_is_given_up_and_its_session_resumed() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let id = play.send(1);
-    play.up(false);
-    play.take();
-    play.effects();
-    let at = play.client.timeout().expect("a time");
-    assert_eq!(at, play.now + 5000 * MS, "its patience");
-    play.now = at;
-    play.client.handle_timeout(play.now);
-    assert_eq!(play.effects(), [Effect::Close { final_bytes: BytesMut::new() }]);
-    play.now += 100 * MS;
-    play.client.handle_timeout(play.now);
-    assert_eq!(play.effects(), [Effect::Open]);
-    play.up(true);
-    assert_eq!(published(&play.take()), [(id, true)]);
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let id = harness.send(1);
+    harness.connect(false);
+    harness.read_output();
+    harness.effects();
+    let at = harness.client.timeout().expect("a time");
+    assert_eq!(at, harness.now + 5000 * MS, "its patience");
+    harness.now = at;
+    harness.client.handle_timeout(harness.now);
+    assert_eq!(harness.effects(), [Effect::Close { final_bytes: BytesMut::new() }]);
+    harness.now += 100 * MS;
+    harness.client.handle_timeout(harness.now);
+    assert_eq!(harness.effects(), [Effect::Open]);
+    harness.connect(true);
+    assert_eq!(published(&harness.read_output()), [(id, true)]);
 }
 
 #[test]
 fn acknowledgements_twice_out_of_order_or_for_free_ids_end_nothing_else() {
     for version in BOTH {
-        let mut play = Play::new(version, Qos::AtLeastOnce);
-        let (a, b) = (play.send(1), play.send(2));
-        play.up(false);
-        play.take();
-        play.effects();
-        play.tell(Packet::Puback(Ack::new(b, 0)));
-        play.tell(Packet::Puback(Ack::new(b, 0)));
-        play.tell(Packet::Puback(Ack::new(999, 0)));
-        assert_eq!(play.ends(), [(2, AttemptResult::Delivered)]);
+        let mut harness = Harness::new(version, Qos::AtLeastOnce);
+        let (a, b) = (harness.send(1), harness.send(2));
+        harness.connect(false);
+        harness.read_output();
+        harness.effects();
+        harness.reply(Packet::Puback(Ack::new(b, 0)));
+        harness.reply(Packet::Puback(Ack::new(b, 0)));
+        harness.reply(Packet::Puback(Ack::new(999, 0)));
+        assert_eq!(harness.ends(), [(2, AttemptResult::Delivered)]);
         // The next does not take the id that is free again.
-        let c = play.send(3);
+        let c = harness.send(3);
         assert!(c != a && c != b);
-        play.take();
-        play.tell(Packet::Puback(Ack::new(b, 0)));
-        assert_eq!(play.ends(), []);
-        play.tell(Packet::Puback(Ack::new(c, 0)));
-        play.tell(Packet::Puback(Ack::new(a, 0)));
-        assert_eq!(play.ends(), [(3, AttemptResult::Delivered), (1, AttemptResult::Delivered)]);
+        harness.read_output();
+        harness.reply(Packet::Puback(Ack::new(b, 0)));
+        assert_eq!(harness.ends(), []);
+        harness.reply(Packet::Puback(Ack::new(c, 0)));
+        harness.reply(Packet::Puback(Ack::new(a, 0)));
+        assert_eq!(harness.ends(), [(3, AttemptResult::Delivered), (1, AttemptResult::Delivered)]);
     }
 }
 
@@ -352,25 +352,25 @@
         (Qos::AtLeastOnce, Packet::Connack(Box::new(Connack::new(0)))),
     ];
     for (qos, lie) in lies {
-        let mut play = Play::new(Version::V5, qos);
-        play.send(1);
-        play.up(false);
-        play.take();
-        play.effects();
-        play.tell(lie.clone());
-        let effects = play.effects();
+        let mut harness = Harness::new(Version::V5, qos);
+        harness.send(1);
+        harness.connect(false);
+        harness.read_output();
+        harness.effects();
+        harness.reply(lie.clone());
+        let effects = harness.effects();
         assert!(
             matches!(&effects[..], [Effect::Close { final_bytes }] if final_bytes.len() >= 2),
             "{lie:?} {effects:?}"
         );
     }
     // An acknowledgement before its PUBLISH has left.
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    play.send(1);
-    play.up(false);
-    play.effects();
-    play.tell(Packet::Puback(Ack::new(1, 0)));
-    assert!(!play.ends().contains(&(1, AttemptResult::Delivered)));
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    harness.send(1);
+    harness.connect(false);
+    harness.effects();
+    harness.reply(Packet::Puback(Ack::new(1, 0)));
+    assert!(!harness.ends().contains(&(1, AttemptResult::Delivered)));
 }
 
 // Of 5.0: MQTT-4.4.0-2
@@ -388,134 +388,134 @@
         (0x99, AttemptResult::Rejected),
     ] {
         for qos in [Qos::AtLeastOnce, Qos::ExactlyOnce] {
-            let mut play = Play::new(Version::V5, qos);
-            let id = play.send(1);
-            play.up(false);
-            play.take();
-            play.effects();
+            let mut harness = Harness::new(Version::V5, qos);
+            let id = harness.send(1);
+            harness.connect(false);
+            harness.read_output();
+            harness.effects();
             let ack = Ack::new(id, code);
-            play.tell(if qos == Qos::AtLeastOnce { Packet::Puback(ack) } else { Packet::Pubrec(ack) });
+            harness.reply(if qos == Qos::AtLeastOnce { Packet::Puback(ack) } else { Packet::Pubrec(ack) });
             if code < 0x80 && qos == Qos::ExactlyOnce {
-                assert_eq!(play.effects(), [Effect::RecordPubrec { id, message: 1 }]);
+                assert_eq!(harness.effects(), [Effect::RecordPubrec { id, message: 1 }]);
                 continue;
             }
-            assert_eq!(play.ends(), [(1, end)], "0x{code:02X}");
-            assert_eq!(play.client.in_use(), 0);
+            assert_eq!(harness.ends(), [(1, end)], "0x{code:02X}");
+            assert_eq!(harness.client.in_use(), 0);
         }
     }
 }
 
 #[test]
 fn a_told_wait_lets_go_what_is_written_and_nothing_after() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let ids: Vec<u16> = (0..200).map(|n| play.send(n)).collect();
-    play.up(false);
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let ids: Vec<u16> = (0..200).map(|n| harness.send(n)).collect();
+    harness.connect(false);
     // So much is handed over that the 64 of one call are, and some bytes of the next.
-    assert_eq!(published(&play.take()).len(), 64);
-    play.client.bytes_written(3, play.now);
-    play.effects();
+    assert_eq!(published(&harness.read_output()).len(), 64);
+    harness.client.bytes_written(3, harness.now);
+    harness.effects();
     let wait = vec![("retry-after".to_owned(), "2.5".to_owned())];
-    play.tell(Packet::Puback(Ack { properties: wait, ..Ack::new(ids[0], code::QUOTA_EXCEEDED) }));
+    harness.reply(Packet::Puback(Ack { properties: wait, ..Ack::new(ids[0], code::QUOTA_EXCEEDED) }));
     let told = Duration::from_millis(2500);
-    let ends = play.ends();
+    let ends = harness.ends();
     assert_eq!(ends[0], (0, AttemptResult::Busy { wait: Some(told) }));
     let taken_back: BTreeSet<u64> = ends.iter().map(|(m, _)| *m).collect();
     assert_eq!(taken_back, std::iter::once(0).chain(65..200).collect(), "all but those that had begun");
     // What had begun goes out to its end, and nothing else.
-    play.broker = Reader::server(1 << 20);
+    harness.broker = Reader::server(1 << 20);
     let rest: usize = {
         let mut slices = Vec::new();
-        play.client.output(&mut slices);
+        harness.client.output(&mut slices);
         assert_eq!(slices.len(), 1);
         slices[0].len()
     };
-    play.client.bytes_written(rest, play.now);
+    harness.client.bytes_written(rest, harness.now);
     // A new one within the wait is turned away with what is left of it.
-    play.now += 500 * MS;
-    play.send(500);
-    assert_eq!(play.ends(), [(500, AttemptResult::Busy { wait: Some(Duration::from_millis(2000)) })]);
+    harness.now += 500 * MS;
+    harness.send(500);
+    assert_eq!(harness.ends(), [(500, AttemptResult::Busy { wait: Some(Duration::from_millis(2000)) })]);
     for id in &ids[1..65] {
-        play.tell(Packet::Puback(Ack::new(*id, 0)));
+        harness.reply(Packet::Puback(Ack::new(*id, 0)));
     }
-    assert_eq!(play.ends().len(), 64);
-    play.now += 2000 * MS;
-    play.send(501);
-    assert_eq!(published(&play.take_all()).len(), 1);
+    assert_eq!(harness.ends().len(), 64);
+    harness.now += 2000 * MS;
+    harness.send(501);
+    assert_eq!(published(&harness.take_all()).len(), 1);
 }
 
-impl Play {
+impl Harness {
     /// As [`Play::take`], where the broker's reader was begun anew behind the CONNECT.
     fn take_all(&mut self) -> Vec<Packet> {
         self.broker = Reader::client(self.version, 1 << 20);
-        self.take()
+        self.read_output()
     }
 }
 
 // Of 5.0: MQTT-3.3.4-7, MQTT-3.3.4-8, MQTT-4.9.0-1, MQTT-4.9.0-2, MQTT-4.9.0-3
 #[test]
 fn the_broker_s_receive_maximum_bounds_what_is_on_its_way() {
-    let mut play = Play::new(Version::V5, Qos::ExactlyOnce);
-    let ids: Vec<u16> = (0..10).map(|n| play.send(n)).collect();
-    play.open();
-    play.tell(Packet::Connack(Box::new(Connack { receive_maximum: 3, ..Connack::new(0) })));
-    assert_eq!(published(&play.take()).len(), 3, "[MQTT-3.3.4-7]");
-    play.effects();
+    let mut harness = Harness::new(Version::V5, Qos::ExactlyOnce);
+    let ids: Vec<u16> = (0..10).map(|n| harness.send(n)).collect();
+    harness.open();
+    harness.reply(Packet::Connack(Box::new(Connack { receive_maximum: 3, ..Connack::new(0) })));
+    assert_eq!(published(&harness.read_output()).len(), 3, "[MQTT-3.3.4-7]");
+    harness.effects();
     // The place is free with PUBCOMP, or a PUBREC that refuses [MQTT-4.9.0-1].
-    play.tell(Packet::Pubrec(Ack::new(ids[0], 0)));
-    play.client.pubrec_recorded(ids[0], play.now);
-    assert_eq!(published(&play.take()).len(), 0);
-    play.tell(Packet::Pubcomp(Ack::new(ids[0], 0)));
-    assert_eq!(published(&play.take()), [(ids[3], false)]);
-    play.tell(Packet::Pubrec(Ack::new(ids[1], code::UNSPECIFIED_ERROR)));
-    assert_eq!(published(&play.take()), [(ids[4], false)]);
+    harness.reply(Packet::Pubrec(Ack::new(ids[0], 0)));
+    harness.client.pubrec_recorded(ids[0], harness.now);
+    assert_eq!(published(&harness.read_output()).len(), 0);
+    harness.reply(Packet::Pubcomp(Ack::new(ids[0], 0)));
+    assert_eq!(published(&harness.read_output()), [(ids[3], false)]);
+    harness.reply(Packet::Pubrec(Ack::new(ids[1], code::UNSPECIFIED_ERROR)));
+    assert_eq!(published(&harness.read_output()), [(ids[4], false)]);
 }
 
 // Of 5.0: MQTT-2.2.1-3
 // Of 3.1.1: MQTT-2.3.1-2
 #[test]
 fn all_packet_ids_may_be_in_flight_and_the_next_waits_for_a_free_one() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
     for n in 0..65_535u64 {
-        let id = play.client.reserve().expect("an id");
-        let message = play.message(n);
-        play.client.insert(id, message, Stage::Sent, play.now);
+        let id = harness.client.reserve().expect("an id");
+        let message = harness.message(n);
+        harness.client.insert(id, message, Stage::Sent, harness.now);
     }
-    assert_eq!(play.client.reserve(), None);
-    play.client.ended(700, AttemptResult::Delivered);
-    assert_eq!(play.client.reserve(), Some(700));
+    assert_eq!(harness.client.reserve(), None);
+    harness.client.ended(700, AttemptResult::Delivered);
+    assert_eq!(harness.client.reserve(), Some(700));
 }
 
 #[test]
 fn only_what_has_not_begun_can_be_called_off() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let (a, _) = (play.send(1), play.send(2));
-    play.client.cancel(2);
-    assert!(play.ends().contains(&(2, AttemptResult::Rejected)));
-    play.up(false);
-    play.take();
-    play.client.cancel(1);
-    assert_eq!(play.ends(), [], "it is on its way, and no cancel ends it");
-    play.tell(Packet::Puback(Ack::new(a, 0)));
-    assert_eq!(play.ends(), [(1, AttemptResult::Delivered)]);
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let (a, _) = (harness.send(1), harness.send(2));
+    harness.client.cancel(2);
+    assert!(harness.ends().contains(&(2, AttemptResult::Rejected)));
+    harness.connect(false);
+    harness.read_output();
+    harness.client.cancel(1);
+    assert_eq!(harness.ends(), [], "it is on its way, and no cancel ends it");
+    harness.reply(Packet::Puback(Ack::new(a, 0)));
+    assert_eq!(harness.ends(), [(1, AttemptResult::Delivered)]);
 }
 
 #[test]
 fn a_drain_lets_what_is_on_its_way_finish_and_begins_nothing_after_its_grace() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let a = play.send(1);
-    play.up(false);
-    play.take();
-    play.effects();
-    play.client.drain_from(play.now + 900 * MS, play.now);
-    let b = play.send(2);
-    assert_eq!(published(&play.take()), [(b, false)], "within the grace");
-    play.now += 900 * MS;
-    play.client.handle_timeout(play.now);
-    play.send(3);
-    assert_eq!(play.ends(), [(3, AttemptResult::Unsent)]);
-    play.tell(Packet::Puback(Ack::new(a, 0)));
-    play.tell(Packet::Puback(Ack::new(b, 0)));
-    let effects = play.effects();
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let a = harness.send(1);
+    harness.connect(false);
+    harness.read_output();
+    harness.effects();
+    harness.client.drain_from(harness.now + 900 * MS, harness.now);
+    let b = harness.send(2);
+    assert_eq!(published(&harness.read_output()), [(b, false)], "within the grace");
+    harness.now += 900 * MS;
+    harness.client.handle_timeout(harness.now);
+    harness.send(3);
+    assert_eq!(harness.ends(), [(3, AttemptResult::Unsent)]);
+    harness.reply(Packet::Puback(Ack::new(a, 0)));
+    harness.reply(Packet::Puback(Ack::new(b, 0)));
+    let effects = harness.effects();
     assert!(
         matches!(effects.last(), Some(Effect::Close { final_bytes }) if !final_bytes.is_empty()),
         "{effects:?}"
@@ -531,42 +531,42 @@
         (code::SERVER_BUSY, AttemptResult::Busy { wait: None }),
         (code::QUOTA_EXCEEDED, AttemptResult::Busy { wait: None }),
     ] {
-        let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-        play.send(1);
-        play.open();
+        let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+        harness.send(1);
+        harness.open();
         let reference = Some("elsewhere.example".to_owned());
-        play.tell(Packet::Connack(Box::new(Connack { reference, ..Connack::new(code) })));
-        assert_eq!(play.ends(), [(1, end)], "0x{code:02X}");
+        harness.reply(Packet::Connack(Box::new(Connack { reference, ..Connack::new(code) })));
+        assert_eq!(harness.ends(), [(1, end)], "0x{code:02X}");
     }
     // With publishes on their way their fate stays open.
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let id = play.send(1);
-    play.up(false);
-    play.take();
-    play.tell(Packet::Disconnect(Disconnect::new(code::SERVER_MOVED)));
-    assert_eq!(play.ends(), []);
-    play.now += 100 * MS;
-    play.client.handle_timeout(play.now);
-    play.up(true);
-    assert_eq!(published(&play.take()), [(id, true)]);
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let id = harness.send(1);
+    harness.connect(false);
+    harness.read_output();
+    harness.reply(Packet::Disconnect(Disconnect::new(code::SERVER_MOVED)));
+    assert_eq!(harness.ends(), []);
+    harness.now += 100 * MS;
+    harness.client.handle_timeout(harness.now);
+    harness.connect(true);
+    assert_eq!(published(&harness.read_output()), [(id, true)]);
 }
 
 #[test]
 fn what_an_earlier_life_left_open_is_resumed_and_never_published_anew() {
     for version in BOTH {
-        let mut play = Play::new(version, Qos::ExactlyOnce);
-        let (open, released) = (play.message(1), play.message(2));
-        play.client.resume(7, open, false, play.now);
-        play.client.resume(9, released, true, play.now);
-        assert!(!play.up(true).clean);
-        let again = play.take();
+        let mut harness = Harness::new(version, Qos::ExactlyOnce);
+        let (open, released) = (harness.message(1), harness.message(2));
+        harness.client.resume(7, open, false, harness.now);
+        harness.client.resume(9, released, true, harness.now);
+        assert!(!harness.connect(true).clean);
+        let again = harness.read_output();
         assert_eq!(published(&again), [(7, true)]);
         assert!(again.contains(&Packet::Pubrel(Ack::new(9, 0))));
         // Its PUBCOMP was lost with the earlier life, so a broker of 5.0 knows the id no more.
         let code = if version == Version::V5 { code::PACKET_ID_NOT_FOUND } else { code::SUCCESS };
-        play.tell(Packet::Pubcomp(Ack::new(9, code)));
-        assert_eq!(play.client.reserve(), Some(10), "no id that a late acknowledgement may name");
-        assert_eq!(play.ends(), [(2, AttemptResult::Delivered)]);
+        harness.reply(Packet::Pubcomp(Ack::new(9, code)));
+        assert_eq!(harness.client.reserve(), Some(10), "no id that a late acknowledgement may name");
+        assert_eq!(harness.ends(), [(2, AttemptResult::Delivered)]);
     }
 }
 
@@ -574,48 +574,48 @@
 // Of 3.1.1: MQTT-3.1.2-23
 #[test]
 fn a_silent_broker_is_pinged_and_then_left() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    let id = play.send(1);
-    play.up(false);
-    play.take();
-    play.tell(Packet::Puback(Ack::new(id, 0)));
-    play.effects();
-    play.now = play.client.timeout().expect("the keep alive");
-    play.client.handle_timeout(play.now);
-    assert_eq!(play.take(), [Packet::Pingreq], "[MQTT-3.1.2-20]");
-    play.now = play.client.timeout().expect("the answer's limit");
-    play.client.handle_timeout(play.now);
-    assert!(matches!(play.effects()[..], [Effect::Close { .. }]));
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    let id = harness.send(1);
+    harness.connect(false);
+    harness.read_output();
+    harness.reply(Packet::Puback(Ack::new(id, 0)));
+    harness.effects();
+    harness.now = harness.client.timeout().expect("the keep alive");
+    harness.client.handle_timeout(harness.now);
+    assert_eq!(harness.read_output(), [Packet::Pingreq], "[MQTT-3.1.2-20]");
+    harness.now = harness.client.timeout().expect("the answer's limit");
+    harness.client.handle_timeout(harness.now);
+    assert!(matches!(harness.effects()[..], [Effect::Close { .. }]));
 }
 
 #[test]
 fn a_message_without_a_connection_in_time_never_ran() {
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    play.send(1);
-    play.now += 1000 * MS;
-    play.client.handle_timeout(play.now);
-    assert!(play.ends().contains(&(1, AttemptResult::Unsent)));
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    harness.send(1);
+    harness.now += 1000 * MS;
+    harness.client.handle_timeout(harness.now);
+    assert!(harness.ends().contains(&(1, AttemptResult::Unsent)));
     // And one that the broker's bound keeps waiting was turned away, and not the connection.
-    let mut play = Play::new(Version::V5, Qos::AtLeastOnce);
-    play.send(1);
-    play.send(2);
-    play.open();
-    play.tell(Packet::Connack(Box::new(Connack { receive_maximum: 1, ..Connack::new(0) })));
-    play.take();
-    play.effects();
-    play.now += 1000 * MS;
-    play.client.handle_timeout(play.now);
-    assert_eq!(play.ends(), [(2, AttemptResult::Busy { wait: None })]);
+    let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
+    harness.send(1);
+    harness.send(2);
+    harness.open();
+    harness.reply(Packet::Connack(Box::new(Connack { receive_maximum: 1, ..Connack::new(0) })));
+    harness.read_output();
+    harness.effects();
+    harness.now += 1000 * MS;
+    harness.client.handle_timeout(harness.now);
+    assert_eq!(harness.ends(), [(2, AttemptResult::Busy { wait: None })]);
 }
 
 // Of 5.0: MQTT-3.2.2-11
 #[test]
 fn a_broker_that_takes_a_lower_quality_gets_nothing_that_needs_more() {
-    let mut play = Play::new(Version::V5, Qos::ExactlyOnce);
-    play.send(1);
-    play.open();
+    let mut harness = Harness::new(Version::V5, Qos::ExactlyOnce);
+    harness.send(1);
+    harness.open();
     let max_qos = Qos::AtLeastOnce;
-    play.tell(Packet::Connack(Box::new(Connack { max_qos, ..Connack::new(0) })));
-    assert_eq!(play.ends(), [(1, AttemptResult::Rejected)]);
-    assert_eq!(play.take(), []);
+    harness.reply(Packet::Connack(Box::new(Connack { max_qos, ..Connack::new(0) })));
+    assert_eq!(harness.ends(), [(1, AttemptResult::Rejected)]);
+    assert_eq!(harness.read_output(), []);
 }
--- a/crates/mqtt/src/convert.rs
+++ b/crates/mqtt/src/convert.rs
@@ -7,11 +7,11 @@
 use bytes::Bytes;
 use bytestring::ByteString;
 use rmqtt_codec::error::DecodeError;
-use rmqtt_codec::types::Publish as Sent;
+use rmqtt_codec::types::Publish as CodecPublish;
 use rmqtt_codec::{v3, v5};
 use std::num::{NonZeroU16, NonZeroU32};
 
-type Read = Result<Packet, ConnectionError>;
+type PacketResult = Result<Packet, ConnectionError>;
 
 /// What of a packet that cannot be read is told to the other side.
 pub fn decode_error(e: &DecodeError) -> ConnectionError {
@@ -31,19 +31,19 @@
 }
 
 /// A string, without the one character that none may have [MQTT-1.5.4-2].
-fn text(text: &ByteString) -> Result<String, ConnectionError> {
+fn checked_string(text: &ByteString) -> Result<String, ConnectionError> {
     match text.contains('\0') {
         true => Err(ConnectionError::malformed("a string with U+0000")),
         false => Ok(text.to_string()),
     }
 }
 
-fn option(of: Option<&ByteString>) -> Result<Option<String>, ConnectionError> {
-    of.map(text).transpose()
+fn optional_string(of: Option<&ByteString>) -> Result<Option<String>, ConnectionError> {
+    of.map(checked_string).transpose()
 }
 
 fn properties(of: &v5::UserProperties) -> Result<Properties, ConnectionError> {
-    of.iter().map(|(name, value)| Ok((text(name)?, text(value)?))).collect()
+    of.iter().map(|(name, value)| Ok((checked_string(name)?, checked_string(value)?))).collect()
 }
 
 fn to_properties(of: Properties) -> v5::UserProperties {
@@ -51,15 +51,15 @@
 }
 
 /// The body without the buffer that it was read into, which may be much longer.
-fn body(bytes: &Bytes) -> Bytes {
+fn copy_payload(bytes: &Bytes) -> Bytes {
     Bytes::copy_from_slice(bytes)
 }
 
-fn id(id: u16) -> Result<NonZeroU16, ConnectionError> {
+fn packet_id(id: u16) -> Result<NonZeroU16, ConnectionError> {
     NonZeroU16::new(id).ok_or(ConnectionError::protocol("packet id 0"))
 }
 
-fn publish(p: &Sent) -> Read {
+fn publish(p: &CodecPublish) -> PacketResult {
     let of = p.properties.as_ref();
     let properties = of.map(|o| properties(&o.user_properties)).transpose()?.unwrap_or_default();
     if of.is_some_and(|o| !o.subscription_ids.is_empty()) {
@@ -69,9 +69,9 @@
         dup: p.dup,
         qos: p.qos,
         retain: p.retain,
-        topic: text(&p.topic)?,
+        topic: checked_string(&p.topic)?,
         id: p.packet_id.map(NonZeroU16::get),
-        payload: body(&p.payload),
+        payload: copy_payload(&p.payload),
         expiry: of.and_then(|o| o.message_expiry_interval).map(NonZeroU32::get),
         alias: of.and_then(|o| o.topic_alias).map(NonZeroU16::get),
         utf8: of.is_some_and(|o| o.is_utf8_payload),
@@ -79,14 +79,14 @@
     })))
 }
 
-pub fn from_v3(packet: v3::Packet) -> Read {
+pub fn from_v3(packet: v3::Packet) -> PacketResult {
     let ack = |id: NonZeroU16| Ack::new(id.get(), code::SUCCESS);
     Ok(match packet {
         v3::Packet::Connect(c) => {
             let will = c.last_will.as_ref().map(|w| {
                 Ok(Will {
-                    topic: text(&w.topic)?,
-                    payload: body(&w.message),
+                    topic: checked_string(&w.topic)?,
+                    payload: copy_payload(&w.message),
                     qos: w.qos,
                     retain: w.retain,
                     delay: 0,
@@ -97,12 +97,12 @@
             });
             Packet::Connect(Box::new(Connect {
                 version: Version::V311,
-                client: text(&c.client_id)?,
+                client: checked_string(&c.client_id)?,
                 clean: c.clean_session,
                 keep_alive: c.keep_alive,
                 expiry: if c.clean_session { 0 } else { u32::MAX },
-                user: option(c.username.as_ref())?,
-                password: c.password.as_ref().map(body),
+                user: optional_string(c.username.as_ref())?,
+                password: c.password.as_ref().map(copy_payload),
                 will: will.transpose()?,
                 receive_maximum: u16::MAX,
                 max_packet_size: None,
@@ -122,7 +122,10 @@
         v3::Packet::Subscribe { packet_id, topic_filters } => Packet::Subscribe(Subscribe {
             id: packet_id.get(),
             has_subscription_id: false,
-            filters: topic_filters.iter().map(|(f, q)| Ok((text(f)?, *q))).collect::<Result<_, _>>()?,
+            filters: topic_filters
+                .iter()
+                .map(|(f, q)| Ok((checked_string(f)?, *q)))
+                .collect::<Result<_, _>>()?,
         }),
         v3::Packet::SubscribeAck { packet_id, status } => {
             let of = |s: &v3::SubscribeReturnCode| match s {
@@ -132,7 +135,7 @@
             Packet::Suback { id: packet_id.get(), codes: status.iter().map(of).collect(), reason: None }
         }
         v3::Packet::Unsubscribe { packet_id, topic_filters } => {
-            let filters = topic_filters.iter().map(text).collect::<Result<_, _>>()?;
+            let filters = topic_filters.iter().map(checked_string).collect::<Result<_, _>>()?;
             Packet::Unsubscribe { id: packet_id.get(), filters }
         }
         v3::Packet::UnsubscribeAck { packet_id } => {
@@ -152,15 +155,15 @@
             Ok(Ack {
                 id: p.packet_id.get(),
                 code: p.reason_code.into(),
-                reason: option(p.reason_string.as_ref())?,
+                reason: optional_string(p.reason_string.as_ref())?,
                 properties: properties(&p.properties)?,
             })
         }
 
         fn $to(a: Ack) -> Result<v5::$type, ConnectionError> {
             Ok(v5::$type {
-                packet_id: id(a.id)?,
-                reason_code: known(a.code)?,
+                packet_id: packet_id(a.id)?,
+                reason_code: reason_code(a.code)?,
                 properties: to_properties(a.properties),
                 reason_string: a.reason.map(Into::into),
             })
@@ -174,8 +177,8 @@
 fn connect(c: &v5::Connect) -> Result<Connect, ConnectionError> {
     let will = c.last_will.as_ref().map(|w| {
         Ok(Will {
-            topic: text(&w.topic)?,
-            payload: body(&w.message),
+            topic: checked_string(&w.topic)?,
+            payload: copy_payload(&w.message),
             qos: w.qos,
             retain: w.retain,
             delay: w.will_delay_interval_sec.unwrap_or_default(),
@@ -186,27 +189,27 @@
     });
     Ok(Connect {
         version: Version::V5,
-        client: text(&c.client_id)?,
+        client: checked_string(&c.client_id)?,
         clean: c.clean_start,
         keep_alive: c.keep_alive,
         expiry: c.session_expiry_interval_secs,
-        user: option(c.username.as_ref())?,
-        password: c.password.as_ref().map(body),
+        user: optional_string(c.username.as_ref())?,
+        password: c.password.as_ref().map(copy_payload),
         will: will.transpose()?,
         receive_maximum: c.receive_max.map_or(u16::MAX, NonZeroU16::get),
         max_packet_size: c.max_packet_size.map(NonZeroU32::get),
-        auth_method: option(c.auth_method.as_ref())?,
+        auth_method: optional_string(c.auth_method.as_ref())?,
         request_problem_info: c.request_problem_info,
     })
 }
 
-pub fn from_v5(packet: v5::Packet) -> Read {
+pub fn from_v5(packet: v5::Packet) -> PacketResult {
     Ok(match packet {
         v5::Packet::Connect(c) => Packet::Connect(Box::new(connect(&c)?)),
         v5::Packet::ConnectAck(c) => Packet::Connack(Box::new(Connack {
             session_present: c.session_present,
             code: c.reason_code.into(),
-            client: option(c.assigned_client_id.as_ref())?,
+            client: optional_string(c.assigned_client_id.as_ref())?,
             expiry: c.session_expiry_interval_secs,
             receive_maximum: c.receive_max.get(),
             max_qos: c.max_qos,
@@ -214,8 +217,8 @@
             topic_alias_max: c.topic_alias_max,
             keep_alive: c.server_keepalive_sec,
             optional_features: c.retain_available,
-            reference: option(c.server_reference.as_ref())?,
-            reason: option(c.reason_string.as_ref())?,
+            reference: optional_string(c.server_reference.as_ref())?,
+            reason: optional_string(c.reason_string.as_ref())?,
             properties: properties(&c.user_properties)?,
         })),
         v5::Packet::Publish(p) => publish(&p)?,
@@ -226,15 +229,19 @@
         v5::Packet::Subscribe(s) => Packet::Subscribe(Subscribe {
             id: s.packet_id.get(),
             has_subscription_id: s.id.is_some(),
-            filters: s.topic_filters.iter().map(|(f, o)| Ok((text(f)?, o.qos))).collect::<Result<_, _>>()?,
+            filters: s
+                .topic_filters
+                .iter()
+                .map(|(f, o)| Ok((checked_string(f)?, o.qos)))
+                .collect::<Result<_, _>>()?,
         }),
         v5::Packet::SubscribeAck(s) => Packet::Suback {
             id: s.packet_id.get(),
             codes: s.status.iter().map(|c| u8::from(*c)).collect(),
-            reason: option(s.reason_string.as_ref())?,
+            reason: optional_string(s.reason_string.as_ref())?,
         },
         v5::Packet::Unsubscribe(u) => {
-            let filters = u.topic_filters.iter().map(text).collect::<Result<_, _>>()?;
+            let filters = u.topic_filters.iter().map(checked_string).collect::<Result<_, _>>()?;
             Packet::Unsubscribe { id: u.packet_id.get(), filters }
         }
         v5::Packet::UnsubscribeAck(u) => {
@@ -246,8 +253,8 @@
         v5::Packet::Disconnect(d) => Packet::Disconnect(Disconnect {
             code: d.reason_code.into(),
             expiry: d.session_expiry_interval_secs,
-            reference: option(d.server_reference.as_ref())?,
-            reason: option(d.reason_string.as_ref())?,
+            reference: optional_string(d.server_reference.as_ref())?,
+            reason: optional_string(d.reason_string.as_ref())?,
             properties: properties(&d.user_properties)?,
         }),
         v5::Packet::Auth(_) => Packet::Auth,
@@ -273,7 +280,7 @@
     }
 }
 
-fn to_publish(p: Publish, version: Version) -> Result<Box<Sent>, ConnectionError> {
+fn to_publish(p: Publish, version: Version) -> Result<Box<CodecPublish>, ConnectionError> {
     let of = v5::PublishProperties {
         topic_alias: p.alias.and_then(NonZeroU16::new),
         message_expiry_interval: p.expiry.and_then(NonZeroU32::new),
@@ -281,12 +288,12 @@
         is_utf8_payload: p.utf8,
         ..v5::PublishProperties::default()
     };
-    Ok(Box::new(Sent {
+    Ok(Box::new(CodecPublish {
         dup: p.dup,
         retain: p.retain,
         qos: p.qos,
         topic: p.topic.into(),
-        packet_id: p.id.map(id).transpose()?,
+        packet_id: p.id.map(packet_id).transpose()?,
         payload: p.payload,
         properties: (version == Version::V5).then_some(of),
     }))
@@ -317,12 +324,12 @@
             v3::Packet::ConnectAck(v3::ConnectAck { return_code, session_present: c.session_present })
         }
         Packet::Publish(p) => v3::Packet::Publish(to_publish(*p, Version::V311)?),
-        Packet::Puback(a) => v3::Packet::PublishAck { packet_id: id(a.id)? },
-        Packet::Pubrec(a) => v3::Packet::PublishReceived { packet_id: id(a.id)? },
-        Packet::Pubrel(a) => v3::Packet::PublishRelease { packet_id: id(a.id)? },
-        Packet::Pubcomp(a) => v3::Packet::PublishComplete { packet_id: id(a.id)? },
+        Packet::Puback(a) => v3::Packet::PublishAck { packet_id: packet_id(a.id)? },
+        Packet::Pubrec(a) => v3::Packet::PublishReceived { packet_id: packet_id(a.id)? },
+        Packet::Pubrel(a) => v3::Packet::PublishRelease { packet_id: packet_id(a.id)? },
+        Packet::Pubcomp(a) => v3::Packet::PublishComplete { packet_id: packet_id(a.id)? },
         Packet::Subscribe(s) => v3::Packet::Subscribe {
-            packet_id: id(s.id)?,
+            packet_id: packet_id(s.id)?,
             topic_filters: s.filters.into_iter().map(|(f, q)| (f.into(), q)).collect(),
         },
         Packet::Suback { id: of, codes, .. } => {
@@ -331,13 +338,13 @@
                 Err(_) => v3::SubscribeReturnCode::Failure,
             };
             let status = codes.into_iter().map(status).collect();
-            v3::Packet::SubscribeAck { packet_id: id(of)?, status }
+            v3::Packet::SubscribeAck { packet_id: packet_id(of)?, status }
         }
         Packet::Unsubscribe { id: of, filters } => v3::Packet::Unsubscribe {
-            packet_id: id(of)?,
+            packet_id: packet_id(of)?,
             topic_filters: filters.into_iter().map(Into::into).collect(),
         },
-        Packet::Unsuback { id: of, .. } => v3::Packet::UnsubscribeAck { packet_id: id(of)? },
+        Packet::Unsuback { id: of, .. } => v3::Packet::UnsubscribeAck { packet_id: packet_id(of)? },
         Packet::Pingreq => v3::Packet::PingRequest,
         Packet::Pingresp => v3::Packet::PingResponse,
         Packet::Disconnect(_) => v3::Packet::Disconnect,
@@ -346,7 +353,7 @@
 }
 
 /// A reason code that the packet may carry.
-fn known<T: TryFrom<u8>>(code: u8) -> Result<T, ConnectionError> {
+fn reason_code<T: TryFrom<u8>>(code: u8) -> Result<T, ConnectionError> {
     T::try_from(code).map_err(|_| ConnectionError::protocol("no reason code of this packet"))
 }
 
@@ -383,7 +390,7 @@
         }
         Packet::Connack(c) => v5::Packet::ConnectAck(Box::new(v5::ConnectAck {
             session_present: c.session_present,
-            reason_code: known(c.code)?,
+            reason_code: reason_code(c.code)?,
             session_expiry_interval_secs: c.expiry,
             receive_max: NonZeroU16::new(c.receive_maximum).unwrap_or(NonZeroU16::MAX),
             max_qos: c.max_qos,
@@ -408,33 +415,33 @@
         Packet::Subscribe(s) => {
             let of = |qos| v5::SubscriptionOptions { qos, ..v5::SubscriptionOptions::default() };
             v5::Packet::Subscribe(v5::Subscribe {
-                packet_id: id(s.id)?,
+                packet_id: packet_id(s.id)?,
                 id: NonZeroU32::new(u32::from(s.has_subscription_id)),
                 user_properties: Vec::new(),
                 topic_filters: s.filters.into_iter().map(|(f, q)| (f.into(), of(q))).collect(),
             })
         }
         Packet::Suback { id: of, codes, reason } => v5::Packet::SubscribeAck(v5::SubscribeAck {
-            packet_id: id(of)?,
+            packet_id: packet_id(of)?,
             properties: Vec::new(),
             reason_string: reason.map(Into::into),
-            status: codes.into_iter().map(known).collect::<Result<_, _>>()?,
+            status: codes.into_iter().map(reason_code).collect::<Result<_, _>>()?,
         }),
         Packet::Unsubscribe { id: of, filters } => v5::Packet::Unsubscribe(v5::Unsubscribe {
-            packet_id: id(of)?,
+            packet_id: packet_id(of)?,
             user_properties: Vec::new(),
             topic_filters: filters.into_iter().map(Into::into).collect(),
         }),
         Packet::Unsuback { id: of, codes } => v5::Packet::UnsubscribeAck(v5::UnsubscribeAck {
-            packet_id: id(of)?,
+            packet_id: packet_id(of)?,
             properties: Vec::new(),
             reason_string: None,
-            status: codes.into_iter().map(known).collect::<Result<_, _>>()?,
+            status: codes.into_iter().map(reason_code).collect::<Result<_, _>>()?,
         }),
         Packet::Pingreq => v5::Packet::PingRequest,
         Packet::Pingresp => v5::Packet::PingResponse,
         Packet::Disconnect(d) => v5::Packet::Disconnect(v5::Disconnect {
-            reason_code: known(d.code)?,
+            reason_code: reason_code(d.code)?,
             session_expiry_interval_secs: d.expiry,
             server_reference: d.reference.map(Into::into),
             reason_string: d.reason.map(Into::into),
--- a/crates/mqtt/src/frame.rs
+++ b/crates/mqtt/src/frame.rs
@@ -24,19 +24,19 @@
     /// Known once the first packet has been read, where that tells it.
     version: Option<Version>,
     /// The longest packet, bytes with its frame.
-    most: usize,
+    max_bytes: usize,
     buffer: BytesMut,
 }
 
 impl Reader {
     /// For a server: the version is the one of the CONNECT that must come first.
-    pub fn server(most: usize) -> Self {
-        Reader { version: None, most, buffer: BytesMut::new() }
+    pub fn server(max_bytes: usize) -> Self {
+        Reader { version: None, max_bytes, buffer: BytesMut::new() }
     }
 
     /// For a client of this version.
-    pub fn client(version: Version, most: usize) -> Self {
-        Reader { version: Some(version), most, buffer: BytesMut::new() }
+    pub fn client(version: Version, max_bytes: usize) -> Self {
+        Reader { version: Some(version), max_bytes, buffer: BytesMut::new() }
     }
 
     pub fn version(&self) -> Option<Version> {
@@ -59,7 +59,7 @@
     /// # Errors
     /// What is wrong with it: nothing that follows can be read.
     pub fn packet(&mut self) -> Result<Option<Packet>, ConnectionError> {
-        let Some((head, length)) = self.frame()? else {
+        let Some((head, length)) = self.fixed_header()? else {
             if self.buffer.is_empty() {
                 // Thousands of idle connections must not keep what their busy moment took.
                 self.buffer = BytesMut::new();
@@ -74,20 +74,20 @@
             if self.buffer.len() < head + length {
                 return Ok(None);
             }
-            self.version = Some(level(&self.buffer[head..head + length])?);
+            self.version = Some(protocol_version(&self.buffer[head..head + length])?);
         }
         if self.buffer.len() < head + length {
             return Ok(None);
         }
-        let mut whole = self.buffer.split_to(head + length);
+        let mut frame_bytes = self.buffer.split_to(head + length);
         let version = self.version.unwrap_or(Version::V5);
-        check(version, whole[0], &whole[head..])?;
+        check_frame(version, frame_bytes[0], &frame_bytes[head..])?;
         let packet = match version {
-            Version::V311 => {
-                rmqtt_codec::v3::Codec::new(0).decode(&mut whole).map(|p| p.map(|(p, _)| convert::from_v3(p)))
-            }
+            Version::V311 => rmqtt_codec::v3::Codec::new(0)
+                .decode(&mut frame_bytes)
+                .map(|p| p.map(|(p, _)| convert::from_v3(p))),
             Version::V5 => rmqtt_codec::v5::Codec::new(0, 0)
-                .decode(&mut whole)
+                .decode(&mut frame_bytes)
                 .map(|p| p.map(|(p, _)| convert::from_v5(p))),
         };
         match packet {
@@ -98,7 +98,7 @@
     }
 
     /// Bytes of the fixed header and of what follows; None until it has come.
-    fn frame(&self) -> Result<Option<(usize, usize)>, ConnectionError> {
+    fn fixed_header(&self) -> Result<Option<(usize, usize)>, ConnectionError> {
         let Some(first) = self.buffer.first() else { return Ok(None) };
         let (kind, flags) = (first >> 4, first & 0x0F);
         let wanted = match kind {
@@ -115,7 +115,7 @@
             let Some(byte) = self.buffer.get(1 + n) else { return Ok(None) };
             length |= usize::from(byte & 0x7F) << (7 * n);
             if byte & 0x80 == 0 {
-                if 2 + n + length > self.most {
+                if 2 + n + length > self.max_bytes {
                     return Err(ConnectionError {
                         code: code::PACKET_TOO_LARGE,
                         reason: "longer than a packet may be",
@@ -129,7 +129,7 @@
 }
 
 /// The version that a CONNECT asks for.
-fn level(body: &[u8]) -> Result<Version, ConnectionError> {
+fn protocol_version(body: &[u8]) -> Result<Version, ConnectionError> {
     let mut body = body;
     if body.len() < 7 || body.get_u16() != 4 || &body[..4] != b"MQTT" {
         return Err(ConnectionError {
@@ -145,7 +145,7 @@
 }
 
 /// What the codec lets pass.
-fn check(version: Version, first: u8, body: &[u8]) -> Result<(), ConnectionError> {
+fn check_frame(version: Version, first: u8, body: &[u8]) -> Result<(), ConnectionError> {
     match first >> 4 {
         CONNECT => {
             let flags = *body.get(7).ok_or(ConnectionError::malformed("a CONNECT that is too short"))?;
@@ -163,7 +163,7 @@
         }
         PUBLISH if first & 0x06 == 0x06 => Err(ConnectionError::malformed("QoS 3")),
         PUBLISH if first & 0x0E == 0x08 => Err(ConnectionError::malformed("DUP at QoS 0")),
-        SUBSCRIBE if version == Version::V311 => reserved_bits(body),
+        SUBSCRIBE if version == Version::V311 => check_requested_qos(body),
         PINGREQ | PINGRESP if !body.is_empty() => {
             Err(ConnectionError::malformed("a ping with something in it"))
         }
@@ -176,7 +176,7 @@
 }
 
 /// In 3.1.1 the upper six bits of a requested QoS must be 0, section 3.8.3.
-fn reserved_bits(body: &[u8]) -> Result<(), ConnectionError> {
+fn check_requested_qos(body: &[u8]) -> Result<(), ConnectionError> {
     let mut rest = body.get(2..).unwrap_or_default();
     while rest.len() > 2 {
         let filter = usize::from(rest.get_u16());
@@ -194,14 +194,14 @@
 ///
 /// # Errors
 /// It is longer without them, too, or a string in it is: it must not be sent.
-pub fn encode(version: Version, packet: Packet, most: Option<u32>) -> Result<BytesMut, ConnectionError> {
-    let most = most.map_or(usize::MAX, |m| m as usize);
-    let whole = write(version, packet.clone())?;
-    if whole.len() <= most {
-        return Ok(whole);
+pub fn encode(version: Version, packet: Packet, max_bytes: Option<u32>) -> Result<BytesMut, ConnectionError> {
+    let max_bytes = max_bytes.map_or(usize::MAX, |m| m as usize);
+    let frame_bytes = write(version, packet.clone())?;
+    if frame_bytes.len() <= max_bytes {
+        return Ok(frame_bytes);
     }
     let reduced = write(version, convert::without_optional_properties(packet))?;
-    if reduced.len() <= most {
+    if reduced.len() <= max_bytes {
         return Ok(reduced);
     }
     Err(ConnectionError { code: code::PACKET_TOO_LARGE, reason: "longer than the other side takes" })
--- a/crates/mqtt/src/server.rs
+++ b/crates/mqtt/src/server.rs
@@ -136,14 +136,14 @@
 
 #[derive(Debug)]
 enum Stage {
-    New,
+    AwaitingConnect,
     /// Its CONNECT is being judged; `assigned` if its id is of the server's making.
-    Judged {
+    Authorizing {
         connect: Box<Connect>,
         assigned: bool,
     },
     /// Waits for its session to be on record.
-    Opening,
+    StoringSession,
     Open,
 }
 
@@ -152,9 +152,9 @@
     reader: Reader,
     stage: Stage,
     since: Time,
-    heard: Time,
+    last_received: Time,
     /// One and a half times the keep alive.
-    silence: Option<Time>,
+    keep_alive_timeout: Option<Time>,
     version: Version,
     owner: Owner,
     aliases: HashMap<u16, String>,
@@ -162,7 +162,7 @@
     max_packet_size: Option<u32>,
     request_problem_info: bool,
     /// At QoS 0, being judged.
-    loose: usize,
+    pending_qos0: usize,
     /// Where it stands in the agenda.
     due: Option<Time>,
     /// Nothing is read from it.
@@ -179,7 +179,7 @@
 }
 
 /// What is done once a session's record is kept.
-enum After {
+enum AfterStore {
     Open {
         connection: u64,
         connack: Box<Connack>,
@@ -214,14 +214,14 @@
     sessions: HashMap<Owner, Session>,
     pending: HashMap<u64, Pending>,
     /// Whose will is being judged: its record stays until that is on record as a message.
-    wills_out: BTreeSet<Owner>,
-    storing: HashMap<u64, (Owner, After)>,
+    pending_wills: BTreeSet<Owner>,
+    pending_stores: HashMap<u64, (Owner, AfterStore)>,
     /// What is due when. A connection's time may be too early: then it is put in again.
-    agenda: BTreeSet<(Time, Due)>,
+    deadlines: BTreeSet<(Time, Due)>,
     /// Sessions that are due: expiry or will.
     timers: HashMap<u64, (Owner, Time, Timer)>,
     session_timers: HashMap<Owner, BTreeMap<Timer, u64>>,
-    next: u64,
+    next_token: u64,
     effects: VecDeque<Effect>,
 }
 
@@ -236,7 +236,7 @@
 }
 
 /// Half as long again as the keep alive [MQTT-3.1.2-22].
-fn silence(keep_alive: u16) -> Option<Time> {
+fn keep_alive_timeout(keep_alive: u16) -> Option<Time> {
     (keep_alive > 0).then(|| Duration::from_millis(u64::from(keep_alive) * 1500))
 }
 
@@ -281,12 +281,12 @@
             connections: HashMap::new(),
             sessions: HashMap::new(),
             pending: HashMap::new(),
-            wills_out: BTreeSet::new(),
-            storing: HashMap::new(),
-            agenda: BTreeSet::new(),
+            pending_wills: BTreeSet::new(),
+            pending_stores: HashMap::new(),
+            deadlines: BTreeSet::new(),
             timers: HashMap::new(),
             session_timers: HashMap::new(),
-            next: 1,
+            next_token: 1,
             effects: VecDeque::new(),
         }
     }
@@ -298,7 +298,7 @@
 
     /// When [`Server::handle_timeout`] is to be called.
     pub fn timeout(&self) -> Option<Time> {
-        self.agenda.first().map(|(at, _)| *at)
+        self.deadlines.first().map(|(at, _)| *at)
     }
 
     /// Whether this client has a session.
@@ -322,23 +322,23 @@
 
     /// Whether more is to be read from a connection; else what comes waits in its socket until [`Effect::ResumeReading`].
     pub fn wants_input(&mut self, connection: u64) -> bool {
-        let reads = self.may_read(connection);
+        let reads = self.can_read(connection);
         if let Some(c) = self.connections.get_mut(&connection) {
             c.paused = !reads;
         }
         reads
     }
 
-    fn may_read(&self, connection: u64) -> bool {
+    fn can_read(&self, connection: u64) -> bool {
         let Some(c) = self.connections.get(&connection) else { return false };
         match c.stage {
-            Stage::New => true,
-            Stage::Judged { .. } | Stage::Opening => false,
+            Stage::AwaitingConnect => true,
+            Stage::Authorizing { .. } | Stage::StoringSession => false,
             Stage::Open => {
                 let judged = self.sessions.get(&c.owner).map_or(0, |s| s.pending.len());
                 let most = usize::from(self.limits.receive_maximum);
                 // One of 5.0 that goes beyond what it was told is at fault, and must be heard to be told.
-                c.loose < MAX_PENDING_QOS0 && (c.version == Version::V5 || judged < most)
+                c.pending_qos0 < MAX_PENDING_QOS0 && (c.version == Version::V5 || judged < most)
             }
         }
     }
@@ -347,13 +347,13 @@
     pub fn received(&mut self, connection: u64, bytes: &[u8], now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         c.reader.push(bytes);
-        self.advance(connection, now);
+        self.process_buffered(connection, now);
     }
 
     /// Goes on with a connection that may have waited for something.
-    fn go_on(&mut self, connection: u64, now: Time) {
-        self.advance(connection, now);
-        let may = self.may_read(connection);
+    fn resume_reading(&mut self, connection: u64, now: Time) {
+        self.process_buffered(connection, now);
+        let may = self.can_read(connection);
         if let Some(c) = self.connections.get_mut(&connection)
             && may
             && std::mem::take(&mut c.paused)
@@ -363,14 +363,14 @@
     }
 
     /// Works off what has come and may be read.
-    fn advance(&mut self, connection: u64, now: Time) {
-        while self.may_read(connection) {
+    fn process_buffered(&mut self, connection: u64, now: Time) {
+        while self.can_read(connection) {
             let Some(c) = self.connections.get_mut(&connection) else { return };
             match c.reader.packet() {
                 Ok(None) => return,
                 Ok(Some(packet)) => {
-                    c.heard = now;
-                    if let Err(error) = self.packet(connection, packet, now) {
+                    c.last_received = now;
+                    if let Err(error) = self.handle_packet(connection, packet, now) {
                         return self.fail(connection, error, now);
                     }
                 }
@@ -384,7 +384,7 @@
         }
     }
 
-    fn packet(&mut self, connection: u64, packet: Packet, now: Time) -> Result<(), ConnectionError> {
+    fn handle_packet(&mut self, connection: u64, packet: Packet, now: Time) -> Result<(), ConnectionError> {
         let open = self.connections.get(&connection).is_some_and(|c| matches!(c.stage, Stage::Open));
         match packet {
             Packet::Connect(_) if open => Err(ConnectionError::protocol("a second CONNECT")),
@@ -436,10 +436,10 @@
 
     /// Does what is due by now.
     pub fn handle_timeout(&mut self, now: Time) {
-        while let Some((at, due)) = self.agenda.first().copied().filter(|(at, _)| *at <= now) {
-            self.agenda.remove(&(at, due));
+        while let Some((at, due)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
+            self.deadlines.remove(&(at, due));
             match due {
-                Due::Connection(connection) => self.silent_for(connection, now),
+                Due::Connection(connection) => self.check_keep_alive(connection, now),
                 Due::Session(number) => {
                     let Some((owner, _, timer)) = self.timers.remove(&number) else { continue };
                     if let Some(of) = self.session_timers.get_mut(&owner) {
@@ -455,8 +455,8 @@
     }
 
     fn token(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.next_token += 1;
+        self.next_token
     }
 }
 
--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -1,8 +1,8 @@
 //! Connections from their first byte to their last: CONNECT and its answer, keep alive, wills, takeover.
 
 use super::{
-    After, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer, owner,
-    refusal, silence, wait_property, will_message,
+    AfterStore, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer,
+    keep_alive_timeout, owner, refusal, wait_property, will_message,
 };
 use crate::Time;
 use crate::error::ConnectionError;
@@ -16,38 +16,38 @@
 impl Server {
     /// The connection that has been without a CONNECT for longest, and since when.
     pub fn oldest_without_connect(&self) -> Option<(u64, Time)> {
-        let of = self.connections.iter().filter(|(_, c)| matches!(c.stage, Stage::New));
+        let of = self.connections.iter().filter(|(_, c)| matches!(c.stage, Stage::AwaitingConnect));
         of.map(|(id, c)| (*id, c.since)).min_by_key(|(_, since)| *since)
     }
 
     pub fn connection_accepted(&mut self, connection: u64, now: Time) {
         let of = Connection {
             reader: Reader::server(self.limits.max_packet_size),
-            stage: Stage::New,
+            stage: Stage::AwaitingConnect,
             since: now,
-            heard: now,
-            silence: None,
+            last_received: now,
+            keep_alive_timeout: None,
             version: Version::V5,
             owner: Owner::new(),
             aliases: HashMap::new(),
             receive_maximum: u16::MAX,
             max_packet_size: None,
             request_problem_info: true,
-            loose: 0,
+            pending_qos0: 0,
             due: None,
             paused: false,
         };
         self.connections.insert(connection, of);
-        self.look_after(connection, now + self.limits.connect_timeout);
+        self.set_timeout(connection, now + self.limits.connect_timeout);
     }
 
     /// Looks after a connection's silence at that time, and at no other.
-    pub(super) fn look_after(&mut self, connection: u64, at: Time) {
+    pub(super) fn set_timeout(&mut self, connection: u64, at: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         if let Some(due) = c.due.replace(at) {
-            self.agenda.remove(&(due, Due::Connection(connection)));
+            self.deadlines.remove(&(due, Due::Connection(connection)));
         }
-        self.agenda.insert((at, Due::Connection(connection)));
+        self.deadlines.insert((at, Due::Connection(connection)));
     }
 
     pub(super) fn end(&mut self, connection: u64, code: u8, reason: &str, properties: Properties, now: Time) {
@@ -94,8 +94,8 @@
         let assigned = connect.client.is_empty();
         if assigned {
             // Nobody else must be able to guess it and take its session over.
-            connect.client = format!("auto-{:016x}{:08x}", self.nonce, self.next);
-            self.next += 1;
+            connect.client = format!("auto-{:016x}{:08x}", self.nonce, self.next_token);
+            self.next_token += 1;
         }
         if connect.client.len() > MAX_CLIENT_ID_BYTES || connect.client.contains(['+', '#', '/']) {
             return Err(ConnectionError {
@@ -132,7 +132,7 @@
         let owner = owner(connect.user.as_deref(), &connect.client);
         let (user, password, will) = (connect.user.clone(), connect.password.take(), connect.will.clone());
         c.owner = owner.clone();
-        c.stage = Stage::Judged { connect: Box::new(connect), assigned };
+        c.stage = Stage::Authorizing { connect: Box::new(connect), assigned };
         self.effects.push_back(Effect::Authorize { connection, user, password, owner, will });
         Ok(())
     }
@@ -140,7 +140,8 @@
     /// What was found out about a client; if it must not connect, why, as version 5 numbers it.
     pub fn authorized(&mut self, connection: u64, verdict: Result<(), (u8, String)>, now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
-        let Stage::Judged { connect, assigned } = std::mem::replace(&mut c.stage, Stage::Opening) else {
+        let Stage::Authorizing { connect, assigned } = std::mem::replace(&mut c.stage, Stage::StoringSession)
+        else {
             return;
         };
         if let Err((code, reason)) = verdict {
@@ -179,10 +180,10 @@
         self.sessions.insert(owner.clone(), session);
         let keep_alive = self.keep_alive(&connect);
         let Some(c) = self.connections.get_mut(&connection) else { return };
-        c.silence = silence(keep_alive);
-        c.heard = now;
-        if let Some(silence) = c.silence {
-            self.look_after(connection, now + silence + Duration::from_millis(1));
+        c.keep_alive_timeout = keep_alive_timeout(keep_alive);
+        c.last_received = now;
+        if let Some(keep_alive_timeout) = c.keep_alive_timeout {
+            self.set_timeout(connection, now + keep_alive_timeout + Duration::from_millis(1));
         }
         // What the client must be told beside success.
         let connack = Connack {
@@ -196,11 +197,11 @@
             optional_features: false,
             ..Connack::new(code::SUCCESS)
         };
-        let lasts = self.sessions.get(&owner).is_some_and(Session::lasts);
-        let after = After::Open { connection, connack: Box::new(connack) };
-        match lasts || recorded {
+        let is_persistent = self.sessions.get(&owner).is_some_and(Session::is_persistent);
+        let after = AfterStore::Open { connection, connack: Box::new(connack) };
+        match is_persistent || recorded {
             true => self.store(&owner, after),
-            false => self.after(after, now),
+            false => self.run_after_store(after, now),
         }
     }
 
@@ -220,15 +221,15 @@
         let owner = c.owner.clone();
         self.write(connection, Packet::Connack(connack));
         // What was sent and not acknowledged goes again, under its id [MQTT-4.4.0-1].
-        let again: Vec<(u16, Outcome)> = match self.sessions.get(&owner) {
-            Some(s) => s.sent.iter().map(|(id, o)| (*id, o.clone())).collect(),
+        let retransmissions: Vec<(u16, Outcome)> = match self.sessions.get(&owner) {
+            Some(s) => s.unacknowledged.iter().map(|(id, o)| (*id, o.clone())).collect(),
             None => Vec::new(),
         };
-        for (id, outcome) in again {
+        for (id, outcome) in retransmissions {
             self.publish_outcome(&owner, connection, id, &outcome, true);
         }
         self.flush(&owner);
-        self.go_on(connection, now);
+        self.resume_reading(connection, now);
     }
 
     pub(super) fn disconnect(
@@ -260,7 +261,7 @@
     pub fn connection_lost(&mut self, connection: u64, now: Time) {
         let Some(c) = self.connections.remove(&connection) else { return };
         if let Some(due) = c.due {
-            self.agenda.remove(&(due, Due::Connection(connection)));
+            self.deadlines.remove(&(due, Due::Connection(connection)));
         }
         let Some(session) = self.sessions.get_mut(&c.owner).filter(|s| s.connection == Some(connection))
         else {
@@ -270,8 +271,10 @@
         session.gone = Some(self.origin + now);
         self.schedule_session_end(&c.owner, now);
         // Recorded also to say since when it is gone.
-        if self.sessions.get(&c.owner).is_some_and(Session::lasts) && !self.wills_out.contains(&c.owner) {
-            self.store(&c.owner, After::Nothing);
+        if self.sessions.get(&c.owner).is_some_and(Session::is_persistent)
+            && !self.pending_wills.contains(&c.owner)
+        {
+            self.store(&c.owner, AfterStore::Nothing);
         }
     }
 
@@ -298,19 +301,19 @@
 
     pub(super) fn send_will(&mut self, owner: &str) {
         let Some(will) = self.sessions.get_mut(owner).and_then(|s| s.will.take()) else { return };
-        self.wills_out.insert(owner.to_owned());
+        self.pending_wills.insert(owner.to_owned());
         self.offer(owner, 0, will_message(&will), None, true);
     }
 
-    pub(super) fn silent_for(&mut self, connection: u64, now: Time) {
+    pub(super) fn check_keep_alive(&mut self, connection: u64, now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         c.due = None;
-        match (&c.stage, c.silence) {
-            (Stage::New, _) => {
+        match (&c.stage, c.keep_alive_timeout) {
+            (Stage::AwaitingConnect, _) => {
                 self.effects.push_back(Effect::Close { connection });
                 self.connection_lost(connection, now);
             }
-            (_, Some(silence)) if now > c.heard + silence => {
+            (_, Some(keep_alive_timeout)) if now > c.last_received + keep_alive_timeout => {
                 self.fail(
                     connection,
                     ConnectionError {
@@ -321,9 +324,9 @@
                 );
             }
             // At the very limit it is still in time.
-            (_, Some(silence)) => {
-                let next = (c.heard + silence).max(now) + Duration::from_millis(1);
-                self.look_after(connection, next);
+            (_, Some(keep_alive_timeout)) => {
+                let next = (c.last_received + keep_alive_timeout).max(now) + Duration::from_millis(1);
+                self.set_timeout(connection, next);
             }
             (_, None) => {}
         }
--- a/crates/mqtt/src/server/outcomes.rs
+++ b/crates/mqtt/src/server/outcomes.rs
@@ -1,6 +1,6 @@
 //! What clients are told of their messages: their subscription, and the outcomes on their way.
 
-use super::{After, Effect, MAX_OUTCOMES_IN_FLIGHT, OUTCOME_TOPIC_PREFIX, Outcome, Server, Stage};
+use super::{AfterStore, Effect, MAX_OUTCOMES_IN_FLIGHT, OUTCOME_TOPIC_PREFIX, Outcome, Server, Stage};
 use crate::error::ConnectionError;
 use crate::packet::{Packet, Publish, Qos, Subscribe, Version, code};
 use crate::session::Session;
@@ -38,8 +38,8 @@
         let refused = codes.iter().any(|c| *c >= 0x80);
         let reason = refused.then(|| format!("the courier is no broker: {own} is all that can be read here"));
         let packet = Packet::Suback { id: subscribe.id, codes, reason };
-        match changed && session.lasts() {
-            true => self.store(&owner, After::Write { connection, packet }),
+        match changed && session.is_persistent() {
+            true => self.store(&owner, AfterStore::Write { connection, packet }),
             false => self.write(connection, packet),
         }
         Ok(())
@@ -67,8 +67,8 @@
         };
         self.effects.extend(gone.into_iter().map(|o| Effect::OutcomeDropped { message: o.message }));
         let packet = Packet::Unsuback { id, codes };
-        match self.sessions.get(&owner).is_some_and(Session::lasts) {
-            true => self.store(&owner, After::Write { connection, packet }),
+        match self.sessions.get(&owner).is_some_and(Session::is_persistent) {
+            true => self.store(&owner, AfterStore::Write { connection, packet }),
             false => self.write(connection, packet),
         }
         Ok(())
@@ -77,7 +77,7 @@
     /// Whether this client reads its outcomes, now or when it comes back, and has room for one more.
     pub fn accepts_outcomes(&self, owner: &str) -> bool {
         let session = self.sessions.get(owner).filter(|s| s.subscribed.is_some());
-        session.is_some_and(|s| s.outcomes.len() + s.sent.len() < self.limits.max_outcomes)
+        session.is_some_and(|s| s.outcomes.len() + s.unacknowledged.len() < self.limits.max_outcomes)
     }
 
     /// Tells a client how its message ended. Ask [`Server::accepts_outcomes`] first. [`Effect::OutcomeDelivered`] or [`Effect::OutcomeDropped`]
@@ -96,7 +96,9 @@
             let Some((connection, qos)) = session.connection.zip(session.subscribed) else { return };
             let Some(c) = self.connections.get(&connection) else { return };
             let open = matches!(c.stage, Stage::Open);
-            if !open || session.sent.len() >= MAX_OUTCOMES_IN_FLIGHT.min(usize::from(c.receive_maximum)) {
+            if !open
+                || session.unacknowledged.len() >= MAX_OUTCOMES_IN_FLIGHT.min(usize::from(c.receive_maximum))
+            {
                 return;
             }
             let Some(outcome) = session.outcomes.pop_front() else { return };
@@ -104,8 +106,8 @@
                 self.publish_outcome(owner, connection, 0, &outcome, false);
                 self.effects.push_back(Effect::OutcomeDelivered { message: outcome.message });
             } else {
-                let id = session.id();
-                session.sent.insert(id, outcome.clone());
+                let id = session.allocate_packet_id();
+                session.unacknowledged.insert(id, outcome.clone());
                 self.publish_outcome(owner, connection, id, &outcome, false);
             }
         }
@@ -132,7 +134,7 @@
         let owner = c.owner.clone();
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
         // One for an id that is not in use is a repeat, and says nothing.
-        if let Some(outcome) = session.sent.remove(&id) {
+        if let Some(outcome) = session.unacknowledged.remove(&id) {
             self.effects.push_back(Effect::OutcomeDelivered { message: outcome.message });
             self.flush(&owner);
         }
--- a/crates/mqtt/src/server/publish.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -1,6 +1,6 @@
 //! What clients hand in: PUBLISH, the offer made of it, and its acknowledgements.
 
-use super::{After, Answer, Effect, MAX_UNRELEASED_PACKET_IDS, Offer, Pending, Server, wait_property};
+use super::{AfterStore, Answer, Effect, MAX_UNRELEASED_PACKET_IDS, Offer, Pending, Server, wait_property};
 use crate::Time;
 use crate::error::ConnectionError;
 use crate::packet::{Ack, Packet, Properties, Publish, Qos, Version, code};
@@ -75,7 +75,7 @@
                 });
             }
         }
-        let unfit = if publish.payload.len() > self.limits.max_payload_bytes {
+        let rejection = if publish.payload.len() > self.limits.max_payload_bytes {
             Some((code::QUOTA_EXCEEDED, "the payload is longer than is taken"))
         } else if publish.topic.starts_with('$') {
             Some((code::TOPIC_NAME_INVALID, "topics that begin with $ are the courier's own"))
@@ -85,7 +85,7 @@
             None
         };
         let (id, qos) = (publish.id, publish.qos);
-        let Some((code, reason)) = unfit else {
+        let Some((code, reason)) = rejection else {
             self.offer(&owner, connection, publish, id, false);
             return Ok(());
         };
@@ -119,7 +119,7 @@
         if id.is_none()
             && let Some(c) = self.connections.get_mut(&connection)
         {
-            c.loose += 1;
+            c.pending_qos0 += 1;
         }
         self.pending.insert(token, Pending { owner: owner.to_owned(), connection, id, qos, will });
         let expects_ack = id.is_some();
@@ -131,9 +131,9 @@
     pub fn offer_answered(&mut self, token: u64, answer: Answer, now: Time) {
         let Some(Pending { owner, connection, id, qos, will }) = self.pending.remove(&token) else { return };
         if will {
-            self.wills_out.remove(&owner);
+            self.pending_wills.remove(&owner);
             match self.sessions.contains_key(&owner) {
-                true => self.store(&owner, After::Nothing),
+                true => self.store(&owner, AfterStore::Nothing),
                 false => self.erase(&owner),
             }
         }
@@ -144,8 +144,8 @@
                 )));
             }
             if let Some(c) = self.connections.get_mut(&connection) {
-                c.loose -= 1;
-                self.go_on(connection, now);
+                c.pending_qos0 -= 1;
+                self.resume_reading(connection, now);
             }
             return;
         };
@@ -155,7 +155,7 @@
         let connection = session.connection;
         self.answer(&owner, connection, id, qos, answer, now);
         if let Some(connection) = connection {
-            self.go_on(connection, now);
+            self.resume_reading(connection, now);
         }
     }
 
@@ -169,22 +169,23 @@
         now: Time,
     ) {
         let Some(session) = self.sessions.get_mut(owner) else { return };
-        let made = |ack| if qos == Qos::ExactlyOnce { Packet::Pubrec(ack) } else { Packet::Puback(ack) };
+        let acknowledgement =
+            |ack| if qos == Qos::ExactlyOnce { Packet::Pubrec(ack) } else { Packet::Puback(ack) };
         match answer {
             Answer::Accepted if qos == Qos::ExactlyOnce => {
                 session.releases.insert(id);
-                let lasts = session.expiry > 0;
-                let packet = made(Ack::new(id, code::SUCCESS));
-                let after =
-                    connection.map_or(After::Nothing, |connection| After::Write { connection, packet });
-                match lasts {
+                let is_persistent = session.expiry > 0;
+                let packet = acknowledgement(Ack::new(id, code::SUCCESS));
+                let after = connection
+                    .map_or(AfterStore::Nothing, |connection| AfterStore::Write { connection, packet });
+                match is_persistent {
                     true => self.store(owner, after),
-                    false => self.after(after, now),
+                    false => self.run_after_store(after, now),
                 }
             }
             Answer::Accepted => {
                 if let Some(connection) = connection {
-                    self.write(connection, made(Ack::new(id, code::SUCCESS)));
+                    self.write(connection, acknowledgement(Ack::new(id, code::SUCCESS)));
                 }
             }
             Answer::Refused { code, reason, wait } => {
@@ -192,7 +193,7 @@
                 if session.version == Version::V5 {
                     let ack =
                         Ack { reason: Some(reason), properties: wait_property(wait), ..Ack::new(id, code) };
-                    self.write(connection, made(ack));
+                    self.write(connection, acknowledgement(ack));
                 } else {
                     // No acknowledgement, so the client knows that it is not taken on; and a close, since else it
                     // would wait for one. See docs/mqtt.md.
@@ -215,7 +216,7 @@
             return Ok(());
         }
         match session.recorded && session.expiry > 0 {
-            true => self.store(&owner, After::Release { connection, id }),
+            true => self.store(&owner, AfterStore::Release { connection, id }),
             false => self.write(connection, Packet::Pubcomp(Ack::new(id, code::SUCCESS))),
         }
         Ok(())
--- a/crates/mqtt/src/server/session_store.rs
+++ b/crates/mqtt/src/server/session_store.rs
@@ -1,6 +1,6 @@
 //! What of a session lasts: its record, what waits for that, and when it ends.
 
-use super::{After, Due, Effect, Server, Timer, wait_property};
+use super::{AfterStore, Due, Effect, Server, Timer, wait_property};
 use crate::Time;
 use crate::packet::{Ack, Packet, Properties, code};
 use crate::session::Session;
@@ -28,23 +28,23 @@
             self.pending.remove(token);
             self.effects.push_back(Effect::AbandonOffer { token: *token });
         }
-        for outcome in session.outcomes.iter().chain(session.sent.values()) {
+        for outcome in session.outcomes.iter().chain(session.unacknowledged.values()) {
             self.effects.push_back(Effect::OutcomeDropped { message: outcome.message });
         }
-        if session.recorded && !self.wills_out.contains(owner) {
+        if session.recorded && !self.pending_wills.contains(owner) {
             self.erase(owner);
         }
     }
 
     pub(super) fn erase(&mut self, owner: &str) {
         let token = self.token();
-        self.storing.insert(token, (owner.to_owned(), After::Nothing));
+        self.pending_stores.insert(token, (owner.to_owned(), AfterStore::Nothing));
         self.effects.push_back(Effect::StoreSession { token, owner: owner.to_owned(), record: None });
     }
 
     pub(super) fn schedule(&mut self, owner: &str, at: Time, timer: Timer) {
         let number = self.token();
-        self.agenda.insert((at, Due::Session(number)));
+        self.deadlines.insert((at, Due::Session(number)));
         self.timers.insert(number, (owner.to_owned(), at, timer));
         self.session_timers.entry(owner.to_owned()).or_default().insert(timer, number);
     }
@@ -52,48 +52,48 @@
     pub(super) fn unschedule(&mut self, owner: &str) {
         for number in self.session_timers.remove(owner).unwrap_or_default().into_values() {
             if let Some((_, at, _)) = self.timers.remove(&number) {
-                self.agenda.remove(&(at, Due::Session(number)));
+                self.deadlines.remove(&(at, Due::Session(number)));
             }
         }
     }
 
-    pub(super) fn store(&mut self, owner: &str, after: After) {
+    pub(super) fn store(&mut self, owner: &str, after: AfterStore) {
         let Some(session) = self.sessions.get_mut(owner) else { return };
-        let record = session.lasts().then(|| session.record());
+        let record = session.is_persistent().then(|| session.record());
         if record.is_none() && !session.recorded {
             return;
         }
         session.recorded = record.is_some();
         let token = self.token();
-        self.storing.insert(token, (owner.to_owned(), after));
+        self.pending_stores.insert(token, (owner.to_owned(), after));
         self.effects.push_back(Effect::StoreSession { token, owner: owner.to_owned(), record });
     }
 
     /// What became of a record; if it cannot be kept, why.
     pub fn record_stored(&mut self, token: u64, kept: Result<(), String>, now: Time) {
-        let Some((owner, after)) = self.storing.remove(&token) else { return };
+        let Some((owner, after)) = self.pending_stores.remove(&token) else { return };
         match kept {
-            Ok(()) => self.after(after, now),
-            Err(reason) => self.not_stored(&owner, after, &reason, now),
+            Ok(()) => self.run_after_store(after, now),
+            Err(reason) => self.store_failed(&owner, after, &reason, now),
         }
     }
 
-    pub(super) fn after(&mut self, after: After, now: Time) {
+    pub(super) fn run_after_store(&mut self, after: AfterStore, now: Time) {
         match after {
-            After::Open { connection, connack } => self.connection_opened(connection, connack, now),
-            After::Write { connection, packet } => self.write(connection, packet),
-            After::Release { connection, id } => {
+            AfterStore::Open { connection, connack } => self.connection_opened(connection, connack, now),
+            AfterStore::Write { connection, packet } => self.write(connection, packet),
+            AfterStore::Release { connection, id } => {
                 self.write(connection, Packet::Pubcomp(Ack::new(id, code::SUCCESS)));
             }
-            After::Nothing => {}
+            AfterStore::Nothing => {}
         }
     }
 
-    pub(super) fn not_stored(&mut self, owner: &str, after: After, reason: &str, now: Time) {
+    pub(super) fn store_failed(&mut self, owner: &str, after: AfterStore, reason: &str, now: Time) {
         self.effects
             .push_back(Effect::Log(format!("{owner}: its session cannot be put on record: {reason}")));
         match after {
-            After::Open { connection, connack } => {
+            AfterStore::Open { connection, connack } => {
                 if !connack.session_present
                     && let Some(session) = self.sessions.get_mut(owner)
                 {
@@ -110,8 +110,8 @@
                 );
             }
             // The message itself is on record, so a repeat of it is known by its identity.
-            After::Write { connection, packet } => self.write(connection, packet),
-            After::Release { connection, id } => {
+            AfterStore::Write { connection, packet } => self.write(connection, packet),
+            AfterStore::Release { connection, id } => {
                 if let Some(session) = self.sessions.get_mut(owner) {
                     session.releases.insert(id);
                 }
@@ -123,7 +123,7 @@
                     now,
                 );
             }
-            After::Nothing => {}
+            AfterStore::Nothing => {}
         }
     }
 }
--- a/crates/mqtt/src/server_test.rs
+++ b/crates/mqtt/src/server_test.rs
@@ -20,72 +20,72 @@
 }
 
 /// The server with its clients played by the test. Everything that it asks for is granted unless a test says else.
-struct Play {
+struct Harness {
     server: Server,
     now: Time,
     readers: HashMap<u64, Reader>,
-    heard: HashMap<u64, Vec<Packet>>,
+    received_packets: HashMap<u64, Vec<Packet>>,
     closed: Vec<u64>,
     offers: Vec<Offer>,
-    deserted: Vec<u64>,
+    abandoned: Vec<u64>,
     records: BTreeMap<Owner, String>,
     /// Records are kept at once.
-    stores: bool,
-    owed: Vec<u64>,
-    told: Vec<u64>,
-    untold: Vec<u64>,
+    store_immediately: bool,
+    pending_stores: Vec<u64>,
+    delivered: Vec<u64>,
+    dropped: Vec<u64>,
     next: u64,
 }
 
-impl Play {
+impl Harness {
     fn new() -> Self {
         Self::with(limits())
     }
 
     fn with(limits: Limits) -> Self {
-        Play {
+        Harness {
             server: Server::new(limits, Duration::from_secs(1_790_000_000), 7),
             now: Duration::from_secs(100),
             readers: HashMap::new(),
-            heard: HashMap::new(),
+            received_packets: HashMap::new(),
             closed: Vec::new(),
             offers: Vec::new(),
-            deserted: Vec::new(),
+            abandoned: Vec::new(),
             records: BTreeMap::new(),
-            stores: true,
-            owed: Vec::new(),
-            told: Vec::new(),
-            untold: Vec::new(),
+            store_immediately: true,
+            pending_stores: Vec::new(),
+            delivered: Vec::new(),
+            dropped: Vec::new(),
             next: 1,
         }
     }
 
-    fn obey(&mut self) {
+    fn apply_effects(&mut self) {
         while let Some(effect) = self.server.poll() {
             match effect {
                 Effect::Write { connection, bytes } => {
                     let reader = self.readers.get_mut(&connection).expect("a connection");
                     reader.push(&bytes);
                     while let Some(packet) = reader.packet().expect("sound") {
-                        self.heard.entry(connection).or_default().push(packet);
+                        self.received_packets.entry(connection).or_default().push(packet);
                     }
                 }
                 Effect::Close { connection } => self.closed.push(connection),
                 Effect::Authorize { connection, .. } => self.server.authorized(connection, Ok(()), self.now),
                 Effect::Offer(offer) => self.offers.push(*offer),
-                Effect::AbandonOffer { token } => self.deserted.push(token),
+                Effect::AbandonOffer { token } => self.abandoned.push(token),
                 Effect::StoreSession { token, owner, record } => {
                     match record {
                         Some(record) => drop(self.records.insert(owner, record)),
                         None => drop(self.records.remove(&owner)),
                     }
-                    match self.stores {
+                    match self.store_immediately {
                         true => self.server.record_stored(token, Ok(()), self.now),
-                        false => self.owed.push(token),
+                        false => self.pending_stores.push(token),
                     }
                 }
-                Effect::OutcomeDelivered { message } => self.told.push(message),
-                Effect::OutcomeDropped { message } => self.untold.push(message),
+                Effect::OutcomeDelivered { message } => self.delivered.push(message),
+                Effect::OutcomeDropped { message } => self.dropped.push(message),
                 Effect::ResumeReading { .. } | Effect::Log(_) => {}
             }
         }
@@ -100,28 +100,28 @@
         connection
     }
 
-    fn raw(&mut self, connection: u64, bytes: &[u8]) {
+    fn send_bytes(&mut self, connection: u64, bytes: &[u8]) {
         self.server.received(connection, bytes, self.now);
-        self.obey();
+        self.apply_effects();
     }
 
     fn send(&mut self, connection: u64, version: Version, packet: Packet) {
         let bytes = encode(version, packet, None).expect("written");
-        self.raw(connection, &bytes);
+        self.send_bytes(connection, &bytes);
     }
 
     fn connect(&mut self, connect: Connect) -> (u64, Connack) {
         let version = connect.version;
         let connection = self.open(version);
         self.send(connection, version, Packet::Connect(Box::new(connect)));
-        match self.hear(connection).into_iter().next() {
+        match self.take_received(connection).into_iter().next() {
             Some(Packet::Connack(connack)) => (connection, *connack),
             other => panic!("no CONNACK: {other:?}"),
         }
     }
 
-    fn hear(&mut self, connection: u64) -> Vec<Packet> {
-        self.heard.remove(&connection).unwrap_or_default()
+    fn take_received(&mut self, connection: u64) -> Vec<Packet> {
+        self.received_packets.remove(&connection).unwrap_or_default()
     }
 
     fn publish(&mut self, connection: u64, version: Version, qos: Qos, id: Option<u16>) {
@@ -129,25 +129,25 @@
         self.send(connection, version, Packet::Publish(Box::new(publish)));
     }
 
-    fn offered(&mut self) -> Offer {
+    fn take_offer(&mut self) -> Offer {
         assert_eq!(self.offers.len(), 1);
         self.offers.remove(0)
     }
 
-    fn reply(&mut self, token: u64, answer: Answer) {
+    fn answer_offer(&mut self, token: u64, answer: Answer) {
         self.server.offer_answered(token, answer, self.now);
-        self.obey();
+        self.apply_effects();
     }
 
-    fn lose(&mut self, connection: u64) {
+    fn lose_connection(&mut self, connection: u64) {
         self.server.connection_lost(connection, self.now);
-        self.obey();
+        self.apply_effects();
     }
 
-    fn pass(&mut self, time: Time) {
+    fn advance_time(&mut self, time: Time) {
         self.now += time;
         self.server.handle_timeout(self.now);
-        self.obey();
+        self.apply_effects();
     }
 
     fn subscribe(&mut self, connection: u64, version: Version, filter: &str) -> u8 {
@@ -157,7 +157,7 @@
             version,
             Packet::Subscribe(Subscribe { id: 9, has_subscription_id: false, filters }),
         );
-        match self.hear(connection).into_iter().next() {
+        match self.take_received(connection).into_iter().next() {
             Some(Packet::Suback { id: 9, codes, .. }) => codes[0],
             other => panic!("no SUBACK: {other:?}"),
         }
@@ -178,32 +178,32 @@
 #[test]
 fn a_message_is_acknowledged_once_it_is_taken_on_and_not_before() {
     for version in BOTH {
-        let mut play = Play::new();
-        let (c, connack) = play.connect(Connect::new(version, "van"));
+        let mut harness = Harness::new();
+        let (c, connack) = harness.connect(Connect::new(version, "van"));
         assert_eq!((connack.code, connack.session_present), (0, false));
-        play.publish(c, version, Qos::AtLeastOnce, Some(5));
-        let offer = play.offered();
+        harness.publish(c, version, Qos::AtLeastOnce, Some(5));
+        let offer = harness.take_offer();
         assert_eq!(offer.publish.topic, "fuel/pay");
-        assert!(offer.expects_ack && play.hear(c).is_empty(), "[MQTT-4.3.2-4]");
-        play.reply(offer.token, Answer::Accepted);
-        assert_eq!(play.hear(c), [Packet::Puback(Ack::new(5, 0))]);
+        assert!(offer.expects_ack && harness.take_received(c).is_empty(), "[MQTT-4.3.2-4]");
+        harness.answer_offer(offer.token, Answer::Accepted);
+        assert_eq!(harness.take_received(c), [Packet::Puback(Ack::new(5, 0))]);
         // QoS 2: PUBREC, then PUBREL and PUBCOMP; a PUBLISH under an id that waits for its PUBREL is a repeat.
-        play.publish(c, version, Qos::ExactlyOnce, Some(6));
-        let offer = play.offered();
-        play.reply(offer.token, Answer::Accepted);
-        assert_eq!(play.hear(c), [Packet::Pubrec(Ack::new(6, 0))]);
-        play.publish(c, version, Qos::ExactlyOnce, Some(6));
-        assert!(play.offers.is_empty(), "[MQTT-4.3.3-10]");
-        assert_eq!(play.hear(c), [Packet::Pubrec(Ack::new(6, 0))]);
-        play.send(c, version, Packet::Pubrel(Ack::new(6, 0)));
-        assert_eq!(play.hear(c), [Packet::Pubcomp(Ack::new(6, 0))]);
+        harness.publish(c, version, Qos::ExactlyOnce, Some(6));
+        let offer = harness.take_offer();
+        harness.answer_offer(offer.token, Answer::Accepted);
+        assert_eq!(harness.take_received(c), [Packet::Pubrec(Ack::new(6, 0))]);
+        harness.publish(c, version, Qos::ExactlyOnce, Some(6));
+        assert!(harness.offers.is_empty(), "[MQTT-4.3.3-10]");
+        assert_eq!(harness.take_received(c), [Packet::Pubrec(Ack::new(6, 0))]);
+        harness.send(c, version, Packet::Pubrel(Ack::new(6, 0)));
+        assert_eq!(harness.take_received(c), [Packet::Pubcomp(Ack::new(6, 0))]);
         // The id is free now.
-        play.publish(c, version, Qos::ExactlyOnce, Some(6));
-        assert_eq!(play.offers.len(), 1);
+        harness.publish(c, version, Qos::ExactlyOnce, Some(6));
+        assert_eq!(harness.offers.len(), 1);
         // QoS 0 is answered by nothing, and its client may leave.
-        play.offers.clear();
-        play.publish(c, version, Qos::AtMostOnce, None);
-        assert!(!play.offered().expects_ack);
+        harness.offers.clear();
+        harness.publish(c, version, Qos::AtMostOnce, None);
+        assert!(!harness.take_offer().expects_ack);
     }
 }
 
@@ -211,67 +211,72 @@
 // Of 3.1.1: MQTT-3.3.5-2, MQTT-4.8.0-2
 #[test]
 fn a_refusal_is_a_reason_code_with_a_time_or_a_close_where_there_is_none() {
-    let mut play = Play::new();
-    let (c, _) = play.connect(Connect::new(Version::V5, "van"));
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(Connect::new(Version::V5, "van"));
     for (qos, id) in [(Qos::AtLeastOnce, 5), (Qos::ExactlyOnce, 6)] {
-        play.publish(c, Version::V5, qos, Some(id));
-        let offer = play.offered();
-        play.reply(offer.token, refused());
-        let (Packet::Puback(ack) | Packet::Pubrec(ack)) = play.hear(c).remove(0) else { panic!("no ack") };
+        harness.publish(c, Version::V5, qos, Some(id));
+        let offer = harness.take_offer();
+        harness.answer_offer(offer.token, refused());
+        let (Packet::Puback(ack) | Packet::Pubrec(ack)) = harness.take_received(c).remove(0) else {
+            panic!("no ack")
+        };
         assert_eq!((ack.id, ack.code, ack.reason.as_deref()), (id, 0x97, Some("full")));
         assert_eq!(ack.properties, [("retry-after".to_owned(), "1.500".to_owned())]);
     }
     // Refused, the id is free: it may come again [MQTT-4.3.3-9].
-    play.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
-    assert_eq!(play.offers.len(), 1);
-    let mut play = Play::new();
-    let (c, _) = play.connect(Connect::new(Version::V311, "van"));
-    play.publish(c, Version::V311, Qos::AtLeastOnce, Some(5));
-    let offer = play.offered();
+    harness.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
+    assert_eq!(harness.offers.len(), 1);
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(Connect::new(Version::V311, "van"));
+    harness.publish(c, Version::V311, Qos::AtLeastOnce, Some(5));
+    let offer = harness.take_offer();
     assert!(!offer.bounce);
-    play.reply(offer.token, refused());
-    assert_eq!((play.hear(c), play.closed.clone()), (vec![], vec![c]), "[MQTT-3.3.5-2]");
+    harness.answer_offer(offer.token, refused());
+    assert_eq!((harness.take_received(c), harness.closed.clone()), (vec![], vec![c]), "[MQTT-3.3.5-2]");
     // One that reads its outcomes has it taken on and bounced.
-    let (c, _) = play.connect(Connect::new(Version::V311, "van"));
-    assert_eq!(play.subscribe(c, Version::V311, "$stairshed/outcomes/van"), 1);
-    play.publish(c, Version::V311, Qos::AtLeastOnce, Some(5));
-    assert!(play.offered().bounce);
+    let (c, _) = harness.connect(Connect::new(Version::V311, "van"));
+    assert_eq!(harness.subscribe(c, Version::V311, "$stairshed/outcomes/van"), 1);
+    harness.publish(c, Version::V311, Qos::AtLeastOnce, Some(5));
+    assert!(harness.take_offer().bounce);
 }
 
 // Of 5.0: MQTT-3.2.0-1
 // Of 3.1.1: MQTT-3.2.0-1
 #[test]
 fn a_lasting_session_is_on_record_before_its_client_hears_so() {
-    let mut play = Play::new();
-    play.stores = false;
-    let c = play.open(Version::V5);
-    play.send(c, Version::V5, Packet::Connect(Box::new(lasting(Version::V5, "van"))));
-    assert!(play.hear(c).is_empty(), "no CONNACK yet");
-    let token = play.owed.remove(0);
-    play.server.record_stored(token, Ok(()), play.now);
-    play.obey();
-    assert!(matches!(play.hear(c)[..], [Packet::Connack(_)]));
+    let mut harness = Harness::new();
+    harness.store_immediately = false;
+    let c = harness.open(Version::V5);
+    harness.send(c, Version::V5, Packet::Connect(Box::new(lasting(Version::V5, "van"))));
+    assert!(harness.take_received(c).is_empty(), "no CONNACK yet");
+    let token = harness.pending_stores.remove(0);
+    harness.server.record_stored(token, Ok(()), harness.now);
+    harness.apply_effects();
+    assert!(matches!(harness.take_received(c)[..], [Packet::Connack(_)]));
     // So are packet ids at QoS 2, taken and released: PUBREC and PUBCOMP wait for that.
-    play.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
-    let offer = play.offered();
-    play.reply(offer.token, Answer::Accepted);
-    assert!(play.hear(c).is_empty());
-    let token = play.owed.remove(0);
-    play.server.record_stored(token, Ok(()), play.now);
-    play.obey();
-    assert_eq!(play.hear(c), [Packet::Pubrec(Ack::new(6, 0))]);
-    play.send(c, Version::V5, Packet::Pubrel(Ack::new(6, 0)));
-    assert!(play.hear(c).is_empty(), "a crash now must not leave an id that is free for its client");
-    let token = play.owed.remove(0);
-    play.server.record_stored(token, Err("full".to_owned()), play.now);
-    play.obey();
-    assert!(matches!(play.hear(c)[..], [Packet::Disconnect(Disconnect { code: 0x89, .. })]));
+    harness.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
+    let offer = harness.take_offer();
+    harness.answer_offer(offer.token, Answer::Accepted);
+    assert!(harness.take_received(c).is_empty());
+    let token = harness.pending_stores.remove(0);
+    harness.server.record_stored(token, Ok(()), harness.now);
+    harness.apply_effects();
+    assert_eq!(harness.take_received(c), [Packet::Pubrec(Ack::new(6, 0))]);
+    harness.send(c, Version::V5, Packet::Pubrel(Ack::new(6, 0)));
+    assert!(
+        harness.take_received(c).is_empty(),
+        "a crash now must not leave an id that is free for its client"
+    );
+    let token = harness.pending_stores.remove(0);
+    harness.server.record_stored(token, Err("full".to_owned()), harness.now);
+    harness.apply_effects();
+    assert!(matches!(harness.take_received(c)[..], [Packet::Disconnect(Disconnect { code: 0x89, .. })]));
     // It is still known when the client comes back.
-    play.stores = true;
-    let (c, connack) = play.connect(lasting(Version::V5, "van"));
+    harness.store_immediately = true;
+    let (c, connack) = harness.connect(lasting(Version::V5, "van"));
     assert!(connack.session_present);
-    play.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
-    assert!(play.offers.is_empty());
+    harness.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
+    assert!(harness.offers.is_empty());
 }
 
 // Of 5.0: MQTT-3.1.2-5, MQTT-3.1.2-23, MQTT-3.2.2-3, MQTT-4.3.3-13
@@ -279,28 +284,28 @@
 #[test]
 fn a_session_of_an_earlier_life_knows_what_was_taken_on() {
     for version in BOTH {
-        let mut play = Play::new();
-        let (c, _) = play.connect(lasting(version, "van"));
-        play.publish(c, version, Qos::ExactlyOnce, Some(6));
-        let offer = play.offered();
-        play.reply(offer.token, Answer::Accepted);
-        play.hear(c);
-        play.subscribe(c, version, "$stairshed/outcomes/van");
+        let mut harness = Harness::new();
+        let (c, _) = harness.connect(lasting(version, "van"));
+        harness.publish(c, version, Qos::ExactlyOnce, Some(6));
+        let offer = harness.take_offer();
+        harness.answer_offer(offer.token, Answer::Accepted);
+        harness.take_received(c);
+        harness.subscribe(c, version, "$stairshed/outcomes/van");
         // The process dies; PUBREC may not have arrived.
-        let records = play.records.clone();
-        let mut play = Play::new();
+        let records = harness.records.clone();
+        let mut harness = Harness::new();
         for (owner, record) in &records {
-            assert!(play.server.restore(owner, record, play.now));
+            assert!(harness.server.restore(owner, record, harness.now));
         }
-        assert!(play.server.accepts_outcomes("/van"));
-        let (c, connack) = play.connect(lasting(version, "van"));
+        assert!(harness.server.accepts_outcomes("/van"));
+        let (c, connack) = harness.connect(lasting(version, "van"));
         assert!(connack.session_present, "[MQTT-3.2.2-3]");
-        play.hear(c);
-        play.publish(c, version, Qos::ExactlyOnce, Some(6));
-        assert!(play.offers.is_empty(), "no second one");
-        assert_eq!(play.hear(c), [Packet::Pubrec(Ack::new(6, 0))]);
-        play.send(c, version, Packet::Pubrel(Ack::new(6, 0)));
-        assert_eq!(play.hear(c), [Packet::Pubcomp(Ack::new(6, 0))]);
+        harness.take_received(c);
+        harness.publish(c, version, Qos::ExactlyOnce, Some(6));
+        assert!(harness.offers.is_empty(), "no second one");
+        assert_eq!(harness.take_received(c), [Packet::Pubrec(Ack::new(6, 0))]);
+        harness.send(c, version, Packet::Pubrel(Ack::new(6, 0)));
+        assert_eq!(harness.take_received(c), [Packet::Pubcomp(Ack::new(6, 0))]);
     }
 }
 
@@ -309,30 +314,33 @@
 #[test]
 fn a_second_connection_takes_over_and_hears_what_the_first_was_owed() {
     for version in BOTH {
-        let mut play = Play::new();
-        let (a, _) = play.connect(lasting(version, "van"));
-        play.publish(a, version, Qos::AtLeastOnce, Some(5));
-        let offer = play.offered();
-        let (b, connack) = play.connect(lasting(version, "van"));
-        assert!(connack.session_present && play.closed == [a]);
+        let mut harness = Harness::new();
+        let (a, _) = harness.connect(lasting(version, "van"));
+        harness.publish(a, version, Qos::AtLeastOnce, Some(5));
+        let offer = harness.take_offer();
+        let (b, connack) = harness.connect(lasting(version, "van"));
+        assert!(connack.session_present && harness.closed == [a]);
         if version == Version::V5 {
-            assert!(matches!(play.hear(a)[..], [Packet::Disconnect(Disconnect { code: 0x8E, .. })]));
+            assert!(matches!(
+                harness.take_received(a)[..],
+                [Packet::Disconnect(Disconnect { code: 0x8E, .. })]
+            ));
         }
         // It publishes again, with DUP and the same id, while the first is being judged.
         let publish = Publish::new("fuel/pay", Qos::AtLeastOnce, Some(5), Bytes::from_static(b"42"));
-        play.send(b, version, Packet::Publish(Box::new(Publish { dup: true, ..publish })));
-        assert!(play.offers.is_empty(), "it is one message");
-        play.reply(offer.token, Answer::Accepted);
-        assert_eq!(play.hear(b), [Packet::Puback(Ack::new(5, 0))]);
-        assert!(play.deserted.is_empty());
+        harness.send(b, version, Packet::Publish(Box::new(Publish { dup: true, ..publish })));
+        assert!(harness.offers.is_empty(), "it is one message");
+        harness.answer_offer(offer.token, Answer::Accepted);
+        assert_eq!(harness.take_received(b), [Packet::Puback(Ack::new(5, 0))]);
+        assert!(harness.abandoned.is_empty());
         // A clean start instead leaves the message: nobody is owed an answer.
-        play.publish(b, version, Qos::AtLeastOnce, Some(7));
-        let offer = play.offered();
-        let (c, connack) = play.connect(Connect::new(version, "van"));
+        harness.publish(b, version, Qos::AtLeastOnce, Some(7));
+        let offer = harness.take_offer();
+        let (c, connack) = harness.connect(Connect::new(version, "van"));
         assert!(!connack.session_present);
-        assert_eq!(play.deserted, [offer.token]);
-        play.reply(offer.token, Answer::Accepted);
-        assert!(play.hear(c).is_empty());
+        assert_eq!(harness.abandoned, [offer.token]);
+        harness.answer_offer(offer.token, Answer::Accepted);
+        assert!(harness.take_received(c).is_empty());
     }
 }
 
@@ -340,81 +348,88 @@
 #[test]
 fn a_session_that_does_not_last_goes_with_its_connection_and_one_that_does_when_its_time_is_up() {
     for version in BOTH {
-        let mut play = Play::new();
-        let (a, _) = play.connect(Connect::new(version, "a"));
-        play.publish(a, version, Qos::AtLeastOnce, Some(5));
-        let offer = play.offered();
-        play.lose(a);
-        assert_eq!((play.deserted.clone(), play.server.counts()), (vec![offer.token], (0, 0)));
-        let (b, _) = play.connect(lasting(version, "b"));
-        play.subscribe(b, version, "$stairshed/outcomes/b");
-        play.lose(b);
+        let mut harness = Harness::new();
+        let (a, _) = harness.connect(Connect::new(version, "a"));
+        harness.publish(a, version, Qos::AtLeastOnce, Some(5));
+        let offer = harness.take_offer();
+        harness.lose_connection(a);
+        assert_eq!((harness.abandoned.clone(), harness.server.counts()), (vec![offer.token], (0, 0)));
+        let (b, _) = harness.connect(lasting(version, "b"));
+        harness.subscribe(b, version, "$stairshed/outcomes/b");
+        harness.lose_connection(b);
         let line = "{}".to_owned();
-        play.server.queue_outcome("/b", Outcome { message: 3, line });
+        harness.server.queue_outcome("/b", Outcome { message: 3, line });
         let lasts = if version == Version::V5 { 600 } else { 3600 };
-        play.pass(Duration::from_secs(lasts) - MS);
-        assert_eq!((play.server.counts().0, play.records.len()), (1, 1));
-        play.pass(MS);
-        assert_eq!((play.server.counts().0, play.records.len()), (0, 0), "3.1.1 is held to the longest time");
-        assert_eq!(play.untold, [3], "its outcomes are told to nobody");
-        assert!(!play.server.accepts_outcomes("/b"));
+        harness.advance_time(Duration::from_secs(lasts) - MS);
+        assert_eq!((harness.server.counts().0, harness.records.len()), (1, 1));
+        harness.advance_time(MS);
+        assert_eq!(
+            (harness.server.counts().0, harness.records.len()),
+            (0, 0),
+            "3.1.1 is held to the longest time"
+        );
+        assert_eq!(harness.dropped, [3], "its outcomes are told to nobody");
+        assert!(!harness.server.accepts_outcomes("/b"));
     }
 }
 
 #[test]
 fn an_interval_that_a_disconnect_names_holds() {
-    let mut play = Play::new();
-    let (a, _) = play.connect(lasting(Version::V5, "a"));
-    play.send(a, Version::V5, Packet::Disconnect(Disconnect { expiry: Some(0), ..Disconnect::new(0) }));
-    assert_eq!(play.server.counts(), (0, 0));
+    let mut harness = Harness::new();
+    let (a, _) = harness.connect(lasting(Version::V5, "a"));
+    harness.send(a, Version::V5, Packet::Disconnect(Disconnect { expiry: Some(0), ..Disconnect::new(0) }));
+    assert_eq!(harness.server.counts(), (0, 0));
     // One that was to end cannot be prolonged, section 3.14.2.2.2.
-    let (b, _) = play.connect(Connect::new(Version::V5, "b"));
-    play.send(b, Version::V5, Packet::Disconnect(Disconnect { expiry: Some(9), ..Disconnect::new(0) }));
-    assert!(matches!(play.hear(b)[..], [Packet::Disconnect(Disconnect { code: 0x82, .. })]));
+    let (b, _) = harness.connect(Connect::new(Version::V5, "b"));
+    harness.send(b, Version::V5, Packet::Disconnect(Disconnect { expiry: Some(9), ..Disconnect::new(0) }));
+    assert!(matches!(harness.take_received(b)[..], [Packet::Disconnect(Disconnect { code: 0x82, .. })]));
 }
 
 // Of 5.0: MQTT-3.3.2-3, MQTT-3.3.4-9, MQTT-3.3.4-10, MQTT-3.8.4-8
 // Of 3.1.1: MQTT-3.3.2-3
 #[test]
 fn outcomes_are_told_in_turn_acknowledged_and_bounded() {
-    let mut play = Play::new();
-    let (c, _) = play.connect(Connect { receive_maximum: 2, ..lasting(Version::V5, "van") });
-    assert_eq!(play.subscribe(c, Version::V5, "$stairshed/outcomes/van"), 1, "QoS 1 at most");
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(Connect { receive_maximum: 2, ..lasting(Version::V5, "van") });
+    assert_eq!(harness.subscribe(c, Version::V5, "$stairshed/outcomes/van"), 1, "QoS 1 at most");
     for message in 1..=10 {
-        assert!(play.server.accepts_outcomes("/van"));
-        play.server.queue_outcome("/van", Outcome { message, line: format!("{message}") });
+        assert!(harness.server.accepts_outcomes("/van"));
+        harness.server.queue_outcome("/van", Outcome { message, line: format!("{message}") });
     }
-    assert!(!play.server.accepts_outcomes("/van"), "the bound: a slow reader takes no more memory than that");
-    play.obey();
+    assert!(
+        !harness.server.accepts_outcomes("/van"),
+        "the bound: a slow reader takes no more memory than that"
+    );
+    harness.apply_effects();
     let out = |packets: Vec<Packet>| -> Vec<(Bytes, u16, bool)> {
         let of = |p: Packet| {
             if let Packet::Publish(p) = p { Some((p.payload, p.id.unwrap_or(0), p.dup)) } else { None }
         };
         packets.into_iter().filter_map(of).collect()
     };
-    let first = out(play.hear(c));
+    let first = out(harness.take_received(c));
     assert_eq!(first.len(), 2, "its Receive Maximum [MQTT-3.3.4-9]");
-    play.send(c, Version::V5, Packet::Puback(Ack::new(first[0].1, 0)));
-    assert_eq!(play.told, [1]);
-    assert_eq!(out(play.hear(c)).len(), 1);
+    harness.send(c, Version::V5, Packet::Puback(Ack::new(first[0].1, 0)));
+    assert_eq!(harness.delivered, [1]);
+    assert_eq!(out(harness.take_received(c)).len(), 1);
 }
 
 // Of 5.0: MQTT-2.2.1-4, MQTT-3.10.4-3
 // Of 3.1.1: MQTT-2.3.1-4, MQTT-3.10.4-3
 #[test]
 fn what_was_sent_and_not_acknowledged_goes_again_under_its_id() {
-    let mut play = Play::new();
-    let (c, _) = play.connect(lasting(Version::V5, "van"));
-    play.subscribe(c, Version::V5, "$stairshed/outcomes/van");
-    play.server.queue_outcome("/van", Outcome { message: 1, line: "one".to_owned() });
-    play.obey();
-    let Packet::Publish(sent) = play.hear(c).remove(0) else { panic!("an outcome") };
-    play.lose(c);
-    let d = play.open(Version::V5);
-    play.send(d, Version::V5, Packet::Connect(Box::new(lasting(Version::V5, "van"))));
-    let heard = play.hear(d);
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(lasting(Version::V5, "van"));
+    harness.subscribe(c, Version::V5, "$stairshed/outcomes/van");
+    harness.server.queue_outcome("/van", Outcome { message: 1, line: "one".to_owned() });
+    harness.apply_effects();
+    let Packet::Publish(sent) = harness.take_received(c).remove(0) else { panic!("an outcome") };
+    harness.lose_connection(c);
+    let d = harness.open(Version::V5);
+    harness.send(d, Version::V5, Packet::Connect(Box::new(lasting(Version::V5, "van"))));
+    let received_packets = harness.take_received(d);
     assert_eq!(
-        heard[1],
+        received_packets[1],
         Packet::Publish(Box::new(Publish { dup: true, ..*sent })),
         "[MQTT-4.4.0-1] [MQTT-3.3.1-1]"
     );
@@ -437,20 +452,24 @@
         ("fuel/pay", 0x87),
         ("a/#/b", 0x8F),
     ] {
-        let mut play = Play::new();
-        let (c, _) = play.connect(Connect::new(Version::V5, "van"));
-        assert_eq!(play.subscribe(c, Version::V5, filter), wanted, "{filter}");
-        let (c, _) = play.connect(Connect::new(Version::V311, "van"));
+        let mut harness = Harness::new();
+        let (c, _) = harness.connect(Connect::new(Version::V5, "van"));
+        assert_eq!(harness.subscribe(c, Version::V5, filter), wanted, "{filter}");
+        let (c, _) = harness.connect(Connect::new(Version::V311, "van"));
         let wanted = if wanted == 1 { 1 } else { 0x80 };
-        assert_eq!(play.subscribe(c, Version::V311, filter), wanted, "{filter}");
+        assert_eq!(harness.subscribe(c, Version::V311, filter), wanted, "{filter}");
     }
-    let mut play = Play::new();
-    let (c, _) = play.connect(Connect::new(Version::V5, "van"));
-    play.subscribe(c, Version::V5, "$stairshed/outcomes/van");
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(Connect::new(Version::V5, "van"));
+    harness.subscribe(c, Version::V5, "$stairshed/outcomes/van");
     let filters = vec!["$stairshed/outcomes/van".to_owned(), "x".to_owned()];
-    play.send(c, Version::V5, Packet::Unsubscribe { id: 3, filters });
-    assert_eq!(play.hear(c), [Packet::Unsuback { id: 3, codes: vec![0, 0x11] }], "[MQTT-3.11.3-1]");
-    assert!(!play.server.accepts_outcomes("/van"));
+    harness.send(c, Version::V5, Packet::Unsubscribe { id: 3, filters });
+    assert_eq!(
+        harness.take_received(c),
+        [Packet::Unsuback { id: 3, codes: vec![0, 0x11] }],
+        "[MQTT-3.11.3-1]"
+    );
+    assert!(!harness.server.accepts_outcomes("/van"));
 }
 
 // Of 5.0: MQTT-3.1.2-7, MQTT-3.1.2-8, MQTT-3.1.2-10, MQTT-3.1.3-9, MQTT-3.14.4-3
@@ -460,43 +479,43 @@
     let will =
         |delay| Will { qos: Qos::AtLeastOnce, delay, ..Will::new("gone/van", Bytes::from_static(b"x")) };
     for version in BOTH {
-        let mut play = Play::new();
-        let (c, _) = play.connect(Connect { will: Some(will(0)), ..Connect::new(version, "van") });
-        assert_eq!(play.records.len(), 1, "a crash must not swallow it");
-        play.lose(c);
-        let offer = play.offered();
+        let mut harness = Harness::new();
+        let (c, _) = harness.connect(Connect { will: Some(will(0)), ..Connect::new(version, "van") });
+        assert_eq!(harness.records.len(), 1, "a crash must not swallow it");
+        harness.lose_connection(c);
+        let offer = harness.take_offer();
         assert!(offer.will && offer.publish.topic == "gone/van", "[MQTT-3.1.2-8]");
-        assert_eq!(play.records.len(), 1, "until it is a message on record");
-        play.reply(offer.token, Answer::Accepted);
-        assert!(play.records.is_empty());
-        let (c, _) = play.connect(Connect { will: Some(will(0)), ..Connect::new(version, "van") });
-        play.send(c, version, Packet::Disconnect(Disconnect::new(0)));
-        assert!(play.offers.is_empty() && play.records.is_empty(), "[MQTT-3.14.4-3]");
+        assert_eq!(harness.records.len(), 1, "until it is a message on record");
+        harness.answer_offer(offer.token, Answer::Accepted);
+        assert!(harness.records.is_empty());
+        let (c, _) = harness.connect(Connect { will: Some(will(0)), ..Connect::new(version, "van") });
+        harness.send(c, version, Packet::Disconnect(Disconnect::new(0)));
+        assert!(harness.offers.is_empty() && harness.records.is_empty(), "[MQTT-3.14.4-3]");
     }
     // Of an earlier life.
-    let mut play = Play::new();
-    play.connect(Connect { will: Some(will(0)), ..Connect::new(Version::V311, "van") });
-    let records = play.records.clone();
-    let mut play = Play::new();
-    assert!(play.server.restore("/van", &records["/van"], play.now));
-    play.obey();
-    assert!(play.offered().will);
+    let mut harness = Harness::new();
+    harness.connect(Connect { will: Some(will(0)), ..Connect::new(Version::V311, "van") });
+    let records = harness.records.clone();
+    let mut harness = Harness::new();
+    assert!(harness.server.restore("/van", &records["/van"], harness.now));
+    harness.apply_effects();
+    assert!(harness.take_offer().will);
     // With a delay: back in time it is not sent, else it is [MQTT-3.1.3-9].
     let with_delay = || Connect { will: Some(will(30)), ..lasting(Version::V5, "van") };
-    let mut play = Play::new();
-    let (c, _) = play.connect(with_delay());
-    play.lose(c);
-    play.pass(Duration::from_secs(29));
-    let (c, _) = play.connect(with_delay());
-    play.pass(Duration::from_secs(60));
-    assert!(play.offers.is_empty());
-    play.lose(c);
-    play.pass(Duration::from_secs(30));
-    assert!(play.offered().will);
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(with_delay());
+    harness.lose_connection(c);
+    harness.advance_time(Duration::from_secs(29));
+    let (c, _) = harness.connect(with_delay());
+    harness.advance_time(Duration::from_secs(60));
+    assert!(harness.offers.is_empty());
+    harness.lose_connection(c);
+    harness.advance_time(Duration::from_secs(30));
+    assert!(harness.take_offer().will);
     // With DISCONNECT 0x04 it is sent.
-    let (c, _) = play.connect(Connect { will: Some(will(0)), ..Connect::new(Version::V5, "w") });
-    play.send(c, Version::V5, Packet::Disconnect(Disconnect::new(code::DISCONNECT_WITH_WILL)));
-    assert!(play.offered().will);
+    let (c, _) = harness.connect(Connect { will: Some(will(0)), ..Connect::new(Version::V5, "w") });
+    harness.send(c, Version::V5, Packet::Disconnect(Disconnect::new(code::DISCONNECT_WITH_WILL)));
+    assert!(harness.take_offer().will);
 }
 
 // Of 5.0: MQTT-3.1.2-14, MQTT-3.1.2-15, MQTT-3.2.2-13
@@ -509,13 +528,13 @@
         (will("a", true), true, 0x9A),
         (will("a", false), false, 0x83),
     ] {
-        let mut play = Play::with(Limits { wills, ..limits() });
+        let mut harness = Harness::with(Limits { wills, ..limits() });
         let (c, connack) =
-            play.connect(Connect { will: Some(will.clone()), ..Connect::new(Version::V5, "van") });
-        assert_eq!((connack.code, play.closed.clone()), (wanted, vec![c]));
+            harness.connect(Connect { will: Some(will.clone()), ..Connect::new(Version::V5, "van") });
+        assert_eq!((connack.code, harness.closed.clone()), (wanted, vec![c]));
         if !wills {
             let (_, connack) =
-                play.connect(Connect { will: Some(will), ..Connect::new(Version::V311, "van") });
+                harness.connect(Connect { will: Some(will), ..Connect::new(Version::V311, "van") });
             assert_eq!(connack.code, 5);
         }
     }
@@ -526,37 +545,40 @@
 #[test]
 fn a_client_is_left_at_one_and_a_half_of_its_keep_alive_and_not_before() {
     for version in BOTH {
-        let mut play = Play::new();
-        let (c, _) = play.connect(Connect { keep_alive: 10, ..Connect::new(version, "van") });
-        play.pass(15_000 * MS);
-        assert!(play.closed.is_empty(), "at the very limit");
-        play.send(c, version, Packet::Pingreq);
-        assert_eq!(play.hear(c), [Packet::Pingresp], "[MQTT-3.12.4-1]");
-        play.pass(15_001 * MS);
-        assert_eq!(play.closed, [c], "[MQTT-3.1.2-22]");
+        let mut harness = Harness::new();
+        let (c, _) = harness.connect(Connect { keep_alive: 10, ..Connect::new(version, "van") });
+        harness.advance_time(15_000 * MS);
+        assert!(harness.closed.is_empty(), "at the very limit");
+        harness.send(c, version, Packet::Pingreq);
+        assert_eq!(harness.take_received(c), [Packet::Pingresp], "[MQTT-3.12.4-1]");
+        harness.advance_time(15_001 * MS);
+        assert_eq!(harness.closed, [c], "[MQTT-3.1.2-22]");
         if version == Version::V5 {
-            assert!(matches!(play.hear(c)[..], [Packet::Disconnect(Disconnect { code: 0x8D, .. })]));
+            assert!(matches!(
+                harness.take_received(c)[..],
+                [Packet::Disconnect(Disconnect { code: 0x8D, .. })]
+            ));
         }
     }
     // One that asks for none is told another, where its version has a way [MQTT-3.2.2-21].
-    let mut play = Play::new();
-    assert_eq!(play.connect(Connect::new(Version::V5, "a")).1.keep_alive, Some(300));
-    let (c, _) = play.connect(Connect::new(Version::V311, "b"));
-    play.pass(Duration::from_secs(100_000));
-    assert!(!play.closed.contains(&c));
+    let mut harness = Harness::new();
+    assert_eq!(harness.connect(Connect::new(Version::V5, "a")).1.keep_alive, Some(300));
+    let (c, _) = harness.connect(Connect::new(Version::V311, "b"));
+    harness.advance_time(Duration::from_secs(100_000));
+    assert!(!harness.closed.contains(&c));
 }
 
 // Of 5.0: MQTT-3.1.4-1
 #[test]
 fn thousands_that_say_nothing_are_closed_and_cost_one_entry_each() {
-    let mut play = Play::new();
-    let all: Vec<u64> = (0..10_000).map(|_| play.open(Version::V5)).collect();
-    assert!(play.server.oldest_without_connect().is_some());
-    play.pass(2499 * MS);
-    assert!(play.closed.is_empty());
-    play.pass(MS);
-    assert_eq!(play.closed.len(), all.len(), "[MQTT-3.1.4-1]");
-    assert_eq!((play.server.counts(), play.server.timeout()), ((0, 0), None));
+    let mut harness = Harness::new();
+    let all: Vec<u64> = (0..10_000).map(|_| harness.open(Version::V5)).collect();
+    assert!(harness.server.oldest_without_connect().is_some());
+    harness.advance_time(2499 * MS);
+    assert!(harness.closed.is_empty());
+    harness.advance_time(MS);
+    assert_eq!(harness.closed.len(), all.len(), "[MQTT-3.1.4-1]");
+    assert_eq!((harness.server.counts(), harness.server.timeout()), ((0, 0), None));
 }
 
 // Of 5.0: MQTT-3.1.0-2, MQTT-3.3.2-2, MQTT-3.14.0-1, MQTT-3.14.2-1, MQTT-3.14.2-2, MQTT-3.14.4-1,
@@ -580,84 +602,84 @@
         (Packet::Connack(Box::new(Connack::new(0))), 0x82),
         (Packet::Pingresp, 0x82),
     ] {
-        let mut play = Play::new();
-        let (c, _) = play.connect(Connect::new(Version::V5, "van"));
-        play.send(c, Version::V5, packet.clone());
-        let heard = play.hear(c);
-        let said = matches!(&heard[..], [Packet::Disconnect(d)] if d.code == wanted && d.reason.is_some());
-        assert!(said && play.closed == [c], "{packet:?}: {heard:?}");
-        assert!(play.offers.is_empty());
+        let mut harness = Harness::new();
+        let (c, _) = harness.connect(Connect::new(Version::V5, "van"));
+        harness.send(c, Version::V5, packet.clone());
+        let received_packets = harness.take_received(c);
+        let said = matches!(&received_packets[..], [Packet::Disconnect(d)] if d.code == wanted && d.reason.is_some());
+        assert!(said && harness.closed == [c], "{packet:?}: {received_packets:?}");
+        assert!(harness.offers.is_empty());
     }
     // 3.1.1 has no way to say it [MQTT-4.8.0-1].
-    let mut play = Play::new();
-    let (c, _) = play.connect(Connect::new(Version::V311, "van"));
-    play.send(c, Version::V311, Packet::Connect(Box::new(Connect::new(Version::V311, "van"))));
-    assert_eq!((play.hear(c), play.closed.clone()), (vec![], vec![c]), "[MQTT-3.1.0-2]");
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(Connect::new(Version::V311, "van"));
+    harness.send(c, Version::V311, Packet::Connect(Box::new(Connect::new(Version::V311, "van"))));
+    assert_eq!((harness.take_received(c), harness.closed.clone()), (vec![], vec![c]), "[MQTT-3.1.0-2]");
     // Before a CONNECT nobody is told anything.
-    let c = play.open(Version::V5);
-    play.raw(c, b"\xc0\x00");
-    assert_eq!((play.hear(c), play.closed.last()), (vec![], Some(&c)), "[MQTT-3.1.0-1]");
+    let c = harness.open(Version::V5);
+    harness.send_bytes(c, b"\xc0\x00");
+    assert_eq!((harness.take_received(c), harness.closed.last()), (vec![], Some(&c)), "[MQTT-3.1.0-1]");
     // A version that is not spoken is told so in the oldest form [MQTT-3.1.2-2].
-    let c = play.open(Version::V311);
-    play.raw(c, b"\x10\x0c\x00\x04MQTT\x06\x02\x00\x3c\x00\x00");
-    assert!(matches!(&play.hear(c)[..], [Packet::Connack(a)] if a.code == 1));
+    let c = harness.open(Version::V311);
+    harness.send_bytes(c, b"\x10\x0c\x00\x04MQTT\x06\x02\x00\x3c\x00\x00");
+    assert!(matches!(&harness.take_received(c)[..], [Packet::Connack(a)] if a.code == 1));
 }
 
 #[test]
 fn more_than_the_receive_maximum_is_a_fault_of_5_0_and_waits_in_the_socket_of_3_1_1() {
-    let mut play = Play::new();
-    let (c, connack) = play.connect(Connect::new(Version::V5, "van"));
+    let mut harness = Harness::new();
+    let (c, connack) = harness.connect(Connect::new(Version::V5, "van"));
     assert_eq!(connack.receive_maximum, 8);
-    (1..=8).for_each(|id| play.publish(c, Version::V5, Qos::AtLeastOnce, Some(id)));
-    assert_eq!(play.offers.len(), 8);
-    play.publish(c, Version::V5, Qos::AtLeastOnce, Some(9));
-    assert!(matches!(play.hear(c)[..], [Packet::Disconnect(Disconnect { code: 0x93, .. })]));
-    let mut play = Play::new();
-    let (c, _) = play.connect(Connect::new(Version::V311, "van"));
-    (1..=9).for_each(|id| play.publish(c, Version::V311, Qos::AtLeastOnce, Some(id)));
-    assert_eq!(play.offers.len(), 8);
-    assert!(!play.server.wants_input(c), "nothing more is read");
-    let token = play.offers[0].token;
-    play.reply(token, Answer::Accepted);
-    assert_eq!(play.offers.len(), 9, "what had come is worked off");
+    (1..=8).for_each(|id| harness.publish(c, Version::V5, Qos::AtLeastOnce, Some(id)));
+    assert_eq!(harness.offers.len(), 8);
+    harness.publish(c, Version::V5, Qos::AtLeastOnce, Some(9));
+    assert!(matches!(harness.take_received(c)[..], [Packet::Disconnect(Disconnect { code: 0x93, .. })]));
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(Connect::new(Version::V311, "van"));
+    (1..=9).for_each(|id| harness.publish(c, Version::V311, Qos::AtLeastOnce, Some(id)));
+    assert_eq!(harness.offers.len(), 8);
+    assert!(!harness.server.wants_input(c), "nothing more is read");
+    let token = harness.offers[0].token;
+    harness.answer_offer(token, Answer::Accepted);
+    assert_eq!(harness.offers.len(), 9, "what had come is worked off");
     // At QoS 0 there is no such number, and a bound all the same.
-    let mut play = Play::new();
-    let (c, _) = play.connect(Connect::new(Version::V5, "van"));
-    (0..MAX_PENDING_QOS0 + 5).for_each(|_| play.publish(c, Version::V5, Qos::AtMostOnce, None));
-    assert_eq!(play.offers.len(), MAX_PENDING_QOS0);
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(Connect::new(Version::V5, "van"));
+    (0..MAX_PENDING_QOS0 + 5).for_each(|_| harness.publish(c, Version::V5, Qos::AtMostOnce, None));
+    assert_eq!(harness.offers.len(), MAX_PENDING_QOS0);
 }
 
 #[test]
 fn a_payload_that_is_too_long_or_not_what_it_says_is_refused_and_the_connection_goes_on() {
-    let mut play = Play::new();
-    let (c, _) = play.connect(Connect::new(Version::V5, "van"));
+    let mut harness = Harness::new();
+    let (c, _) = harness.connect(Connect::new(Version::V5, "van"));
     let long = Publish::new("a", Qos::AtLeastOnce, Some(1), Bytes::from(vec![0; 64 * 1024 + 1]));
     let text =
         Publish { utf8: true, ..Publish::new("a", Qos::AtLeastOnce, Some(2), Bytes::from_static(b"\xff")) };
     let own = Publish::new("$stairshed/x", Qos::AtLeastOnce, Some(3), Bytes::new());
     for (publish, wanted) in [(long, 0x97), (text, 0x99), (own, 0x90)] {
-        play.send(c, Version::V5, Packet::Publish(Box::new(publish)));
-        assert!(matches!(&play.hear(c)[..], [Packet::Puback(ack)] if ack.code == wanted));
+        harness.send(c, Version::V5, Packet::Publish(Box::new(publish)));
+        assert!(matches!(&harness.take_received(c)[..], [Packet::Puback(ack)] if ack.code == wanted));
     }
-    assert!(play.closed.is_empty() && play.offers.is_empty());
+    assert!(harness.closed.is_empty() && harness.offers.is_empty());
 }
 
 // Of 5.0: MQTT-3.3.2-7, MQTT-3.3.2-9, MQTT-3.3.2-10
 #[test]
 fn an_alias_stands_for_its_topic_on_its_connection_only() {
-    let mut play = Play::new();
-    let (c, connack) = play.connect(lasting(Version::V5, "van"));
+    let mut harness = Harness::new();
+    let (c, connack) = harness.connect(lasting(Version::V5, "van"));
     assert_eq!(connack.topic_alias_max, 4);
     let alias =
         |topic: &str| Publish { alias: Some(4), ..Publish::new(topic, Qos::AtMostOnce, None, Bytes::new()) };
-    play.send(c, Version::V5, Packet::Publish(Box::new(alias("fuel/pay"))));
-    play.send(c, Version::V5, Packet::Publish(Box::new(alias(""))));
-    assert!(play.offers.iter().all(|o| o.publish.topic == "fuel/pay") && play.offers.len() == 2);
-    play.lose(c);
-    let (c, _) = play.connect(lasting(Version::V5, "van"));
-    play.send(c, Version::V5, Packet::Publish(Box::new(alias(""))));
+    harness.send(c, Version::V5, Packet::Publish(Box::new(alias("fuel/pay"))));
+    harness.send(c, Version::V5, Packet::Publish(Box::new(alias(""))));
+    assert!(harness.offers.iter().all(|o| o.publish.topic == "fuel/pay") && harness.offers.len() == 2);
+    harness.lose_connection(c);
+    let (c, _) = harness.connect(lasting(Version::V5, "van"));
+    harness.send(c, Version::V5, Packet::Publish(Box::new(alias(""))));
     assert!(
-        matches!(play.hear(c)[..], [Packet::Disconnect(Disconnect { code: 0x82, .. })]),
+        matches!(harness.take_received(c)[..], [Packet::Disconnect(Disconnect { code: 0x82, .. })]),
         "[MQTT-3.3.2-7]"
     );
 }
@@ -667,48 +689,48 @@
 // Of 3.1.1: MQTT-3.1.3-5, MQTT-3.1.3-6, MQTT-3.1.3-9, MQTT-3.2.2-4, MQTT-3.2.2-5
 #[test]
 fn client_ids_are_given_checked_and_apart_by_user() {
-    let mut play = Play::new();
+    let mut harness = Harness::new();
     for version in BOTH {
-        let (_, connack) = play.connect(Connect::new(version, ""));
+        let (_, connack) = harness.connect(Connect::new(version, ""));
         assert_eq!(connack.client.is_some(), version == Version::V5, "[MQTT-3.1.3-6] [MQTT-3.1.3-7]");
         for bad in ["a#", "a/b", &"x".repeat(129)] {
-            let (_, connack) = play.connect(Connect::new(version, bad));
+            let (_, connack) = harness.connect(Connect::new(version, bad));
             assert_eq!(connack.code, if version == Version::V5 { 0x85 } else { 2 }, "{bad}");
         }
     }
     let of = |user: &str| Connect { user: Some(user.to_owned()), ..lasting(Version::V5, "van") };
-    play.connect(of("a"));
-    let before = play.closed.len();
-    let (_, connack) = play.connect(of("b"));
+    harness.connect(of("a"));
+    let before = harness.closed.len();
+    let (_, connack) = harness.connect(of("b"));
     assert!(
-        !connack.session_present && play.closed.len() == before,
+        !connack.session_present && harness.closed.len() == before,
         "nobody takes over another user's session"
     );
     // An exchange of AUTH packets is refused [MQTT-4.12.0-1].
     let (_, connack) =
-        play.connect(Connect { auth_method: Some("SCRAM".to_owned()), ..Connect::new(Version::V5, "x") });
+        harness.connect(Connect { auth_method: Some("SCRAM".to_owned()), ..Connect::new(Version::V5, "x") });
     assert_eq!(connack.code, 0x8C);
 }
 
 #[test]
 fn sessions_are_bounded() {
-    let mut play = Play::with(Limits { sessions: 2, ..limits() });
-    play.connect(lasting(Version::V5, "a"));
-    play.connect(lasting(Version::V5, "b"));
-    assert_eq!(play.connect(lasting(Version::V5, "c")).1.code, 0x97);
-    assert_eq!(play.connect(lasting(Version::V311, "c")).1.code, 3);
-    assert!(play.connect(lasting(Version::V5, "a")).1.session_present, "those that are there come back");
+    let mut harness = Harness::with(Limits { sessions: 2, ..limits() });
+    harness.connect(lasting(Version::V5, "a"));
+    harness.connect(lasting(Version::V5, "b"));
+    assert_eq!(harness.connect(lasting(Version::V5, "c")).1.code, 0x97);
+    assert_eq!(harness.connect(lasting(Version::V311, "c")).1.code, 3);
+    assert!(harness.connect(lasting(Version::V5, "a")).1.session_present, "those that are there come back");
 }
 
 #[test]
 fn the_end_of_the_process_is_told_and_wills_go_out() {
-    let mut play = Play::new();
-    let (a, _) = play.connect(Connect::new(Version::V5, "a"));
+    let mut harness = Harness::new();
+    let (a, _) = harness.connect(Connect::new(Version::V5, "a"));
     let will = Will::new("gone", Bytes::new());
-    play.connect(Connect { will: Some(will), ..Connect::new(Version::V311, "b") });
-    play.server.shutdown(play.now);
-    play.obey();
-    assert!(matches!(play.hear(a)[..], [Packet::Disconnect(Disconnect { code: 0x8B, .. })]));
-    assert!(play.offered().will);
-    assert_eq!(play.server.counts().1, 0);
+    harness.connect(Connect { will: Some(will), ..Connect::new(Version::V311, "b") });
+    harness.server.shutdown(harness.now);
+    harness.apply_effects();
+    assert!(matches!(harness.take_received(a)[..], [Packet::Disconnect(Disconnect { code: 0x8B, .. })]));
+    assert!(harness.take_offer().will);
+    assert_eq!(harness.server.counts().1, 0);
 }
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -36,7 +36,7 @@
     pub subscribed: Option<Qos>,
     pub outcomes: VecDeque<Outcome>,
     /// Outcomes that were sent and not acknowledged, by packet id.
-    pub sent: BTreeMap<u16, Outcome>,
+    pub unacknowledged: BTreeMap<u16, Outcome>,
     pub next_id: u16,
     pub will: Option<Will>,
     /// Something of it is on record.
@@ -55,7 +55,7 @@
             pending: BTreeMap::new(),
             subscribed: None,
             outcomes: VecDeque::new(),
-            sent: BTreeMap::new(),
+            unacknowledged: BTreeMap::new(),
             next_id: 1,
             will: None,
             recorded: false,
@@ -63,17 +63,17 @@
     }
 
     /// Whether anything of it must outlast the process: also a will, which is due when the process ends.
-    pub fn lasts(&self) -> bool {
+    pub fn is_persistent(&self) -> bool {
         self.expiry > 0 || self.will.is_some()
     }
 
     /// A packet id for an outcome. As late as can be after its last use, so that a late acknowledgement of that
     /// is not taken for one of this.
-    pub fn id(&mut self) -> u16 {
+    pub fn allocate_packet_id(&mut self) -> u16 {
         loop {
             let id = self.next_id;
             self.next_id = self.next_id.checked_add(1).unwrap_or(1);
-            if !self.sent.contains_key(&id) {
+            if !self.unacknowledged.contains_key(&id) {
                 return id;
             }
         }
@@ -82,7 +82,7 @@
     /// Bytes that it takes, estimated from what is in it.
     pub fn estimated_bytes(&self) -> u64 {
         let outcome = |o: &Outcome| (size_of::<Outcome>() + o.line.len() + 16) as u64;
-        let outcomes: u64 = self.outcomes.iter().chain(self.sent.values()).map(outcome).sum();
+        let outcomes: u64 = self.outcomes.iter().chain(self.unacknowledged.values()).map(outcome).sum();
         let will = self.will.as_ref().map_or(0, |w| (w.payload.len() + w.topic.len() + 200) as u64);
         // Entries of sets of packet ids, and the first node of each.
         let ids = |n: usize, entry: u64| if n == 0 { 0 } else { 11 * entry + n as u64 * entry * 2 };
--- a/crates/mqtt/src/session_test.rs
+++ b/crates/mqtt/src/session_test.rs
@@ -27,6 +27,9 @@
 fn packet_ids_wrap_and_pass_over_those_in_use() {
     let mut session = Session::new("c", Version::V5);
     session.next_id = 65535;
-    session.sent.insert(1, Outcome { message: 1, line: String::new() });
-    assert_eq!([session.id(), session.id(), session.id()], [65535, 2, 3]);
+    session.unacknowledged.insert(1, Outcome { message: 1, line: String::new() });
+    assert_eq!(
+        [session.allocate_packet_id(), session.allocate_packet_id(), session.allocate_packet_id()],
+        [65535, 2, 3]
+    );
 }
--- a/crates/mqtt/tests/drops.rs
+++ b/crates/mqtt/tests/drops.rs
@@ -13,7 +13,7 @@
 
 const MS: Time = Duration::from_millis(1);
 
-fn figure(name: &str, or: u64) -> u64 {
+fn env_number(name: &str, or: u64) -> u64 {
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
 }
 
@@ -29,7 +29,7 @@
 
 impl Broker {
     /// What it answers to a packet.
-    fn hear(&mut self, packet: Packet) -> Option<Packet> {
+    fn handle(&mut self, packet: Packet) -> Option<Packet> {
         match packet {
             Packet::Connect(connect) => {
                 if connect.clean {
@@ -62,7 +62,7 @@
         }
     }
 
-    fn forget(&mut self) {
+    fn lose_session(&mut self) {
         (self.session, self.received) = (false, BTreeSet::new());
     }
 }
@@ -70,7 +70,7 @@
 /// What outlasts the client's process: packet ids in use, each with its message and whether PUBREC has come.
 type Record = BTreeMap<u16, (u64, bool)>;
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     version: Version,
     qos: Qos,
@@ -84,7 +84,7 @@
     next: u64,
     drops: u64,
     /// Whether brokers lose sessions in this world.
-    forgets: bool,
+    loses_sessions: bool,
 }
 
 fn client(version: Version) -> Client {
@@ -101,9 +101,9 @@
     })
 }
 
-impl World {
-    fn new(seed: u64, version: Version, qos: Qos, forgets: bool) -> Self {
-        World {
+impl Simulation {
+    fn new(seed: u64, version: Version, qos: Qos, loses_sessions: bool) -> Self {
+        Simulation {
             rng: SmallRng::seed_from_u64(seed),
             version,
             qos,
@@ -115,7 +115,7 @@
             ends: BTreeMap::new(),
             next: 0,
             drops: 0,
-            forgets,
+            loses_sessions,
         }
     }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    fn hand_in(&mut self) {
+    fn publish_next(&mut self) {
         if let Some(id) = self.client.reserve() {
             let number = self.next;
             self.next += 1;
@@ -141,7 +141,7 @@
     }
 
     /// Does what the client asks for; whether it wants a connection.
-    fn obey(&mut self) -> (bool, bool) {
+    fn apply_effects(&mut self) -> (bool, bool) {
         let (mut open, mut close) = (false, false);
         while let Some(effect) = self.client.poll() {
             match effect {
@@ -182,12 +182,12 @@
     /// One connection, until it is dropped at a random byte of either way.
     fn connection(&mut self) {
         self.client.connection_opened(self.now);
-        self.obey();
+        self.apply_effects();
         let (mut reader, mut left) = (Reader::server(1 << 20), self.rng.random_range(0..400usize));
         let mut answers: Vec<u8> = Vec::new();
         let died = loop {
             if self.rng.random_ratio(1, 3) {
-                self.hand_in();
+                self.publish_next();
             }
             let bytes: Vec<u8> = {
                 let mut slices = Vec::new();
@@ -203,7 +203,7 @@
             reader.push(&bytes[..arrives]);
             while let Some(packet) = reader.packet().expect("sound") {
                 let answer =
-                    self.broker.hear(packet).map(|p| encode(self.version, p, None).expect("written"));
+                    self.broker.handle(packet).map(|p| encode(self.version, p, None).expect("written"));
                 answers.extend(answer.unwrap_or_default());
             }
             if left == 0 {
@@ -214,7 +214,7 @@
             let rest = answers.split_off(back);
             let heard = std::mem::replace(&mut answers, rest);
             self.client.received(&heard, self.now);
-            let (_, close) = self.obey();
+            let (_, close) = self.apply_effects();
             if close {
                 break true;
             }
@@ -234,11 +234,11 @@
     fn play(&mut self, drops: u64) {
         while self.drops < drops {
             if self.client.in_use() == 0 {
-                self.hand_in();
+                self.publish_next();
             }
             self.step();
-            if self.forgets && self.rng.random_ratio(1, 8) {
-                self.broker.forget();
+            if self.loses_sessions && self.rng.random_ratio(1, 8) {
+                self.broker.lose_session();
             }
         }
         // In the end the network is calm, and all that is open comes to its end.
@@ -246,36 +246,36 @@
             if self.record.is_empty() {
                 return;
             }
-            self.step_calm();
+            self.step_without_faults();
         }
         panic!("never at an end: {:?}", self.record);
     }
 
-    fn wanted(&mut self) -> bool {
-        let (mut open, _) = self.obey();
+    fn wait_for_open(&mut self) -> bool {
+        let (mut open, _) = self.apply_effects();
         for _ in 0..100 {
             if open {
                 return true;
             }
             self.now = self.client.timeout().unwrap_or(self.now).max(self.now) + MS;
             self.client.handle_timeout(self.now);
-            open = self.obey().0;
+            open = self.apply_effects().0;
         }
         false
     }
 
     fn step(&mut self) {
-        if self.wanted() {
+        if self.wait_for_open() {
             self.connection();
         }
     }
 
-    fn step_calm(&mut self) {
-        if !self.wanted() {
+    fn step_without_faults(&mut self) {
+        if !self.wait_for_open() {
             return;
         }
         self.client.connection_opened(self.now);
-        self.obey();
+        self.apply_effects();
         let mut reader = Reader::server(1 << 20);
         loop {
             let bytes: Vec<u8> = {
@@ -286,12 +286,12 @@
             self.client.bytes_written(bytes.len(), self.now);
             reader.push(&bytes);
             while let Some(packet) = reader.packet().expect("sound") {
-                if let Some(answer) = self.broker.hear(packet) {
+                if let Some(answer) = self.broker.handle(packet) {
                     let bytes = encode(self.version, answer, None).expect("written");
                     self.client.received(&bytes, self.now);
                 }
             }
-            let (_, close) = self.obey();
+            let (_, close) = self.apply_effects();
             if close {
                 return;
             }
@@ -315,16 +315,16 @@
     }
 }
 
-fn run(qos: Qos, forgets: bool, check: impl Fn(&str, &[u32; 3])) {
-    let (first, drops) = (figure("MQTT_SEED", 1), figure("MQTT_DROPS", 2500));
+fn run(qos: Qos, loses_sessions: bool, check: impl Fn(&str, &[u32; 3])) {
+    let (first, drops) = (env_number("MQTT_SEED", 1), env_number("MQTT_DROPS", 2500));
     for version in [Version::V311, Version::V5] {
         let mut all = BTreeMap::<String, [u32; 3]>::new();
         let mut dropped = 0;
         for seed in first..first + 25 {
             let played = std::panic::catch_unwind(|| {
-                let mut world = World::new(seed, version, qos, forgets);
-                world.play(drops.div_ceil(25));
-                (world.drops, world.count())
+                let mut simulation = Simulation::new(seed, version, qos, loses_sessions);
+                simulation.play(drops.div_ceil(25));
+                (simulation.drops, simulation.count())
             });
             let (n, count) = played.unwrap_or_else(|_| panic!("MQTT_SEED={seed} {version:?} {qos:?}"));
             dropped += n;
@@ -333,7 +333,9 @@
                 sum.iter_mut().zip(of).for_each(|(a, b)| *a += b);
             }
         }
-        println!("{version:?} {qos:?} forgets {forgets}: {dropped} drops; end: effects 0, 1, more: {all:?}");
+        println!(
+            "{version:?} {qos:?} forgets {loses_sessions}: {dropped} drops; end: effects 0, 1, more: {all:?}"
+        );
         assert!(all.get("Delivered").is_some_and(|of| of[1] > 100), "{all:?}");
         for (end, of) in &all {
             check(end, of);
--- a/crates/mqtt/tests/hostile.rs
+++ b/crates/mqtt/tests/hostile.rs
@@ -16,7 +16,7 @@
 
 const MAX_PACKET_BYTES: usize = 2000;
 
-fn figure(name: &str, or: u64) -> u64 {
+fn env_number(name: &str, or: u64) -> u64 {
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
 }
 
@@ -136,11 +136,11 @@
         let piece = rng.random_range(1..=bytes.len().max(1));
         for part in bytes.chunks(piece) {
             server.received(connection, part, now);
-            obey(&mut server, rng, now);
+            apply_effects(&mut server, rng, now);
         }
         now += Duration::from_millis(rng.random_range(0..4000));
         server.handle_timeout(now);
-        obey(&mut server, rng, now);
+        apply_effects(&mut server, rng, now);
         if rng.random_bool(0.5) {
             server.connection_lost(connection, now);
         }
@@ -148,11 +148,11 @@
     let (sessions, connections) = server.counts();
     assert!(sessions <= 3 && connections <= 3);
     server.shutdown(now);
-    obey(&mut server, rng, now);
+    apply_effects(&mut server, rng, now);
     assert_eq!(server.counts().1, 0);
 }
 
-fn obey(server: &mut Server, rng: &mut SmallRng, now: Time) {
+fn apply_effects(server: &mut Server, rng: &mut SmallRng, now: Time) {
     for _ in 0..500 {
         let Some(effect) = server.poll() else { return };
         match effect {
@@ -264,7 +264,7 @@
 
 #[test]
 fn no_bytes_make_it_panic_or_keep_more_than_a_packet() {
-    let (seed, inputs) = (figure("MQTT_SEED", 1), figure("MQTT_INPUTS", 60_000));
+    let (seed, inputs) = (env_number("MQTT_SEED", 1), env_number("MQTT_INPUTS", 60_000));
     for n in 0..inputs {
         let seed = seed.wrapping_mul(1 << 40) + n;
         let played = std::panic::catch_unwind(|| {
