--- a/crates/mqtt/src/convert.rs
+++ b/crates/mqtt/src/convert.rs
@@ -1,4 +1,5 @@
-//! Between this crate's packets and those of `rmqtt-codec`, whose two versions have types of their own.
+//! Conversion between this crate's packets and those of `rmqtt-codec`, which has separate types for each
+//! version.
 
 use crate::error::ConnectionError;
 use crate::packet::{
@@ -13,7 +14,7 @@
 
 type PacketResult = Result<Packet, ConnectionError>;
 
-/// What of a packet that cannot be read is told to the other side.
+/// Maps a decoding error to the reason code and reason string sent to the peer.
 pub fn decode_error(e: &DecodeError) -> ConnectionError {
     let code = match e {
         DecodeError::InvalidClientId => code::CLIENT_ID_NOT_VALID,
@@ -30,7 +31,7 @@
     ConnectionError { code, reason }
 }
 
-/// A string, without the one character that none may have [MQTT-1.5.4-2].
+/// Copies a string; fails if it contains U+0000, which no string may contain [MQTT-1.5.4-2].
 fn checked_string(text: &ByteString) -> Result<String, ConnectionError> {
     match text.contains('\0') {
         true => Err(ConnectionError::malformed("a string with U+0000")),
@@ -50,7 +51,7 @@
     of.into_iter().map(|(name, value)| (name.into(), value.into())).collect()
 }
 
-/// The body without the buffer that it was read into, which may be much longer.
+/// Copies the payload, because the buffer it was read into may be much longer.
 fn copy_payload(bytes: &Bytes) -> Bytes {
     Bytes::copy_from_slice(bytes)
 }
@@ -147,8 +148,8 @@
     })
 }
 
-/// Both ways for an acknowledgement: the codec has one type for PUBACK and PUBREC and another for PUBREL and
-/// PUBCOMP, which differ in the reason codes that they may carry.
+/// Conversion functions in both directions for an acknowledgement type. The codec has one type for PUBACK and
+/// PUBREC and another for PUBREL and PUBCOMP; they differ in the reason codes they may carry.
 macro_rules! acknowledgement {
     ($of:ident, $to:ident, $type:ident) => {
         fn $of(p: &v5::$type) -> Result<Ack, ConnectionError> {
@@ -261,7 +262,7 @@
     })
 }
 
-/// The packet without what may be left out of it.
+/// Removes the reason string and the user properties, which are optional.
 pub fn without_optional_properties(packet: Packet) -> Packet {
     let ack = |a: Ack| Ack { reason: None, properties: Properties::new(), ..a };
     match packet {
@@ -352,7 +353,7 @@
     })
 }
 
-/// A reason code that the packet may carry.
+/// Converts a reason code; fails if this packet type may not carry it.
 fn reason_code<T: TryFrom<u8>>(code: u8) -> Result<T, ConnectionError> {
     T::try_from(code).map_err(|_| ConnectionError::protocol("no reason code of this packet"))
 }
--- a/crates/mqtt/src/error.rs
+++ b/crates/mqtt/src/error.rs
@@ -1,12 +1,12 @@
-//! Why a connection is ended.
+//! Errors that end a connection.
 
 use crate::packet::code;
 
-/// Why a connection cannot go on.
+/// A protocol violation or refusal that ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason} (0x{code:02X})")]
 pub struct ConnectionError {
-    /// As version 5 numbers it.
+    /// Reason code of MQTT 5.0.
     pub code: u8,
     pub reason: &'static str,
 }
--- a/crates/mqtt/src/frame.rs
+++ b/crates/mqtt/src/frame.rs
@@ -1,6 +1,6 @@
-//! Bytes to packets and back. `rmqtt-codec` reads and writes what stands in a packet; the frame around it is read
-//! here, so that no more is kept than a packet may have, and with it what the codec lets pass: flags that must not
-//! be set, strings with U+0000, packets with something behind their end.
+//! Encoding and decoding of packets. `rmqtt-codec` handles the contents of a packet; this module reads the
+//! fixed header, so that no more than one maximum-length packet is buffered, and rejects what the codec
+//! accepts: reserved flags that are set, strings with U+0000, and packets with trailing bytes.
 
 use crate::convert;
 use crate::error::ConnectionError;
@@ -18,50 +18,52 @@
 const DISCONNECT: u8 = 14;
 const AUTH: u8 = 15;
 
-/// Reads packets out of a stream of bytes.
+/// Decodes packets from a byte stream.
 #[derive(Debug)]
 pub struct Reader {
-    /// Known once the first packet has been read, where that tells it.
+    /// For a server, set once the CONNECT has been read and names a supported version.
     version: Option<Version>,
-    /// The longest packet, bytes with its frame.
+    /// Maximum packet length in bytes, including the fixed header.
     max_bytes: usize,
     buffer: BytesMut,
 }
 
 impl Reader {
-    /// For a server: the version is the one of the CONNECT that must come first.
+    /// Creates a reader for a server; the version is taken from the CONNECT, which must be the first packet.
     pub fn server(max_bytes: usize) -> Self {
         Reader { version: None, max_bytes, buffer: BytesMut::new() }
     }
 
-    /// For a client of this version.
+    /// Creates a reader for a client that uses `version`.
     pub fn client(version: Version, max_bytes: usize) -> Self {
         Reader { version: Some(version), max_bytes, buffer: BytesMut::new() }
     }
 
+    /// Protocol version, if it is known.
     pub fn version(&self) -> Option<Version> {
         self.version
     }
 
-    /// What has come. Call [`Reader::packet`] until it has nothing more before more is pushed: then no more than one
-    /// packet and one read is ever kept.
+    /// Appends received bytes. Call [`Reader::packet`] until it returns `None` before pushing more: then at
+    /// most one packet and one read are buffered.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that are kept.
+    /// Number of buffered bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next packet; None until all of it has come.
+    /// Decodes the next packet; `None` until all of it has been received.
     ///
     /// # Errors
-    /// What is wrong with it: nothing that follows can be read.
+    /// The packet is malformed or not allowed. Nothing that follows it can be decoded.
     pub fn packet(&mut self) -> Result<Option<Packet>, ConnectionError> {
         let Some((head, length)) = self.fixed_header()? else {
             if self.buffer.is_empty() {
-                // Thousands of idle connections must not keep what their busy moment took.
+                // Frees the buffer, so that thousands of idle connections do not hold memory from an earlier
+                // burst.
                 self.buffer = BytesMut::new();
             }
             return Ok(None);
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Bytes of the fixed header and of what follows; None until it has come.
+    /// Lengths of the fixed header and of the rest of the packet; `None` until the header is complete.
     fn fixed_header(&self) -> Result<Option<(usize, usize)>, ConnectionError> {
         let Some(first) = self.buffer.first() else { return Ok(None) };
         let (kind, flags) = (first >> 4, first & 0x0F);
@@ -128,7 +130,7 @@
     }
 }
 
-/// The version that a CONNECT asks for.
+/// Reads the protocol name and level of a CONNECT.
 fn protocol_version(body: &[u8]) -> Result<Version, ConnectionError> {
     let mut body = body;
     if body.len() < 7 || body.get_u16() != 4 || &body[..4] != b"MQTT" {
@@ -144,7 +146,7 @@
     }
 }
 
-/// What the codec lets pass.
+/// Rejects malformed packets that the codec accepts.
 fn check_frame(version: Version, first: u8, body: &[u8]) -> Result<(), ConnectionError> {
     match first >> 4 {
         CONNECT => {
@@ -175,7 +177,7 @@
     }
 }
 
-/// In 3.1.1 the upper six bits of a requested QoS must be 0, section 3.8.3.
+/// Checks that the upper six bits of each requested QoS are 0, as 3.1.1 requires (section 3.8.3).
 fn check_requested_qos(body: &[u8]) -> Result<(), ConnectionError> {
     let mut rest = body.get(2..).unwrap_or_default();
     while rest.len() > 2 {
@@ -189,11 +191,11 @@
     Ok(())
 }
 
-/// Writes a packet. Reason strings and user properties are left out where with them it would be longer than `most`
-/// (sections 3.1.2.11.4 and 3.1.2.11.7).
+/// Encodes a packet. Reason strings and user properties are left out if the packet would be longer than
+/// `most` bytes with them (sections 3.1.2.11.4 and 3.1.2.11.7).
 ///
 /// # Errors
-/// It is longer without them, too, or a string in it is: it must not be sent.
+/// The packet is too long even without them, or a string in it exceeds the length field. It must not be sent.
 pub fn encode(version: Version, packet: Packet, max_bytes: Option<u32>) -> Result<BytesMut, ConnectionError> {
     let max_bytes = max_bytes.map_or(usize::MAX, |m| m as usize);
     let frame_bytes = write(version, packet.clone())?;
@@ -209,7 +211,7 @@
 
 fn write(version: Version, packet: Packet) -> Result<BytesMut, ConnectionError> {
     let mut out = BytesMut::new();
-    // The codec's own bound on what goes out is not used: with a small one it reckons below zero.
+    // The codec's own limit on outgoing packets is not used: a small limit makes it underflow.
     let done = match version {
         Version::V311 => rmqtt_codec::v3::Codec::new(0).encode(convert::to_v3(packet)?, &mut out),
         Version::V5 => rmqtt_codec::v5::Codec::new(0, 0).encode(convert::to_v5(packet)?, &mut out),
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -1,15 +1,15 @@
-//! MQTT 3.1.1 and 5.0 without sockets and without a clock: bytes and time go in, effects and the next time-out
-//! come out. Both ends are here, since the courier is both: the server of those who publish to it, and a client
-//! of brokers that it delivers to.
+//! MQTT 3.1.1 and 5.0 as sans-I/O state machines: they take received bytes and the current time, and return
+//! effects and the time of the next timeout. Both ends are implemented, because the courier is a server for
+//! publishing clients and a client of the brokers it delivers to.
 //!
 //! ```text
 //!   bytes -> frame -> packet -> server: connections and sessions of publishers -> effects
 //!                            -> client: one connection to a broker             -> effects
 //! ```
 //!
-//! Read in this order: [`packet`] (one vocabulary for both versions), [`frame`] (bytes to packets and back, over
-//! `rmqtt-codec`, with the checks that it leaves out), [`server`], [`client`]. `docs/mqtt.md` tells why
-//! it is built so, and `docs/mqtt-conformance.md` has a line for each normative statement.
+//! Start reading with [`packet`] (packet types shared by both versions), then [`frame`] (encoding and
+//! decoding on top of `rmqtt-codec`, with the checks that it omits), [`server`] and [`client`].
+//! `docs/mqtt.md` explains the design, and `docs/mqtt-conformance.md` lists every normative statement.
 
 pub mod client;
 mod convert;
--- a/crates/mqtt/src/packet.rs
+++ b/crates/mqtt/src/packet.rs
@@ -1,9 +1,10 @@
-//! One vocabulary for the packets of both versions. What 3.1.1 has not stands empty there.
+//! Packet types shared by both versions. Fields that 3.1.1 does not have are empty there.
 
 use bytes::Bytes;
 
 pub use rmqtt_codec::types::QoS as Qos;
 
+/// Protocol version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Version {
     /// 3.1.1, protocol level 4.
@@ -12,7 +13,8 @@
     V5,
 }
 
-/// Reason codes of version 5 (section 2.4). The reason, where it is not the name, is in `docs/mqtt.md`.
+/// Reason codes of MQTT 5.0 (section 2.4). `docs/mqtt.md` explains when each one is used if its name does
+/// not.
 pub mod code {
     pub const SUCCESS: u8 = 0x00;
     pub const DISCONNECT_WITH_WILL: u8 = 0x04;
@@ -46,43 +48,45 @@
     pub const SHARED_NOT_SUPPORTED: u8 = 0x9E;
     pub const SUBSCRIPTION_IDS_NOT_SUPPORTED: u8 = 0xA1;
     pub const WILDCARDS_NOT_SUPPORTED: u8 = 0xA2;
-    /// A SUBACK's only failure in 3.1.1.
+    /// The only failure code of a SUBACK in 3.1.1.
     pub const SUBACK_FAILURE: u8 = 0x80;
 }
 
-/// Names and values in the order in which they came; a name may come twice.
+/// User properties in the order received; a name may occur more than once.
 pub type Properties = Vec<(String, String)>;
 
-/// The value of a user property, if it is there once: two would be read differently by different readers.
+/// Value of a user property that occurs exactly once. Duplicates are ignored, because receivers would
+/// disagree about which one counts.
 pub fn property<'a>(properties: &'a Properties, name: &str) -> Option<&'a str> {
     let mut of = properties.iter().filter(|(n, _)| n == name).map(|(_, value)| value.as_str());
     of.next().filter(|_| of.next().is_none())
 }
 
+/// CONNECT.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Connect {
     pub version: Version,
     pub client: String,
-    /// Clean Start, or Clean Session.
+    /// Clean Start in 5.0, Clean Session in 3.1.1.
     pub clean: bool,
-    /// Seconds; 0 for none.
+    /// Keep alive in seconds; 0 disables it.
     pub keep_alive: u16,
-    /// Seconds for which the session outlives its connection; `u32::MAX` for good. In 3.1.1: 0 for a clean
-    /// session, else for good.
+    /// Session Expiry Interval in seconds; `u32::MAX` means that the session does not expire. In 3.1.1: 0 for
+    /// a clean session, else `u32::MAX`.
     pub expiry: u32,
     pub user: Option<String>,
     pub password: Option<Bytes>,
     pub will: Option<Will>,
     pub receive_maximum: u16,
     pub max_packet_size: Option<u32>,
-    /// The authentication method, where the client wants an exchange of AUTH packets.
+    /// Authentication method, if the client requests an exchange of AUTH packets.
     pub auth_method: Option<String>,
-    /// Reason strings and user properties may be sent to it in any packet.
+    /// Request Problem Information: reason strings and user properties may be sent in any packet.
     pub request_problem_info: bool,
 }
 
 impl Connect {
-    /// One without anything special.
+    /// Creates a CONNECT with default options.
     pub fn new(version: Version, client: &str) -> Self {
         Connect {
             version,
@@ -101,23 +105,24 @@
     }
 }
 
+/// Will message of a CONNECT.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Will {
     pub topic: String,
     pub payload: Bytes,
     pub qos: Qos,
     pub retain: bool,
-    /// Seconds between the end of the connection and the will.
+    /// Will Delay Interval in seconds.
     pub delay: u32,
-    /// Message Expiry Interval, seconds.
+    /// Message Expiry Interval in seconds.
     pub expiry: Option<u32>,
-    /// The payload says that it is UTF-8.
+    /// Payload Format Indicator: the payload is UTF-8.
     pub utf8: bool,
     pub properties: Properties,
 }
 
 impl Will {
-    /// One without anything special.
+    /// Creates a will with default options.
     pub fn new(topic: &str, payload: Bytes) -> Self {
         Will {
             topic: topic.to_owned(),
@@ -132,21 +137,23 @@
     }
 }
 
+/// CONNACK.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Connack {
     pub session_present: bool,
-    /// In 3.1.1 its return code, 0 to 5.
+    /// Reason code; in 3.1.1 the return code, 0 to 5.
     pub code: u8,
-    /// The id that the server gave a client without one.
+    /// Assigned Client Identifier, if the client sent none.
     pub client: Option<String>,
-    /// What the server takes for Session Expiry Interval, where it differs.
+    /// Session Expiry Interval that the server uses, if it differs from the requested one.
     pub expiry: Option<u32>,
     pub receive_maximum: u16,
     pub max_qos: Qos,
     pub max_packet_size: Option<u32>,
     pub topic_alias_max: u16,
     pub keep_alive: Option<u16>,
-    /// Of Retain, wildcard subscriptions, subscription identifiers and shared subscriptions: all, or none.
+    /// Whether retained messages, wildcard subscriptions, subscription identifiers and shared subscriptions
+    /// are available: either all of them or none.
     pub optional_features: bool,
     pub reference: Option<String>,
     pub reason: Option<String>,
@@ -173,26 +180,27 @@
     }
 }
 
+/// PUBLISH.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Publish {
     pub dup: bool,
     pub qos: Qos,
     pub retain: bool,
-    /// Empty where an alias stands for it.
+    /// Empty if a topic alias is used instead.
     pub topic: String,
-    /// None at QoS 0.
+    /// Packet identifier; `None` at QoS 0.
     pub id: Option<u16>,
     pub payload: Bytes,
-    /// Message Expiry Interval, seconds.
+    /// Message Expiry Interval in seconds.
     pub expiry: Option<u32>,
     pub alias: Option<u16>,
-    /// The payload says that it is UTF-8.
+    /// Payload Format Indicator: the payload is UTF-8.
     pub utf8: bool,
     pub properties: Properties,
 }
 
 impl Publish {
-    /// One without anything special.
+    /// Creates a PUBLISH with default options.
     pub fn new(topic: &str, qos: Qos, id: Option<u16>, payload: Bytes) -> Self {
         Publish {
             dup: false,
@@ -213,7 +221,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ack {
     pub id: u16,
-    /// Success in 3.1.1.
+    /// Reason code; always `SUCCESS` in 3.1.1.
     pub code: u8,
     pub reason: Option<String>,
     pub properties: Properties,
@@ -225,14 +233,16 @@
     }
 }
 
+/// SUBSCRIBE.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Subscribe {
     pub id: u16,
-    /// It has a subscription identifier.
+    /// Whether the packet carries a subscription identifier.
     pub has_subscription_id: bool,
     pub filters: Vec<(String, Qos)>,
 }
 
+/// DISCONNECT.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disconnect {
     pub code: u8,
@@ -248,6 +258,7 @@
     }
 }
 
+/// Control packet of either version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Packet {
     Connect(Box<Connect>),
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -1,4 +1,4 @@
-//! A publisher's session as the server keeps it, and what of it outlasts the process.
+//! Session of a publishing client, and the part of it that is stored across restarts.
 
 use crate::packet::{Properties, Qos, Version, Will};
 use base64::Engine;
@@ -8,38 +8,40 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// What a session takes: its tables' entries and its strings of usual length, bytes.
+/// Estimated memory of a session without its contents: its map entries and strings of typical length, in
+/// bytes.
 pub const SESSION_BYTES: u64 = 700;
 
-/// How a message ended that the client published.
+/// Result of a message that the client published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// The courier's number of it, given back once the client has the outcome.
+    /// Message number in the courier, returned once the client has received the outcome.
     pub message: u64,
-    /// What the client is sent.
+    /// Payload sent to the client.
     pub line: String,
 }
 
+/// State of one session.
 #[derive(Debug)]
 pub struct Session {
     pub client: String,
     pub version: Version,
-    /// Seconds that it outlives its connection; `u32::MAX` for good.
+    /// Session Expiry Interval in seconds; `u32::MAX` means that the session does not expire.
     pub expiry: u32,
     pub connection: Option<u64>,
-    /// When its connection ended, Unix time.
+    /// When the connection ended, as Unix time.
     pub gone: Option<Duration>,
-    /// Packet ids at QoS 2 that are taken on and wait for their PUBREL.
+    /// Packet ids of accepted QoS 2 messages that wait for their PUBREL.
     pub releases: BTreeSet<u16>,
-    /// Packet ids that are being judged, with their tokens.
+    /// Packet ids of PUBLISHes that wait for a decision, with the token of the offer.
     pub pending: BTreeMap<u16, u64>,
     pub subscribed: Option<Qos>,
     pub outcomes: VecDeque<Outcome>,
-    /// Outcomes that were sent and not acknowledged, by packet id.
+    /// Outcomes sent and not yet acknowledged, by packet id.
     pub unacknowledged: BTreeMap<u16, Outcome>,
     pub next_id: u16,
     pub will: Option<Will>,
-    /// Something of it is on record.
+    /// Whether a record of the session is stored.
     pub recorded: bool,
 }
 
@@ -62,13 +64,14 @@
         }
     }
 
-    /// Whether anything of it must outlast the process: also a will, which is due when the process ends.
+    /// Whether the session must be stored. This includes sessions with a will, because the will is due when
+    /// the process ends.
     pub fn is_persistent(&self) -> bool {
         self.expiry > 0 || self.will.is_some()
     }
 
-    /// A packet id for an outcome. As late as can be after its last use, so that a late acknowledgement of that
-    /// is not taken for one of this.
+    /// Allocates a packet id for an outcome. Ids are reused as late as possible, so that a late
+    /// acknowledgement of an earlier outcome is not attributed to this one.
     pub fn allocate_packet_id(&mut self) -> u16 {
         loop {
             let id = self.next_id;
@@ -79,17 +82,18 @@
         }
     }
 
-    /// Bytes that it takes, estimated from what is in it.
+    /// Estimated memory in bytes, computed from the contents.
     pub fn estimated_bytes(&self) -> u64 {
         let outcome = |o: &Outcome| (size_of::<Outcome>() + o.line.len() + 16) as u64;
         let outcomes: u64 = self.outcomes.iter().chain(self.unacknowledged.values()).map(outcome).sum();
         let will = self.will.as_ref().map_or(0, |w| (w.payload.len() + w.topic.len() + 200) as u64);
-        // Entries of sets of packet ids, and the first node of each.
+        // Entries of the sets of packet ids, plus the first B-tree node of each set.
         let ids = |n: usize, entry: u64| if n == 0 { 0 } else { 11 * entry + n as u64 * entry * 2 };
         let ids = ids(self.releases.len(), 2) + ids(self.pending.len(), 10);
         SESSION_BYTES + self.client.len() as u64 + outcomes + will + ids
     }
 
+    /// Encodes the stored part of the session as JSON.
     pub fn record(&self) -> String {
         let will = self.will.as_ref().map(|w| StoredWill {
             topic: w.topic.clone(),
@@ -109,11 +113,11 @@
             subscribed: self.subscribed.map(|qos| qos.value()),
             will,
         };
-        // Nothing in it can fail to be written.
+        // Serialisation of these types cannot fail.
         serde_json::to_string(&stored).unwrap_or_default()
     }
 
-    /// Reads what was recorded; None if it cannot be read.
+    /// Decodes a stored record; `None` if it is invalid.
     pub fn restore(record: &str) -> Option<Session> {
         let stored: Stored = serde_json::from_str(record).ok()?;
         let qos = |value: u8| Qos::try_from(value).ok();
@@ -142,18 +146,20 @@
     }
 }
 
+/// Stored form of a session.
 #[derive(Serialize, Deserialize)]
 struct Stored {
     client: String,
     version: Version,
     expiry: u32,
-    /// Unix time, seconds; None while it was connected.
+    /// Unix time in seconds; `None` if the client was connected.
     gone: Option<u64>,
     releases: BTreeSet<u16>,
     subscribed: Option<u8>,
     will: Option<StoredWill>,
 }
 
+/// Stored form of a will.
 #[derive(Serialize, Deserialize)]
 struct StoredWill {
     topic: String,
