--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -1,11 +1,12 @@
-//! The courier as a client of one broker: many messages over one connection. What comes from the socket, from the
-//! courier and from the clock goes in; [`Client::poll`] gives what is to be done, [`Client::output`] what is to be
-//! written, [`Client::timeout`] when to call [`Client::handle_timeout`] next.
+//! MQTT client for one broker: many messages over one connection, as a sans-I/O state machine.
+//! [`Client::poll`] returns the effects to carry out, [`Client::output`] the bytes to write, and
+//! [`Client::timeout`] when to call [`Client::handle_timeout`] next.
 //!
-//! An attempt begins when the last byte of its PUBLISH is handed over, and its fate stays open until the broker has
-//! acknowledged it, or has lost the session. Whatever happens in between is the same attempt: after a reconnect with
-//! the session present the same packet goes again under its id with DUP. What has not begun can be taken back; what
-//! has begun cannot, and never ends as cancelled. `docs/mqtt.md` has the table of ends.
+//! An attempt starts when the last byte of its PUBLISH has been written, and its result is unknown until the
+//! broker has acknowledged it or has lost the session. Anything in between belongs to the same attempt: after
+//! a reconnect with the session present, the same packet is retransmitted under its packet id with DUP. An
+//! attempt that has not started can be withdrawn; one that has started cannot, and never ends as cancelled.
+//! `docs/mqtt.md` has the table of results.
 
 use crate::Time;
 use crate::error::ConnectionError;
@@ -16,159 +17,168 @@
 use std::io::IoSlice;
 use std::time::Duration;
 
-/// A packet of a broker may be no longer: it sends acknowledgements only.
+/// Maximum length in bytes of a packet from the broker, which sends only acknowledgements.
 const MAX_PACKET_BYTES: usize = 64 * 1024;
-/// Pauses between connections that fail: first, and most.
+/// Delay before reconnecting after the first failed connection; doubled on each further failure.
 const INITIAL_BACKOFF: Time = Duration::from_millis(50);
+/// Maximum delay before reconnecting.
 const MAX_BACKOFF: Time = Duration::from_secs(2);
-/// A broker that answers no PING within this time is gone.
+/// A broker that does not answer a PINGREQ within this time is considered gone.
 const PING_TIMEOUT: Time = Duration::from_secs(5);
-/// Chunks that are handed over with one call.
+/// Maximum number of chunks written with one vectored write.
 const MAX_OUTPUT_SLICES: usize = 64;
-/// Longest wait that a broker may tell, s: a slip must not shut an endpoint for good.
+/// Longest `retry-after` accepted from a broker. Without a bound, a wrong value could disable an endpoint
+/// indefinitely.
 const MAX_RETRY_AFTER_SECONDS: f64 = 86_400.0;
 
+/// Settings of a client.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub version: Version,
-    /// The same at each start: the session on the broker has this name.
+    /// Client identifier. It must be the same at each start, because it names the session on the broker.
     pub client: String,
     pub user: Option<String>,
     pub password: Option<Bytes>,
     pub topic: String,
-    /// Seconds.
+    /// Keep alive in seconds.
     pub keep_alive: u16,
-    /// Seconds that the broker is asked to keep the session for.
+    /// Requested Session Expiry Interval in seconds.
     pub expiry: u32,
-    /// A connection that is not up within this time has failed.
+    /// Time limit for establishing a connection, up to its CONNACK.
     pub connect_timeout: Time,
-    /// Messages on their way at once, whatever the broker allows.
+    /// Maximum number of messages in flight, even if the broker allows more.
     pub in_flight: usize,
 }
 
-/// A message on its way to the broker.
+/// A message to publish.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub number: u64,
-    /// At QoS 1 or 2; its topic and its id are put in here. At QoS 1 a broker may take what goes again for another
-    /// message: what must not be repeated goes at QoS 2.
+    /// The PUBLISH, at QoS 1 or 2; the client fills in the topic and the packet id. At QoS 1 a broker may
+    /// treat a retransmission as a new message, so messages that must not be repeated use QoS 2.
     pub publish: Publish,
-    /// With nothing at all heard for so long the connection is given up.
+    /// The connection is closed if nothing is received for this long while an acknowledgement is outstanding.
     pub response_timeout: Time,
-    /// When its time is up.
+    /// Deadline of the message.
     pub until: Time,
-    /// Until then it may go again at QoS 1.
+    /// Retransmission at QoS 1 is allowed until then.
     pub retransmit_until: Time,
 }
 
+/// Something that the caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// [`Client::connection_opened`] or [`Client::connection_lost`] is owed.
+    /// Open a connection; answer with [`Client::connection_opened`] or [`Client::connection_lost`].
     Open,
-    /// The connection is of no more use: to be closed behind these bytes, if there are any. What is told of it
-    /// later is not to be told here.
+    /// Close the connection after writing these bytes, if there are any. Events of this connection must not
+    /// be reported any more.
     Close { final_bytes: BytesMut },
-    /// A session with open fates is about to be resumed, which must be on record until [`Effect::ClearResuming`]:
-    /// [`Client::resuming_recorded`] is owed. A process that finds such a record must not resume: see [`Client::connection_opened`].
+    /// Record that a session with unresolved attempts is being resumed, until [`Effect::ClearResuming`];
+    /// answer with [`Client::resuming_recorded`]. A process that finds such a record must not resume the
+    /// session: see [`Client::connection_opened`].
     RecordResuming,
-    /// What became of the session is known.
+    /// Delete the record of the resumption: the state of the session is known.
     ClearResuming,
-    /// The broker has this message and waits for its release, which goes out once this is on record:
-    /// [`Client::pubrec_recorded`] is owed.
+    /// Record that the broker has received this message (PUBREC). PUBREL is sent once this is stored; answer
+    /// with [`Client::pubrec_recorded`].
     RecordPubrec { id: u16, message: u64 },
-    /// The packet id is free: nothing about it needs to be on record.
+    /// The packet id is free; its record can be deleted.
     FreePacketId { id: u16, message: u64 },
-    /// How the attempt ended.
+    /// The attempt has ended with this result.
     Ended { id: u16, message: u64, end: AttemptResult },
-    /// A line for the operators' log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     Delivered,
-    /// Refused in a way that may have come after it ran.
+    /// Rejected with an error that may have been raised after the message was processed.
     Error,
-    /// Refused before it could run.
+    /// Rejected before the message could take effect.
     Rejected,
-    /// Turned away for now, unseen.
+    /// Not accepted for now; the broker has not processed the message.
     Busy {
         wait: Option<Duration>,
     },
-    /// It never left.
+    /// The PUBLISH was not sent completely.
     Unsent,
-    /// The session is lost with the acknowledgement: it may have run.
+    /// The session was lost before the acknowledgement: the message may have taken effect.
     Lost,
-    /// Its time is up with its fate open: it may have run.
+    /// The deadline passed without an acknowledgement: the message may have taken effect.
     TimedOut,
 }
 
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing of it is written.
+    /// Waits for a connection or for the Receive Maximum.
     Queued,
-    /// Some or all of it waits to be handed over.
+    /// Encoded; not yet written completely.
     Writing,
-    /// All of it is handed over; no acknowledgement yet.
+    /// Written completely; no acknowledgement yet.
     Sent,
-    /// PUBREC has come, and is being put on record.
+    /// PUBREC has been received and is being recorded.
     Releasing,
-    /// PUBREL is sent, or is to be.
+    /// PUBREL has been sent or is due.
     Released,
 }
 
+/// A message with a packet id.
 #[derive(Debug)]
 struct Attempt {
     message: u64,
-    /// What goes again after a reconnect; None once PUBREC has come.
+    /// PUBLISH to retransmit after a reconnect; `None` once PUBREC has been received.
     publish: Option<Publish>,
     qos: Qos,
     stage: Stage,
-    /// In this order they are sent, and sent again [MQTT-4.6.0-1].
+    /// Messages are sent and retransmitted in this order [MQTT-4.6.0-1].
     order: u64,
     queued_at: Time,
-    /// Since when its acknowledgement is owed on this connection.
+    /// Since when an acknowledgement is outstanding on this connection.
     awaiting_since: Time,
     response_timeout: Time,
     until: Time,
     retransmit_until: Time,
-    /// Its end has been told; only its packet id is still in use.
+    /// The result has been reported; only the packet id is still in use.
     abandoned: bool,
 }
 
-/// What waits to be handed over.
+/// Bytes that wait to be written.
 struct Chunk {
     bytes: BytesMut,
-    /// Some of it is handed over.
+    /// Whether some of the bytes have been written.
     started: bool,
-    /// The PUBLISH that it is.
+    /// Packet id of the PUBLISH that these bytes encode.
     publish: Option<u16>,
 }
 
+/// State of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// None, and none is wanted.
+    /// No connection, and none is needed.
     None,
     Connecting {
         since: Time,
     },
-    /// There, and waits for [`Client::resuming_recorded`].
+    /// Connected; waits for [`Client::resuming_recorded`].
     RecordingResuming {
         since: Time,
     },
-    /// CONNECT is sent.
+    /// CONNECT has been sent.
     AwaitingConnack {
         since: Time,
         clean: bool,
     },
     Connected,
-    /// After a failure, until then.
+    /// Waits until then before reconnecting after a failure.
     Backoff {
         until: Time,
     },
 }
 
+/// Client state machine.
 pub struct Client {
     options: Options,
     state: ConnectionState,
@@ -178,25 +188,26 @@
     next_id: u16,
     next_order: u64,
     backoff: Time,
-    /// As the broker allows on this connection.
+    /// Receive Maximum of the broker on this connection.
     receive_maximum: usize,
     max_packet_size: Option<u32>,
     keep_alive: u16,
     last_received: Time,
     last_write: Time,
     ping_sent_at: Option<Time>,
-    /// The broker has told to wait.
+    /// No new messages are sent before this time (`retry-after` of the broker).
     wait_until: Time,
-    /// The session on the broker is one that was begun in this life.
+    /// Whether the session on the broker was started by this process.
     session_known: bool,
-    /// That a session is being resumed is on record.
+    /// Whether a record says that a session is being resumed.
     resuming_on_record: bool,
-    /// Nothing new goes out from then on.
+    /// No new messages are sent from this time on.
     drain_at: Option<Time>,
     effects: VecDeque<Effect>,
 }
 
 impl Client {
+    /// Creates a client without a connection.
     pub fn new(options: Options) -> Self {
         let reader = Reader::client(options.version, MAX_PACKET_BYTES);
         let keep_alive = options.keep_alive;
@@ -223,19 +234,19 @@
         }
     }
 
-    /// What is to be done next.
+    /// Next effect to carry out.
     pub fn poll(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// Packet ids in use.
+    /// Number of packet ids in use.
     pub fn in_use(&self) -> usize {
         self.attempts.len()
     }
 
-    /// The id under which the next message would go; None if as many are on their way as may be. It is taken with
-    /// [`Client::publish`]. Ids go round, so that one is used again as late as can be: an acknowledgement that
-    /// comes twice must not be taken for that of another message.
+    /// Reserves the packet id of the next message; `None` if as many messages are in flight as allowed. Pass
+    /// it to [`Client::publish`]. Ids are reused as late as possible, because a duplicate acknowledgement
+    /// must not be attributed to another message.
     pub fn reserve(&mut self) -> Option<u16> {
         if self.attempts.len() >= self.options.in_flight.min(usize::from(u16::MAX)) {
             return None;
@@ -248,21 +259,21 @@
         Some(id)
     }
 
-    /// Sends a message under a reserved id.
+    /// Publishes a message under a reserved packet id.
     pub fn publish(&mut self, id: u16, message: Message, now: Time) {
         self.insert(id, message, Stage::Queued, now);
         self.advance(now);
     }
 
-    /// Takes in an attempt of an earlier life whose fate is open; `released` if its PUBREC has come.
+    /// Restores an unresolved attempt of an earlier process; `released` if its PUBREC had been received.
     pub fn resume(&mut self, id: u16, message: Message, released: bool, now: Time) {
         self.insert(id, message, if released { Stage::Released } else { Stage::Sent }, now);
-        // What comes next must not meet late acknowledgements of those before.
+        // New messages must not receive late acknowledgements for the restored ones.
         self.next_id = self.next_id.max(id).checked_add(1).unwrap_or(1);
         self.advance(now);
     }
 
-    /// Keeps an id from being used as long as the session lasts: it is that of a message that has ended.
+    /// Blocks the packet id of a message that has ended for as long as the session lasts.
     pub fn block_packet_id(&mut self, id: u16, now: Time) {
         let publish = Publish::new("", Qos::ExactlyOnce, None, Bytes::new());
         let (response_timeout, until, retransmit_until) = (Time::MAX, Time::MAX, Time::ZERO);
@@ -299,8 +310,8 @@
         self.attempts.insert(id, attempt);
     }
 
-    /// Calls a message off, which can be done only as long as nothing of it is written. One that is on its way goes
-    /// on, and its end is told when it comes.
+    /// Cancels a message if none of its bytes have been written. Otherwise the attempt continues and its
+    /// result is reported when it is known.
     pub fn cancel(&mut self, message: u64) {
         let of = self.attempts.iter().find(|(_, f)| f.message == message && !f.abandoned).map(|(id, _)| *id);
         if let Some(id) = of.filter(|id| self.is_unsent(*id)) {
@@ -308,7 +319,7 @@
         }
     }
 
-    /// Whether nothing of it is handed over.
+    /// Whether none of its bytes have been written.
     fn is_unsent(&self, id: u16) -> bool {
         match self.attempts.get(&id).map(|f| f.stage) {
             Some(Stage::Queued) => true,
@@ -329,7 +340,7 @@
         }
     }
 
-    /// The attempt has ended, and its packet id is free.
+    /// Ends an attempt and frees its packet id.
     fn ended(&mut self, id: u16, end: AttemptResult) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.effects.push_back(Effect::FreePacketId { id, message: attempt.message });
@@ -338,29 +349,32 @@
         }
     }
 
-    /// Nothing new goes to the broker from `at` on: it drains, or is gone. What is on its way is let finish.
+    /// Stops sending new messages at `at`, because the endpoint drains or is gone. Messages in flight are
+    /// completed.
     pub fn drain_from(&mut self, at: Time, now: Time) {
         self.drain_at.get_or_insert(at);
         self.advance(now);
     }
 
-    /// It takes messages again.
+    /// Allows new messages again.
     pub fn cancel_drain(&mut self) {
         self.drain_at = None;
     }
 
-    // ---- the connection ------------------------------------------------------------------------------------
+    // ---- connection
+    // ------------------------------------------------------------------------------------------
 
-    /// What is to be handed over next, as many chunks as fit one call.
+    /// Bytes to write next, limited to as many chunks as one vectored write takes.
     pub fn output<'a>(&'a self, into: &mut Vec<IoSlice<'a>>) {
         into.extend(self.chunks.iter().take(MAX_OUTPUT_SLICES).map(|c| IoSlice::new(&c.bytes)));
     }
 
+    /// Whether there are bytes to write.
     pub fn has_output(&self) -> bool {
         !self.chunks.is_empty()
     }
 
-    /// So many bytes of it are handed over.
+    /// Reports that `bytes` bytes of the output have been written.
     pub fn bytes_written(&mut self, mut bytes: usize, now: Time) {
         self.last_write = now;
         while bytes > 0 {
@@ -380,21 +394,22 @@
         }
     }
 
-    /// The connection that was asked for is there.
+    /// Reports that the requested connection is open.
     ///
-    /// A CONNECT that resumes makes a broker that has lost the session begin another. If its CONNACK is lost, too, the
-    /// next one says that a session is present, and it is not ours: what goes again there would take effect twice. So
-    /// once such a CONNECT has left, no CONNACK means that the session counts as lost, also over a restart.
+    /// A CONNECT that resumes a session makes a broker that has lost the session start a new one. If that
+    /// CONNACK is lost too, the next CONNACK reports a session that is present but is not the one with the
+    /// unresolved attempts: retransmitting there would take effect twice. So once such a CONNECT has been
+    /// sent, a missing CONNACK means that the session is treated as lost, also across a restart.
     pub fn connection_opened(&mut self, now: Time) {
         let ConnectionState::Connecting { since } = self.state else { return };
-        // With no fate open the session has nothing for us; whatever it may still hold from an earlier life would
-        // take a new message under an old id for a repeat.
+        // Without unresolved attempts the session is not needed. If it still holds packet ids from an earlier
+        // process, the broker would treat a new message under such an id as a retransmission.
         let nothing_open = !self.attempts.values().any(|f| may_have_reached_broker(f) && !f.abandoned);
         let unknown = !self.session_known || self.attempts.values().any(|f| f.abandoned);
         let clean = match self.options.version {
             Version::V5 => nothing_open,
-            // A clean session of 3.1.1 ends with its connection, and nothing could be resumed: it is only begun to
-            // end the old one.
+            // A clean session of 3.1.1 ends with its connection and cannot be resumed; one is started only to
+            // discard the old session.
             Version::V311 => nothing_open && unknown,
         };
         if nothing_open {
@@ -405,7 +420,7 @@
         self.effects.push_back(Effect::RecordResuming);
     }
 
-    /// That the session is being resumed is on record.
+    /// Reports that the resumption of the session has been recorded.
     pub fn resuming_recorded(&mut self, now: Time) {
         if let ConnectionState::RecordingResuming { since } = self.state {
             self.send_connect(since, false, now);
@@ -429,26 +444,27 @@
         self.write(Packet::Connect(Box::new(connect)), None);
     }
 
-    /// The connection has ended, or could not be had.
+    /// Reports that the connection has ended or could not be opened.
     pub fn connection_lost(&mut self, now: Time) {
         if !matches!(self.state, ConnectionState::None | ConnectionState::Backoff { .. }) {
             self.connection_ended(now);
         }
     }
 
-    /// What became of the session is known.
+    /// Deletes the record of the resumption, if there is one.
     fn clear_resuming_record(&mut self) {
         if std::mem::take(&mut self.resuming_on_record) {
             self.effects.push_back(Effect::ClearResuming);
         }
     }
 
-    /// After a connection's end: what was not handed over whole never ran.
+    /// Handles the end of a connection. Messages that were not written completely have not taken effect.
     fn connection_ended(&mut self, now: Time) {
         let greeting = matches!(self.state, ConnectionState::AwaitingConnack { .. });
         if self.resuming_on_record && greeting && self.chunks.front().is_none_or(|c| c.started) {
             self.effects.push_back(Effect::Log(
-                "no CONNACK while a session was resumed: it counts as lost".to_owned(),
+                "connection ended before the CONNACK of a resumed session; treating the session as lost"
+                    .to_owned(),
             ));
             self.lose_session();
             self.session_known = false;
@@ -470,7 +486,7 @@
         self.connection_ended(now);
     }
 
-    /// Closes the connection, with a DISCONNECT where that makes sense and nothing is half handed over.
+    /// Closes the connection; sends a DISCONNECT if `code` is given and no packet is partly written.
     fn close(&mut self, code: Option<u8>) {
         let between = self.chunks.front().is_none_or(|c| !c.started);
         let packet = code.filter(|_| between).map(|code| Packet::Disconnect(Disconnect::new(code)));
@@ -488,7 +504,7 @@
         }
     }
 
-    /// What has come from the broker.
+    /// Processes bytes received from the broker.
     pub fn received(&mut self, bytes: &[u8], now: Time) {
         if !matches!(self.state, ConnectionState::AwaitingConnack { .. } | ConnectionState::Connected) {
             return;
@@ -524,7 +540,7 @@
                 self.handle_connack(clean, &connack, now)
             }
             (ConnectionState::AwaitingConnack { .. }, _) => {
-                Err(ConnectionError::protocol("something before the CONNACK"))
+                Err(ConnectionError::protocol("packet received before the CONNACK"))
             }
             (_, Packet::Puback(ack)) => self.handle_puback(&ack, now),
             (_, Packet::Pubrec(ack)) => self.handle_pubrec(&ack, now),
@@ -534,21 +550,21 @@
                 self.handle_disconnect(&disconnect, now);
                 Ok(())
             }
-            // Of an earlier subscription of somebody's under this name: nothing here reads it.
+            // Left over from a subscription made by another client under this client id; ignored.
             (_, Packet::Publish(publish)) if publish.qos == Qos::AtMostOnce => Ok(()),
-            _ => Err(ConnectionError::protocol("a packet that no broker sends here")),
+            _ => Err(ConnectionError::protocol("unexpected packet type")),
         }
     }
 
     fn handle_connack(&mut self, clean: bool, connack: &Connack, now: Time) -> Result<(), ConnectionError> {
-        // Also a refusal says so: it begins no session.
+        // A refusal resolves this as well: it does not start a session.
         self.clear_resuming_record();
         if connack.code != code::SUCCESS {
             self.connection_refused(connack, now);
             return Ok(());
         }
         if clean && connack.session_present {
-            return Err(ConnectionError::protocol("a session for a clean start [MQTT-3.2.2-4]"));
+            return Err(ConnectionError::protocol("session present after a clean start [MQTT-3.2.2-4]"));
         }
         self.state = ConnectionState::Connected;
         self.backoff = INITIAL_BACKOFF;
@@ -587,9 +603,9 @@
             attempt.awaiting_since = now;
             match (attempt.stage, &attempt.publish) {
                 (Stage::Released, _) => drop(self.write(Packet::Pubrel(Ack::new(id, code::SUCCESS)), None)),
-                // Its message has ended, and nothing more is sent for that. The id stays in use.
+                // The message has ended and is not retransmitted. The packet id stays in use.
                 (Stage::Sent, _) if attempt.abandoned => {}
-                // The receivers behind the broker know its key no more.
+                // The receivers behind the broker no longer remember the key of the message.
                 (Stage::Sent, _) if attempt.qos == Qos::AtLeastOnce && now >= attempt.retransmit_until => {
                     attempt.abandoned = true;
                     let message = attempt.message;
@@ -597,7 +613,8 @@
                 }
                 (Stage::Sent, Some(publish)) => {
                     let publish = Publish { dup: true, ..publish.clone() };
-                    // It went once, so it fits; and it is no new attempt, so it cannot be taken back.
+                    // It was sent before, so it does not exceed the maximum packet size. It belongs to the
+                    // same attempt and cannot be withdrawn.
                     self.write(Packet::Publish(Box::new(publish)), None);
                 }
                 _ => {}
@@ -606,7 +623,8 @@
         Ok(())
     }
 
-    /// Whatever the broker had not acknowledged may have run. Nothing is sent again from here: the class decides.
+    /// Ends all attempts that may have taken effect. Nothing is retransmitted from here; the class decides
+    /// about a retry.
     fn lose_session(&mut self) {
         let open: Vec<u16> =
             self.attempts.iter().filter(|(_, f)| may_have_reached_broker(f)).map(|(id, _)| *id).collect();
@@ -615,14 +633,14 @@
         }
     }
 
-    /// The broker takes no connection now, or none of ours.
+    /// Handles a CONNACK that refuses the connection.
     fn connection_refused(&mut self, connack: &Connack, now: Time) {
         let code = connack.code;
         let busy = match self.options.version {
             Version::V311 => code == 3,
             Version::V5 => matches!(code, code::SERVER_BUSY | code::QUOTA_EXCEEDED | 0x9F),
         };
-        let reason = connack.reason.as_deref().unwrap_or("no reason told");
+        let reason = connack.reason.as_deref().unwrap_or("no reason given");
         let text = match &connack.reference {
             Some(other) => format!(
                 "the broker sends its clients to {other:?} (0x{code:02X}), which is not followed: {reason}"
@@ -638,7 +656,7 @@
 
     fn handle_disconnect(&mut self, disconnect: &Disconnect, now: Time) {
         let code = disconnect.code;
-        let reason = disconnect.reason.as_deref().unwrap_or("no reason told");
+        let reason = disconnect.reason.as_deref().unwrap_or("no reason given");
         let other =
             disconnect.reference.as_ref().map(|r| format!(", and names {r:?}, which is not followed"));
         let other = other.unwrap_or_default();
@@ -663,7 +681,7 @@
 
     fn handle_puback(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
         let Some(attempt) = self.attempts.get(&ack.id) else {
-            // Of one that has ended: a repeat, which says nothing new.
+            // Duplicate acknowledgement of an attempt that has ended.
             return Ok(());
         };
         match attempt.stage {
@@ -672,9 +690,9 @@
                 Ok(())
             }
             Stage::Queued | Stage::Writing => {
-                Err(ConnectionError::protocol("an acknowledgement of what was not sent"))
+                Err(ConnectionError::protocol("acknowledgement of a PUBLISH that was not sent"))
             }
-            _ => Err(ConnectionError::protocol("a PUBACK for a PUBLISH at QoS 2")),
+            _ => Err(ConnectionError::protocol("PUBACK for a PUBLISH at QoS 2")),
         }
     }
 
@@ -690,21 +708,22 @@
                 self.publish_answered(ack, now)
             }
             Stage::Sent if attempt.qos == Qos::ExactlyOnce => {
-                // The PUBLISH must not go again from now on [MQTT-4.3.3-6], and PUBREL is owed: on record first.
+                // From now on the PUBLISH must not be retransmitted [MQTT-4.3.3-6]. PUBREL is due once this
+                // is recorded.
                 (attempt.stage, attempt.publish) = (Stage::Releasing, None);
                 self.effects.push_back(Effect::RecordPubrec { id: ack.id, message: attempt.message });
             }
             Stage::Releasing => {}
             Stage::Released => drop(self.write(Packet::Pubrel(Ack::new(ack.id, code::SUCCESS)), None)),
-            Stage::Sent => return Err(ConnectionError::protocol("a PUBREC for a PUBLISH at QoS 1")),
+            Stage::Sent => return Err(ConnectionError::protocol("PUBREC for a PUBLISH at QoS 1")),
             Stage::Queued | Stage::Writing => {
-                return Err(ConnectionError::protocol("an acknowledgement of what was not sent"));
+                return Err(ConnectionError::protocol("acknowledgement of a PUBLISH that was not sent"));
             }
         }
         Ok(())
     }
 
-    /// PUBREC is on record: its release goes out.
+    /// Reports that the PUBREC has been recorded; sends PUBREL.
     pub fn pubrec_recorded(&mut self, id: u16, now: Time) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|f| f.stage == Stage::Releasing) else {
             return;
@@ -717,15 +736,16 @@
 
     fn handle_pubcomp(&mut self, ack: &Ack) -> Result<(), ConnectionError> {
         match self.attempts.get(&ack.id).map(|f| f.stage) {
-            // Also with "packet identifier not found": it had the release before, and its PUBCOMP was lost.
+            // This includes "packet identifier not found": the broker received the PUBREL earlier, and its
+            // PUBCOMP was lost.
             Some(Stage::Released) => self.ended(ack.id, AttemptResult::Delivered),
             None => {}
-            Some(_) => return Err(ConnectionError::protocol("a PUBCOMP without a PUBREL")),
+            Some(_) => return Err(ConnectionError::protocol("PUBCOMP without a PUBREL")),
         }
         Ok(())
     }
 
-    /// The broker's word on a PUBLISH.
+    /// Ends an attempt according to the reason code of its PUBACK or PUBREC.
     fn publish_answered(&mut self, ack: &Ack, now: Time) {
         let wait = retry_after(&ack.properties);
         let end = match ack.code {
@@ -737,7 +757,7 @@
             _ => AttemptResult::Error,
         };
         if ack.code >= 0x80 && ack.code != code::QUOTA_EXCEEDED {
-            let reason = ack.reason.as_deref().unwrap_or("no reason told");
+            let reason = ack.reason.as_deref().unwrap_or("no reason given");
             self.effects.push_back(Effect::Log(format!(
                 "the broker refuses a message (0x{:02X}): {reason}",
                 ack.code
@@ -745,15 +765,16 @@
         }
         self.ended(ack.id, end);
         if let Some(told) = wait.filter(|_| matches!(end, AttemptResult::Busy { .. })) {
-            // Those that are on their way are let go, and nothing after them.
+            // Messages in flight continue; nothing new is sent.
             self.delay_new_attempts(wait, now);
             self.withdraw_all_unsent(AttemptResult::Busy { wait: Some(told) });
         }
     }
 
-    // ---- going on --------------------------------------------------------------------------------------------
+    // ---- timers and sending
+    // ------------------------------------------------------------------------------------
 
-    /// Does what is due by now.
+    /// Handles all timeouts that are due.
     pub fn handle_timeout(&mut self, now: Time) {
         self.advance(now);
     }
@@ -788,8 +809,8 @@
         }
     }
 
-    /// Whether anything is still to be done at the broker: not for messages that have ended and whose PUBLISH has no
-    /// acknowledgement, since nothing more is sent for those.
+    /// Whether a connection is needed. Messages that have ended and whose PUBLISH was not acknowledged do not
+    /// need one, because nothing more is sent for them.
     fn has_work(&self) -> bool {
         self.attempts.values().any(|f| !f.abandoned || matches!(f.stage, Stage::Releasing | Stage::Released))
     }
@@ -799,7 +820,7 @@
         self.effects.push_back(Effect::Open);
     }
 
-    /// Ends a connection that nobody needs; the session stays with the broker as long as it was asked to keep it.
+    /// Closes an idle connection. The broker keeps the session for its expiry interval.
     pub fn close_if_idle(&mut self) {
         if self.state == ConnectionState::Connected && !self.has_work() {
             self.close(Some(code::SUCCESS));
@@ -808,7 +829,7 @@
         }
     }
 
-    /// What has waited too long: for a connection, or for its acknowledgement.
+    /// Ends attempts that have waited too long for a connection or for an acknowledgement.
     fn expire_attempts(&mut self, now: Time) {
         let late = |f: &Attempt| now >= f.until && !f.abandoned;
         let unsent = |f: &Attempt| now >= f.until.min(f.queued_at + self.options.connect_timeout);
@@ -817,7 +838,7 @@
         for id in expired {
             let Some(attempt) = self.attempts.get(&id) else { continue };
             match attempt.stage {
-                // Up and within the broker's bounds, or not up: either way it has no place in time.
+                // It waited for the Receive Maximum if connected, else for a connection.
                 Stage::Queued => self.withdraw(
                     id,
                     if self.state == ConnectionState::Connected {
@@ -842,7 +863,8 @@
     }
 
     fn service_connection(&mut self, now: Time) {
-        // A connection on which nothing comes while something is owed is given up; its session is resumed.
+        // A connection on which nothing is received while an acknowledgement is outstanding is closed; the
+        // session is resumed on the next one.
         let awaiting_response = self
             .attempts
             .values()
@@ -865,7 +887,7 @@
             self.write(Packet::Pingreq, None);
             (self.ping_sent_at, self.last_write) = (Some(now), now);
         }
-        // All that has a PUBLISH on the way or unacknowledged counts [MQTT-3.3.4-7].
+        // Every PUBLISH that is sent and not completed counts towards the Receive Maximum [MQTT-3.3.4-7].
         let mut in_flight = self.attempts.values().filter(|f| f.stage != Stage::Queued).count();
         let mut queued_messages: Vec<(u64, u16)> = self
             .attempts
@@ -884,13 +906,14 @@
             if self.write(Packet::Publish(Box::new(publish)), Some(id)) {
                 in_flight += 1;
             } else {
-                self.effects.push_back(Effect::Log("a message is longer than the broker takes".to_owned()));
+                self.effects
+                    .push_back(Effect::Log("message exceeds the broker's Maximum Packet Size".to_owned()));
                 self.ended(id, AttemptResult::Rejected);
             }
         }
     }
 
-    /// When [`Client::handle_timeout`] is to be called.
+    /// When to call [`Client::handle_timeout`] next.
     pub fn timeout(&self) -> Option<Time> {
         let connect = self.options.connect_timeout;
         let state = match self.state {
@@ -920,12 +943,12 @@
     }
 }
 
-/// Whether the broker may have it.
+/// Whether the broker may have received the PUBLISH.
 fn may_have_reached_broker(f: &Attempt) -> bool {
     matches!(f.stage, Stage::Sent | Stage::Releasing | Stage::Released)
 }
 
-/// `retry-after`, in seconds, as this courier tells it, too.
+/// Value of the user property `retry-after` in seconds. This courier sends the same property.
 fn retry_after(properties: &crate::packet::Properties) -> Option<Duration> {
     let seconds: f64 = property(properties, "retry-after")?.trim().parse().ok()?;
     (seconds > 0.0 && seconds <= MAX_RETRY_AFTER_SECONDS).then(|| Duration::from_secs_f64(seconds))
