--- a/crates/mqtt/src/server.rs
+++ b/crates/mqtt/src/server.rs
@@ -1,10 +1,10 @@
-//! The courier as the server of publishers: all their connections and sessions in one state machine. What comes
-//! from sockets, from the courier and from the clock goes in; [`Server::poll`] gives what is to be done, and
-//! [`Server::timeout`] when to call [`Server::handle_timeout`] next.
+//! MQTT server for publishing clients: all connections and sessions in one sans-I/O state machine.
+//! [`Server::poll`] returns the effects to carry out, and [`Server::timeout`] when to call
+//! [`Server::handle_timeout`] next.
 //!
-//! A PUBLISH becomes an [`Effect::Offer`]; it is acknowledged once the courier has said that the message is taken
-//! on and on record ([`Server::offer_answered`]), and with QoS 2 once its packet id is on record, too. What a client is
-//! told of a message that it published goes to its outcome topic ([`Server::queue_outcome`]).
+//! A PUBLISH becomes an [`Effect::Offer`]. It is acknowledged once the courier has reported that the message
+//! is accepted and stored ([`Server::offer_answered`]), and at QoS 2 once its packet id is stored as well.
+//! The outcome of a message is published to the client's outcome topic ([`Server::queue_outcome`]).
 
 mod connection;
 mod outcomes;
@@ -21,79 +21,83 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
-/// The topic under which a client reads its own outcomes, without its id.
+/// Prefix of the topic on which a client receives its outcomes; the client id follows.
 pub const OUTCOME_TOPIC_PREFIX: &str = "$stairshed/outcomes/";
-/// Longest client id, bytes.
+/// Maximum length of a client id in bytes.
 const MAX_CLIENT_ID_BYTES: usize = 128;
-/// Outcomes that are on their way to one client, whatever it allows.
+/// Maximum number of unacknowledged outcomes for one client, even if its Receive Maximum is higher.
 const MAX_OUTCOMES_IN_FLIGHT: usize = 32;
-/// PUBLISHes at QoS 0 of one connection that are being judged; more are not read meanwhile.
+/// Maximum number of undecided QoS 0 PUBLISHes of one connection; reading pauses at this number.
 const MAX_PENDING_QOS0: usize = 64;
-/// Packet ids of a session that wait for their PUBREL: a client that never sends one must not fill the record.
+/// Maximum number of packet ids of a session that wait for their PUBREL, so that a client that never sends
+/// one cannot grow the record without bound.
 const MAX_UNRELEASED_PACKET_IDS: usize = 4096;
 
-/// What a connection takes here, and an offer that is being judged.
+/// Estimated memory of a connection in bytes.
 const CONNECTION_BYTES: u64 = 600;
+/// Estimated memory of a pending offer in bytes.
 const PENDING_OFFER_BYTES: u64 = 150;
 
-/// What an operator allows.
+/// Limits set by the operator.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Sessions, connected or not.
+    /// Maximum number of sessions, connected or not.
     pub sessions: usize,
-    /// Bytes of a packet, and of a payload.
+    /// Maximum length of a packet in bytes.
     pub max_packet_size: usize,
+    /// Maximum length of a payload in bytes.
     pub max_payload_bytes: usize,
-    /// PUBLISHes of one client that wait for their acknowledgement.
+    /// Receive Maximum: unacknowledged PUBLISHes of one client.
     pub receive_maximum: u16,
     pub topic_alias_max: u16,
-    /// Seconds that a session may outlive its connection.
+    /// Maximum Session Expiry Interval in seconds.
     pub max_session_expiry_seconds: u32,
-    /// Longest keep alive, seconds; in 5.0 also for those that ask for none.
+    /// Maximum keep alive in seconds; in 5.0 it also applies to clients that ask for none.
     pub max_keep_alive_seconds: u16,
     /// A connection without a CONNECT is closed after this time.
     pub connect_timeout: Time,
-    /// Outcomes that wait for one client.
+    /// Maximum number of outcomes queued for one client.
     pub max_outcomes: usize,
-    /// Wills are taken; else a CONNECT with one is refused.
+    /// Whether wills are accepted; otherwise a CONNECT with a will is refused.
     pub wills: bool,
 }
 
-/// A client and its user, as the courier knows them. `user/client`, the user empty where there is none; users' names
-/// have no slash.
+/// Key of a session: `user/client`, with an empty user if there is none. User names contain no slash.
 pub type Owner = String;
 
-/// A message that a client hands in.
+/// A message published by a client, offered to the courier.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    /// Goes back with the answer.
+    /// Identifies the offer in [`Server::offer_answered`].
     pub token: u64,
     pub owner: Owner,
     pub publish: Publish,
-    /// It is a client's will: nobody waits for an answer, which is logged.
+    /// The message is a client's will. No client waits for the answer; a refusal is logged.
     pub will: bool,
-    /// If it is refused, it is taken on and bounced at once, on record: 3.1.1 has no refusal, and the client
-    /// reads its outcomes.
+    /// If the message would be refused, accept it and bounce it at once, with a record: 3.1.1 cannot express
+    /// a refusal, and this client subscribes to its outcomes.
     pub bounce: bool,
-    /// Its client may turn away before the answer, and counts it as not taken then. Not so at QoS 0.
+    /// Whether the client expects an acknowledgement. If it leaves before the answer, it treats the message
+    /// as not accepted. False at QoS 0.
     pub expects_ack: bool,
 }
 
+/// Something that the caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Write {
         connection: u64,
         bytes: BytesMut,
     },
-    /// To be closed once all is written.
+    /// Close the connection once all bytes have been written.
     Close {
         connection: u64,
     },
-    /// More may be read from it: see [`Server::wants_input`].
+    /// Resume reading from the connection: see [`Server::wants_input`].
     ResumeReading {
         connection: u64,
     },
-    /// Whether this client may connect: [`Server::authorized`] is owed.
+    /// Decide whether the client may connect; answer with [`Server::authorized`].
     Authorize {
         connection: u64,
         user: Option<String>,
@@ -101,59 +105,63 @@
         owner: Owner,
         will: Option<Will>,
     },
-    /// [`Server::offer_answered`] is owed.
+    /// Decide about a message; answer with [`Server::offer_answered`].
     Offer(Box<Offer>),
-    /// The client counts this offer as not taken, if it is not taken on yet.
+    /// The client treats this offer as not accepted, unless it has been accepted already.
     AbandonOffer {
         token: u64,
     },
-    /// The session's record from now on; None if there is none. [`Server::record_stored`] is owed.
+    /// Store the record of a session, or delete it if `record` is `None`; answer with
+    /// [`Server::record_stored`].
     StoreSession {
         token: u64,
         owner: Owner,
         record: Option<String>,
     },
-    /// The client has the outcome of this message.
+    /// The client has received the outcome of this message.
     OutcomeDelivered {
         message: u64,
     },
-    /// It never will have it.
+    /// The client will not receive the outcome of this message.
     OutcomeDropped {
         message: u64,
     },
-    /// A line for the operators' log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// What became of an offer.
+/// Decision about an offer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// On record; also where it had been before, or was bounced at once as [`Offer::bounce`] asks.
+    /// Accepted and stored; also if it had been accepted before, or was bounced at once as [`Offer::bounce`]
+    /// asks.
     Accepted,
-    /// Why not, as version 5 numbers it, and when to come again.
+    /// Refused, with a reason code of 5.0 and the time after which to retry.
     Refused { code: u8, reason: String, wait: Option<Duration> },
 }
 
+/// Progress of a connection.
 #[derive(Debug)]
 enum Stage {
     AwaitingConnect,
-    /// Its CONNECT is being judged; `assigned` if its id is of the server's making.
+    /// Waits for [`Server::authorized`]; `assigned` if the server generated the client id.
     Authorizing {
         connect: Box<Connect>,
         assigned: bool,
     },
-    /// Waits for its session to be on record.
+    /// Waits for the session to be stored.
     StoringSession,
     Open,
 }
 
+/// State of one connection.
 #[derive(Debug)]
 struct Connection {
     reader: Reader,
     stage: Stage,
     since: Time,
     last_received: Time,
-    /// One and a half times the keep alive.
+    /// One and a half times the keep alive; `None` if there is none.
     keep_alive_timeout: Option<Time>,
     version: Version,
     owner: Owner,
@@ -161,15 +169,15 @@
     receive_maximum: u16,
     max_packet_size: Option<u32>,
     request_problem_info: bool,
-    /// At QoS 0, being judged.
+    /// Number of undecided QoS 0 PUBLISHes.
     pending_qos0: usize,
-    /// Where it stands in the agenda.
+    /// Its entry in `Server::deadlines`.
     due: Option<Time>,
-    /// Nothing is read from it.
+    /// Reading is paused.
     paused: bool,
 }
 
-/// An offer that is being judged.
+/// An offer that waits for an answer.
 struct Pending {
     owner: Owner,
     connection: u64,
@@ -178,7 +186,7 @@
     will: bool,
 }
 
-/// What is done once a session's record is kept.
+/// What to do once the record of a session is stored.
 enum AfterStore {
     Open {
         connection: u64,
@@ -188,8 +196,8 @@
         connection: u64,
         packet: Packet,
     },
-    /// PUBCOMP, and the id is free: not before it is on record, or a message that comes under it after a crash
-    /// would be taken for a repeat.
+    /// Send PUBCOMP, which frees the packet id. The record must be stored first: otherwise, after a crash, a
+    /// new message under this id would be treated as a retransmission.
     Release {
         connection: u64,
         id: u16,
@@ -197,28 +205,31 @@
     Nothing,
 }
 
+/// What a timeout belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Connection(u64),
-    /// By number, see [`Server::timers`].
+    /// Key in [`Server::timers`].
     Session(u64),
 }
 
+/// Server state machine.
 pub struct Server {
     limits: Limits,
-    /// Unix time at the clock's origin.
+    /// Unix time at which the monotonic clock reads zero.
     origin: Duration,
-    /// Makes ids for clients that have none.
+    /// Random part of the ids assigned to clients that send none.
     nonce: u64,
     connections: HashMap<u64, Connection>,
     sessions: HashMap<Owner, Session>,
     pending: HashMap<u64, Pending>,
-    /// Whose will is being judged: its record stays until that is on record as a message.
+    /// Owners of wills that wait for an answer: the record of the session is kept until the will is stored as
+    /// a message.
     pending_wills: BTreeSet<Owner>,
     pending_stores: HashMap<u64, (Owner, AfterStore)>,
-    /// What is due when. A connection's time may be too early: then it is put in again.
+    /// Pending timeouts in order. The entry of a connection may be too early; it is then inserted again.
     deadlines: BTreeSet<(Time, Due)>,
-    /// Sessions that are due: expiry or will.
+    /// Timers of sessions: expiry and will delay.
     timers: HashMap<u64, (Owner, Time, Timer)>,
     session_timers: HashMap<Owner, BTreeMap<Timer, u64>>,
     next_token: u64,
@@ -235,12 +246,12 @@
     format!("{}/{client}", user.unwrap_or_default())
 }
 
-/// Half as long again as the keep alive [MQTT-3.1.2-22].
+/// One and a half times the keep alive [MQTT-3.1.2-22].
 fn keep_alive_timeout(keep_alive: u16) -> Option<Time> {
     (keep_alive > 0).then(|| Duration::from_millis(u64::from(keep_alive) * 1500))
 }
 
-/// The message that a will is.
+/// Converts a will to the PUBLISH that is offered.
 pub fn will_message(will: &Will) -> Publish {
     Publish {
         expiry: will.expiry,
@@ -250,7 +261,7 @@
     }
 }
 
-/// What a client whose CONNECT is refused is told in its version; None where 3.1.1 has no code and is just closed.
+/// CONNACK that refuses a CONNECT; `None` where 3.1.1 has no return code and the connection is only closed.
 pub fn refusal(version: Version, code: u8, reason: &str, properties: Properties) -> Option<Connack> {
     if version == Version::V5 {
         return Some(Connack { reason: Some(reason.to_owned()), properties, ..Connack::new(code) });
@@ -265,14 +276,14 @@
     Some(Connack::new(of))
 }
 
-/// When to come back, as a user property: seconds.
+/// User property that tells the client after how many seconds to retry.
 pub fn wait_property(wait: Option<Duration>) -> Properties {
     let of = |wait: Duration| ("retry-after".to_owned(), format!("{:.3}", wait.as_secs_f64()));
     wait.map(of).into_iter().collect()
 }
 
 impl Server {
-    /// `origin` is the Unix time at which the clock reads zero.
+    /// Creates a server without sessions; `origin` is the Unix time at which the clock reads zero.
     pub fn new(limits: Limits, origin: Duration, nonce: u64) -> Self {
         Server {
             limits,
@@ -291,22 +302,22 @@
         }
     }
 
-    /// What is to be done next.
+    /// Next effect to carry out.
     pub fn poll(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// When [`Server::handle_timeout`] is to be called.
+    /// When to call [`Server::handle_timeout`] next.
     pub fn timeout(&self) -> Option<Time> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Whether this client has a session.
+    /// Whether the client has a session.
     pub fn has_session(&self, owner: &str) -> bool {
         self.sessions.contains_key(owner)
     }
 
-    /// Bytes that sessions, connections and what waits for clients take, estimated from what is in them.
+    /// Estimated memory of sessions, connections and pending offers in bytes.
     pub fn estimated_bytes(&self) -> u64 {
         let sessions: u64 =
             self.sessions.iter().map(|(owner, s)| owner.len() as u64 + s.estimated_bytes()).sum();
@@ -315,12 +326,12 @@
         sessions + connections + self.pending.len() as u64 * PENDING_OFFER_BYTES
     }
 
-    /// Sessions, and connections.
+    /// Numbers of sessions and of connections.
     pub fn counts(&self) -> (usize, usize) {
         (self.sessions.len(), self.connections.len())
     }
 
-    /// Whether more is to be read from a connection; else what comes waits in its socket until [`Effect::ResumeReading`].
+    /// Whether to read from a connection. If not, data stays in the socket until [`Effect::ResumeReading`].
     pub fn wants_input(&mut self, connection: u64) -> bool {
         let reads = self.can_read(connection);
         if let Some(c) = self.connections.get_mut(&connection) {
@@ -337,20 +348,21 @@
             Stage::Open => {
                 let judged = self.sessions.get(&c.owner).map_or(0, |s| s.pending.len());
                 let most = usize::from(self.limits.receive_maximum);
-                // One of 5.0 that goes beyond what it was told is at fault, and must be heard to be told.
+                // A client of 5.0 that exceeds its Receive Maximum violates the protocol; its packets are
+                // read so that it can be told.
                 c.pending_qos0 < MAX_PENDING_QOS0 && (c.version == Version::V5 || judged < most)
             }
         }
     }
 
-    /// What has come on a connection.
+    /// Processes bytes received on a connection.
     pub fn received(&mut self, connection: u64, bytes: &[u8], now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         c.reader.push(bytes);
         self.process_buffered(connection, now);
     }
 
-    /// Goes on with a connection that may have waited for something.
+    /// Processes buffered packets and resumes reading if it was paused.
     fn resume_reading(&mut self, connection: u64, now: Time) {
         self.process_buffered(connection, now);
         let may = self.can_read(connection);
@@ -362,7 +374,7 @@
         }
     }
 
-    /// Works off what has come and may be read.
+    /// Processes buffered packets for as long as the connection may be read.
     fn process_buffered(&mut self, connection: u64, now: Time) {
         while self.can_read(connection) {
             let Some(c) = self.connections.get_mut(&connection) else { return };
@@ -400,7 +412,7 @@
                 Ok(())
             }
             Packet::Disconnect(disconnect) => self.disconnect(connection, &disconnect, now),
-            // Outcomes go out at QoS 1 at most.
+            // Outcomes are published at QoS 1 at most.
             Packet::Pubrec(_) | Packet::Pubcomp(_) => {
                 Err(ConnectionError::protocol("an acknowledgement of QoS 2, which was never sent"))
             }
@@ -416,7 +428,7 @@
 
     fn write(&mut self, connection: u64, packet: Packet) {
         let Some(c) = self.connections.get(&connection) else { return };
-        // What may be left out is left out for a client that wants no more than it must have [MQTT-3.1.2-29].
+        // Without Request Problem Information the client receives no optional properties [MQTT-3.1.2-29].
         let packet = match packet {
             Packet::Connack(_) | Packet::Disconnect(_) | Packet::Publish(_) => packet,
             packet if c.request_problem_info => packet,
@@ -424,17 +436,17 @@
         };
         match encode(c.version, packet, c.max_packet_size) {
             Ok(bytes) => self.effects.push_back(Effect::Write { connection, bytes }),
-            // The client takes no packet of this length, and must do without it [MQTT-3.1.2-24].
+            // The packet exceeds the Maximum Packet Size of the client and is dropped [MQTT-3.1.2-24].
             Err(error) => self.effects.push_back(Effect::Log(format!("{}: not told: {error}", c.owner))),
         }
     }
 
-    /// Ends a connection for a fault, which the client is told where its version has a way.
+    /// Ends a connection because of an error; tells the client where its version allows that.
     fn fail(&mut self, connection: u64, error: ConnectionError, now: Time) {
         self.end(connection, error.code, error.reason, Properties::new(), now);
     }
 
-    /// Does what is due by now.
+    /// Handles all timeouts that are due.
     pub fn handle_timeout(&mut self, now: Time) {
         while let Some((at, due)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             self.deadlines.remove(&(at, due));
--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! Connections from their first byte to their last: CONNECT and its answer, keep alive, wills, takeover.
+//! Connections from accept to close: CONNECT and CONNACK, keep alive, wills, session takeover.
 
 use super::{
     AfterStore, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer,
@@ -14,12 +14,13 @@
 use std::time::Duration;
 
 impl Server {
-    /// The connection that has been without a CONNECT for longest, and since when.
+    /// The oldest connection that has sent no CONNECT, and when it was accepted.
     pub fn oldest_without_connect(&self) -> Option<(u64, Time)> {
         let of = self.connections.iter().filter(|(_, c)| matches!(c.stage, Stage::AwaitingConnect));
         of.map(|(id, c)| (*id, c.since)).min_by_key(|(_, since)| *since)
     }
 
+    /// Adds a connection that was accepted.
     pub fn connection_accepted(&mut self, connection: u64, now: Time) {
         let of = Connection {
             reader: Reader::server(self.limits.max_packet_size),
@@ -41,7 +42,7 @@
         self.set_timeout(connection, now + self.limits.connect_timeout);
     }
 
-    /// Looks after a connection's silence at that time, and at no other.
+    /// Sets the timeout of a connection, replacing an earlier one.
     pub(super) fn set_timeout(&mut self, connection: u64, at: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         if let Some(due) = c.due.replace(at) {
@@ -60,10 +61,10 @@
                 self.write(connection, Packet::Disconnect(packet));
             }
             (Stage::Open, Version::V311) => {}
-            // Whoever does not speak MQTT at all is told nothing [MQTT-3.1.4-1].
+            // A peer that does not speak MQTT gets no answer [MQTT-3.1.4-1].
             (_, _) if known.is_none() && code != code::UNSUPPORTED_VERSION => {}
             (_, _) if known.is_none() => {
-                // A client of another version reads the oldest form, section 3.1.2.2 of 3.1.1.
+                // A client of an unsupported version gets a CONNACK of 3.1.1, section 3.1.2.2.
                 if let Some(c) = self.connections.get_mut(&connection) {
                     c.version = Version::V311;
                 }
@@ -93,7 +94,7 @@
         }
         let assigned = connect.client.is_empty();
         if assigned {
-            // Nobody else must be able to guess it and take its session over.
+            // The id must not be guessable, or another client could take the session over.
             connect.client = format!("auto-{:016x}{:08x}", self.nonce, self.next_token);
             self.next_token += 1;
         }
@@ -137,7 +138,7 @@
         Ok(())
     }
 
-    /// What was found out about a client; if it must not connect, why, as version 5 numbers it.
+    /// Reports whether a client may connect; if not, with a reason code of 5.0 and a reason string.
     pub fn authorized(&mut self, connection: u64, verdict: Result<(), (u8, String)>, now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         let Stage::Authorizing { connect, assigned } = std::mem::replace(&mut c.stage, Stage::StoringSession)
@@ -148,7 +149,7 @@
             return self.end(connection, code, &reason, Properties::new(), now);
         }
         let owner = c.owner.clone();
-        // A second connection of the same client takes over from the first [MQTT-3.1.4-3].
+        // A second connection of the same client takes over the session of the first [MQTT-3.1.4-3].
         if let Some(old) = self.sessions.get(&owner).and_then(|s| s.connection) {
             self.end(old, code::SESSION_TAKEN_OVER, "the client has connected again", Properties::new(), now);
         }
@@ -166,7 +167,7 @@
                 );
             }
         }
-        // Its will is not sent: the client is back before it was due [MQTT-3.1.3-9].
+        // The client has reconnected before the will delay passed, so the will is not sent [MQTT-3.1.3-9].
         self.unschedule(&owner);
         let max_session_expiry_seconds = self.limits.max_session_expiry_seconds;
         let was = self.sessions.remove(&owner);
@@ -185,7 +186,7 @@
         if let Some(keep_alive_timeout) = c.keep_alive_timeout {
             self.set_timeout(connection, now + keep_alive_timeout + Duration::from_millis(1));
         }
-        // What the client must be told beside success.
+        // Values that differ from what the client asked for or from the defaults.
         let connack = Connack {
             session_present: present,
             client: assigned.then(|| connect.client.clone()),
@@ -208,7 +209,7 @@
     pub(super) fn keep_alive(&self, connect: &Connect) -> u16 {
         let most = self.limits.max_keep_alive_seconds;
         match (connect.version, connect.keep_alive) {
-            // 3.1.1 has no way to tell a client of another one.
+            // 3.1.1 cannot tell the client about a different keep alive.
             (Version::V311, asked) => asked,
             (Version::V5, 0) => most,
             (Version::V5, asked) => asked.min(most),
@@ -220,7 +221,7 @@
         c.stage = Stage::Open;
         let owner = c.owner.clone();
         self.write(connection, Packet::Connack(connack));
-        // What was sent and not acknowledged goes again, under its id [MQTT-4.4.0-1].
+        // Unacknowledged outcomes are retransmitted under their packet ids [MQTT-4.4.0-1].
         let retransmissions: Vec<(u16, Outcome)> = match self.sessions.get(&owner) {
             Some(s) => s.unacknowledged.iter().map(|(id, o)| (*id, o.clone())).collect(),
             None => Vec::new(),
@@ -257,7 +258,7 @@
         Ok(())
     }
 
-    /// A connection has ended, whoever ended it.
+    /// Reports that a connection has ended, whichever side closed it.
     pub fn connection_lost(&mut self, connection: u64, now: Time) {
         let Some(c) = self.connections.remove(&connection) else { return };
         if let Some(due) = c.due {
@@ -270,7 +271,7 @@
         session.connection = None;
         session.gone = Some(self.origin + now);
         self.schedule_session_end(&c.owner, now);
-        // Recorded also to say since when it is gone.
+        // The record also says when the connection ended.
         if self.sessions.get(&c.owner).is_some_and(Session::is_persistent)
             && !self.pending_wills.contains(&c.owner)
         {
@@ -278,14 +279,15 @@
         }
     }
 
-    /// A session is without a connection: its will and its end come due.
+    /// Schedules the will and the expiry of a session without a connection.
     pub(super) fn schedule_session_end(&mut self, owner: &str, now: Time) {
         let Some(session) = self.sessions.get(owner) else { return };
         let unix = self.origin + now;
         let gone = session.gone.unwrap_or(unix);
         let left = |seconds: u32| now + (gone + Duration::from_secs(u64::from(seconds))).saturating_sub(unix);
         let (expiry, will) = (session.expiry, session.will.as_ref().map(|w| w.delay.min(session.expiry)));
-        // Whichever comes first, its delay or the session's end [MQTT-3.1.3-9].
+        // The will is sent after its delay or at the end of the session, whichever comes first
+        // [MQTT-3.1.3-9].
         if let Some(delay) = will {
             match delay {
                 0 => self.send_will(owner),
@@ -323,7 +325,7 @@
                     now,
                 );
             }
-            // At the very limit it is still in time.
+            // A packet received exactly at the limit is still in time.
             (_, Some(keep_alive_timeout)) => {
                 let next = (c.last_received + keep_alive_timeout).max(now) + Duration::from_millis(1);
                 self.set_timeout(connection, next);
@@ -332,13 +334,14 @@
         }
     }
 
-    /// Closes a connection to make room.
+    /// Closes a connection to free capacity.
     pub fn shed(&mut self, connection: u64, now: Time) {
         self.effects.push_back(Effect::Close { connection });
         self.connection_lost(connection, now);
     }
 
-    /// The process is about to end: every client is told, and wills that their clients left are sent.
+    /// The process is shutting down: ends all connections with a DISCONNECT where the version has one, and
+    /// sends the wills that are due.
     pub fn shutdown(&mut self, now: Time) {
         let all: Vec<u64> = self.connections.keys().copied().collect();
         for connection in all {
--- a/crates/mqtt/src/server/outcomes.rs
+++ b/crates/mqtt/src/server/outcomes.rs
@@ -1,4 +1,4 @@
-//! What clients are told of their messages: their subscription, and the outcomes on their way.
+//! Delivery of outcomes to clients: the subscription to the outcome topic and the queue of outcomes.
 
 use super::{AfterStore, Effect, MAX_OUTCOMES_IN_FLIGHT, OUTCOME_TOPIC_PREFIX, Outcome, Server, Stage};
 use crate::error::ConnectionError;
@@ -26,7 +26,7 @@
             } else if *filter != own {
                 code::NOT_AUTHORIZED
             } else {
-                // At QoS 2 nothing would be gained: an outcome that comes twice says the same.
+                // QoS 2 is downgraded to QoS 1: a duplicate outcome does no harm.
                 let granted = if *qos == Qos::AtMostOnce { Qos::AtMostOnce } else { Qos::AtLeastOnce };
                 session.subscribed = Some(granted);
                 changed = true;
@@ -61,7 +61,7 @@
             codes.push(if had { code::SUCCESS } else { code::NO_SUBSCRIPTION_EXISTED });
         }
         let gone: Vec<Outcome> = match session.subscribed {
-            // What is on its way is let go [MQTT-3.10.4-3].
+            // Outcomes already sent are completed [MQTT-3.10.4-3].
             None => session.outcomes.drain(..).collect(),
             Some(_) => Vec::new(),
         };
@@ -74,14 +74,14 @@
         Ok(())
     }
 
-    /// Whether this client reads its outcomes, now or when it comes back, and has room for one more.
+    /// Whether the client subscribes to its outcomes, connected or not, and its queue has room for one more.
     pub fn accepts_outcomes(&self, owner: &str) -> bool {
         let session = self.sessions.get(owner).filter(|s| s.subscribed.is_some());
         session.is_some_and(|s| s.outcomes.len() + s.unacknowledged.len() < self.limits.max_outcomes)
     }
 
-    /// Tells a client how its message ended. Ask [`Server::accepts_outcomes`] first. [`Effect::OutcomeDelivered`] or [`Effect::OutcomeDropped`]
-    /// follows in time.
+    /// Queues an outcome for a client. Check [`Server::accepts_outcomes`] first. [`Effect::OutcomeDelivered`]
+    /// or [`Effect::OutcomeDropped`] follows.
     pub fn queue_outcome(&mut self, owner: &str, outcome: Outcome) {
         match self.sessions.get_mut(owner).filter(|s| s.subscribed.is_some()) {
             Some(session) => session.outcomes.push_back(outcome),
@@ -133,7 +133,7 @@
         let Some(c) = self.connections.get(&connection) else { return Ok(()) };
         let owner = c.owner.clone();
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
-        // One for an id that is not in use is a repeat, and says nothing.
+        // An acknowledgement for an id that is not in use is a duplicate.
         if let Some(outcome) = session.unacknowledged.remove(&id) {
             self.effects.push_back(Effect::OutcomeDelivered { message: outcome.message });
             self.flush(&owner);
--- a/crates/mqtt/src/server/publish.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -1,4 +1,4 @@
-//! What clients hand in: PUBLISH, the offer made of it, and its acknowledgements.
+//! PUBLISH packets of clients: checks, offers to the courier, and acknowledgements.
 
 use super::{AfterStore, Answer, Effect, MAX_UNRELEASED_PACKET_IDS, Offer, Pending, Server, wait_property};
 use crate::Time;
@@ -51,14 +51,15 @@
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
         if let Some(id) = publish.id {
             if session.pending.contains_key(&id) {
-                // It came on an earlier connection and is being judged: this one hears the answer.
+                // It was received on an earlier connection and waits for an answer, which is sent on this
+                // connection.
                 return Ok(());
             }
             if session.releases.contains(&id) {
                 if publish.qos != Qos::ExactlyOnce {
                     return Err(ConnectionError::protocol("a packet id that is in use"));
                 }
-                // Known already: it is not taken on once more [MQTT-4.3.3-10].
+                // Already accepted: it is not accepted again [MQTT-4.3.3-10].
                 self.write(connection, Packet::Pubrec(Ack::new(id, code::SUCCESS)));
                 return Ok(());
             }
@@ -90,8 +91,7 @@
             return Ok(());
         };
         let Some(id) = id else {
-            self.effects
-                .push_back(Effect::Log(format!("{owner}: a message at QoS 0 is not taken: {reason}")));
+            self.effects.push_back(Effect::Log(format!("{owner}: QoS 0 message rejected: {reason}")));
             return Ok(());
         };
         let answer = Answer::Refused { code, reason: reason.to_owned(), wait: None };
@@ -127,7 +127,7 @@
         self.effects.push_back(Effect::Offer(Box::new(offer)));
     }
 
-    /// What became of an offer.
+    /// Reports the decision about an offer.
     pub fn offer_answered(&mut self, token: u64, answer: Answer, now: Time) {
         let Some(Pending { owner, connection, id, qos, will }) = self.pending.remove(&token) else { return };
         if will {
@@ -139,9 +139,8 @@
         }
         let Some(id) = id else {
             if let Answer::Refused { reason, .. } = &answer {
-                self.effects.push_back(Effect::Log(format!(
-                    "{owner}: a message without acknowledgement is not taken: {reason}"
-                )));
+                self.effects
+                    .push_back(Effect::Log(format!("{owner}: unacknowledged message rejected: {reason}")));
             }
             if let Some(c) = self.connections.get_mut(&connection) {
                 c.pending_qos0 -= 1;
@@ -151,7 +150,7 @@
         };
         let Some(session) = self.sessions.get_mut(&owner) else { return };
         session.pending.remove(&id);
-        // The client may have connected again meanwhile.
+        // The client may have reconnected in the meantime.
         let connection = session.connection;
         self.answer(&owner, connection, id, qos, answer, now);
         if let Some(connection) = connection {
@@ -195,8 +194,8 @@
                         Ack { reason: Some(reason), properties: wait_property(wait), ..Ack::new(id, code) };
                     self.write(connection, acknowledgement(ack));
                 } else {
-                    // No acknowledgement, so the client knows that it is not taken on; and a close, since else it
-                    // would wait for one. See docs/mqtt.md.
+                    // Without an acknowledgement the client knows that the message was not accepted; the
+                    // connection is closed because the client would wait for one otherwise. See docs/mqtt.md.
                     self.effects.push_back(Effect::Log(format!(
                         "{owner}: closed, since 3.1.1 has no refusal: {reason}"
                     )));
--- a/crates/mqtt/src/server/session_store.rs
+++ b/crates/mqtt/src/server/session_store.rs
@@ -1,4 +1,4 @@
-//! What of a session lasts: its record, what waits for that, and when it ends.
+//! Stored sessions: their records, the actions that wait until a record is stored, and expiry.
 
 use super::{AfterStore, Due, Effect, Server, Timer, wait_property};
 use crate::Time;
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl Server {
-    /// Takes in the record of a session of an earlier life. Its connection ended with that at the latest.
-    /// False if the record cannot be read: there is no such session then.
+    /// Restores a session from the record of an earlier process, whose end also ended the connection. Returns
+    /// false if the record is invalid; the session does not exist then.
     pub fn restore(&mut self, owner: &str, record: &str, now: Time) -> bool {
         let Some(mut session) = Session::restore(record) else { return false };
         session.gone.get_or_insert(self.origin + now);
@@ -17,7 +17,8 @@
         true
     }
 
-    /// Nothing of a session stays. `replaced` if its client begins a new one: then a will that waits is due, too.
+    /// Discards a session. `replaced` if its client starts a new one or it expires: a delayed will is sent
+    /// then.
     pub(super) fn end_session(&mut self, owner: &str, replaced: bool) {
         if replaced {
             self.send_will(owner);
@@ -69,7 +70,7 @@
         self.effects.push_back(Effect::StoreSession { token, owner: owner.to_owned(), record });
     }
 
-    /// What became of a record; if it cannot be kept, why.
+    /// Reports whether a record was stored; if not, why.
     pub fn record_stored(&mut self, token: u64, kept: Result<(), String>, now: Time) {
         let Some((owner, after)) = self.pending_stores.remove(&token) else { return };
         match kept {
@@ -97,7 +98,7 @@
                 if !connack.session_present
                     && let Some(session) = self.sessions.get_mut(owner)
                 {
-                    // It never began.
+                    // The session was not established.
                     (session.expiry, session.will) = (0, None);
                 }
                 let wait = wait_property(Some(Duration::from_secs(1)));
@@ -109,7 +110,7 @@
                     now,
                 );
             }
-            // The message itself is on record, so a repeat of it is known by its identity.
+            // The message itself is stored, so a retransmission is recognised by its identity.
             AfterStore::Write { connection, packet } => self.write(connection, packet),
             AfterStore::Release { connection, id } => {
                 if let Some(session) = self.sessions.get_mut(owner) {
