--- a/crates/mqtt/src/client_test.rs
+++ b/crates/mqtt/src/client_test.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// A client with what it asked for; the broker is played by the test.
+/// A client whose effects the test carries out; the test plays the broker.
 struct Harness {
     client: Client,
     now: Time,
@@ -55,7 +55,7 @@
         self.effects().into_iter().filter_map(of).collect()
     }
 
-    /// Hands over all that waits; what the broker reads of it.
+    /// Writes all output and returns the packets that the broker receives.
     fn read_output(&mut self) -> Vec<Packet> {
         let bytes: Vec<u8> = {
             let mut slices = Vec::new();
@@ -72,7 +72,7 @@
         self.client.received(&bytes, self.now);
     }
 
-    /// Opens the connection that was asked for; the CONNECT.
+    /// Opens the requested connection and returns the CONNECT.
     fn open(&mut self) -> Connect {
         self.broker = Reader::server(1 << 20);
         self.client.connection_opened(self.now);
@@ -96,7 +96,7 @@
         connect
     }
 
-    /// The connection breaks, and the pause behind it passes.
+    /// Loses the connection and lets the reconnect delay pass.
     fn disconnect_and_wait(&mut self) {
         self.client.connection_lost(self.now);
         self.now += 3000 * MS;
@@ -177,7 +177,7 @@
         harness.client.connection_opened(harness.now);
         assert_eq!(harness.client.poll(), Some(Effect::RecordResuming));
         assert_eq!(harness.read_output(), [], "no CONNECT before that is on record");
-        // Lost before CONNECT has left nothing is in doubt.
+        // A connection lost before the CONNECT was sent leaves nothing in doubt.
         harness.client.connection_lost(harness.now);
         assert_eq!(harness.client.poll(), Some(Effect::ClearResuming));
         harness.now += 3000 * MS;
@@ -187,7 +187,7 @@
         assert!(!connect.clean);
         harness.client.connection_lost(harness.now);
         assert_eq!(harness.ends(), [(1, AttemptResult::Lost)]);
-        // The next begins anew.
+        // The next connection starts a new session.
         harness.send(2);
         harness.now += 3000 * MS;
         harness.client.handle_timeout(harness.now);
@@ -246,7 +246,7 @@
             harness.client.bytes_written(cut, harness.now);
             harness.client.connection_lost(harness.now);
             let wanted: &[(u64, AttemptResult)] = match cut {
-                // All of it, and its fate is open.
+                // Sent completely: the result is unknown.
                 cut if cut == whole => &[],
                 _ => &[(1, AttemptResult::Unsent)],
             };
@@ -263,7 +263,7 @@
     harness.connect(false);
     harness.read_output();
     harness.effects();
-    // Heard of now and then, so that the connection is no mute one.
+    // Packets arrive now and then, so the response timeout does not apply.
     for _ in 0..4 {
         harness.now += 4000 * MS;
         harness.client.handle_timeout(harness.now);
@@ -285,7 +285,7 @@
     harness.client.handle_timeout(harness.now);
     assert_eq!(harness.ends(), [(1, AttemptResult::TimedOut)]);
     assert_eq!(harness.client.in_use(), 1);
-    // Another begins, so that the session must be kept.
+    // Another message is published, so the session must be kept.
     let other = harness.send(2);
     assert_ne!(other, id);
     assert_eq!(published(&harness.read_output()), [(other, false)]);
@@ -329,7 +329,7 @@
         harness.reply(Packet::Puback(Ack::new(b, 0)));
         harness.reply(Packet::Puback(Ack::new(999, 0)));
         assert_eq!(harness.ends(), [(2, AttemptResult::Delivered)]);
-        // The next does not take the id that is free again.
+        // The next message does not reuse the freed packet id.
         let c = harness.send(3);
         assert!(c != a && c != b);
         harness.read_output();
@@ -364,7 +364,7 @@
             "{lie:?} {effects:?}"
         );
     }
-    // An acknowledgement before its PUBLISH has left.
+    // An acknowledgement before the PUBLISH was sent.
     let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
     harness.send(1);
     harness.connect(false);
@@ -410,7 +410,7 @@
     let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
     let ids: Vec<u16> = (0..200).map(|n| harness.send(n)).collect();
     harness.connect(false);
-    // So much is handed over that the 64 of one call are, and some bytes of the next.
+    // All 64 chunks of one vectored write are written, and some bytes of the next.
     assert_eq!(published(&harness.read_output()).len(), 64);
     harness.client.bytes_written(3, harness.now);
     harness.effects();
@@ -421,7 +421,7 @@
     assert_eq!(ends[0], (0, AttemptResult::Busy { wait: Some(told) }));
     let taken_back: BTreeSet<u64> = ends.iter().map(|(m, _)| *m).collect();
     assert_eq!(taken_back, std::iter::once(0).chain(65..200).collect(), "all but those that had begun");
-    // What had begun goes out to its end, and nothing else.
+    // The partly written PUBLISH is completed, and nothing else is sent.
     harness.broker = Reader::server(1 << 20);
     let rest: usize = {
         let mut slices = Vec::new();
@@ -430,7 +430,7 @@
         slices[0].len()
     };
     harness.client.bytes_written(rest, harness.now);
-    // A new one within the wait is turned away with what is left of it.
+    // A new message during the wait is rejected with the remaining wait.
     harness.now += 500 * MS;
     harness.send(500);
     assert_eq!(harness.ends(), [(500, AttemptResult::Busy { wait: Some(Duration::from_millis(2000)) })]);
@@ -444,7 +444,7 @@
 }
 
 impl Harness {
-    /// As [`Play::take`], where the broker's reader was begun anew behind the CONNECT.
+    /// Like [`Harness::read_output`], for a broker whose reader was recreated after the CONNECT.
     fn take_all(&mut self) -> Vec<Packet> {
         self.broker = Reader::client(self.version, 1 << 20);
         self.read_output()
@@ -460,7 +460,7 @@
     harness.reply(Packet::Connack(Box::new(Connack { receive_maximum: 3, ..Connack::new(0) })));
     assert_eq!(published(&harness.read_output()).len(), 3, "[MQTT-3.3.4-7]");
     harness.effects();
-    // The place is free with PUBCOMP, or a PUBREC that refuses [MQTT-4.9.0-1].
+    // A PUBCOMP frees a place in the Receive Maximum, and so does a PUBREC with an error [MQTT-4.9.0-1].
     harness.reply(Packet::Pubrec(Ack::new(ids[0], 0)));
     harness.client.pubrec_recorded(ids[0], harness.now);
     assert_eq!(published(&harness.read_output()).len(), 0);
@@ -538,7 +538,7 @@
         harness.reply(Packet::Connack(Box::new(Connack { reference, ..Connack::new(code) })));
         assert_eq!(harness.ends(), [(1, end)], "0x{code:02X}");
     }
-    // With publishes on their way their fate stays open.
+    // PUBLISHes in flight stay unresolved.
     let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
     let id = harness.send(1);
     harness.connect(false);
@@ -562,7 +562,7 @@
         let again = harness.read_output();
         assert_eq!(published(&again), [(7, true)]);
         assert!(again.contains(&Packet::Pubrel(Ack::new(9, 0))));
-        // Its PUBCOMP was lost with the earlier life, so a broker of 5.0 knows the id no more.
+        // The PUBCOMP was lost with the earlier process, so a 5.0 broker no longer knows the packet id.
         let code = if version == Version::V5 { code::PACKET_ID_NOT_FOUND } else { code::SUCCESS };
         harness.reply(Packet::Pubcomp(Ack::new(9, code)));
         assert_eq!(harness.client.reserve(), Some(10), "no id that a late acknowledgement may name");
@@ -595,7 +595,7 @@
     harness.now += 1000 * MS;
     harness.client.handle_timeout(harness.now);
     assert!(harness.ends().contains(&(1, AttemptResult::Unsent)));
-    // And one that the broker's bound keeps waiting was turned away, and not the connection.
+    // A message that waits for the Receive Maximum ends as busy, not as a failed connection.
     let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
     harness.send(1);
     harness.send(2);
--- a/crates/mqtt/src/frame_test.rs
+++ b/crates/mqtt/src/frame_test.rs
@@ -85,14 +85,14 @@
     }
 }
 
-/// What a server says to these bytes, sent first.
+/// Reason code for these bytes as the first packet of a connection to a server.
 fn refused(bytes: &[u8]) -> u8 {
     let mut reader = Reader::server(1000);
     reader.push(bytes);
     reader.packet().expect_err("refused").code
 }
 
-/// The same behind a CONNECT.
+/// The same for bytes that follow a CONNECT.
 fn refused_later(version: Version, bytes: &[u8]) -> u8 {
     let mut reader = Reader::server(1000);
     reader.push(&write(version, &Packet::Connect(Box::new(Connect::new(version, "c")))));
@@ -113,12 +113,12 @@
     // [MQTT-3.1.2-1] [MQTT-3.1.2-2]
     assert_eq!(refused(b"\x10\x0c\x00\x04MQTX\x04\x02\x00\x3c\x00\x00"), code::UNSUPPORTED_VERSION);
     assert_eq!(refused(b"\x10\x0c\x00\x04MQTT\x06\x02\x00\x3c\x00\x00"), code::UNSUPPORTED_VERSION);
-    // [MQTT-3.1.2-3] and a will's flags without a will: [MQTT-3.1.2-11] [MQTT-3.1.2-13] [MQTT-3.1.2-15]
+    // [MQTT-3.1.2-3]; will flags without a will: [MQTT-3.1.2-11] [MQTT-3.1.2-13] [MQTT-3.1.2-15]
     for flags in [0x03u8, 0x0a, 0x22, 0x42] {
         let connect = [b"\x10\x0c\x00\x04MQTT\x04", &[flags][..], b"\x00\x3c\x00\x00"].concat();
         assert_eq!(refused(&connect), code::MALFORMED_PACKET, "{flags:02x}");
     }
-    // [MQTT-3.1.3-8] of 3.1.1: no id, and a session to be kept.
+    // [MQTT-3.1.3-8] of 3.1.1: empty client id without a clean session.
     assert_eq!(refused(b"\x10\x0c\x00\x04MQTT\x04\x00\x00\x3c\x00\x00"), code::CLIENT_ID_NOT_VALID);
 }
 
@@ -130,7 +130,7 @@
     assert_eq!(refused(b"\x10\xff\xff\xff\xff\x01"), code::MALFORMED_PACKET);
     for version in [Version::V311, Version::V5] {
         assert_eq!(refused_later(version, b"\x30\xff\x7f"), code::PACKET_TOO_LARGE);
-        // A topic that is longer than its packet.
+        // A topic length beyond the end of the packet.
         assert_eq!(refused_later(version, b"\x30\x04\x00\x09ab"), code::MALFORMED_PACKET);
     }
 }
@@ -156,7 +156,7 @@
             b"\x38\x04\x00\x01a\x00",
             // [MQTT-2.2.1-3] packet id 0
             b"\x32\x06\x00\x01a\x00\x00\x00",
-            // [MQTT-1.5.4-1] no UTF-8, [MQTT-1.5.4-2] U+0000
+            // [MQTT-1.5.4-1] invalid UTF-8, [MQTT-1.5.4-2] U+0000
             b"\x30\x04\x00\x01\xff\x00",
             b"\x30\x05\x00\x02a\x00\x00",
             b"\xc0\x01\x00",
@@ -171,7 +171,7 @@
     for bad in [&b"\x82\x06\x00\x01\x00\x01a\x04"[..], b"\xe0\x01\x00", b"\xf0\x00"] {
         assert_eq!(refused_later(Version::V311, bad), code::MALFORMED_PACKET, "{bad:02x?}");
     }
-    // 5.0: a property twice, one that the packet has not, a topic alias of 0
+    // 5.0: a duplicate property, a property that this packet may not have, a topic alias of 0
     for bad in [
         &b"\x30\x0e\x00\x01a\x0a\x02\x00\x00\x00\x01\x02\x00\x00\x00\x01"[..],
         b"\x30\x06\x00\x01a\x02\x24\x01",
@@ -192,7 +192,7 @@
     // [MQTT-3.4.2-2]
     let short = encode(Version::V5, Packet::Puback(ack.clone()), Some(20)).expect("written");
     assert!(short.len() <= 20);
-    // [MQTT-3.1.2-24]; a bound that the codec itself could not bear.
+    // [MQTT-3.1.2-24]; a limit so small that it makes the codec underflow.
     for most in 1..5 {
         let error = encode(Version::V5, Packet::Puback(ack.clone()), Some(most)).expect_err("too long");
         assert_eq!(error.code, code::PACKET_TOO_LARGE);
--- a/crates/mqtt/src/server_test.rs
+++ b/crates/mqtt/src/server_test.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// The server with its clients played by the test. Everything that it asks for is granted unless a test says else.
+/// The server; the test plays the clients. Every effect is granted unless a test says otherwise.
 struct Harness {
     server: Server,
     now: Time,
@@ -29,7 +29,7 @@
     offers: Vec<Offer>,
     abandoned: Vec<u64>,
     records: BTreeMap<Owner, String>,
-    /// Records are kept at once.
+    /// Whether records are stored immediately.
     store_immediately: bool,
     pending_stores: Vec<u64>,
     delivered: Vec<u64>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A connection that has said nothing yet.
+    /// Opens a connection without sending a CONNECT.
     fn open(&mut self, version: Version) -> u64 {
         let connection = self.next;
         self.next += 1;
@@ -187,7 +187,8 @@
         assert!(offer.expects_ack && harness.take_received(c).is_empty(), "[MQTT-4.3.2-4]");
         harness.answer_offer(offer.token, Answer::Accepted);
         assert_eq!(harness.take_received(c), [Packet::Puback(Ack::new(5, 0))]);
-        // QoS 2: PUBREC, then PUBREL and PUBCOMP; a PUBLISH under an id that waits for its PUBREL is a repeat.
+        // QoS 2: PUBREC, then PUBREL and PUBCOMP; a PUBLISH under a packet id that waits for its PUBREL is a
+        // retransmission.
         harness.publish(c, version, Qos::ExactlyOnce, Some(6));
         let offer = harness.take_offer();
         harness.answer_offer(offer.token, Answer::Accepted);
@@ -197,10 +198,10 @@
         assert_eq!(harness.take_received(c), [Packet::Pubrec(Ack::new(6, 0))]);
         harness.send(c, version, Packet::Pubrel(Ack::new(6, 0)));
         assert_eq!(harness.take_received(c), [Packet::Pubcomp(Ack::new(6, 0))]);
-        // The id is free now.
+        // The packet id is free now.
         harness.publish(c, version, Qos::ExactlyOnce, Some(6));
         assert_eq!(harness.offers.len(), 1);
-        // QoS 0 is answered by nothing, and its client may leave.
+        // QoS 0 has no acknowledgement, and the client may disconnect.
         harness.offers.clear();
         harness.publish(c, version, Qos::AtMostOnce, None);
         assert!(!harness.take_offer().expects_ack);
@@ -223,7 +224,7 @@
         assert_eq!((ack.id, ack.code, ack.reason.as_deref()), (id, 0x97, Some("full")));
         assert_eq!(ack.properties, [("retry-after".to_owned(), "1.500".to_owned())]);
     }
-    // Refused, the id is free: it may come again [MQTT-4.3.3-9].
+    // After a refusal the packet id is free and may be used again [MQTT-4.3.3-9].
     harness.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
     assert_eq!(harness.offers.len(), 1);
     let mut harness = Harness::new();
@@ -233,7 +234,7 @@
     assert!(!offer.bounce);
     harness.answer_offer(offer.token, refused());
     assert_eq!((harness.take_received(c), harness.closed.clone()), (vec![], vec![c]), "[MQTT-3.3.5-2]");
-    // One that reads its outcomes has it taken on and bounced.
+    // For a client that subscribes to its outcomes the message is accepted and bounced.
     let (c, _) = harness.connect(Connect::new(Version::V311, "van"));
     assert_eq!(harness.subscribe(c, Version::V311, "$stairshed/outcomes/van"), 1);
     harness.publish(c, Version::V311, Qos::AtLeastOnce, Some(5));
@@ -253,7 +254,7 @@
     harness.server.record_stored(token, Ok(()), harness.now);
     harness.apply_effects();
     assert!(matches!(harness.take_received(c)[..], [Packet::Connack(_)]));
-    // So are packet ids at QoS 2, taken and released: PUBREC and PUBCOMP wait for that.
+    // QoS 2 packet ids are stored too, when accepted and when released: PUBREC and PUBCOMP wait for that.
     harness.publish(c, Version::V5, Qos::ExactlyOnce, Some(6));
     let offer = harness.take_offer();
     harness.answer_offer(offer.token, Answer::Accepted);
@@ -271,7 +272,7 @@
     harness.server.record_stored(token, Err("full".to_owned()), harness.now);
     harness.apply_effects();
     assert!(matches!(harness.take_received(c)[..], [Packet::Disconnect(Disconnect { code: 0x89, .. })]));
-    // It is still known when the client comes back.
+    // The packet id is still known when the client reconnects.
     harness.store_immediately = true;
     let (c, connack) = harness.connect(lasting(Version::V5, "van"));
     assert!(connack.session_present);
@@ -291,7 +292,7 @@
         harness.answer_offer(offer.token, Answer::Accepted);
         harness.take_received(c);
         harness.subscribe(c, version, "$stairshed/outcomes/van");
-        // The process dies; PUBREC may not have arrived.
+        // The process is killed; PUBREC may not have arrived.
         let records = harness.records.clone();
         let mut harness = Harness::new();
         for (owner, record) in &records {
@@ -326,14 +327,15 @@
                 [Packet::Disconnect(Disconnect { code: 0x8E, .. })]
             ));
         }
-        // It publishes again, with DUP and the same id, while the first is being judged.
+        // The client retransmits with DUP and the same packet id while the first PUBLISH waits for a
+        // decision.
         let publish = Publish::new("fuel/pay", Qos::AtLeastOnce, Some(5), Bytes::from_static(b"42"));
         harness.send(b, version, Packet::Publish(Box::new(Publish { dup: true, ..publish })));
         assert!(harness.offers.is_empty(), "it is one message");
         harness.answer_offer(offer.token, Answer::Accepted);
         assert_eq!(harness.take_received(b), [Packet::Puback(Ack::new(5, 0))]);
         assert!(harness.abandoned.is_empty());
-        // A clean start instead leaves the message: nobody is owed an answer.
+        // A clean start abandons the message: nobody expects an answer.
         harness.publish(b, version, Qos::AtLeastOnce, Some(7));
         let offer = harness.take_offer();
         let (c, connack) = harness.connect(Connect::new(version, "van"));
@@ -379,7 +381,7 @@
     let (a, _) = harness.connect(lasting(Version::V5, "a"));
     harness.send(a, Version::V5, Packet::Disconnect(Disconnect { expiry: Some(0), ..Disconnect::new(0) }));
     assert_eq!(harness.server.counts(), (0, 0));
-    // One that was to end cannot be prolonged, section 3.14.2.2.2.
+    // A session with expiry 0 cannot be prolonged, section 3.14.2.2.2.
     let (b, _) = harness.connect(Connect::new(Version::V5, "b"));
     harness.send(b, Version::V5, Packet::Disconnect(Disconnect { expiry: Some(9), ..Disconnect::new(0) }));
     assert!(matches!(harness.take_received(b)[..], [Packet::Disconnect(Disconnect { code: 0x82, .. })]));
@@ -492,7 +494,7 @@
         harness.send(c, version, Packet::Disconnect(Disconnect::new(0)));
         assert!(harness.offers.is_empty() && harness.records.is_empty(), "[MQTT-3.14.4-3]");
     }
-    // Of an earlier life.
+    // A session restored from an earlier process.
     let mut harness = Harness::new();
     harness.connect(Connect { will: Some(will(0)), ..Connect::new(Version::V311, "van") });
     let records = harness.records.clone();
@@ -500,7 +502,7 @@
     assert!(harness.server.restore("/van", &records["/van"], harness.now));
     harness.apply_effects();
     assert!(harness.take_offer().will);
-    // With a delay: back in time it is not sent, else it is [MQTT-3.1.3-9].
+    // With a will delay: not sent if the client reconnects in time, else sent [MQTT-3.1.3-9].
     let with_delay = || Connect { will: Some(will(30)), ..lasting(Version::V5, "van") };
     let mut harness = Harness::new();
     let (c, _) = harness.connect(with_delay());
@@ -512,7 +514,7 @@
     harness.lose_connection(c);
     harness.advance_time(Duration::from_secs(30));
     assert!(harness.take_offer().will);
-    // With DISCONNECT 0x04 it is sent.
+    // After DISCONNECT with code 0x04 the will is sent.
     let (c, _) = harness.connect(Connect { will: Some(will(0)), ..Connect::new(Version::V5, "w") });
     harness.send(c, Version::V5, Packet::Disconnect(Disconnect::new(code::DISCONNECT_WITH_WILL)));
     assert!(harness.take_offer().will);
@@ -560,7 +562,7 @@
             ));
         }
     }
-    // One that asks for none is told another, where its version has a way [MQTT-3.2.2-21].
+    // A client that asks for no keep alive is given one, where its version can express it [MQTT-3.2.2-21].
     let mut harness = Harness::new();
     assert_eq!(harness.connect(Connect::new(Version::V5, "a")).1.keep_alive, Some(300));
     let (c, _) = harness.connect(Connect::new(Version::V311, "b"));
@@ -610,16 +612,16 @@
         assert!(said && harness.closed == [c], "{packet:?}: {received_packets:?}");
         assert!(harness.offers.is_empty());
     }
-    // 3.1.1 has no way to say it [MQTT-4.8.0-1].
+    // 3.1.1 cannot express the reason [MQTT-4.8.0-1].
     let mut harness = Harness::new();
     let (c, _) = harness.connect(Connect::new(Version::V311, "van"));
     harness.send(c, Version::V311, Packet::Connect(Box::new(Connect::new(Version::V311, "van"))));
     assert_eq!((harness.take_received(c), harness.closed.clone()), (vec![], vec![c]), "[MQTT-3.1.0-2]");
-    // Before a CONNECT nobody is told anything.
+    // Nothing is sent before a CONNECT has been received.
     let c = harness.open(Version::V5);
     harness.send_bytes(c, b"\xc0\x00");
     assert_eq!((harness.take_received(c), harness.closed.last()), (vec![], Some(&c)), "[MQTT-3.1.0-1]");
-    // A version that is not spoken is told so in the oldest form [MQTT-3.1.2-2].
+    // An unsupported version gets a CONNACK of 3.1.1 [MQTT-3.1.2-2].
     let c = harness.open(Version::V311);
     harness.send_bytes(c, b"\x10\x0c\x00\x04MQTT\x06\x02\x00\x3c\x00\x00");
     assert!(matches!(&harness.take_received(c)[..], [Packet::Connack(a)] if a.code == 1));
@@ -642,7 +644,7 @@
     let token = harness.offers[0].token;
     harness.answer_offer(token, Answer::Accepted);
     assert_eq!(harness.offers.len(), 9, "what had come is worked off");
-    // At QoS 0 there is no such number, and a bound all the same.
+    // QoS 0 has no Receive Maximum, but a limit of its own applies.
     let mut harness = Harness::new();
     let (c, _) = harness.connect(Connect::new(Version::V5, "van"));
     (0..MAX_PENDING_QOS0 + 5).for_each(|_| harness.publish(c, Version::V5, Qos::AtMostOnce, None));
--- a/crates/mqtt/tests/conformance.rs
+++ b/crates/mqtt/tests/conformance.rs
@@ -1,4 +1,5 @@
-//! docs/mqtt-conformance.md against the tests: each statement that it calls kept is named by the test that it names.
+//! Checks docs/mqtt-conformance.md against the tests: the comment of each test names the statements that the
+//! page assigns to it.
 
 use std::path::Path;
 
@@ -17,7 +18,7 @@
         let (file, test) = (parts.next().expect("a file"), parts.next().expect("a test"));
         let text = std::fs::read_to_string(root.join(file)).expect(file);
         let at = text.find(&format!("fn {test}()")).unwrap_or_else(|| panic!("{file} has no {test}"));
-        // The comment in front of it, from the end of what stands before.
+        // The comment above the test, starting at the end of the preceding item.
         let head = &text[text[..at].rfind("}\n").unwrap_or(0)..at];
         let of = head.split("// Of ").find(|part| part.starts_with(version)).unwrap_or_default();
         for id in ids.split(", ") {
--- a/crates/mqtt/tests/drops.rs
+++ b/crates/mqtt/tests/drops.rs
@@ -1,6 +1,8 @@
-//! The client against a broker in memory that drops connections at any byte, with restarts of both between: what the
-//! protocol can promise happens once, and the rest ends as one that may have run. A command plays more:
-//! `MQTT_SEED=N MQTT_DROPS=N cargo test -p stairshed-mqtt --test drops`.
+//! Runs the client against an in-memory broker with connections dropped at random bytes and restarts of the
+//! client process, at QoS 1 and 2 in both versions. Guards against messages that take effect twice, and against
+//! messages that took effect but are reported as not sent.
+//!
+//! For a longer run: `MQTT_SEED=N MQTT_DROPS=N cargo test -p stairshed-mqtt --test drops`.
 
 use bytes::Bytes;
 use rand::rngs::SmallRng;
@@ -17,18 +19,18 @@
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
 }
 
-/// A broker of one client, as the specification has it: method A of figure 4.3, the message is passed on with its
-/// PUBLISH.
+/// A broker for one client that follows the specification: with method A of figure 4.3 a message is forwarded
+/// when its PUBLISH is received.
 #[derive(Default)]
 struct Broker {
     session: bool,
     received: BTreeSet<u16>,
-    /// Messages by their payload, and how often each took effect.
+    /// How often each message took effect, by the number in its payload.
     effects: BTreeMap<u64, u32>,
 }
 
 impl Broker {
-    /// What it answers to a packet.
+    /// Handles a packet and returns the answer.
     fn handle(&mut self, packet: Packet) -> Option<Packet> {
         match packet {
             Packet::Connect(connect) => {
@@ -67,7 +69,8 @@
     }
 }
 
-/// What outlasts the client's process: packet ids in use, each with its message and whether PUBREC has come.
+/// State stored across restarts of the client: packet ids in use, each with its message and whether PUBREC
+/// has been received.
 type Record = BTreeMap<u16, (u64, bool)>;
 
 struct Simulation {
@@ -78,12 +81,12 @@
     client: Client,
     broker: Broker,
     record: Record,
-    /// That a session is being resumed is on record, too.
+    /// Whether the stored state says that a session is being resumed.
     resuming: bool,
     ends: BTreeMap<u64, Vec<AttemptResult>>,
     next: u64,
     drops: u64,
-    /// Whether brokers lose sessions in this world.
+    /// Whether the broker loses sessions.
     loses_sessions: bool,
 }
 
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Does what the client asks for; whether it wants a connection.
+    /// Carries out the effects of the client; returns whether it asked to open and to close a connection.
     fn apply_effects(&mut self) -> (bool, bool) {
         let (mut open, mut close) = (false, false);
         while let Some(effect) = self.client.poll() {
@@ -164,12 +167,12 @@
         (open, close)
     }
 
-    /// The client's process dies and another takes its place.
+    /// Kills the client process and starts another one.
     fn restart(&mut self) {
         self.client = client(self.version);
         if std::mem::take(&mut self.resuming) {
             for (number, _) in std::mem::take(&mut self.record).into_values() {
-                // Those that had ended only kept their id from use.
+                // Messages that had ended only blocked their packet id.
                 self.ends.entry(number).or_insert_with(|| vec![AttemptResult::Lost]);
             }
         }
@@ -179,7 +182,7 @@
         }
     }
 
-    /// One connection, until it is dropped at a random byte of either way.
+    /// Runs one connection until it is dropped at a random byte in either direction.
     fn connection(&mut self) {
         self.client.connection_opened(self.now);
         self.apply_effects();
@@ -194,7 +197,8 @@
                 self.client.output(&mut slices);
                 slices.iter().flat_map(|s| s.to_vec()).collect()
             };
-            // A part is handed over, and perhaps less of it arrives: the rest was in the kernel's hands.
+            // Part of the output is written, and less of it may arrive: the rest was lost in the kernel
+            // buffer.
             let over = bytes.len().min(left);
             self.client.bytes_written(over, self.now);
             left -= over;
@@ -241,7 +245,7 @@
                 self.broker.lose_session();
             }
         }
-        // In the end the network is calm, and all that is open comes to its end.
+        // Finally no more faults occur, and every open message must end.
         for _ in 0..200 {
             if self.record.is_empty() {
                 return;
@@ -302,7 +306,7 @@
         }
     }
 
-    /// Ends and effects of every message that was handed in, by end.
+    /// Counts messages by result and by how often they took effect (0, 1, more).
     fn count(&self) -> BTreeMap<String, [u32; 3]> {
         let mut count = BTreeMap::<String, [u32; 3]>::new();
         for number in 0..self.next {
@@ -348,7 +352,8 @@
     run(Qos::ExactlyOnce, false, |end, [none, once, more]| match end {
         "Delivered" => assert_eq!((*none, *more), (0, 0), "of {once}"),
         "Unsent" => assert_eq!((*once, *more), (0, 0), "of {none}"),
-        // No session was lost, but a CONNACK, or the word of whether a PUBLISH had left, with the process.
+        // No session was lost; but a CONNACK was, or the process ended before recording whether a PUBLISH had
+        // been sent.
         "Lost" => assert_eq!(*more, 0, "of {none} and {once}"),
         other => panic!("ended as {other}"),
     });
--- a/crates/mqtt/tests/hostile.rs
+++ b/crates/mqtt/tests/hostile.rs
@@ -1,7 +1,7 @@
-//! Bytes that nobody would send: packets that are broken in one place or many, in pieces of any size, to the reader, the
-//! server and the client. Nothing panics, and no more is kept than one packet and one read.
+//! Sends invalid input to the reader, the server and the client: packets with one or more corrupted bytes, in
+//! pieces of any size. Guards against panics and against buffering more than one packet and one read.
 //!
-//! `MQTT_SEED=N MQTT_INPUTS=N cargo test --release -p stairshed-mqtt --test hostile` plays more.
+//! For a longer run: `MQTT_SEED=N MQTT_INPUTS=N cargo test --release -p stairshed-mqtt --test hostile`.
 
 use bytes::Bytes;
 use rand::rngs::SmallRng;
@@ -87,12 +87,12 @@
     }
 }
 
-/// Some packets, mostly sound, with some bytes changed, cut out or put in.
+/// Some packets, mostly valid, with some bytes changed, removed or inserted.
 fn stream(rng: &mut SmallRng, version: Version, first: Option<Packet>) -> Vec<u8> {
     let mut bytes: Vec<u8> = Vec::new();
     let rest: Vec<Packet> = (0..rng.random_range(0..6)).map(|_| packet(rng, version)).collect();
     for packet in first.into_iter().chain(rest) {
-        // Some cannot be written, such as a reason code that the packet has not.
+        // Some cannot be encoded, such as a reason code that the packet type does not have.
         bytes.extend(encode(version, packet, None).unwrap_or_default());
     }
     for _ in 0..[0, 0, 1, 1, 2, 8][rng.random_range(0..6)] {
