--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -386,8 +386,8 @@
             if !chunk.bytes.is_empty() {
                 return;
             }
-            let whole = self.chunks.pop_front().and_then(|c| c.publish);
-            if let Some(attempt) = whole.and_then(|id| self.attempts.get_mut(&id)) {
+            let completed = self.chunks.pop_front().and_then(|c| c.publish);
+            if let Some(attempt) = completed.and_then(|id| self.attempts.get_mut(&id)) {
                 attempt.stage = Stage::Sent;
                 attempt.awaiting_since = now;
             }
@@ -404,15 +404,15 @@
         let ConnectionState::Connecting { since } = self.state else { return };
         // Without unresolved attempts the session is not needed. If it still holds packet ids from an earlier
         // process, the broker would treat a new message under such an id as a retransmission.
-        let nothing_open = !self.attempts.values().any(|f| may_have_reached_broker(f) && !f.abandoned);
-        let unknown = !self.session_known || self.attempts.values().any(|f| f.abandoned);
+        let none_unresolved = !self.attempts.values().any(|f| may_have_reached_broker(f) && !f.abandoned);
+        let may_hold_old_ids = !self.session_known || self.attempts.values().any(|f| f.abandoned);
         let clean = match self.options.version {
-            Version::V5 => nothing_open,
+            Version::V5 => none_unresolved,
             // A clean session of 3.1.1 ends with its connection and cannot be resumed; one is started only to
             // discard the old session.
-            Version::V311 => nothing_open && unknown,
+            Version::V311 => none_unresolved && may_hold_old_ids,
         };
-        if nothing_open {
+        if none_unresolved {
             return self.send_connect(since, clean, now);
         }
         self.state = ConnectionState::RecordingResuming { since };
@@ -428,17 +428,17 @@
     }
 
     fn send_connect(&mut self, since: Time, clean: bool, now: Time) {
-        let o = &self.options;
+        let options = &self.options;
         let connect = Connect {
             clean,
-            keep_alive: o.keep_alive,
-            expiry: o.expiry,
-            user: o.user.clone(),
-            password: o.password.clone(),
+            keep_alive: options.keep_alive,
+            expiry: options.expiry,
+            user: options.user.clone(),
+            password: options.password.clone(),
             max_packet_size: Some(MAX_PACKET_BYTES as u32),
-            ..Connect::new(o.version, &o.client)
+            ..Connect::new(options.version, &options.client)
         };
-        self.reader = Reader::client(o.version, MAX_PACKET_BYTES);
+        self.reader = Reader::client(options.version, MAX_PACKET_BYTES);
         self.state = ConnectionState::AwaitingConnack { since, clean };
         (self.last_received, self.last_write, self.ping_sent_at) = (now, now, None);
         self.write(Packet::Connect(Box::new(connect)), None);
@@ -460,8 +460,8 @@
 
     /// Handles the end of a connection. Messages that were not written completely have not taken effect.
     fn connection_ended(&mut self, now: Time) {
-        let greeting = matches!(self.state, ConnectionState::AwaitingConnack { .. });
-        if self.resuming_on_record && greeting && self.chunks.front().is_none_or(|c| c.started) {
+        let awaiting_connack = matches!(self.state, ConnectionState::AwaitingConnack { .. });
+        if self.resuming_on_record && awaiting_connack && self.chunks.front().is_none_or(|c| c.started) {
             self.effects.push_back(Effect::Log(
                 "connection ended before the CONNACK of a resumed session; treating the session as lost"
                     .to_owned(),
@@ -471,9 +471,9 @@
         }
         self.clear_resuming_record();
         self.chunks.clear();
-        let partly_written: Vec<u16> =
+        let unsent_ids: Vec<u16> =
             self.attempts.iter().filter(|(_, f)| f.stage == Stage::Writing).map(|(id, _)| *id).collect();
-        for id in partly_written {
+        for id in unsent_ids {
             self.ended(id, AttemptResult::Unsent);
         }
         self.state = ConnectionState::Backoff { until: (now + self.backoff).max(self.wait_until) };
@@ -488,8 +488,9 @@
 
     /// Closes the connection; sends a DISCONNECT if `code` is given and no packet is partly written.
     fn close(&mut self, code: Option<u8>) {
-        let between = self.chunks.front().is_none_or(|c| !c.started);
-        let packet = code.filter(|_| between).map(|code| Packet::Disconnect(Disconnect::new(code)));
+        let at_packet_boundary = self.chunks.front().is_none_or(|c| !c.started);
+        let packet =
+            code.filter(|_| at_packet_boundary).map(|code| Packet::Disconnect(Disconnect::new(code)));
         let final_bytes = packet.and_then(|p| encode(self.options.version, p, self.max_packet_size).ok());
         self.effects.push_back(Effect::Close { final_bytes: final_bytes.unwrap_or_default() });
     }
@@ -511,7 +512,7 @@
         }
         self.reader.push(bytes);
         loop {
-            let done = match self.reader.packet() {
+            let result = match self.reader.packet() {
                 Ok(None) => break,
                 Ok(Some(packet)) => {
                     self.last_received = now;
@@ -520,7 +521,7 @@
                 }
                 Err(error) => Err(error),
             };
-            if let Err(error) = done {
+            if let Err(error) = result {
                 let text = format!("the broker is at fault: {error}");
                 self.effects.push_back(Effect::Log(text));
                 let up = self.state == ConnectionState::Connected && self.options.version == Version::V5;
@@ -831,10 +832,10 @@
 
     /// Ends attempts that have waited too long for a connection or for an acknowledgement.
     fn expire_attempts(&mut self, now: Time) {
-        let late = |f: &Attempt| now >= f.until && !f.abandoned;
+        let past_deadline = |f: &Attempt| now >= f.until && !f.abandoned;
         let unsent = |f: &Attempt| now >= f.until.min(f.queued_at + self.options.connect_timeout);
         let expired: Vec<u16> =
-            self.attempts.iter().filter(|(_, f)| late(f) || unsent(f)).map(|(id, _)| *id).collect();
+            self.attempts.iter().filter(|(_, f)| past_deadline(f) || unsent(f)).map(|(id, _)| *id).collect();
         for id in expired {
             let Some(attempt) = self.attempts.get(&id) else { continue };
             match attempt.stage {
--- a/crates/mqtt/src/client_test.rs
+++ b/crates/mqtt/src/client_test.rs
@@ -39,7 +39,7 @@
     }
 
     fn send(&mut self, number: u64) -> u16 {
-        let id = self.client.reserve().expect("an id");
+        let id = self.client.reserve().expect("a free packet id");
         let message = self.message(number);
         self.client.publish(id, message, self.now);
         id
@@ -64,11 +64,11 @@
         };
         self.client.bytes_written(bytes.len(), self.now);
         self.broker.push(&bytes);
-        std::iter::from_fn(|| self.broker.packet().expect("sound")).collect()
+        std::iter::from_fn(|| self.broker.packet().expect("a valid packet")).collect()
     }
 
     fn reply(&mut self, packet: Packet) {
-        let bytes = encode(self.version, packet, None).expect("written");
+        let bytes = encode(self.version, packet, None).expect("encodable");
         self.client.received(&bytes, self.now);
     }
 
@@ -90,7 +90,7 @@
             self.now += MS;
             self.client.handle_timeout(self.now);
             let again = self.open();
-            assert!(!again.clean, "the second begins a session that lasts");
+            assert!(!again.clean, "the second CONNECT starts a session that is kept");
             self.reply(Packet::Connack(Box::new(Connack::new(0))));
         }
         connect
@@ -130,7 +130,7 @@
         harness.effects();
         harness.reply(Packet::Pubrec(Ack::new(id, 0)));
         assert_eq!(harness.effects(), [Effect::RecordPubrec { id, message: 1 }]);
-        assert_eq!(harness.read_output(), [], "no PUBREL before it is on record");
+        assert_eq!(harness.read_output(), [], "PUBREL sent before PUBREC was recorded");
         harness.client.pubrec_recorded(id, harness.now);
         assert_eq!(harness.read_output(), [Packet::Pubrel(Ack::new(id, 0))]);
         harness.reply(Packet::Pubcomp(Ack::new(id, 0)));
@@ -152,10 +152,14 @@
         harness.client.pubrec_recorded(a, harness.now);
         harness.effects();
         harness.disconnect_and_wait();
-        assert_eq!(harness.effects(), [Effect::Open], "its fate is open: no end, and nothing new");
+        assert_eq!(
+            harness.effects(),
+            [Effect::Open],
+            "the attempt is unresolved: no result, and nothing new is sent"
+        );
         assert!(!harness.connect(true).clean);
         let again = harness.read_output();
-        assert_eq!(again[0], Packet::Pubrel(Ack::new(a, 0)), "never a new PUBLISH [MQTT-4.3.3-6]");
+        assert_eq!(again[0], Packet::Pubrel(Ack::new(a, 0)), "no new PUBLISH after PUBREC [MQTT-4.3.3-6]");
         assert_eq!(published(&again), [(b, true)], "the same packet with DUP [MQTT-3.3.1-1]");
         harness.reply(Packet::Pubcomp(Ack::new(a, code::SUCCESS)));
         harness.reply(Packet::Pubrec(Ack::new(b, 0)));
@@ -176,7 +180,7 @@
         harness.effects();
         harness.client.connection_opened(harness.now);
         assert_eq!(harness.client.poll(), Some(Effect::RecordResuming));
-        assert_eq!(harness.read_output(), [], "no CONNECT before that is on record");
+        assert_eq!(harness.read_output(), [], "CONNECT sent before the resumption was recorded");
         // A connection lost before the CONNECT was sent leaves nothing in doubt.
         harness.client.connection_lost(harness.now);
         assert_eq!(harness.client.poll(), Some(Effect::ClearResuming));
@@ -199,7 +203,7 @@
 #[test]
 fn at_qos_1_nothing_goes_again_once_its_key_is_forgotten() {
     let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
-    let id = harness.client.reserve().expect("an id");
+    let id = harness.client.reserve().expect("a free packet id");
     let message = Message { retransmit_until: harness.now + 1000 * MS, ..harness.message(1) };
     harness.client.publish(id, message, harness.now);
     harness.connect(false);
@@ -268,7 +272,7 @@
         harness.now += 4000 * MS;
         harness.client.handle_timeout(harness.now);
         harness.reply(Packet::Pingresp);
-        assert_eq!(harness.ends(), [], "nothing ends while its fate is open");
+        assert_eq!(harness.ends(), [], "an unresolved attempt has no result yet");
     }
     harness.reply(Packet::Puback(Ack::new(id, 0)));
     assert_eq!(harness.ends(), [(1, AttemptResult::Delivered)]);
@@ -293,7 +297,11 @@
     harness.now += 100 * MS;
     harness.client.handle_timeout(harness.now);
     harness.connect(true);
-    assert_eq!(published(&harness.read_output()), [(other, true)], "not the one that has ended");
+    assert_eq!(
+        published(&harness.read_output()),
+        [(other, true)],
+        "only the message that has not ended is retransmitted"
+    );
     harness.reply(Packet::Puback(Ack::new(other, 0)));
     assert!(harness.ends().contains(&(2, AttemptResult::Delivered)));
 }
@@ -305,8 +313,8 @@
     harness.connect(false);
     harness.read_output();
     harness.effects();
-    let at = harness.client.timeout().expect("a time");
-    assert_eq!(at, harness.now + 5000 * MS, "its patience");
+    let at = harness.client.timeout().expect("a timeout");
+    assert_eq!(at, harness.now + 5000 * MS, "the response timeout");
     harness.now = at;
     harness.client.handle_timeout(harness.now);
     assert_eq!(harness.effects(), [Effect::Close { final_bytes: BytesMut::new() }]);
@@ -419,8 +427,8 @@
     let told = Duration::from_millis(2500);
     let ends = harness.ends();
     assert_eq!(ends[0], (0, AttemptResult::Busy { wait: Some(told) }));
-    let taken_back: BTreeSet<u64> = ends.iter().map(|(m, _)| *m).collect();
-    assert_eq!(taken_back, std::iter::once(0).chain(65..200).collect(), "all but those that had begun");
+    let withdrawn: BTreeSet<u64> = ends.iter().map(|(m, _)| *m).collect();
+    assert_eq!(withdrawn, std::iter::once(0).chain(65..200).collect(), "all except those already in flight");
     // The partly written PUBLISH is completed, and nothing else is sent.
     harness.broker = Reader::server(1 << 20);
     let rest: usize = {
@@ -476,7 +484,7 @@
 fn all_packet_ids_may_be_in_flight_and_the_next_waits_for_a_free_one() {
     let mut harness = Harness::new(Version::V5, Qos::AtLeastOnce);
     for n in 0..65_535u64 {
-        let id = harness.client.reserve().expect("an id");
+        let id = harness.client.reserve().expect("a free packet id");
         let message = harness.message(n);
         harness.client.insert(id, message, Stage::Sent, harness.now);
     }
@@ -494,7 +502,7 @@
     harness.connect(false);
     harness.read_output();
     harness.client.cancel(1);
-    assert_eq!(harness.ends(), [], "it is on its way, and no cancel ends it");
+    assert_eq!(harness.ends(), [], "a message in flight is not cancelled");
     harness.reply(Packet::Puback(Ack::new(a, 0)));
     assert_eq!(harness.ends(), [(1, AttemptResult::Delivered)]);
 }
@@ -508,7 +516,7 @@
     harness.effects();
     harness.client.drain_from(harness.now + 900 * MS, harness.now);
     let b = harness.send(2);
-    assert_eq!(published(&harness.read_output()), [(b, false)], "within the grace");
+    assert_eq!(published(&harness.read_output()), [(b, false)], "sent within the drain grace");
     harness.now += 900 * MS;
     harness.client.handle_timeout(harness.now);
     harness.send(3);
@@ -565,7 +573,7 @@
         // The PUBCOMP was lost with the earlier process, so a 5.0 broker no longer knows the packet id.
         let code = if version == Version::V5 { code::PACKET_ID_NOT_FOUND } else { code::SUCCESS };
         harness.reply(Packet::Pubcomp(Ack::new(9, code)));
-        assert_eq!(harness.client.reserve(), Some(10), "no id that a late acknowledgement may name");
+        assert_eq!(harness.client.reserve(), Some(10), "an id that no late acknowledgement can name");
         assert_eq!(harness.ends(), [(2, AttemptResult::Delivered)]);
     }
 }
@@ -583,7 +591,7 @@
     harness.now = harness.client.timeout().expect("the keep alive");
     harness.client.handle_timeout(harness.now);
     assert_eq!(harness.read_output(), [Packet::Pingreq], "[MQTT-3.1.2-20]");
-    harness.now = harness.client.timeout().expect("the answer's limit");
+    harness.now = harness.client.timeout().expect("the PINGRESP timeout");
     harness.client.handle_timeout(harness.now);
     assert!(matches!(harness.effects()[..], [Effect::Close { .. }]));
 }
--- a/crates/mqtt/src/frame.rs
+++ b/crates/mqtt/src/frame.rs
@@ -212,11 +212,11 @@
 fn write(version: Version, packet: Packet) -> Result<BytesMut, ConnectionError> {
     let mut out = BytesMut::new();
     // The codec's own limit on outgoing packets is not used: a small limit makes it underflow.
-    let done = match version {
+    let result = match version {
         Version::V311 => rmqtt_codec::v3::Codec::new(0).encode(convert::to_v3(packet)?, &mut out),
         Version::V5 => rmqtt_codec::v5::Codec::new(0, 0).encode(convert::to_v5(packet)?, &mut out),
     };
-    done.map_err(|_| ConnectionError {
+    result.map_err(|_| ConnectionError {
         code: code::PACKET_TOO_LARGE,
         reason: "a field that is too long to be written",
     })?;
--- a/crates/mqtt/src/server.rs
+++ b/crates/mqtt/src/server.rs
@@ -266,20 +266,20 @@
     if version == Version::V5 {
         return Some(Connack { reason: Some(reason.to_owned()), properties, ..Connack::new(code) });
     }
-    let of = match code {
+    let return_code = match code {
         code::CLIENT_ID_NOT_VALID => 2,
         code::BAD_USER_OR_PASSWORD => 4,
         code::MALFORMED_PACKET | code::PROTOCOL_ERROR => return None,
         code::SERVER_UNAVAILABLE | code::SERVER_BUSY | code::QUOTA_EXCEEDED => 3,
         _ => 5,
     };
-    Some(Connack::new(of))
+    Some(Connack::new(return_code))
 }
 
 /// User property that tells the client after how many seconds to retry.
 pub fn wait_property(wait: Option<Duration>) -> Properties {
-    let of = |wait: Duration| ("retry-after".to_owned(), format!("{:.3}", wait.as_secs_f64()));
-    wait.map(of).into_iter().collect()
+    let property = |wait: Duration| ("retry-after".to_owned(), format!("{:.3}", wait.as_secs_f64()));
+    wait.map(property).into_iter().collect()
 }
 
 impl Server {
@@ -346,11 +346,11 @@
             Stage::AwaitingConnect => true,
             Stage::Authorizing { .. } | Stage::StoringSession => false,
             Stage::Open => {
-                let judged = self.sessions.get(&c.owner).map_or(0, |s| s.pending.len());
-                let most = usize::from(self.limits.receive_maximum);
+                let pending = self.sessions.get(&c.owner).map_or(0, |s| s.pending.len());
+                let max_pending = usize::from(self.limits.receive_maximum);
                 // A client of 5.0 that exceeds its Receive Maximum violates the protocol; its packets are
                 // read so that it can be told.
-                c.pending_qos0 < MAX_PENDING_QOS0 && (c.version == Version::V5 || judged < most)
+                c.pending_qos0 < MAX_PENDING_QOS0 && (c.version == Version::V5 || pending < max_pending)
             }
         }
     }
@@ -454,8 +454,8 @@
                 Due::Connection(connection) => self.check_keep_alive(connection, now),
                 Due::Session(number) => {
                     let Some((owner, _, timer)) = self.timers.remove(&number) else { continue };
-                    if let Some(of) = self.session_timers.get_mut(&owner) {
-                        of.remove(&timer);
+                    if let Some(timers) = self.session_timers.get_mut(&owner) {
+                        timers.remove(&timer);
                     }
                     match timer {
                         Timer::Will => self.send_will(&owner),
--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -170,8 +170,8 @@
         // The client has reconnected before the will delay passed, so the will is not sent [MQTT-3.1.3-9].
         self.unschedule(&owner);
         let max_session_expiry_seconds = self.limits.max_session_expiry_seconds;
-        let was = self.sessions.remove(&owner);
-        let mut session = was.unwrap_or_else(|| Session::new(&connect.client, connect.version));
+        let existing = self.sessions.remove(&owner);
+        let mut session = existing.unwrap_or_else(|| Session::new(&connect.client, connect.version));
         session.version = connect.version;
         session.expiry = connect.expiry.min(max_session_expiry_seconds);
         session.connection = Some(connection);
@@ -283,21 +283,23 @@
     pub(super) fn schedule_session_end(&mut self, owner: &str, now: Time) {
         let Some(session) = self.sessions.get(owner) else { return };
         let unix = self.origin + now;
-        let gone = session.gone.unwrap_or(unix);
-        let left = |seconds: u32| now + (gone + Duration::from_secs(u64::from(seconds))).saturating_sub(unix);
+        let disconnected_at = session.gone.unwrap_or(unix);
+        let due_at = |seconds: u32| {
+            now + (disconnected_at + Duration::from_secs(u64::from(seconds))).saturating_sub(unix)
+        };
         let (expiry, will) = (session.expiry, session.will.as_ref().map(|w| w.delay.min(session.expiry)));
         // The will is sent after its delay or at the end of the session, whichever comes first
         // [MQTT-3.1.3-9].
         if let Some(delay) = will {
             match delay {
                 0 => self.send_will(owner),
-                delay => self.schedule(owner, left(delay), Timer::Will),
+                delay => self.schedule(owner, due_at(delay), Timer::Will),
             }
         }
         match expiry {
             0 => self.end_session(owner, false),
             u32::MAX => {}
-            expiry => self.schedule(owner, left(expiry), Timer::Expiry),
+            expiry => self.schedule(owner, due_at(expiry), Timer::Expiry),
         }
     }
 
--- a/crates/mqtt/src/server/outcomes.rs
+++ b/crates/mqtt/src/server/outcomes.rs
@@ -12,7 +12,7 @@
         let Some(c) = self.connections.get(&connection) else { return Ok(()) };
         let (owner, version) = (c.owner.clone(), c.version);
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
-        let own = format!("{OUTCOME_TOPIC_PREFIX}{}", session.client);
+        let outcome_topic = format!("{OUTCOME_TOPIC_PREFIX}{}", session.client);
         let (mut codes, mut changed) = (Vec::new(), false);
         for (filter, qos) in &subscribe.filters {
             let refused = if !topic::is_filter(filter) {
@@ -23,7 +23,7 @@
                 code::WILDCARDS_NOT_SUPPORTED
             } else if subscribe.has_subscription_id {
                 code::SUBSCRIPTION_IDS_NOT_SUPPORTED
-            } else if *filter != own {
+            } else if *filter != outcome_topic {
                 code::NOT_AUTHORIZED
             } else {
                 // QoS 2 is downgraded to QoS 1: a duplicate outcome does no harm.
@@ -36,7 +36,8 @@
             codes.push(if version == Version::V5 { refused } else { code::SUBACK_FAILURE });
         }
         let refused = codes.iter().any(|c| *c >= 0x80);
-        let reason = refused.then(|| format!("the courier is no broker: {own} is all that can be read here"));
+        let reason = refused
+            .then(|| format!("the courier is no broker: {outcome_topic} is all that can be read here"));
         let packet = Packet::Suback { id: subscribe.id, codes, reason };
         match changed && session.is_persistent() {
             true => self.store(&owner, AfterStore::Write { connection, packet }),
@@ -54,18 +55,18 @@
         let Some(c) = self.connections.get(&connection) else { return Ok(()) };
         let owner = c.owner.clone();
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
-        let own = format!("{OUTCOME_TOPIC_PREFIX}{}", session.client);
+        let outcome_topic = format!("{OUTCOME_TOPIC_PREFIX}{}", session.client);
         let mut codes = Vec::new();
         for filter in filters {
-            let had = *filter == own && session.subscribed.take().is_some();
-            codes.push(if had { code::SUCCESS } else { code::NO_SUBSCRIPTION_EXISTED });
+            let was_subscribed = *filter == outcome_topic && session.subscribed.take().is_some();
+            codes.push(if was_subscribed { code::SUCCESS } else { code::NO_SUBSCRIPTION_EXISTED });
         }
-        let gone: Vec<Outcome> = match session.subscribed {
+        let dropped: Vec<Outcome> = match session.subscribed {
             // Outcomes already sent are completed [MQTT-3.10.4-3].
             None => session.outcomes.drain(..).collect(),
             Some(_) => Vec::new(),
         };
-        self.effects.extend(gone.into_iter().map(|o| Effect::OutcomeDropped { message: o.message }));
+        self.effects.extend(dropped.into_iter().map(|o| Effect::OutcomeDropped { message: o.message }));
         let packet = Packet::Unsuback { id, codes };
         match self.sessions.get(&owner).is_some_and(Session::is_persistent) {
             true => self.store(&owner, AfterStore::Write { connection, packet }),
--- a/crates/mqtt/src/server/publish.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -46,7 +46,7 @@
             });
         }
         let owner = c.owner.clone();
-        let most = usize::from(limits.receive_maximum);
+        let max_in_flight = usize::from(limits.receive_maximum);
         let v5 = c.version == Version::V5;
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
         if let Some(id) = publish.id {
@@ -63,7 +63,7 @@
                 self.write(connection, Packet::Pubrec(Ack::new(id, code::SUCCESS)));
                 return Ok(());
             }
-            if v5 && session.pending.len() + session.releases.len() >= most {
+            if v5 && session.pending.len() + session.releases.len() >= max_in_flight {
                 return Err(ConnectionError {
                     code: code::RECEIVE_MAXIMUM_EXCEEDED,
                     reason: "more PUBLISHes than the Receive Maximum",
--- a/crates/mqtt/src/server_test.rs
+++ b/crates/mqtt/src/server_test.rs
@@ -64,9 +64,9 @@
         while let Some(effect) = self.server.poll() {
             match effect {
                 Effect::Write { connection, bytes } => {
-                    let reader = self.readers.get_mut(&connection).expect("a connection");
+                    let reader = self.readers.get_mut(&connection).expect("an open connection");
                     reader.push(&bytes);
-                    while let Some(packet) = reader.packet().expect("sound") {
+                    while let Some(packet) = reader.packet().expect("a valid packet") {
                         self.received_packets.entry(connection).or_default().push(packet);
                     }
                 }
@@ -106,7 +106,7 @@
     }
 
     fn send(&mut self, connection: u64, version: Version, packet: Packet) {
-        let bytes = encode(version, packet, None).expect("written");
+        let bytes = encode(version, packet, None).expect("encodable");
         self.send_bytes(connection, &bytes);
     }
 
@@ -219,7 +219,7 @@
         let offer = harness.take_offer();
         harness.answer_offer(offer.token, refused());
         let (Packet::Puback(ack) | Packet::Pubrec(ack)) = harness.take_received(c).remove(0) else {
-            panic!("no ack")
+            panic!("no acknowledgement")
         };
         assert_eq!((ack.id, ack.code, ack.reason.as_deref()), (id, 0x97, Some("full")));
         assert_eq!(ack.properties, [("retry-after".to_owned(), "1.500".to_owned())]);
@@ -266,7 +266,7 @@
     harness.send(c, Version::V5, Packet::Pubrel(Ack::new(6, 0)));
     assert!(
         harness.take_received(c).is_empty(),
-        "a crash now must not leave an id that is free for its client"
+        "PUBCOMP sent before the record was stored: after a crash the id would still count as in use"
     );
     let token = harness.pending_stores.remove(0);
     harness.server.record_stored(token, Err("full".to_owned()), harness.now);
@@ -303,7 +303,7 @@
         assert!(connack.session_present, "[MQTT-3.2.2-3]");
         harness.take_received(c);
         harness.publish(c, version, Qos::ExactlyOnce, Some(6));
-        assert!(harness.offers.is_empty(), "no second one");
+        assert!(harness.offers.is_empty(), "a retransmission is not offered again");
         assert_eq!(harness.take_received(c), [Packet::Pubrec(Ack::new(6, 0))]);
         harness.send(c, version, Packet::Pubrel(Ack::new(6, 0)));
         assert_eq!(harness.take_received(c), [Packet::Pubcomp(Ack::new(6, 0))]);
@@ -331,7 +331,7 @@
         // decision.
         let publish = Publish::new("fuel/pay", Qos::AtLeastOnce, Some(5), Bytes::from_static(b"42"));
         harness.send(b, version, Packet::Publish(Box::new(Publish { dup: true, ..publish })));
-        assert!(harness.offers.is_empty(), "it is one message");
+        assert!(harness.offers.is_empty(), "both PUBLISHes are one message");
         harness.answer_offer(offer.token, Answer::Accepted);
         assert_eq!(harness.take_received(b), [Packet::Puback(Ack::new(5, 0))]);
         assert!(harness.abandoned.is_empty());
@@ -370,7 +370,7 @@
             (0, 0),
             "3.1.1 is held to the longest time"
         );
-        assert_eq!(harness.dropped, [3], "its outcomes are told to nobody");
+        assert_eq!(harness.dropped, [3], "outcomes of the discarded session are dropped");
         assert!(!harness.server.accepts_outcomes("/b"));
     }
 }
@@ -400,7 +400,7 @@
     }
     assert!(
         !harness.server.accepts_outcomes("/van"),
-        "the bound: a slow reader takes no more memory than that"
+        "the limit on queued outcomes bounds the memory of a slow client"
     );
     harness.apply_effects();
     let out = |packets: Vec<Packet>| -> Vec<(Bytes, u16, bool)> {
@@ -410,7 +410,7 @@
         packets.into_iter().filter_map(of).collect()
     };
     let first = out(harness.take_received(c));
-    assert_eq!(first.len(), 2, "its Receive Maximum [MQTT-3.3.4-9]");
+    assert_eq!(first.len(), 2, "limited by the Receive Maximum of the client [MQTT-3.3.4-9]");
     harness.send(c, Version::V5, Packet::Puback(Ack::new(first[0].1, 0)));
     assert_eq!(harness.delivered, [1]);
     assert_eq!(out(harness.take_received(c)).len(), 1);
@@ -483,11 +483,11 @@
     for version in BOTH {
         let mut harness = Harness::new();
         let (c, _) = harness.connect(Connect { will: Some(will(0)), ..Connect::new(version, "van") });
-        assert_eq!(harness.records.len(), 1, "a crash must not swallow it");
+        assert_eq!(harness.records.len(), 1, "the will must survive a crash");
         harness.lose_connection(c);
         let offer = harness.take_offer();
         assert!(offer.will && offer.publish.topic == "gone/van", "[MQTT-3.1.2-8]");
-        assert_eq!(harness.records.len(), 1, "until it is a message on record");
+        assert_eq!(harness.records.len(), 1, "the record stays until the will is stored as a message");
         harness.answer_offer(offer.token, Answer::Accepted);
         assert!(harness.records.is_empty());
         let (c, _) = harness.connect(Connect { will: Some(will(0)), ..Connect::new(version, "van") });
@@ -550,7 +550,7 @@
         let mut harness = Harness::new();
         let (c, _) = harness.connect(Connect { keep_alive: 10, ..Connect::new(version, "van") });
         harness.advance_time(15_000 * MS);
-        assert!(harness.closed.is_empty(), "at the very limit");
+        assert!(harness.closed.is_empty(), "a packet exactly at the limit is in time");
         harness.send(c, version, Packet::Pingreq);
         assert_eq!(harness.take_received(c), [Packet::Pingresp], "[MQTT-3.12.4-1]");
         harness.advance_time(15_001 * MS);
@@ -640,10 +640,10 @@
     let (c, _) = harness.connect(Connect::new(Version::V311, "van"));
     (1..=9).for_each(|id| harness.publish(c, Version::V311, Qos::AtLeastOnce, Some(id)));
     assert_eq!(harness.offers.len(), 8);
-    assert!(!harness.server.wants_input(c), "nothing more is read");
+    assert!(!harness.server.wants_input(c), "reading is paused");
     let token = harness.offers[0].token;
     harness.answer_offer(token, Answer::Accepted);
-    assert_eq!(harness.offers.len(), 9, "what had come is worked off");
+    assert_eq!(harness.offers.len(), 9, "buffered packets are processed");
     // QoS 0 has no Receive Maximum, but a limit of its own applies.
     let mut harness = Harness::new();
     let (c, _) = harness.connect(Connect::new(Version::V5, "van"));
@@ -706,7 +706,7 @@
     let (_, connack) = harness.connect(of("b"));
     assert!(
         !connack.session_present && harness.closed.len() == before,
-        "nobody takes over another user's session"
+        "a session of another user is not taken over"
     );
     // An exchange of AUTH packets is refused [MQTT-4.12.0-1].
     let (_, connack) =
@@ -721,7 +721,7 @@
     harness.connect(lasting(Version::V5, "b"));
     assert_eq!(harness.connect(lasting(Version::V5, "c")).1.code, 0x97);
     assert_eq!(harness.connect(lasting(Version::V311, "c")).1.code, 3);
-    assert!(harness.connect(lasting(Version::V5, "a")).1.session_present, "those that are there come back");
+    assert!(harness.connect(lasting(Version::V5, "a")).1.session_present, "existing sessions can be resumed");
 }
 
 #[test]
--- a/crates/mqtt/src/session_test.rs
+++ b/crates/mqtt/src/session_test.rs
@@ -17,7 +17,7 @@
         utf8: false,
         properties: vec![("id".to_owned(), "x".to_owned())],
     });
-    let again = Session::restore(&session.record()).expect("it reads");
+    let again = Session::restore(&session.record()).expect("a valid record");
     assert_eq!(again.record(), session.record());
     assert_eq!((again.will, again.releases), (session.will, session.releases));
     assert!(Session::restore("{}").is_none());
--- a/crates/mqtt/tests/drops.rs
+++ b/crates/mqtt/tests/drops.rs
@@ -44,9 +44,9 @@
                 Some(Packet::Connack(Box::new(Connack { session_present, ..Connack::new(0) })))
             }
             Packet::Publish(publish) => {
-                let id = publish.id.expect("an id");
-                let fresh = publish.qos != Qos::ExactlyOnce || self.received.insert(id);
-                if fresh {
+                let id = publish.id.expect("a packet id");
+                let first_delivery = publish.qos != Qos::ExactlyOnce || self.received.insert(id);
+                if first_delivery {
                     let message = u64::from_be_bytes(publish.payload[..8].try_into().expect("a number"));
                     *self.effects.entry(message).or_default() += 1;
                 }
@@ -188,7 +188,7 @@
         self.apply_effects();
         let (mut reader, mut left) = (Reader::server(1 << 20), self.rng.random_range(0..400usize));
         let mut answers: Vec<u8> = Vec::new();
-        let died = loop {
+        let closed_by_client = loop {
             if self.rng.random_ratio(1, 3) {
                 self.publish_next();
             }
@@ -199,30 +199,30 @@
             };
             // Part of the output is written, and less of it may arrive: the rest was lost in the kernel
             // buffer.
-            let over = bytes.len().min(left);
-            self.client.bytes_written(over, self.now);
-            left -= over;
+            let written = bytes.len().min(left);
+            self.client.bytes_written(written, self.now);
+            left -= written;
             let lost = left == 0 && self.rng.random_bool(0.5);
-            let arrives = if lost { self.rng.random_range(0..=over) } else { over };
-            reader.push(&bytes[..arrives]);
-            while let Some(packet) = reader.packet().expect("sound") {
+            let arrived = if lost { self.rng.random_range(0..=written) } else { written };
+            reader.push(&bytes[..arrived]);
+            while let Some(packet) = reader.packet().expect("a valid packet") {
                 let answer =
-                    self.broker.handle(packet).map(|p| encode(self.version, p, None).expect("written"));
+                    self.broker.handle(packet).map(|p| encode(self.version, p, None).expect("encodable"));
                 answers.extend(answer.unwrap_or_default());
             }
             if left == 0 {
                 break false;
             }
-            let back = answers.len().min(left);
-            left -= back;
-            let rest = answers.split_off(back);
-            let heard = std::mem::replace(&mut answers, rest);
-            self.client.received(&heard, self.now);
+            let delivered_bytes = answers.len().min(left);
+            left -= delivered_bytes;
+            let rest = answers.split_off(delivered_bytes);
+            let received = std::mem::replace(&mut answers, rest);
+            self.client.received(&received, self.now);
             let (_, close) = self.apply_effects();
             if close {
                 break true;
             }
-            if left == 0 || (bytes.is_empty() && heard.is_empty() && self.rng.random_ratio(1, 4)) {
+            if left == 0 || (bytes.is_empty() && received.is_empty() && self.rng.random_ratio(1, 4)) {
                 break false;
             }
         };
@@ -230,7 +230,7 @@
         if self.rng.random_ratio(1, 10) {
             return self.restart();
         }
-        if !died {
+        if !closed_by_client {
             self.client.connection_lost(self.now);
         }
     }
@@ -252,7 +252,7 @@
             }
             self.step_without_faults();
         }
-        panic!("never at an end: {:?}", self.record);
+        panic!("messages that never ended: {:?}", self.record);
     }
 
     fn wait_for_open(&mut self) -> bool {
@@ -289,9 +289,9 @@
             };
             self.client.bytes_written(bytes.len(), self.now);
             reader.push(&bytes);
-            while let Some(packet) = reader.packet().expect("sound") {
+            while let Some(packet) = reader.packet().expect("a valid packet") {
                 if let Some(answer) = self.broker.handle(packet) {
-                    let bytes = encode(self.version, answer, None).expect("written");
+                    let bytes = encode(self.version, answer, None).expect("encodable");
                     self.client.received(&bytes, self.now);
                 }
             }
--- a/crates/mqtt/tests/hostile.rs
+++ b/crates/mqtt/tests/hostile.rs
@@ -180,7 +180,7 @@
             _ => {}
         }
     }
-    panic!("it never comes to rest");
+    panic!("the server does not stop emitting effects");
 }
 
 fn broker(rng: &mut SmallRng) {
@@ -258,7 +258,11 @@
                 Err(_) => return,
             }
         }
-        assert!(reader.buffered_bytes() <= MAX_PACKET_BYTES, "{} bytes are kept", reader.buffered_bytes());
+        assert!(
+            reader.buffered_bytes() <= MAX_PACKET_BYTES,
+            "{} bytes are buffered",
+            reader.buffered_bytes()
+        );
     }
 }
 
