--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -765,10 +765,10 @@
             )));
         }
         self.ended(ack.id, end);
-        if let Some(told) = wait.filter(|_| matches!(end, AttemptResult::Busy { .. })) {
+        if let Some(delay) = wait.filter(|_| matches!(end, AttemptResult::Busy { .. })) {
             // Messages in flight continue; nothing new is sent.
             self.delay_new_attempts(wait, now);
-            self.withdraw_all_unsent(AttemptResult::Busy { wait: Some(told) });
+            self.withdraw_all_unsent(AttemptResult::Busy { wait: Some(delay) });
         }
     }
 
--- a/crates/mqtt/src/client_test.rs
+++ b/crates/mqtt/src/client_test.rs
@@ -46,8 +46,9 @@
     }
 
     fn effects(&mut self) -> Vec<Effect> {
-        let told = |e: &Effect| !matches!(e, Effect::Log(_) | Effect::RecordResuming | Effect::ClearResuming);
-        std::iter::from_fn(|| self.client.poll()).filter(told).collect()
+        let not_bookkeeping =
+            |e: &Effect| !matches!(e, Effect::Log(_) | Effect::RecordResuming | Effect::ClearResuming);
+        std::iter::from_fn(|| self.client.poll()).filter(not_bookkeeping).collect()
     }
 
     fn ends(&mut self) -> Vec<(u64, AttemptResult)> {
@@ -424,9 +425,9 @@
     harness.effects();
     let wait = vec![("retry-after".to_owned(), "2.5".to_owned())];
     harness.reply(Packet::Puback(Ack { properties: wait, ..Ack::new(ids[0], code::QUOTA_EXCEEDED) }));
-    let told = Duration::from_millis(2500);
+    let retry_after_delay = Duration::from_millis(2500);
     let ends = harness.ends();
-    assert_eq!(ends[0], (0, AttemptResult::Busy { wait: Some(told) }));
+    assert_eq!(ends[0], (0, AttemptResult::Busy { wait: Some(retry_after_delay) }));
     let withdrawn: BTreeSet<u64> = ends.iter().map(|(m, _)| *m).collect();
     assert_eq!(withdrawn, std::iter::once(0).chain(65..200).collect(), "all except those already in flight");
     // The partly written PUBLISH is completed, and nothing else is sent.
