--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -1,9 +1,6 @@
-//! Connections from their first byte to their last: CONNECT and its answer, keep alive, wills, takeover.
+//! Connections from accept to close: CONNECT and CONNACK, keep alive, wills, session takeover.
 
-use super::{
-    After, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer, owner,
-    refusal, silence, wait_property, will_message,
-};
+use super::{AfterStore, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer, owner, refusal, keep_alive_timeout, wait_property, will_message};
 use crate::Time;
 use crate::error::ConnectionError;
 use crate::frame::Reader;
@@ -14,40 +11,41 @@
 use std::time::Duration;
 
 impl Server {
-    /// The connection that has been without a CONNECT for longest, and since when.
+    /// The oldest connection that has sent no CONNECT, and when it was accepted.
     pub fn oldest_without_connect(&self) -> Option<(u64, Time)> {
-        let of = self.connections.iter().filter(|(_, c)| matches!(c.stage, Stage::New));
+        let of = self.connections.iter().filter(|(_, c)| matches!(c.stage, Stage::AwaitingConnect));
         of.map(|(id, c)| (*id, c.since)).min_by_key(|(_, since)| *since)
     }
 
+    /// Adds a connection that was accepted.
     pub fn connection_accepted(&mut self, connection: u64, now: Time) {
         let of = Connection {
             reader: Reader::server(self.limits.max_packet_size),
-            stage: Stage::New,
+            stage: Stage::AwaitingConnect,
             since: now,
-            heard: now,
-            silence: None,
+            last_received: now,
+            keep_alive_timeout: None,
             version: Version::V5,
             owner: Owner::new(),
             aliases: HashMap::new(),
             receive_maximum: u16::MAX,
             max_packet_size: None,
             request_problem_info: true,
-            loose: 0,
+            pending_qos0: 0,
             due: None,
             paused: false,
         };
         self.connections.insert(connection, of);
-        self.look_after(connection, now + self.limits.connect_timeout);
+        self.set_timeout(connection, now + self.limits.connect_timeout);
     }
 
-    /// Looks after a connection's silence at that time, and at no other.
-    pub(super) fn look_after(&mut self, connection: u64, at: Time) {
+    /// Sets the timeout of a connection, replacing an earlier one.
+    pub(super) fn set_timeout(&mut self, connection: u64, at: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         if let Some(due) = c.due.replace(at) {
-            self.agenda.remove(&(due, Due::Connection(connection)));
+            self.deadlines.remove(&(due, Due::Connection(connection)));
         }
-        self.agenda.insert((at, Due::Connection(connection)));
+        self.deadlines.insert((at, Due::Connection(connection)));
     }
 
     pub(super) fn end(&mut self, connection: u64, code: u8, reason: &str, properties: Properties, now: Time) {
@@ -60,10 +58,10 @@
                 self.write(connection, Packet::Disconnect(packet));
             }
             (Stage::Open, Version::V311) => {}
-            // Whoever does not speak MQTT at all is told nothing [MQTT-3.1.4-1].
+            // A peer that does not speak MQTT gets no answer [MQTT-3.1.4-1].
             (_, _) if known.is_none() && code != code::UNSUPPORTED_VERSION => {}
             (_, _) if known.is_none() => {
-                // A client of another version reads the oldest form, section 3.1.2.2 of 3.1.1.
+                // A client of an unsupported version gets a CONNACK of 3.1.1, section 3.1.2.2.
                 if let Some(c) = self.connections.get_mut(&connection) {
                     c.version = Version::V311;
                 }
@@ -93,9 +91,9 @@
         }
         let assigned = connect.client.is_empty();
         if assigned {
-            // Nobody else must be able to guess it and take its session over.
-            connect.client = format!("auto-{:016x}{:08x}", self.nonce, self.next);
-            self.next += 1;
+            // The id must not be guessable, or another client could take the session over.
+            connect.client = format!("auto-{:016x}{:08x}", self.nonce, self.next_token);
+            self.next_token += 1;
         }
         if connect.client.len() > MAX_CLIENT_ID_BYTES || connect.client.contains(['+', '#', '/']) {
             return Err(ConnectionError {
@@ -132,22 +130,23 @@
         let owner = owner(connect.user.as_deref(), &connect.client);
         let (user, password, will) = (connect.user.clone(), connect.password.take(), connect.will.clone());
         c.owner = owner.clone();
-        c.stage = Stage::Judged { connect: Box::new(connect), assigned };
+        c.stage = Stage::Authorizing { connect: Box::new(connect), assigned };
         self.effects.push_back(Effect::Authorize { connection, user, password, owner, will });
         Ok(())
     }
 
-    /// What was found out about a client; if it must not connect, why, as version 5 numbers it.
+    /// Reports whether a client may connect; if not, with a reason code of 5.0 and a reason string.
     pub fn authorized(&mut self, connection: u64, verdict: Result<(), (u8, String)>, now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
-        let Stage::Judged { connect, assigned } = std::mem::replace(&mut c.stage, Stage::Opening) else {
+        let Stage::Authorizing { connect, assigned } = std::mem::replace(&mut c.stage, Stage::StoringSession)
+        else {
             return;
         };
         if let Err((code, reason)) = verdict {
             return self.end(connection, code, &reason, Properties::new(), now);
         }
         let owner = c.owner.clone();
-        // A second connection of the same client takes over from the first [MQTT-3.1.4-3].
+        // A second connection of the same client takes over the session of the first [MQTT-3.1.4-3].
         if let Some(old) = self.sessions.get(&owner).and_then(|s| s.connection) {
             self.end(old, code::SESSION_TAKEN_OVER, "the client has connected again", Properties::new(), now);
         }
@@ -165,11 +164,11 @@
                 );
             }
         }
-        // Its will is not sent: the client is back before it was due [MQTT-3.1.3-9].
+        // The client has reconnected before the will delay passed, so the will is not sent [MQTT-3.1.3-9].
         self.unschedule(&owner);
         let max_session_expiry_seconds = self.limits.max_session_expiry_seconds;
-        let was = self.sessions.remove(&owner);
-        let mut session = was.unwrap_or_else(|| Session::new(&connect.client, connect.version));
+        let existing = self.sessions.remove(&owner);
+        let mut session = existing.unwrap_or_else(|| Session::new(&connect.client, connect.version));
         session.version = connect.version;
         session.expiry = connect.expiry.min(max_session_expiry_seconds);
         session.connection = Some(connection);
@@ -179,12 +178,12 @@
         self.sessions.insert(owner.clone(), session);
         let keep_alive = self.keep_alive(&connect);
         let Some(c) = self.connections.get_mut(&connection) else { return };
-        c.silence = silence(keep_alive);
-        c.heard = now;
-        if let Some(silence) = c.silence {
-            self.look_after(connection, now + silence + Duration::from_millis(1));
+        c.keep_alive_timeout = keep_alive_timeout(keep_alive);
+        c.last_received = now;
+        if let Some(keep_alive_timeout) = c.keep_alive_timeout {
+            self.set_timeout(connection, now + keep_alive_timeout + Duration::from_millis(1));
         }
-        // What the client must be told beside success.
+        // Values that differ from what the client asked for or from the defaults.
         let connack = Connack {
             session_present: present,
             client: assigned.then(|| connect.client.clone()),
@@ -196,18 +195,18 @@
             optional_features: false,
             ..Connack::new(code::SUCCESS)
         };
-        let lasts = self.sessions.get(&owner).is_some_and(Session::lasts);
-        let after = After::Open { connection, connack: Box::new(connack) };
-        match lasts || recorded {
+        let is_persistent = self.sessions.get(&owner).is_some_and(Session::is_persistent);
+        let after = AfterStore::Open { connection, connack: Box::new(connack) };
+        match is_persistent || recorded {
             true => self.store(&owner, after),
-            false => self.after(after, now),
+            false => self.run_after_store(after, now),
         }
     }
 
     pub(super) fn keep_alive(&self, connect: &Connect) -> u16 {
         let most = self.limits.max_keep_alive_seconds;
         match (connect.version, connect.keep_alive) {
-            // 3.1.1 has no way to tell a client of another one.
+            // 3.1.1 cannot tell the client about a different keep alive.
             (Version::V311, asked) => asked,
             (Version::V5, 0) => most,
             (Version::V5, asked) => asked.min(most),
@@ -219,16 +218,16 @@
         c.stage = Stage::Open;
         let owner = c.owner.clone();
         self.write(connection, Packet::Connack(connack));
-        // What was sent and not acknowledged goes again, under its id [MQTT-4.4.0-1].
-        let again: Vec<(u16, Outcome)> = match self.sessions.get(&owner) {
-            Some(s) => s.sent.iter().map(|(id, o)| (*id, o.clone())).collect(),
+        // Unacknowledged outcomes are retransmitted under their packet ids [MQTT-4.4.0-1].
+        let retransmissions: Vec<(u16, Outcome)> = match self.sessions.get(&owner) {
+            Some(s) => s.unacknowledged.iter().map(|(id, o)| (*id, o.clone())).collect(),
             None => Vec::new(),
         };
-        for (id, outcome) in again {
+        for (id, outcome) in retransmissions {
             self.publish_outcome(&owner, connection, id, &outcome, true);
         }
         self.flush(&owner);
-        self.go_on(connection, now);
+        self.resume_reading(connection, now);
     }
 
     pub(super) fn disconnect(
@@ -256,11 +255,11 @@
         Ok(())
     }
 
-    /// A connection has ended, whoever ended it.
+    /// Reports that a connection has ended, whichever side closed it.
     pub fn connection_lost(&mut self, connection: u64, now: Time) {
         let Some(c) = self.connections.remove(&connection) else { return };
         if let Some(due) = c.due {
-            self.agenda.remove(&(due, Due::Connection(connection)));
+            self.deadlines.remove(&(due, Due::Connection(connection)));
         }
         let Some(session) = self.sessions.get_mut(&c.owner).filter(|s| s.connection == Some(connection))
         else {
@@ -269,48 +268,53 @@
         session.connection = None;
         session.gone = Some(self.origin + now);
         self.schedule_session_end(&c.owner, now);
-        // Recorded also to say since when it is gone.
-        if self.sessions.get(&c.owner).is_some_and(Session::lasts) && !self.wills_out.contains(&c.owner) {
-            self.store(&c.owner, After::Nothing);
+        // The record also says when the connection ended.
+        if self.sessions.get(&c.owner).is_some_and(Session::is_persistent)
+            && !self.pending_wills.contains(&c.owner)
+        {
+            self.store(&c.owner, AfterStore::Nothing);
         }
     }
 
-    /// A session is without a connection: its will and its end come due.
+    /// Schedules the will and the expiry of a session without a connection.
     pub(super) fn schedule_session_end(&mut self, owner: &str, now: Time) {
         let Some(session) = self.sessions.get(owner) else { return };
         let unix = self.origin + now;
-        let gone = session.gone.unwrap_or(unix);
-        let left = |seconds: u32| now + (gone + Duration::from_secs(u64::from(seconds))).saturating_sub(unix);
+        let disconnected_at = session.gone.unwrap_or(unix);
+        let due_at = |seconds: u32| {
+            now + (disconnected_at + Duration::from_secs(u64::from(seconds))).saturating_sub(unix)
+        };
         let (expiry, will) = (session.expiry, session.will.as_ref().map(|w| w.delay.min(session.expiry)));
-        // Whichever comes first, its delay or the session's end [MQTT-3.1.3-9].
+        // The will is sent after its delay or at the end of the session, whichever comes first
+        // [MQTT-3.1.3-9].
         if let Some(delay) = will {
             match delay {
                 0 => self.send_will(owner),
-                delay => self.schedule(owner, left(delay), Timer::Will),
+                delay => self.schedule(owner, due_at(delay), Timer::Will),
             }
         }
         match expiry {
             0 => self.end_session(owner, false),
             u32::MAX => {}
-            expiry => self.schedule(owner, left(expiry), Timer::Expiry),
+            expiry => self.schedule(owner, due_at(expiry), Timer::Expiry),
         }
     }
 
     pub(super) fn send_will(&mut self, owner: &str) {
         let Some(will) = self.sessions.get_mut(owner).and_then(|s| s.will.take()) else { return };
-        self.wills_out.insert(owner.to_owned());
+        self.pending_wills.insert(owner.to_owned());
         self.offer(owner, 0, will_message(&will), None, true);
     }
 
-    pub(super) fn silent_for(&mut self, connection: u64, now: Time) {
+    pub(super) fn check_keep_alive(&mut self, connection: u64, now: Time) {
         let Some(c) = self.connections.get_mut(&connection) else { return };
         c.due = None;
-        match (&c.stage, c.silence) {
-            (Stage::New, _) => {
+        match (&c.stage, c.keep_alive_timeout) {
+            (Stage::AwaitingConnect, _) => {
                 self.effects.push_back(Effect::Close { connection });
                 self.connection_lost(connection, now);
             }
-            (_, Some(silence)) if now > c.heard + silence => {
+            (_, Some(keep_alive_timeout)) if now > c.last_received + keep_alive_timeout => {
                 self.fail(
                     connection,
                     ConnectionError {
@@ -320,22 +324,23 @@
                     now,
                 );
             }
-            // At the very limit it is still in time.
-            (_, Some(silence)) => {
-                let next = (c.heard + silence).max(now) + Duration::from_millis(1);
-                self.look_after(connection, next);
+            // A packet received exactly at the limit is still in time.
+            (_, Some(keep_alive_timeout)) => {
+                let next = (c.last_received + keep_alive_timeout).max(now) + Duration::from_millis(1);
+                self.set_timeout(connection, next);
             }
             (_, None) => {}
         }
     }
 
-    /// Closes a connection to make room.
+    /// Closes a connection to free capacity.
     pub fn shed(&mut self, connection: u64, now: Time) {
         self.effects.push_back(Effect::Close { connection });
         self.connection_lost(connection, now);
     }
 
-    /// The process is about to end: every client is told, and wills that their clients left are sent.
+    /// The process is shutting down: ends all connections with a DISCONNECT where the version has one, and
+    /// sends the wills that are due.
     pub fn shutdown(&mut self, now: Time) {
         let all: Vec<u64> = self.connections.keys().copied().collect();
         for connection in all {
--- a/crates/mqtt/src/server/publish.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -1,6 +1,6 @@
-//! What clients hand in: PUBLISH, the offer made of it, and its acknowledgements.
+//! PUBLISH packets of clients: checks, offers to the courier, and acknowledgements.
 
-use super::{After, Answer, Effect, MAX_UNRELEASED_PACKET_IDS, Offer, Pending, Server, wait_property};
+use super::{AfterStore, Answer, Effect, MAX_UNRELEASED_PACKET_IDS, Offer, Pending, Server, wait_property};
 use crate::Time;
 use crate::error::ConnectionError;
 use crate::packet::{Ack, Packet, Properties, Publish, Qos, Version, code};
@@ -46,23 +46,24 @@
             });
         }
         let owner = c.owner.clone();
-        let most = usize::from(limits.receive_maximum);
+        let max_in_flight = usize::from(limits.receive_maximum);
         let v5 = c.version == Version::V5;
         let Some(session) = self.sessions.get_mut(&owner) else { return Ok(()) };
         if let Some(id) = publish.id {
             if session.pending.contains_key(&id) {
-                // It came on an earlier connection and is being judged: this one hears the answer.
+                // It was received on an earlier connection and waits for an answer, which is sent on this
+                // connection.
                 return Ok(());
             }
             if session.releases.contains(&id) {
                 if publish.qos != Qos::ExactlyOnce {
                     return Err(ConnectionError::protocol("a packet id that is in use"));
                 }
-                // Known already: it is not taken on once more [MQTT-4.3.3-10].
+                // Already accepted: it is not accepted again [MQTT-4.3.3-10].
                 self.write(connection, Packet::Pubrec(Ack::new(id, code::SUCCESS)));
                 return Ok(());
             }
-            if v5 && session.pending.len() + session.releases.len() >= most {
+            if v5 && session.pending.len() + session.releases.len() >= max_in_flight {
                 return Err(ConnectionError {
                     code: code::RECEIVE_MAXIMUM_EXCEEDED,
                     reason: "more PUBLISHes than the Receive Maximum",
@@ -75,7 +76,7 @@
                 });
             }
         }
-        let unfit = if publish.payload.len() > self.limits.max_payload_bytes {
+        let rejection = if publish.payload.len() > self.limits.max_payload_bytes {
             Some((code::QUOTA_EXCEEDED, "the payload is longer than is taken"))
         } else if publish.topic.starts_with('$') {
             Some((code::TOPIC_NAME_INVALID, "topics that begin with $ are the courier's own"))
@@ -85,13 +86,12 @@
             None
         };
         let (id, qos) = (publish.id, publish.qos);
-        let Some((code, reason)) = unfit else {
+        let Some((code, reason)) = rejection else {
             self.offer(&owner, connection, publish, id, false);
             return Ok(());
         };
         let Some(id) = id else {
-            self.effects
-                .push_back(Effect::Log(format!("{owner}: a message at QoS 0 is not taken: {reason}")));
+            self.effects.push_back(Effect::Log(format!("{owner}: QoS 0 message rejected: {reason}")));
             return Ok(());
         };
         let answer = Answer::Refused { code, reason: reason.to_owned(), wait: None };
@@ -119,7 +119,7 @@
         if id.is_none()
             && let Some(c) = self.connections.get_mut(&connection)
         {
-            c.loose += 1;
+            c.pending_qos0 += 1;
         }
         self.pending.insert(token, Pending { owner: owner.to_owned(), connection, id, qos, will });
         let expects_ack = id.is_some();
@@ -127,35 +127,34 @@
         self.effects.push_back(Effect::Offer(Box::new(offer)));
     }
 
-    /// What became of an offer.
+    /// Reports the decision about an offer.
     pub fn offer_answered(&mut self, token: u64, answer: Answer, now: Time) {
         let Some(Pending { owner, connection, id, qos, will }) = self.pending.remove(&token) else { return };
         if will {
-            self.wills_out.remove(&owner);
+            self.pending_wills.remove(&owner);
             match self.sessions.contains_key(&owner) {
-                true => self.store(&owner, After::Nothing),
+                true => self.store(&owner, AfterStore::Nothing),
                 false => self.erase(&owner),
             }
         }
         let Some(id) = id else {
             if let Answer::Refused { reason, .. } = &answer {
-                self.effects.push_back(Effect::Log(format!(
-                    "{owner}: a message without acknowledgement is not taken: {reason}"
-                )));
+                self.effects
+                    .push_back(Effect::Log(format!("{owner}: unacknowledged message rejected: {reason}")));
             }
             if let Some(c) = self.connections.get_mut(&connection) {
-                c.loose -= 1;
-                self.go_on(connection, now);
+                c.pending_qos0 -= 1;
+                self.resume_reading(connection, now);
             }
             return;
         };
         let Some(session) = self.sessions.get_mut(&owner) else { return };
         session.pending.remove(&id);
-        // The client may have connected again meanwhile.
+        // The client may have reconnected in the meantime.
         let connection = session.connection;
         self.answer(&owner, connection, id, qos, answer, now);
         if let Some(connection) = connection {
-            self.go_on(connection, now);
+            self.resume_reading(connection, now);
         }
     }
 
@@ -169,22 +168,23 @@
         now: Time,
     ) {
         let Some(session) = self.sessions.get_mut(owner) else { return };
-        let made = |ack| if qos == Qos::ExactlyOnce { Packet::Pubrec(ack) } else { Packet::Puback(ack) };
+        let acknowledgement =
+            |ack| if qos == Qos::ExactlyOnce { Packet::Pubrec(ack) } else { Packet::Puback(ack) };
         match answer {
             Answer::Accepted if qos == Qos::ExactlyOnce => {
                 session.releases.insert(id);
-                let lasts = session.expiry > 0;
-                let packet = made(Ack::new(id, code::SUCCESS));
-                let after =
-                    connection.map_or(After::Nothing, |connection| After::Write { connection, packet });
-                match lasts {
+                let is_persistent = session.expiry > 0;
+                let packet = acknowledgement(Ack::new(id, code::SUCCESS));
+                let after = connection
+                    .map_or(AfterStore::Nothing, |connection| AfterStore::Write { connection, packet });
+                match is_persistent {
                     true => self.store(owner, after),
-                    false => self.after(after, now),
+                    false => self.run_after_store(after, now),
                 }
             }
             Answer::Accepted => {
                 if let Some(connection) = connection {
-                    self.write(connection, made(Ack::new(id, code::SUCCESS)));
+                    self.write(connection, acknowledgement(Ack::new(id, code::SUCCESS)));
                 }
             }
             Answer::Refused { code, reason, wait } => {
@@ -192,10 +192,10 @@
                 if session.version == Version::V5 {
                     let ack =
                         Ack { reason: Some(reason), properties: wait_property(wait), ..Ack::new(id, code) };
-                    self.write(connection, made(ack));
+                    self.write(connection, acknowledgement(ack));
                 } else {
-                    // No acknowledgement, so the client knows that it is not taken on; and a close, since else it
-                    // would wait for one. See docs/mqtt.md.
+                    // Without an acknowledgement the client knows that the message was not accepted; the
+                    // connection is closed because the client would wait for one otherwise. See docs/mqtt.md.
                     self.effects.push_back(Effect::Log(format!(
                         "{owner}: closed, since 3.1.1 has no refusal: {reason}"
                     )));
@@ -215,7 +215,7 @@
             return Ok(());
         }
         match session.recorded && session.expiry > 0 {
-            true => self.store(&owner, After::Release { connection, id }),
+            true => self.store(&owner, AfterStore::Release { connection, id }),
             false => self.write(connection, Packet::Pubcomp(Ack::new(id, code::SUCCESS))),
         }
         Ok(())
--- a/crates/mqtt/src/session_test.rs
+++ b/crates/mqtt/src/session_test.rs
@@ -17,7 +17,7 @@
         utf8: false,
         properties: vec![("id".to_owned(), "x".to_owned())],
     });
-    let again = Session::restore(&session.record()).expect("it reads");
+    let again = Session::restore(&session.record()).expect("a valid record");
     assert_eq!(again.record(), session.record());
     assert_eq!((again.will, again.releases), (session.will, session.releases));
     assert!(Session::restore("{}").is_none());
@@ -27,6 +27,9 @@
 fn packet_ids_wrap_and_pass_over_those_in_use() {
     let mut session = Session::new("c", Version::V5);
     session.next_id = 65535;
-    session.sent.insert(1, Outcome { message: 1, line: String::new() });
-    assert_eq!([session.id(), session.id(), session.id()], [65535, 2, 3]);
+    session.unacknowledged.insert(1, Outcome { message: 1, line: String::new() });
+    assert_eq!(
+        [session.allocate_packet_id(), session.allocate_packet_id(), session.allocate_packet_id()],
+        [65535, 2, 3]
+    );
 }
--- a/crates/mqtt/tests/drops.rs
+++ b/crates/mqtt/tests/drops.rs
@@ -1,6 +1,8 @@
-//! The client against a broker in memory that drops connections at any byte, with restarts of both between: what the
-//! protocol can promise happens once, and the rest ends as one that may have run. A command plays more:
-//! `MQTT_SEED=N MQTT_DROPS=N cargo test -p stairshed-mqtt --test drops`.
+//! Runs the client against an in-memory broker with connections dropped at random bytes and restarts of the
+//! client process, at QoS 1 and 2 in both versions. Guards against messages that take effect twice, and against
+//! messages that took effect but are reported as not sent.
+//!
+//! For a longer run: `MQTT_SEED=N MQTT_DROPS=N cargo test -p stairshed-mqtt --test drops`.
 
 use bytes::Bytes;
 use rand::rngs::SmallRng;
@@ -13,23 +15,23 @@
 
 const MS: Time = Duration::from_millis(1);
 
-fn figure(name: &str, or: u64) -> u64 {
+fn env_number(name: &str, or: u64) -> u64 {
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
 }
 
-/// A broker of one client, as the specification has it: method A of figure 4.3, the message is passed on with its
-/// PUBLISH.
+/// A broker for one client that follows the specification: with method A of figure 4.3 a message is forwarded
+/// when its PUBLISH is received.
 #[derive(Default)]
 struct Broker {
     session: bool,
     received: BTreeSet<u16>,
-    /// Messages by their payload, and how often each took effect.
+    /// How often each message took effect, by the number in its payload.
     effects: BTreeMap<u64, u32>,
 }
 
 impl Broker {
-    /// What it answers to a packet.
-    fn hear(&mut self, packet: Packet) -> Option<Packet> {
+    /// Handles a packet and returns the answer.
+    fn handle(&mut self, packet: Packet) -> Option<Packet> {
         match packet {
             Packet::Connect(connect) => {
                 if connect.clean {
@@ -42,9 +44,9 @@
                 Some(Packet::Connack(Box::new(Connack { session_present, ..Connack::new(0) })))
             }
             Packet::Publish(publish) => {
-                let id = publish.id.expect("an id");
-                let fresh = publish.qos != Qos::ExactlyOnce || self.received.insert(id);
-                if fresh {
+                let id = publish.id.expect("a packet id");
+                let first_delivery = publish.qos != Qos::ExactlyOnce || self.received.insert(id);
+                if first_delivery {
                     let message = u64::from_be_bytes(publish.payload[..8].try_into().expect("a number"));
                     *self.effects.entry(message).or_default() += 1;
                 }
@@ -62,15 +64,16 @@
         }
     }
 
-    fn forget(&mut self) {
+    fn lose_session(&mut self) {
         (self.session, self.received) = (false, BTreeSet::new());
     }
 }
 
-/// What outlasts the client's process: packet ids in use, each with its message and whether PUBREC has come.
+/// State stored across restarts of the client: packet ids in use, each with its message and whether PUBREC
+/// has been received.
 type Record = BTreeMap<u16, (u64, bool)>;
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     version: Version,
     qos: Qos,
@@ -78,13 +81,13 @@
     client: Client,
     broker: Broker,
     record: Record,
-    /// That a session is being resumed is on record, too.
+    /// Whether the stored state says that a session is being resumed.
     resuming: bool,
     ends: BTreeMap<u64, Vec<AttemptResult>>,
     next: u64,
     drops: u64,
-    /// Whether brokers lose sessions in this world.
-    forgets: bool,
+    /// Whether the broker loses sessions.
+    loses_sessions: bool,
 }
 
 fn client(version: Version) -> Client {
@@ -101,9 +104,9 @@
     })
 }
 
-impl World {
-    fn new(seed: u64, version: Version, qos: Qos, forgets: bool) -> Self {
-        World {
+impl Simulation {
+    fn new(seed: u64, version: Version, qos: Qos, loses_sessions: bool) -> Self {
+        Simulation {
             rng: SmallRng::seed_from_u64(seed),
             version,
             qos,
@@ -115,7 +118,7 @@
             ends: BTreeMap::new(),
             next: 0,
             drops: 0,
-            forgets,
+            loses_sessions,
         }
     }
 
@@ -130,7 +133,7 @@
         }
     }
 
-    fn hand_in(&mut self) {
+    fn publish_next(&mut self) {
         if let Some(id) = self.client.reserve() {
             let number = self.next;
             self.next += 1;
@@ -140,8 +143,8 @@
         }
     }
 
-    /// Does what the client asks for; whether it wants a connection.
-    fn obey(&mut self) -> (bool, bool) {
+    /// Carries out the effects of the client; returns whether it asked to open and to close a connection.
+    fn apply_effects(&mut self) -> (bool, bool) {
         let (mut open, mut close) = (false, false);
         while let Some(effect) = self.client.poll() {
             match effect {
@@ -164,12 +167,12 @@
         (open, close)
     }
 
-    /// The client's process dies and another takes its place.
+    /// Kills the client process and starts another one.
     fn restart(&mut self) {
         self.client = client(self.version);
         if std::mem::take(&mut self.resuming) {
             for (number, _) in std::mem::take(&mut self.record).into_values() {
-                // Those that had ended only kept their id from use.
+                // Messages that had ended only blocked their packet id.
                 self.ends.entry(number).or_insert_with(|| vec![AttemptResult::Lost]);
             }
         }
@@ -179,46 +182,47 @@
         }
     }
 
-    /// One connection, until it is dropped at a random byte of either way.
+    /// Runs one connection until it is dropped at a random byte in either direction.
     fn connection(&mut self) {
         self.client.connection_opened(self.now);
-        self.obey();
+        self.apply_effects();
         let (mut reader, mut left) = (Reader::server(1 << 20), self.rng.random_range(0..400usize));
         let mut answers: Vec<u8> = Vec::new();
-        let died = loop {
+        let closed_by_client = loop {
             if self.rng.random_ratio(1, 3) {
-                self.hand_in();
+                self.publish_next();
             }
             let bytes: Vec<u8> = {
                 let mut slices = Vec::new();
                 self.client.output(&mut slices);
                 slices.iter().flat_map(|s| s.to_vec()).collect()
             };
-            // A part is handed over, and perhaps less of it arrives: the rest was in the kernel's hands.
-            let over = bytes.len().min(left);
-            self.client.bytes_written(over, self.now);
-            left -= over;
+            // Part of the output is written, and less of it may arrive: the rest was lost in the kernel
+            // buffer.
+            let written = bytes.len().min(left);
+            self.client.bytes_written(written, self.now);
+            left -= written;
             let lost = left == 0 && self.rng.random_bool(0.5);
-            let arrives = if lost { self.rng.random_range(0..=over) } else { over };
-            reader.push(&bytes[..arrives]);
-            while let Some(packet) = reader.packet().expect("sound") {
+            let arrived = if lost { self.rng.random_range(0..=written) } else { written };
+            reader.push(&bytes[..arrived]);
+            while let Some(packet) = reader.packet().expect("a valid packet") {
                 let answer =
-                    self.broker.hear(packet).map(|p| encode(self.version, p, None).expect("written"));
+                    self.broker.handle(packet).map(|p| encode(self.version, p, None).expect("encodable"));
                 answers.extend(answer.unwrap_or_default());
             }
             if left == 0 {
                 break false;
             }
-            let back = answers.len().min(left);
-            left -= back;
-            let rest = answers.split_off(back);
-            let heard = std::mem::replace(&mut answers, rest);
-            self.client.received(&heard, self.now);
-            let (_, close) = self.obey();
+            let delivered_bytes = answers.len().min(left);
+            left -= delivered_bytes;
+            let rest = answers.split_off(delivered_bytes);
+            let received = std::mem::replace(&mut answers, rest);
+            self.client.received(&received, self.now);
+            let (_, close) = self.apply_effects();
             if close {
                 break true;
             }
-            if left == 0 || (bytes.is_empty() && heard.is_empty() && self.rng.random_ratio(1, 4)) {
+            if left == 0 || (bytes.is_empty() && received.is_empty() && self.rng.random_ratio(1, 4)) {
                 break false;
             }
         };
@@ -226,7 +230,7 @@
         if self.rng.random_ratio(1, 10) {
             return self.restart();
         }
-        if !died {
+        if !closed_by_client {
             self.client.connection_lost(self.now);
         }
     }
@@ -234,48 +238,48 @@
     fn play(&mut self, drops: u64) {
         while self.drops < drops {
             if self.client.in_use() == 0 {
-                self.hand_in();
+                self.publish_next();
             }
             self.step();
-            if self.forgets && self.rng.random_ratio(1, 8) {
-                self.broker.forget();
+            if self.loses_sessions && self.rng.random_ratio(1, 8) {
+                self.broker.lose_session();
             }
         }
-        // In the end the network is calm, and all that is open comes to its end.
+        // Finally no more faults occur, and every open message must end.
         for _ in 0..200 {
             if self.record.is_empty() {
                 return;
             }
-            self.step_calm();
+            self.step_without_faults();
         }
-        panic!("never at an end: {:?}", self.record);
+        panic!("messages that never ended: {:?}", self.record);
     }
 
-    fn wanted(&mut self) -> bool {
-        let (mut open, _) = self.obey();
+    fn wait_for_open(&mut self) -> bool {
+        let (mut open, _) = self.apply_effects();
         for _ in 0..100 {
             if open {
                 return true;
             }
             self.now = self.client.timeout().unwrap_or(self.now).max(self.now) + MS;
             self.client.handle_timeout(self.now);
-            open = self.obey().0;
+            open = self.apply_effects().0;
         }
         false
     }
 
     fn step(&mut self) {
-        if self.wanted() {
+        if self.wait_for_open() {
             self.connection();
         }
     }
 
-    fn step_calm(&mut self) {
-        if !self.wanted() {
+    fn step_without_faults(&mut self) {
+        if !self.wait_for_open() {
             return;
         }
         self.client.connection_opened(self.now);
-        self.obey();
+        self.apply_effects();
         let mut reader = Reader::server(1 << 20);
         loop {
             let bytes: Vec<u8> = {
@@ -285,13 +289,13 @@
             };
             self.client.bytes_written(bytes.len(), self.now);
             reader.push(&bytes);
-            while let Some(packet) = reader.packet().expect("sound") {
-                if let Some(answer) = self.broker.hear(packet) {
-                    let bytes = encode(self.version, answer, None).expect("written");
+            while let Some(packet) = reader.packet().expect("a valid packet") {
+                if let Some(answer) = self.broker.handle(packet) {
+                    let bytes = encode(self.version, answer, None).expect("encodable");
                     self.client.received(&bytes, self.now);
                 }
             }
-            let (_, close) = self.obey();
+            let (_, close) = self.apply_effects();
             if close {
                 return;
             }
@@ -302,7 +306,7 @@
         }
     }
 
-    /// Ends and effects of every message that was handed in, by end.
+    /// Counts messages by result and by how often they took effect (0, 1, more).
     fn count(&self) -> BTreeMap<String, [u32; 3]> {
         let mut count = BTreeMap::<String, [u32; 3]>::new();
         for number in 0..self.next {
@@ -315,16 +319,16 @@
     }
 }
 
-fn run(qos: Qos, forgets: bool, check: impl Fn(&str, &[u32; 3])) {
-    let (first, drops) = (figure("MQTT_SEED", 1), figure("MQTT_DROPS", 2500));
+fn run(qos: Qos, loses_sessions: bool, check: impl Fn(&str, &[u32; 3])) {
+    let (first, drops) = (env_number("MQTT_SEED", 1), env_number("MQTT_DROPS", 2500));
     for version in [Version::V311, Version::V5] {
         let mut all = BTreeMap::<String, [u32; 3]>::new();
         let mut dropped = 0;
         for seed in first..first + 25 {
             let played = std::panic::catch_unwind(|| {
-                let mut world = World::new(seed, version, qos, forgets);
-                world.play(drops.div_ceil(25));
-                (world.drops, world.count())
+                let mut simulation = Simulation::new(seed, version, qos, loses_sessions);
+                simulation.play(drops.div_ceil(25));
+                (simulation.drops, simulation.count())
             });
             let (n, count) = played.unwrap_or_else(|_| panic!("MQTT_SEED={seed} {version:?} {qos:?}"));
             dropped += n;
@@ -333,7 +337,9 @@
                 sum.iter_mut().zip(of).for_each(|(a, b)| *a += b);
             }
         }
-        println!("{version:?} {qos:?} forgets {forgets}: {dropped} drops; end: effects 0, 1, more: {all:?}");
+        println!(
+            "{version:?} {qos:?} forgets {loses_sessions}: {dropped} drops; end: effects 0, 1, more: {all:?}"
+        );
         assert!(all.get("Delivered").is_some_and(|of| of[1] > 100), "{all:?}");
         for (end, of) in &all {
             check(end, of);
@@ -346,7 +352,8 @@
     run(Qos::ExactlyOnce, false, |end, [none, once, more]| match end {
         "Delivered" => assert_eq!((*none, *more), (0, 0), "of {once}"),
         "Unsent" => assert_eq!((*once, *more), (0, 0), "of {none}"),
-        // No session was lost, but a CONNACK, or the word of whether a PUBLISH had left, with the process.
+        // No session was lost; but a CONNACK was, or the process ended before recording whether a PUBLISH had
+        // been sent.
         "Lost" => assert_eq!(*more, 0, "of {none} and {once}"),
         other => panic!("ended as {other}"),
     });
--- a/crates/mqtt/tests/hostile.rs
+++ b/crates/mqtt/tests/hostile.rs
@@ -1,7 +1,7 @@
-//! Bytes that nobody would send: packets that are broken in one place or many, in pieces of any size, to the reader, the
-//! server and the client. Nothing panics, and no more is kept than one packet and one read.
+//! Sends invalid input to the reader, the server and the client: packets with one or more corrupted bytes, in
+//! pieces of any size. Guards against panics and against buffering more than one packet and one read.
 //!
-//! `MQTT_SEED=N MQTT_INPUTS=N cargo test --release -p stairshed-mqtt --test hostile` plays more.
+//! For a longer run: `MQTT_SEED=N MQTT_INPUTS=N cargo test --release -p stairshed-mqtt --test hostile`.
 
 use bytes::Bytes;
 use rand::rngs::SmallRng;
@@ -16,7 +16,7 @@
 
 const MAX_PACKET_BYTES: usize = 2000;
 
-fn figure(name: &str, or: u64) -> u64 {
+fn env_number(name: &str, or: u64) -> u64 {
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
 }
 
@@ -87,12 +87,12 @@
     }
 }
 
-/// Some packets, mostly sound, with some bytes changed, cut out or put in.
+/// Some packets, mostly valid, with some bytes changed, removed or inserted.
 fn stream(rng: &mut SmallRng, version: Version, first: Option<Packet>) -> Vec<u8> {
     let mut bytes: Vec<u8> = Vec::new();
     let rest: Vec<Packet> = (0..rng.random_range(0..6)).map(|_| packet(rng, version)).collect();
     for packet in first.into_iter().chain(rest) {
-        // Some cannot be written, such as a reason code that the packet has not.
+        // Some cannot be encoded, such as a reason code that the packet type does not have.
         bytes.extend(encode(version, packet, None).unwrap_or_default());
     }
     for _ in 0..[0, 0, 1, 1, 2, 8][rng.random_range(0..6)] {
@@ -136,11 +136,11 @@
         let piece = rng.random_range(1..=bytes.len().max(1));
         for part in bytes.chunks(piece) {
             server.received(connection, part, now);
-            obey(&mut server, rng, now);
+            apply_effects(&mut server, rng, now);
         }
         now += Duration::from_millis(rng.random_range(0..4000));
         server.handle_timeout(now);
-        obey(&mut server, rng, now);
+        apply_effects(&mut server, rng, now);
         if rng.random_bool(0.5) {
             server.connection_lost(connection, now);
         }
@@ -148,11 +148,11 @@
     let (sessions, connections) = server.counts();
     assert!(sessions <= 3 && connections <= 3);
     server.shutdown(now);
-    obey(&mut server, rng, now);
+    apply_effects(&mut server, rng, now);
     assert_eq!(server.counts().1, 0);
 }
 
-fn obey(server: &mut Server, rng: &mut SmallRng, now: Time) {
+fn apply_effects(server: &mut Server, rng: &mut SmallRng, now: Time) {
     for _ in 0..500 {
         let Some(effect) = server.poll() else { return };
         match effect {
@@ -180,7 +180,7 @@
             _ => {}
         }
     }
-    panic!("it never comes to rest");
+    panic!("the server does not stop emitting effects");
 }
 
 fn broker(rng: &mut SmallRng) {
@@ -258,13 +258,17 @@
                 Err(_) => return,
             }
         }
-        assert!(reader.buffered_bytes() <= MAX_PACKET_BYTES, "{} bytes are kept", reader.buffered_bytes());
+        assert!(
+            reader.buffered_bytes() <= MAX_PACKET_BYTES,
+            "{} bytes are buffered",
+            reader.buffered_bytes()
+        );
     }
 }
 
 #[test]
 fn no_bytes_make_it_panic_or_keep_more_than_a_packet() {
-    let (seed, inputs) = (figure("MQTT_SEED", 1), figure("MQTT_INPUTS", 60_000));
+    let (seed, inputs) = (env_number("MQTT_SEED", 1), env_number("MQTT_INPUTS", 60_000));
     for n in 0..inputs {
         let seed = seed.wrapping_mul(1 << 40) + n;
         let played = std::panic::catch_unwind(|| {
