--- a/crates/rig/src/broker.rs
+++ b/crates/rig/src/broker.rs
@@ -1,6 +1,6 @@
-//! A stand-in MQTT broker on a loopback socket, with the vices that couriers meet: it drops connections at any byte,
-//! acknowledges late, twice, out of order or never, forgets sessions or lies about them, sends what cannot be read,
-//! sends its clients elsewhere. It counts what took effect.
+//! A fake MQTT broker on a loopback socket with fault injection: it drops connections at any byte, acknowledges late,
+//! twice, out of order or never, loses sessions or claims ones that it does not have, sends malformed packets and
+//! redirects its clients. It counts how often each message took effect.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -13,60 +13,63 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How it acknowledges a PUBLISH.
+/// How the broker acknowledges a PUBLISH.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Acks {
     #[default]
     AtOnce,
     Late(Duration),
     Twice,
-    /// Two at a time, the later first.
+    /// Two at a time in reverse order.
     Swapped,
     Never,
 }
 
-/// What it does; changed at any time.
+/// Faults that the broker injects; they can change at any time.
 #[derive(Clone, Debug, Default)]
 pub struct BrokerFaults {
-    /// Connections are dropped after so many bytes of both ways together, drawn from this range; and the seed.
+    /// Seed, and the range from which each connection draws the number of bytes, in both directions together, after
+    /// which it is dropped.
     pub drop_after: Option<(u64, std::ops::Range<usize>)>,
-    /// Sessions are forgotten at one in so many connections.
+    /// Loses all sessions at every n-th connection.
     pub lose_sessions_every: Option<u32>,
-    /// Says that a session is there when there is none.
+    /// Sets Session Present in CONNACK even if there is no session.
     pub claim_session_present: bool,
     pub acks: Acks,
     pub receive_maximum: Option<u16>,
-    /// The next PUBLISHes are refused with these codes, and a wait.
+    /// Reason codes for the next PUBLISHes, each with an optional `retry-after` in seconds.
     pub refuse: VecDeque<(u8, Option<f64>)>,
-    /// CONNECTs are turned away with this code.
+    /// Reason code with which each CONNECT is refused.
     pub connack_refusal: Option<u8>,
-    /// Answers the next PUBLISH with bytes that are no packet.
+    /// Answers the next PUBLISH with bytes that are not a valid packet.
     pub send_garbage: bool,
-    /// Ends the connection with this reason at the next PUBLISH, which it does not take.
+    /// Reason code, and optional `retry-after` in seconds, of a DISCONNECT that answers the next PUBLISH, which is not
+    /// accepted.
     pub disconnect_with: Option<(u8, Option<f64>)>,
 }
 
-/// A PUBLISH as it came.
+/// A PUBLISH that the broker received.
 #[derive(Clone, Debug)]
 pub struct ReceivedPublish {
     pub id: String,
     pub publish: Publish,
     pub at: Instant,
-    /// It took effect with this one.
+    /// Whether the message took effect by this PUBLISH, rather than an earlier one.
     pub took_effect: bool,
 }
 
 #[derive(Default)]
 struct State {
-    vices: BrokerFaults,
+    faults: BrokerFaults,
     rng: Option<SmallRng>,
-    /// By client id: packet ids at QoS 2 that wait for their PUBREL.
+    /// Packet ids at QoS 2 that wait for their PUBREL, by client id.
     sessions: HashMap<String, BTreeSet<u16>>,
-    got: Vec<ReceivedPublish>,
+    received: Vec<ReceivedPublish>,
     connections: u32,
     drops: u32,
 }
 
+/// The fake broker. Clones share its state.
 #[derive(Clone)]
 pub struct Broker {
     pub address: SocketAddr,
@@ -75,11 +78,12 @@
 }
 
 impl Broker {
-    pub fn new(vices: BrokerFaults) -> Broker {
+    /// Starts a broker with these faults.
+    pub fn new(faults: BrokerFaults) -> Broker {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let broker = Broker { address, state: Arc::default(), open: Arc::default() };
-        broker.change(|v| *v = vices);
+        broker.change(|v| *v = faults);
         let own = broker.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -94,42 +98,44 @@
         act(&mut self.state.lock().expect("the broker's state"))
     }
 
+    /// Changes the injected faults.
     pub fn change(&self, act: impl FnOnce(&mut BrokerFaults)) {
         self.with(|s| {
-            act(&mut s.vices);
-            s.rng = s.vices.drop_after.as_ref().map(|(seed, _)| SmallRng::seed_from_u64(*seed));
+            act(&mut s.faults);
+            s.rng = s.faults.drop_after.as_ref().map(|(seed, _)| SmallRng::seed_from_u64(*seed));
         });
     }
 
-    /// Every PUBLISH, in order.
+    /// Returns each PUBLISH that was received, in order.
     pub fn received(&self) -> Vec<ReceivedPublish> {
-        self.with(|s| s.got.clone())
+        self.with(|s| s.received.clone())
     }
 
-    /// How often each message took effect, by its id.
+    /// Returns how often each message took effect, by id.
     pub fn effects(&self) -> BTreeMap<String, u32> {
         let mut effects = BTreeMap::new();
-        for got in self.with(|s| s.got.clone()) {
+        for got in self.with(|s| s.received.clone()) {
             *effects.entry(got.id).or_default() += u32::from(got.took_effect);
         }
         effects
     }
 
-    /// Connections that were dropped for their byte.
+    /// Returns the number of connections that were dropped at their byte limit.
     pub fn drops(&self) -> u32 {
         self.with(|s| s.drops)
     }
 
+    /// Returns the number of connections that were accepted.
     pub fn connections(&self) -> u32 {
         self.with(|s| s.connections)
     }
 
-    /// Loses all sessions.
+    /// Discards all sessions.
     pub fn forget(&self) {
         self.with(|s| s.sessions.clear());
     }
 
-    /// Drops all connections.
+    /// Closes all connections.
     pub fn cut(&self) {
         for stream in self.open.lock().expect("connections").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -143,13 +149,13 @@
         }
         let left = self.with(|s| {
             s.connections += 1;
-            if s.vices.lose_sessions_every.is_some_and(|n| s.connections % n == 0) {
+            if s.faults.lose_sessions_every.is_some_and(|n| s.connections % n == 0) {
                 s.sessions.clear();
             }
-            let range = s.vices.drop_after.as_ref().map(|(_, range)| range.clone());
+            let range = s.faults.drop_after.as_ref().map(|(_, range)| range.clone());
             range.and_then(|range| s.rng.as_mut().map(|rng| rng.random_range(range)))
         });
-        let conversation = Conversation {
+        let connection = BrokerConnection {
             broker: self,
             stream,
             left,
@@ -158,25 +164,25 @@
             client: String::new(),
             swapped: None,
         };
-        let dropped = conversation.run().is_none();
+        let dropped = connection.run().is_none();
         self.with(|s| s.drops += u32::from(dropped && left.is_some()));
     }
 }
 
-struct Conversation<'a> {
+struct BrokerConnection<'a> {
     broker: &'a Broker,
     stream: TcpStream,
-    /// Bytes until the connection is dropped.
+    /// Bytes left until the connection is dropped; None for no limit.
     left: Option<usize>,
     reader: Reader,
     version: Version,
     client: String,
-    /// An acknowledgement that waits for the next one.
+    /// A delayed acknowledgement that is sent after the next one.
     swapped: Option<Packet>,
 }
 
-impl Conversation<'_> {
-    /// None if the connection was dropped for its byte.
+impl BrokerConnection<'_> {
+    /// Serves the connection. Returns None if it was dropped at its byte limit.
     fn run(mut self) -> Option<()> {
         let mut bytes = [0; 4096];
         loop {
@@ -193,25 +199,25 @@
                 match self.reader.packet() {
                     Ok(None) => break,
                     Ok(Some(packet)) => {
-                        if !self.hear(packet)? {
+                        if !self.handle(packet)? {
                             return Some(());
                         }
                     }
-                    Err(fault) => panic!("the courier sends {fault}"),
+                    Err(fault) => panic!("the courier sent an invalid packet: {fault}"),
                 }
             }
         }
     }
 
-    /// Sends as much as the connection has left.
-    fn tell(&mut self, packet: Packet) -> Option<()> {
+    /// Sends a packet, cut at the connection's byte limit.
+    fn send_packet(&mut self, packet: Packet) -> Option<()> {
         let bytes = encode(self.version, packet, None).expect("written");
         self.send(&bytes)
     }
 
     fn send(&mut self, bytes: &[u8]) -> Option<()> {
         let most = self.left.map_or(bytes.len(), |left| left.min(bytes.len()));
-        // The courier may have gone.
+        // The courier may have closed the connection.
         let _ = self.stream.write_all(&bytes[..most]);
         self.left = self.left.map(|left| left - most);
         if most < bytes.len() {
@@ -221,13 +227,13 @@
         Some(())
     }
 
-    /// False once the connection is at its end.
-    fn hear(&mut self, packet: Packet) -> Option<bool> {
+    /// Handles a packet. Returns false once the connection has ended.
+    fn handle(&mut self, packet: Packet) -> Option<bool> {
         match packet {
             Packet::Connect(connect) => {
                 self.version = connect.version;
                 self.client = connect.client.clone();
-                let (turned, present, maximum) = self.broker.with(|s| {
+                let (refusal, present, maximum) = self.broker.with(|s| {
                     if connect.clean {
                         s.sessions.remove(&connect.client);
                     }
@@ -235,29 +241,29 @@
                     if !(connect.clean && connect.version == Version::V311) {
                         s.sessions.entry(connect.client.clone()).or_default();
                     }
-                    let present = there || (s.vices.claim_session_present && !connect.clean);
-                    (s.vices.connack_refusal, present, s.vices.receive_maximum)
+                    let present = there || (s.faults.claim_session_present && !connect.clean);
+                    (s.faults.connack_refusal, present, s.faults.receive_maximum)
                 });
-                if let Some(code) = turned {
+                if let Some(code) = refusal {
                     let reference = (self.version == Version::V5).then(|| "127.0.0.2:1883".to_owned());
-                    self.tell(Packet::Connack(Box::new(Connack { reference, ..Connack::new(code) })))?;
+                    self.send_packet(Packet::Connack(Box::new(Connack { reference, ..Connack::new(code) })))?;
                     return Some(false);
                 }
                 let receive_maximum = maximum.unwrap_or(u16::MAX);
                 let connack = Connack { session_present: present, receive_maximum, ..Connack::new(0) };
-                self.tell(Packet::Connack(Box::new(connack)))?;
+                self.send_packet(Packet::Connack(Box::new(connack)))?;
             }
             Packet::Publish(publish) => return self.publish(*publish),
             Packet::Pubrel(ack) => {
                 let known = self.session(|received| received.remove(&ack.id));
                 let code = if known || self.version == Version::V311 { 0 } else { 0x92 };
-                if self.broker.with(|s| s.vices.acks) != Acks::Never {
-                    self.tell(Packet::Pubcomp(Ack::new(ack.id, code)))?;
+                if self.broker.with(|s| s.faults.acks) != Acks::Never {
+                    self.send_packet(Packet::Pubcomp(Ack::new(ack.id, code)))?;
                 }
             }
-            Packet::Pingreq => self.tell(Packet::Pingresp)?,
+            Packet::Pingreq => self.send_packet(Packet::Pingresp)?,
             Packet::Disconnect(_) => return Some(false),
-            other => panic!("the courier sends {other:?}"),
+            other => panic!("unexpected packet from the courier: {other:?}"),
         }
         Some(true)
     }
@@ -271,7 +277,7 @@
         let wait =
             |wait: Option<f64>| wait.map(|w| ("retry-after".to_owned(), w.to_string())).into_iter().collect();
         let (refuse, acks, send_garbage, ends) = self.broker.with(|s| {
-            let v = &mut s.vices;
+            let v = &mut s.faults;
             (v.refuse.pop_front(), v.acks, std::mem::take(&mut v.send_garbage), v.disconnect_with.take())
         });
         if send_garbage {
@@ -279,23 +285,27 @@
             return Some(true);
         }
         if let Some((code, told)) = ends {
-            self.tell(Packet::Disconnect(Disconnect { properties: wait(told), ..Disconnect::new(code) }))?;
+            self.send_packet(Packet::Disconnect(Disconnect {
+                properties: wait(told),
+                ..Disconnect::new(code)
+            }))?;
             return Some(false);
         }
         let exactly = publish.qos == Qos::ExactlyOnce;
         let made = |ack| if exactly { Packet::Pubrec(ack) } else { Packet::Puback(ack) };
         if let Some((code, told)) = refuse {
-            self.tell(made(Ack { properties: wait(told), ..Ack::new(id, code) }))?;
+            self.send_packet(made(Ack { properties: wait(told), ..Ack::new(id, code) }))?;
             return Some(true);
         }
         let took_effect = !exactly || self.session(|received| received.insert(id));
         let name = property(&publish.properties, "X-Request-ID").map(str::to_owned);
         let name = name.unwrap_or_else(|| String::from_utf8_lossy(&publish.payload).into_owned());
-        self.broker
-            .with(|s| s.got.push(ReceivedPublish { id: name, publish, at: Instant::now(), took_effect }));
+        self.broker.with(|s| {
+            s.received.push(ReceivedPublish { id: name, publish, at: Instant::now(), took_effect })
+        });
         let ack = made(Ack::new(id, 0));
         match acks {
-            Acks::AtOnce => self.tell(ack)?,
+            Acks::AtOnce => self.send_packet(ack)?,
             Acks::Late(time) => {
                 let (stream, version) = (self.stream.try_clone(), self.version);
                 thread::spawn(move || {
@@ -306,14 +316,14 @@
                 });
             }
             Acks::Twice => {
-                self.tell(ack.clone())?;
-                self.tell(ack)?;
+                self.send_packet(ack.clone())?;
+                self.send_packet(ack)?;
             }
             Acks::Swapped => match self.swapped.take() {
                 None => self.swapped = Some(ack),
                 Some(first) => {
-                    self.tell(ack)?;
-                    self.tell(first)?;
+                    self.send_packet(ack)?;
+                    self.send_packet(first)?;
                 }
             },
             Acks::Never => {}
--- a/crates/rig/src/control_service.rs
+++ b/crates/rig/src/control_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in control service: sends what a test tells it, also half of it, and keeps every answer.
+//! A fake control service that streams configuration versions, also incomplete ones, and records each answer.
 
 use crate::{HttpMessage, PostScript};
 use serde_json::{Value, json};
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Instant;
 
-/// An answer to a version.
+/// The courier's answer to a configuration version.
 #[derive(Clone, Debug)]
 pub struct VersionAnswer {
     pub version: Option<u64>,
@@ -21,13 +21,14 @@
 #[derive(Default)]
 struct Inner {
     stream: Option<TcpStream>,
-    /// What each stream asked for.
+    /// Request lines of all streams.
     asked: Vec<String>,
     answers: Vec<VersionAnswer>,
-    /// For the next answers, one each.
+    /// Scripts for the next POSTs of answers, one each.
     scripts: VecDeque<PostScript>,
 }
 
+/// The fake control service. Clones share its state.
 #[derive(Clone)]
 pub struct ControlService {
     pub address: SocketAddr,
@@ -41,6 +42,7 @@
 }
 
 impl ControlService {
+    /// Starts the service.
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -55,6 +57,7 @@
         this
     }
 
+    /// Returns the URL for the setting `control.url`.
     pub fn url(&self) -> String {
         format!("http://{}/v1/config", self.address)
     }
@@ -74,8 +77,8 @@
             }
             assert!(page.start_line.starts_with("POST /v1/config/answers "), "{}", page.start_line);
             let script = self.inner.lock().expect("the service").scripts.pop_front();
-            if script.is_none_or(|script| script.takes()) {
-                self.note(&page);
+            if script.is_none_or(|script| script.accepts()) {
+                self.record_answer(&page);
             }
             let answered = match script {
                 Some(script) => script.answer(&out),
@@ -87,8 +90,8 @@
         }
     }
 
-    /// Takes an answer.
-    fn note(&self, page: &HttpMessage) {
+    /// Records an answer.
+    fn record_answer(&self, page: &HttpMessage) {
         let answer: Value = serde_json::from_slice(&page.body).expect("an answer");
         self.inner.lock().expect("the service").answers.push(VersionAnswer {
             version: answer["version"].as_u64(),
@@ -98,17 +101,17 @@
         });
     }
 
-    /// What the next posts of answers meet, one script each.
+    /// Sets how the next POSTs of answers are handled, one script each.
     pub fn script_answers(&self, scripts: impl IntoIterator<Item = PostScript>) {
         self.inner.lock().expect("the service").scripts.extend(scripts);
     }
 
-    /// Whether a courier listens.
+    /// Whether a courier has the stream open.
     pub fn is_open(&self) -> bool {
         self.inner.lock().expect("the service").stream.is_some()
     }
 
-    /// Sends bytes as they are. False if nobody listens.
+    /// Sends text unchanged. Returns false if no stream is open.
     pub fn send(&self, text: &str) -> bool {
         let mut inner = self.inner.lock().expect("the service");
         let Some(stream) = &mut inner.stream else { return false };
@@ -119,27 +122,29 @@
         sent
     }
 
-    /// Sends a whole version.
+    /// Sends a version with a complete configuration. Returns false if no stream is open.
     pub fn send_version(&self, version: u64, config: &Value) -> bool {
         self.send(&(json!({"version": version, "config": config}).to_string() + "\n"))
     }
 
+    /// Sends a version as a patch of the version `base`. Returns false if no stream is open.
     pub fn patch(&self, version: u64, base: u64, patch: &Value) -> bool {
         self.send(&(json!({"version": version, "base": base, "patch": patch}).to_string() + "\n"))
     }
 
-    /// Breaks the stream off.
+    /// Closes the stream.
     pub fn cut(&self) {
         if let Some(stream) = self.inner.lock().expect("the service").stream.take() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
+    /// Returns all recorded answers.
     pub fn answers(&self) -> Vec<VersionAnswer> {
         self.inner.lock().expect("the service").answers.clone()
     }
 
-    /// The first answer to a version, once it is there.
+    /// Waits for the first answer to a version.
     pub fn answer(&self, version: u64) -> VersionAnswer {
         let mut found = None;
         crate::wait_until(&format!("an answer to version {version}"), || {
@@ -149,6 +154,7 @@
         found.expect("waited for")
     }
 
+    /// Returns the request lines of all streams.
     pub fn asked(&self) -> Vec<String> {
         self.inner.lock().expect("the service").asked.clone()
     }
--- a/crates/rig/src/delivery_rules.rs
+++ b/crates/rig/src/delivery_rules.rs
@@ -1,5 +1,6 @@
-//! The rules on lost requests and duplicates, checked on what the endpoints and the platform saw of a play. Messages are
-//! named after their class: `payment` must not be repeated, `notice` is keyed by zone, `status` may be repeated.
+//! Checks the rules on lost and duplicate messages against what the endpoints and the platform recorded during a test
+//! run. Message ids start with their class: `payment` has the effect `once`, `notice` is keyed by zone, `status` is
+//! repeatable.
 
 use crate::duplicating_endpoint::{CallLog, ServedCall};
 use crate::{Discovery, MS};
@@ -9,45 +10,46 @@
 
 /// The classes of [`crate::settings`].
 pub const CLASSES: [&str; 3] = ["payment", "notice", "status"];
-/// What an endpoint answers that has not run a call.
+/// Status with which an endpoint says that it has not run a call.
 const REFUSED: u16 = 503;
-/// What it answers for a message that is over.
+/// Status with which an endpoint says that the message is over.
 const GONE: u16 = 410;
-/// A courier that is killed so soon after an answer may not have put on record what that says.
-const NOT_ON_RECORD: Duration = Duration::from_millis(50);
+/// A courier that is killed within this time after a response may not have journaled it.
+const JOURNAL_DELAY: Duration = Duration::from_millis(50);
 
-/// What is known once a play is over.
+/// What was recorded during a test run.
 pub struct RunRecord {
     pub calls: Vec<ServedCall>,
-    /// Messages whose client heard that they are taken on.
+    /// Ids of messages that the courier answered as accepted.
     pub taken: BTreeSet<String>,
-    /// How messages ended that were not delivered.
+    /// Results of messages that ended by a notice, by id.
     pub notices: BTreeMap<String, String>,
-    /// What the couriers logged.
+    /// Log lines of the couriers.
     pub log: Vec<String>,
-    /// The kills of couriers.
+    /// When couriers were killed.
     pub kills: Vec<CourierKill>,
 }
 
-/// The end of a courier's process.
+/// A kill of a courier's process.
 #[derive(Clone, Copy, Debug)]
 pub struct CourierKill {
     pub at: Instant,
-    /// Since when no write to the state folder had worked; None if writes worked.
+    /// Since when writes to the state folder had failed; None if they succeeded.
     pub folder_failed_since: Option<Instant>,
 }
 
 impl CourierKill {
-    /// Whether what a courier heard at a moment may be on no record: nothing else outlasts its process.
-    fn may_have_erased(&self, heard: Instant) -> bool {
-        let recorded_before = self.at - NOT_ON_RECORD;
+    /// Whether a response that the courier received at this time may be missing from the journal, which is all that
+    /// outlives the process.
+    fn may_have_lost(&self, received: Instant) -> bool {
+        let recorded_before = self.at - JOURNAL_DELAY;
         let unrecorded_from =
             self.folder_failed_since.map_or(recorded_before, |since| since.min(recorded_before));
-        (unrecorded_from..self.at).contains(&heard)
+        (unrecorded_from..self.at).contains(&received)
     }
 }
 
-/// Waits until all that was taken on has ended, for so long at most.
+/// Waits until all accepted messages have ended, but no longer than `limit`.
 pub fn wait_for_ends(taken: &BTreeSet<String>, log: &CallLog, discovery: &Discovery, limit: Duration) {
     let end = Instant::now() + limit;
     while Instant::now() < end && !unended(taken, log, discovery).is_empty() {
@@ -55,7 +57,7 @@
     }
 }
 
-/// Messages that were taken on and have neither been delivered nor ended by a notice.
+/// Returns accepted messages that have neither been delivered nor ended by a notice.
 fn unended(taken: &BTreeSet<String>, log: &CallLog, discovery: &Discovery) -> Vec<String> {
     let calls = log.lock().expect("the log");
     let delivered = delivered(&calls);
@@ -63,13 +65,13 @@
     open.cloned().collect()
 }
 
-/// Messages that their endpoints count as delivered or over.
+/// Returns messages that an endpoint answered with 200 or 410.
 fn delivered(calls: &[ServedCall]) -> BTreeSet<&String> {
     calls.iter().filter(|c| matches!(c.status, Some(200 | GONE))).map(|c| &c.id).collect()
 }
 
 impl RunRecord {
-    /// Gathers it once nothing changes any more.
+    /// Collects the records after the run.
     pub fn new(taken: BTreeSet<String>, calls: &CallLog, discovery: &Discovery, log: Vec<String>) -> Self {
         let notice = |id: &String| Some((id.clone(), discovery.results(id).first()?.clone()));
         let notices = taken.iter().filter_map(notice).collect();
@@ -77,14 +79,14 @@
         RunRecord { calls, taken, notices, log, kills: Vec::new() }
     }
 
-    /// Its size, for the test's output.
+    /// Returns the counts of the run for the test's output.
     pub fn summary(&self) -> String {
         let repeated = self.log.iter().filter(|line| line.contains("repeats an earlier one")).count();
         let (taken, calls, notices) = (self.taken.len(), self.calls.len(), self.notices.len());
-        format!("{taken} taken, {calls} calls, {notices} notices, {repeated} repeated answers")
+        format!("{taken} accepted, {calls} calls, {notices} notices, {repeated} repeated answers")
     }
 
-    /// The calls of each message of a class, in order of arrival.
+    /// Returns the calls of each message of a class, in order of arrival.
     fn of(&self, class: &str) -> BTreeMap<&str, Vec<&ServedCall>> {
         let mut all: BTreeMap<&str, Vec<&ServedCall>> = BTreeMap::new();
         for call in self.calls.iter().filter(|c| c.id.starts_with(class)) {
@@ -93,7 +95,7 @@
         all
     }
 
-    /// What the couriers say of a message and of themselves, and what its endpoints saw.
+    /// Returns the couriers' log, filtered to one message and general lines, and the message's calls.
     fn account(&self, id: &str) -> String {
         let log =
             self.log.iter().filter(|line| !line.starts_with("follow ") || line.contains(&format!(" {id} ")));
@@ -105,7 +107,7 @@
         log.cloned().chain(calls).collect::<Vec<_>>().join("\n")
     }
 
-    /// A payment is not sent again once a call of it may have run.
+    /// Asserts that a payment is not sent again once a call of it may have run.
     pub fn assert_payments_run_once(&self) {
         for (id, calls) in self.of("payment") {
             let ran = calls.iter().position(|c| c.status != Some(REFUSED));
@@ -113,25 +115,29 @@
         }
     }
 
-    /// No message has two attempts out at once.
+    /// Asserts that no message has two attempts in flight at once.
     pub fn assert_one_attempt_at_once(&self) {
         if let Some(call) = self.calls.iter().find(|call| call.overlaps) {
-            panic!("two attempts were out at once:\n{}", self.account(&call.id));
+            panic!("two attempts were in flight at once:\n{}", self.account(&call.id));
         }
     }
 
-    /// A keyed message goes to no other zone once a call of it may have run.
+    /// Asserts that a keyed message is not sent to another zone once a call of it may have run.
     pub fn assert_keyed_repeats_stay_in_their_zone(&self) {
         for (id, calls) in self.of("notice") {
             let after: Vec<_> = calls.iter().skip_while(|c| c.status == Some(REFUSED)).collect();
             let strayed = after.iter().any(|c| c.endpoint != after[0].endpoint);
-            assert!(!strayed, "{id} may have run in one zone and went to the other:\n{}", self.account(id));
+            assert!(
+                !strayed,
+                "{id} may have run in one zone and was sent to the other:\n{}",
+                self.account(id)
+            );
         }
     }
 
-    /// No message is sent again once an endpoint has answered that it is over.
+    /// Asserts that no message is sent again once an endpoint has answered 410.
     pub fn assert_none_sent_after_gone(&self) {
-        let on_record = |at: Instant| !self.kills.iter().any(|kill| kill.may_have_erased(at));
+        let on_record = |at: Instant| !self.kills.iter().any(|kill| kill.may_have_lost(at));
         for gone in self.calls.iter().filter(|call| call.status == Some(GONE)) {
             let Some(at) = gone.ended.filter(|at| on_record(*at)) else { continue };
             let again = self.calls.iter().any(|call| call.id == gone.id && call.arrived > at);
@@ -139,7 +145,7 @@
         }
     }
 
-    /// Each message that was taken on is delivered or ended by a notice.
+    /// Asserts that each accepted message is delivered or ended by a notice.
     pub fn assert_none_lost(&self) {
         let delivered = delivered(&self.calls);
         let ended = |id: &String| delivered.contains(id) || self.notices.contains_key(id);
@@ -148,7 +154,7 @@
         assert!(lost.is_empty(), "{} were lost; the first:\n{first}", lost.len());
     }
 
-    /// All of these rules.
+    /// Asserts all rules above.
     pub fn assert_rules(&self) {
         self.assert_payments_run_once();
         self.assert_one_attempt_at_once();
--- a/crates/rig/src/duplicating_endpoint.rs
+++ b/crates/rig/src/duplicating_endpoint.rs
@@ -1,4 +1,4 @@
-//! A fake endpoint that sends second copies of its answers, and an account of what it did with each call.
+//! A fake endpoint that sends second copies of its responses, and a log of what it did with each call.
 
 use crate::{HttpMessage, MS};
 use rand::rngs::SmallRng;
@@ -10,64 +10,64 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What the endpoint does with one call.
+/// How the endpoint handles one call.
 pub struct Script {
-    /// None closes the connection in place of an answer.
+    /// The response; None closes the connection instead.
     pub answer: Option<String>,
-    /// From the call's last byte to the answer.
+    /// Time from the last byte of the call to the response.
     pub delay: Duration,
-    /// The connection is reset right behind the answer.
+    /// Whether the connection is reset immediately after the response.
     pub reset_after: bool,
-    /// A second copy follows the answer by so much, whatever has come on the connection by then.
+    /// Delay after which a second copy of the response is sent, whatever was received on the connection by then.
     pub copy_after: Option<Duration>,
 }
 
-/// What became of one call.
+/// A call and how the endpoint handled it.
 #[derive(Clone, Debug)]
 pub struct ServedCall {
     pub id: String,
-    /// The endpoint's name, as given to it.
+    /// Name of the endpoint, as passed to `start`.
     pub endpoint: &'static str,
     pub connection: usize,
     pub arrived: Instant,
-    /// Another call of the same message was out when it came.
+    /// Whether another call of the same message was in flight when this one arrived.
     pub overlaps: bool,
-    /// When its answer was written, or its connection was found closed; None while it is out.
+    /// When its response was written or its connection was found closed; None while it is in flight.
     pub ended: Option<Instant>,
-    /// None if its connection was closed before the answer.
+    /// Status of the response; None if the connection was closed before it.
     pub status: Option<u16>,
-    /// A handle on its connection, as long as it is out.
+    /// Handle of its connection while the call is in flight.
     stream: Option<Arc<TcpStream>>,
 }
 
 impl ServedCall {
-    /// Whether the courier still waits for its answer. Asks the kernel: the thread that serves the call may not have
-    /// seen a close yet.
-    fn is_out(&self) -> bool {
+    /// Whether the courier still waits for the response. Asks the kernel, since the thread that serves the call may not
+    /// have noticed a close yet.
+    fn is_in_flight(&self) -> bool {
         self.stream.as_ref().is_some_and(|stream| !is_closed(stream))
     }
 }
 
 /// `MSG_PEEK | MSG_DONTWAIT`.
-const LOOK_ONLY: i32 = 0x42;
+const PEEK_NONBLOCKING: i32 = 0x42;
 
-/// Whether the peer has closed a connection, as far as the kernel knows.
+/// Whether the kernel has seen the peer close the connection.
 fn is_closed(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
-    let read = socket2::SockRef::from(stream).recv_with_flags(&mut byte, LOOK_ONLY);
+    let read = socket2::SockRef::from(stream).recv_with_flags(&mut byte, PEEK_NONBLOCKING);
     !matches!(read, Ok(1..)) && read.map_err(|e| e.kind()) != Err(std::io::ErrorKind::WouldBlock)
 }
 
-/// Calls of all endpoints of one test, in order of arrival.
+/// Calls at all endpoints of one test, in order of arrival.
 pub type CallLog = Arc<Mutex<Vec<ServedCall>>>;
 
-/// Its connections are served each by a thread, until the process ends.
+/// The fake endpoint. Each connection is served by a thread of its own until the process ends.
 pub struct DuplicatingEndpoint {
     pub address: SocketAddr,
 }
 
 impl DuplicatingEndpoint {
-    /// `script` is asked for each call.
+    /// Starts an endpoint that gets a script for each call.
     pub fn start(
         name: &'static str,
         log: &CallLog,
@@ -86,7 +86,7 @@
     }
 }
 
-/// An answer that differs from all others: 503 for a share of `refused` of the calls, else 200.
+/// Returns a unique response: 503 with the probability `refused`, else 200.
 pub fn distinct_answer(rng: &mut SmallRng, refused: f64) -> String {
     let report = format!("X-Server-Load: TEXT x0={:.3}, x1=900", rng.random_range(0.5..1.0));
     if rng.random_bool(refused) {
@@ -95,7 +95,7 @@
     format!("HTTP/1.1 200 OK\r\n{report}\r\nContent-Length: 16\r\n\r\n{:016x}", rng.random::<u64>())
 }
 
-/// An answer that says that the message is over: whole, without an end of its head or body, or one that cannot be read.
+/// Returns a 410 response: complete, with a truncated head or body, or malformed.
 pub fn gone_answer(rng: &mut SmallRng) -> String {
     let rest = [
         "Content-Length: 0\r\n\r\n",
@@ -108,8 +108,8 @@
     format!("HTTP/1.1 410 Gone\r\n{}", rest[rng.random_range(0..rest.len())])
 }
 
-/// Starts an endpoint of each destination in each of two zones; their list in discovery's form. Each draws its scripts
-/// from a generator of its own.
+/// Starts one endpoint per destination in each of two zones and returns their entries in discovery's format. Each
+/// endpoint draws its scripts from a random generator of its own.
 pub fn start_in_two_zones(
     destinations: u64,
     log: &CallLog,
@@ -142,21 +142,21 @@
         let mut from = BufReader::new(stream);
         while let Some(call) = HttpMessage::read(&mut from) {
             let script = (self.script)();
-            let entry = self.arrived(&call, connection, from.get_ref());
+            let entry = self.record_arrival(&call, connection, from.get_ref());
             if !stays_open(from.get_ref(), script.delay) {
-                return self.ended(entry, None);
+                return self.record_end(entry, None);
             }
             let Some(answer) = script.answer else {
-                return self.ended(entry, None);
+                return self.record_end(entry, None);
             };
             let status = answer.split(' ').nth(1).and_then(|s| s.parse().ok());
-            // Ended first: a courier that acts on the answer must not be seen to act before it.
-            self.ended(entry, status);
+            // Recorded before the write: otherwise a courier that reacts to the response could appear to act before it.
+            self.record_end(entry, status);
             if !write(&out, &answer) {
                 return;
             }
             if script.reset_after {
-                // A close that waits for nothing sends a reset.
+                // Closing with a linger time of zero sends a reset.
                 let _ = socket2::SockRef::from(from.get_ref()).set_linger(Some(Duration::ZERO));
                 return;
             }
@@ -170,13 +170,13 @@
         }
     }
 
-    /// Notes a call; its place in the log.
-    fn arrived(&self, call: &HttpMessage, connection: usize, own: &TcpStream) -> usize {
+    /// Records an arrived call and returns its index in the log.
+    fn record_arrival(&self, call: &HttpMessage, connection: usize, own: &TcpStream) -> usize {
         let id = call.header("x-request-id").unwrap_or_default().to_owned();
         let stream = Some(Arc::new(own.try_clone().expect("a handle")));
         let mut log = self.log.lock().expect("the log");
-        // One whose connection is closed already is not out, and has only been read late.
-        let overlaps = !is_closed(own) && log.iter().any(|other| other.id == id && other.is_out());
+        // A call whose connection is already closed is not in flight; it was only read late.
+        let overlaps = !is_closed(own) && log.iter().any(|other| other.id == id && other.is_in_flight());
         log.push(ServedCall {
             id,
             endpoint: self.name,
@@ -190,7 +190,7 @@
         log.len() - 1
     }
 
-    fn ended(&self, entry: usize, status: Option<u16>) {
+    fn record_end(&self, entry: usize, status: Option<u16>) {
         let mut log = self.log.lock().expect("the log");
         let call = &mut log[entry];
         (call.ended, call.status, call.stream) = (Some(Instant::now()), status, None);
@@ -201,12 +201,12 @@
     out.lock().expect("the connection").write_all(text.as_bytes()).is_ok()
 }
 
-/// Waits for so long; false as soon as the peer has closed the connection.
+/// Waits for the delay. Returns false as soon as the peer has closed the connection.
 fn stays_open(stream: &TcpStream, delay: Duration) -> bool {
     let end = Instant::now() + delay;
     let mut byte = [0];
     while Instant::now() < end {
-        stream.set_read_timeout(Some(MS)).expect("a time-out");
+        stream.set_read_timeout(Some(MS)).expect("a read timeout");
         match stream.peek(&mut byte) {
             Ok(0) => return false,
             Ok(_) => thread::sleep(MS),
@@ -214,6 +214,6 @@
             Err(_) => return false,
         }
     }
-    stream.set_read_timeout(None).expect("no time-out");
+    stream.set_read_timeout(None).expect("no read timeout");
     true
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,5 +1,5 @@
-//! The courier's binary among small fakes on loopback sockets: a client, endpoints, discovery and the
-//! platform, each on port 0. Tests wait for conditions, with a limit that only a fault reaches.
+//! Test harness: runs the courier binary against fake clients, endpoints, discovery and platform services on
+//! loopback sockets, each on an ephemeral port. Tests poll for conditions with a timeout that only a fault reaches.
 
 pub mod broker;
 pub mod charge_ledger;
@@ -25,32 +25,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Longest time that a test waits for a condition or a response.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// One millisecond.
 pub const MS: Duration = Duration::from_millis(1);
 
-/// An address with a free port. Its host is this process's own: on the one that all share, any connection of another
-/// process may take the port before it is used.
+/// Returns an address with a free port. The loopback host is derived from the process id: on 127.0.0.1, a connection
+/// of another process could take the port before it is used.
 pub fn free_address() -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     let own = SocketAddr::from(([127, 77, high, low.max(1)], 0));
     TcpListener::bind(own).and_then(|listener| listener.local_addr()).expect("an address")
 }
 
-/// A figure from the environment, for a test that can be played for longer, or again.
-pub fn env_or(name: &str, or: u64) -> u64 {
-    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
+/// Reads a number from the environment, such as a seed or a round count, or returns the default.
+pub fn env_or(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-/// Waits until something holds; a fault if it never does.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls every 5 ms until the condition holds. Panics with `what` after [`WAIT_TIMEOUT`].
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < end, "never came: {what}");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         thread::sleep(5 * MS);
     }
 }
 
-/// A request or an answer, as it stood on the wire.
+/// An HTTP request or response as received.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     pub start_line: String,
@@ -59,14 +61,17 @@
 }
 
 impl HttpMessage {
+    /// Returns the value of the first header field with this name, compared without case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
+    /// Returns the status code of a response, or 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
+    /// Reads one message, its body by `Content-Length`. Returns None if the connection ends first.
     pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
         let mut page = HttpMessage::default();
         let mut line = String::new();
@@ -85,32 +90,37 @@
     }
 }
 
-/// What a fake endpoint does with a call.
+/// How a fake endpoint handles a call.
 pub enum EndpointAction {
     Respond(&'static str),
     RespondAndClose(&'static str),
-    /// Answers, and resets the connection right behind it.
+    /// Sends the response and resets the connection immediately after it.
     RespondAndReset(&'static str),
-    /// Answers once the time has passed.
+    /// Sends the response after the delay.
     RespondAfter(Duration, &'static str),
-    /// Answers 200 once the time has passed, with a body of its own.
+    /// Sends a 200 response with a unique body after the delay.
     RespondDistinct(Duration),
+    /// Never responds, and keeps the connection open until the courier writes or closes.
     Hang,
+    /// Closes the connection without a response.
     CloseConnection,
 }
 
+/// An empty 200 response.
 pub const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
+/// A call that a fake endpoint received.
 #[derive(Clone, Debug)]
 pub struct ReceivedCall {
     pub id: String,
     pub page: HttpMessage,
     pub at: Instant,
     pub connection: usize,
-    /// Its connection is one of those that the endpoint holds, where it holds only so many.
+    /// Whether its connection was within the endpoint's connection limit, see [`Endpoint::holding`].
     pub admitted: bool,
 }
 
+/// A fake endpoint that serves each connection in a thread of its own.
 pub struct Endpoint {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<ReceivedCall>>>,
@@ -118,22 +128,22 @@
 }
 
 impl Endpoint {
-    /// `act` is asked with the number of the call, from 0.
+    /// Calls `act` with the index of the call, from 0.
     pub fn new(act: impl Fn(usize) -> EndpointAction + Send + Sync + 'static) -> Self {
         Self::with(move |call, _| act(call))
     }
 
-    /// `act` is asked with the number of the connection.
+    /// Calls `act` with the index of the connection, from 0.
     pub fn by_connection(act: impl Fn(usize) -> EndpointAction + Send + Sync + 'static) -> Self {
         Self::with(move |_, connection| act(connection))
     }
 
-    /// `act` is shown the call itself.
+    /// Calls `act` with the call.
     pub fn by_call(act: impl Fn(&ReceivedCall) -> EndpointAction + Send + Sync + 'static) -> Self {
         Self::open(usize::MAX, move |_, seen| act(seen))
     }
 
-    /// Holds so many connections at once; calls on others have `admitted` false.
+    /// Admits at most `connections` at once; calls on other connections have `admitted` false.
     pub fn holding(
         connections: usize,
         act: impl Fn(&ReceivedCall) -> EndpointAction + Send + Sync + 'static,
@@ -173,15 +183,17 @@
         Endpoint { address, seen, closed }
     }
 
-    /// Connections that are closed: what was answered on them before has been written.
+    /// Returns the number of closed connections. All responses on them have been written.
     pub fn closed(&self) -> usize {
         self.closed.load(Ordering::SeqCst)
     }
 
+    /// Returns all received calls in order.
     pub fn calls(&self) -> Vec<ReceivedCall> {
         self.seen.lock().expect("calls").clone()
     }
 
+    /// Returns the `X-Request-ID` of all received calls in order.
     pub fn ids(&self) -> Vec<String> {
         self.calls().into_iter().map(|s| s.id).collect()
     }
@@ -211,7 +223,7 @@
             }
             EndpointAction::RespondAndReset(text) => {
                 let _ = out.write_all(text.as_bytes());
-                // A close that waits for nothing sends a reset.
+                // Closing with a linger time of zero sends a reset.
                 let _ = socket2::SockRef::from(&out).set_linger(Some(Duration::ZERO));
                 return;
             }
@@ -237,40 +249,42 @@
     }
 }
 
-/// What a fake discovery does with a call for a watch.
+/// How the fake discovery service handles a request for a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchAnswer {
-    /// Writes the list, its changes and heartbeats.
+    /// Streams the endpoint list, its changes and heartbeats.
     Serve,
-    /// 503 after this time: at once as one that is crowded, late as one that is down or full of waiting calls.
+    /// Responds 503 after this delay: at once like an overloaded service, late like one that is down or has a long
+    /// queue.
     RefuseAfter(Duration),
-    /// The head of an answer, and then a blank every 200 ms that never becomes a line.
+    /// Sends the response head and then a space every 200 ms, without ever completing a line.
     NeverCompleteLine,
 }
 
-/// What a fake platform or control service does with one post.
+/// How a fake platform or control service handles one POST.
 #[derive(Clone, Copy, Debug)]
 pub struct PostScript {
-    /// 204 takes what is posted.
+    /// Status of the response; 204 accepts the POST.
     pub status: u16,
     pub delay: Duration,
-    /// A second copy of the answer follows it by so much.
+    /// Sends a second copy of the response after this delay.
     pub copy_after: Option<Duration>,
 }
 
 impl PostScript {
-    /// Taken at once, and a second copy of that comes while the next post is out; the next is refused after it.
+    /// Accepts the first POST at once and sends a second copy of that response while the next POST is in flight; the
+    /// next POST is refused after that.
     pub const DUPLICATED_THEN_REFUSED: [PostScript; 2] = [
         PostScript { status: 204, delay: Duration::ZERO, copy_after: Some(Duration::from_millis(400)) },
         PostScript { status: 503, delay: Duration::from_millis(900), copy_after: None },
     ];
 
-    /// Whether what is posted is taken.
-    pub fn takes(&self) -> bool {
+    /// Whether the POST is accepted.
+    pub fn accepts(&self) -> bool {
         self.status == 204
     }
 
-    /// Answers as the script says. False once the connection is closed.
+    /// Sends the scripted response. Returns false once the connection is closed.
     pub fn answer(self, out: &TcpStream) -> bool {
         let text = format!("HTTP/1.1 {} Scripted\r\nContent-Length: 0\r\n\r\n", self.status);
         let mut out = out.try_clone().expect("a handle");
@@ -286,32 +300,33 @@
     }
 }
 
-/// Discovery and the platform in one.
+/// A fake service that is both discovery and the platform that takes outcome notices.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
-    /// The lines that a watch gets, in order; the first is whole.
+    /// Lines that each watch receives, in order; the first is the complete list.
     pub lines: Arc<Mutex<Vec<Value>>>,
     pub notices: Arc<Mutex<Vec<Value>>>,
     pub watches: Arc<AtomicUsize>,
-    /// What each watch asked for.
+    /// Request lines of all watches.
     pub asked: Arc<Mutex<Vec<String>>>,
-    /// Watches with a lower number are cut off.
+    /// Watches with a lower index are closed.
     pub cut: Arc<AtomicUsize>,
-    /// How many posts are answered 503 first.
+    /// Number of next POSTs that are answered with 503.
     pub refuse_posts: Arc<AtomicUsize>,
     pub posts: Arc<AtomicUsize>,
-    /// For the next posts, one each.
+    /// Scripts for the next POSTs, one each.
     pub post_scripts: Arc<Mutex<VecDeque<PostScript>>>,
-    /// Posts with more than one notice are answered 400.
+    /// Whether POSTs with more than one notice are answered with 400.
     pub picky: Arc<AtomicBool>,
-    /// Watches with a lower number fall silent after their first line, and stay open.
+    /// Watches with a lower index stay open and send nothing more after their first line.
     pub mute: Arc<AtomicUsize>,
-    /// For calls from now on.
+    /// Applies to watch requests from now on.
     pub watch_answer: Arc<Mutex<WatchAnswer>>,
 }
 
 impl Discovery {
+    /// Starts a service that knows this endpoint list.
     pub fn new(list: Value) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let this = Discovery {
@@ -347,7 +362,7 @@
                 let answer = *self.watch_answer.lock().expect("an answer");
                 match answer {
                     WatchAnswer::Serve => return self.watch(&mut out),
-                    WatchAnswer::NeverCompleteLine => return never_a_line(&mut out),
+                    WatchAnswer::NeverCompleteLine => return never_complete_line(&mut out),
                     WatchAnswer::RefuseAfter(time) => {
                         thread::sleep(time);
                         let _ =
@@ -358,33 +373,33 @@
             }
             let script = self.post_scripts.lock().expect("scripts").pop_front();
             if let Some(script) = script {
-                if script.takes() {
-                    self.note(&page);
+                if script.accepts() {
+                    self.record_notices(&page);
                 }
                 if !script.answer(&out) {
                     return;
                 }
                 continue;
             }
-            let none = self
+            let accepts = self
                 .refuse_posts
                 .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1))
                 .is_err();
             self.posts.fetch_add(1, Ordering::SeqCst);
-            if none && self.picky.load(Ordering::SeqCst) && page.body.split(|b| *b == b'\n').count() > 2 {
+            if accepts && self.picky.load(Ordering::SeqCst) && page.body.split(|b| *b == b'\n').count() > 2 {
                 let _ = write!(out, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
-            if none {
-                self.note(&page);
+            if accepts {
+                self.record_notices(&page);
             }
-            let status = if none { "204 No Content" } else { "503 Service Unavailable" };
+            let status = if accepts { "204 No Content" } else { "503 Service Unavailable" };
             let _ = write!(out, "HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
         }
     }
 
-    /// Takes the notices of a post.
-    fn note(&self, page: &HttpMessage) {
+    /// Records the notices of a POST.
+    fn record_notices(&self, page: &HttpMessage) {
         let text = String::from_utf8_lossy(&page.body).into_owned();
         let lines = text.lines().map(|l| serde_json::from_str(l).expect("a notice"));
         self.notices.lock().expect("notices").extend(lines);
@@ -417,25 +432,27 @@
         }
     }
 
-    /// What calls for a watch meet from now on.
+    /// Sets how watch requests are handled from now on.
     pub fn answer_watches(&self, answer: WatchAnswer) {
         *self.watch_answer.lock().expect("an answer") = answer;
     }
 
-    /// Ends all open watches.
+    /// Closes all open watches.
     pub fn close_watches(&self) {
         self.cut.store(self.watches.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
-    /// All open watches fall silent and stay open.
+    /// Keeps all open watches open but sends nothing more on them.
     pub fn silence_watches(&self) {
         self.mute.store(self.watches.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
+    /// Sends a line to all watches.
     pub fn tell(&self, line: Value) {
         self.lines.lock().expect("lines").push(line);
     }
 
+    /// Returns the results that notices reported for a message.
     pub fn results(&self, id: &str) -> Vec<String> {
         let notices = self.notices.lock().expect("notices");
         let of = notices.iter().filter(|n| n["ref"] == id);
@@ -443,22 +460,25 @@
     }
 }
 
-fn never_a_line(out: &mut TcpStream) {
+fn never_complete_line(out: &mut TcpStream) {
     let _ = out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     while out.write_all(b"1\r\n \r\n").is_ok() {
         thread::sleep(200 * MS);
     }
 }
 
+/// Returns an entry of an endpoint list in discovery's format.
 pub fn host(name: &str, endpoint: &Endpoint, block: u64, health: &str) -> Value {
     json!({"host": name, "dial": endpoint.address.to_string(), "site": "a", "class": "shops", "block": block,
         "health": health, "share": 50.0, "born_ms": 0})
 }
 
+/// Returns a line of the watch stream; `whole` marks a complete list.
 pub fn list(seq: u64, whole: bool, hosts: Vec<Value>) -> Value {
     json!({"seq": seq, "whole": whole, "hosts": hosts})
 }
 
+/// Returns the settings of the platform's configuration, with one class per effect.
 pub fn settings() -> Value {
     let lane = |name: &str, effect: &str| {
         json!({"aim-ns": 2_000_000_000u64, "credit": 1.0, "deadline-ns": 28_000_000_000u64, "effect": effect,
@@ -480,10 +500,11 @@
     })
 }
 
-/// A folder of one test, removed with it.
+/// A temporary folder of one test, removed when dropped.
 pub struct TestFolder(pub PathBuf);
 
 impl TestFolder {
+    /// Creates the folder with an empty `state` folder in it.
     pub fn new() -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!("stairshed-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
@@ -505,27 +526,29 @@
     }
 }
 
-/// A courier that runs; killed when dropped.
+/// A running courier process, killed when dropped.
 pub struct Courier {
     pub address: SocketAddr,
     child: Child,
     log: Receiver<String>,
-    /// What it said before it was ready.
+    /// Lines it logged before it was ready.
     pub startup_log: Vec<String>,
 }
 
-/// The courier's program, built beside the one that runs: a test stands in `deps/` under it.
+/// Path of the courier binary, which is built in the folder of the running program, or its parent for tests, which run
+/// from `deps/`.
 pub fn program() -> PathBuf {
     let own = std::env::current_exe().expect("a path");
     let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join("stairshed"));
     beside.into_iter().find(|path| path.is_file()).expect("stairshed is built beside this program")
 }
 
+/// Returns the command that starts the courier with a platform configuration.
 pub fn command(folder: &TestFolder, discovery: &Discovery, config: &Value) -> Command {
     command_of(&program(), folder, discovery, config)
 }
 
-/// The same for any courier.
+/// Like [`command`], for any courier binary.
 pub fn command_of(program: &Path, folder: &TestFolder, discovery: &Discovery, config: &Value) -> Command {
     let path = folder.0.join("config.json");
     fs::write(&path, config.to_string()).expect("a config");
@@ -541,6 +564,7 @@
     command
 }
 
+/// Returns a platform configuration with this known endpoint list.
 pub fn config(discovery: &Discovery, known: Value) -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
         "seed": "8c1f30d27a5be964",
@@ -548,7 +572,7 @@
         "known": known, "settings": settings()})
 }
 
-/// The operator's settings for a courier's command.
+/// Adds an operator settings file to a courier's command.
 pub fn with_settings(command: &mut Command, folder: &TestFolder, text: &str) {
     let path = folder.0.join("settings.toml");
     fs::write(&path, text).expect("settings");
@@ -556,31 +580,33 @@
 }
 
 impl Courier {
-    /// Starts one that knows the list as discovery has it, and waits until it is ready.
+    /// Starts a courier that knows the list of this discovery service, and waits until it is ready.
     pub fn start(folder: &TestFolder, discovery: &Discovery) -> Self {
         let known = discovery.lines.lock().expect("lines")[0].clone();
         Self::with(folder, discovery, &config(discovery, known))
     }
 
+    /// Starts a courier with a platform configuration, and waits until it is ready.
     pub fn with(folder: &TestFolder, discovery: &Discovery, config: &Value) -> Self {
         Self::spawn(&mut command(folder, discovery, config))
     }
 
+    /// Starts a courier, waits until it is ready and collects its log. Panics after [`WAIT_TIMEOUT`].
     pub fn spawn(command: &mut Command) -> Self {
         let mut child = command.spawn().expect("the courier starts");
         let log = BufReader::new(child.stderr.take().expect("its log"));
-        let (tell, lines) = channel();
+        let (sender, lines) = channel();
         thread::spawn(move || {
             log.lines().map_while(Result::ok).for_each(|line| {
-                // Nobody may be reading any more.
-                let _ = tell.send(line);
+                // The receiver may have been dropped.
+                let _ = sender.send(line);
             })
         });
         let mut startup_log = Vec::new();
         let address = loop {
             let line = lines
                 .recv_timeout(WAIT_TIMEOUT)
-                .unwrap_or_else(|_| panic!("it never served: {startup_log:?}"));
+                .unwrap_or_else(|_| panic!("the courier did not start serving: {startup_log:?}"));
             let address = line.split("serves ").nth(1).and_then(|l| l.split(';').next());
             if let Some(address) = address.and_then(|a| a.parse().ok()) {
                 break address;
@@ -592,62 +618,63 @@
         courier
     }
 
-    /// One that serves an operator's file, which is written into the folder.
+    /// Starts a courier with an operator's configuration file, which is written into the folder.
     pub fn serve(folder: &TestFolder, file: &str) -> Self {
         Self::spawn(&mut serve_command(folder, file))
     }
 
-    /// Its operator's pages, if it has them.
+    /// Returns the address of its admin pages. Panics if it has none.
     pub fn admin(&self) -> SocketAddr {
         let line = self.startup_log.iter().find_map(|l| l.split("pages are at ").nth(1));
-        line.and_then(|l| l.parse().ok())
-            .unwrap_or_else(|| panic!("no operator's pages: {:?}", self.startup_log))
+        line.and_then(|l| l.parse().ok()).unwrap_or_else(|| panic!("no admin pages: {:?}", self.startup_log))
     }
 
-    /// Where it serves MQTT clients, if it does.
+    /// Returns the address where it serves MQTT clients. Panics if it has none.
     pub fn mqtt(&self) -> SocketAddr {
         let line = self.startup_log.iter().find_map(|l| l.split("clients are served at ").nth(1));
-        line.and_then(|l| l.parse().ok()).unwrap_or_else(|| panic!("no MQTT: {:?}", self.startup_log))
+        line.and_then(|l| l.parse().ok())
+            .unwrap_or_else(|| panic!("no MQTT listener: {:?}", self.startup_log))
     }
 
-    /// A page of the operator's.
+    /// Fetches an admin page as JSON.
     pub fn page(&self, path: &str) -> Value {
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
         let page = exchange(self.admin(), request.as_bytes()).expect("a page");
         serde_json::from_slice(&page.body).expect("JSON")
     }
 
-    /// Replaces its operator's file and tells it to read it again.
+    /// Replaces the operator's configuration file and sends SIGHUP.
     pub fn replace_config_file(&self, folder: &TestFolder, file: &str) {
         fs::write(folder.0.join("next.toml"), file).expect("a file");
         fs::rename(folder.0.join("next.toml"), folder.0.join("stairshed.toml")).expect("in its place");
         self.signal("-HUP");
     }
 
-    /// Hands a message in at a path; the answer.
+    /// Submits a message at a path and returns the response.
     pub fn post(&self, path: &str, id: &str, heads: &str, body: &str) -> HttpMessage {
         post(self.address, path, id, heads, body).expect("an answer")
     }
 
-    /// What the kernel lets it write to one file; nobody needs privileges to lower that of their own. It must have
-    /// been started as [`limitable`].
+    /// Limits the size in bytes of each file that the courier may write (RLIMIT_FSIZE); lowering the limit of an own
+    /// process needs no privileges. The courier must have been started by [`ignoring_file_size_signal`].
     pub fn set_file_size_limit(&self, bytes: Option<u64>) {
         use rustix::process::{Pid, Resource, Rlimit, prlimit};
         let pid = Pid::from_raw(self.child.id() as i32);
         prlimit(pid, Resource::Fsize, Rlimit { current: bytes, maximum: None }).expect("the limit is set");
     }
 
-    /// Its process.
+    /// Returns its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
+    /// Sends a signal, written as an option of kill such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
     }
 
-    /// Waits for a line of its log.
+    /// Waits for a log line that contains `words`. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_log(&self, words: &str) {
         let end = Instant::now() + WAIT_TIMEOUT;
         while let Ok(line) = self.log.recv_timeout(end.saturating_duration_since(Instant::now())) {
@@ -655,31 +682,33 @@
                 return;
             }
         }
-        panic!("never said: {words}");
+        panic!("no log line contains: {words}");
     }
 
-    /// What it has logged and nobody has read yet.
+    /// Returns the log lines that were not read yet.
     pub fn unread_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
-    /// Replaces its configuration and tells it to read it again.
+    /// Replaces the platform configuration and sends SIGHUP.
     pub fn reload(&self, folder: &TestFolder, text: &str) {
         fs::write(folder.0.join("config.next"), text).expect("a config");
         fs::rename(folder.0.join("config.next"), folder.0.join("config.json")).expect("in its place");
         self.signal("-HUP");
     }
 
-    /// Whether its process runs.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a status").is_none()
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(mut self) {
         self.child.kill().expect("killed");
         self.child.wait().expect("gone");
     }
 
+    /// Waits for the process to end and returns its exit code, or -1 if a signal ended it.
     pub fn exit(&mut self) -> i32 {
         let mut code = None;
         wait_until("the end of the process", || {
@@ -689,15 +718,17 @@
         code.and_then(|c| c.code()).unwrap_or(-1)
     }
 
+    /// Sends a GET request to the message listener.
     pub fn get(&self, path: &str) -> Option<HttpMessage> {
         exchange(self.address, format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
     }
 
-    /// Hands in a message; the answer.
+    /// Submits a message and returns the response.
     pub fn submit(&self, id: &str, class: &str, dest: u64, time_ms: u64) -> HttpMessage {
         exchange(self.address, message(id, class, dest, time_ms).as_bytes()).expect("an answer")
     }
 
+    /// Submits a message and panics unless it is accepted.
     pub fn submit_accepted(&self, id: &str, class: &str, dest: u64, time_ms: u64) {
         assert_eq!(self.submit(id, class, dest, time_ms).status(), 202, "{id}");
     }
@@ -710,10 +741,12 @@
     }
 }
 
+/// Returns a request that submits a message with a short body.
 pub fn message(id: &str, class: &str, dest: u64, time_ms: u64) -> String {
     message_with(id, class, dest, time_ms, "bo\0dy")
 }
 
+/// Returns a request that submits a message with this body.
 pub fn message_with(id: &str, class: &str, dest: u64, time_ms: u64, body: &str) -> String {
     format!(
         "POST /{class} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n\
@@ -723,13 +756,13 @@
     )
 }
 
-/// The command that serves an operator's file.
+/// Returns the command that starts the courier with an operator's configuration file.
 pub fn serve_command(folder: &TestFolder, file: &str) -> Command {
     serve_command_of(&program(), folder, file)
 }
 
-/// The command for a courier whose files can be limited: past the limit the kernel sends a signal that would end the
-/// process; ignored, the write fails (EFBIG).
+/// Wraps a courier's command so that it ignores SIGXFSZ. Beyond the file size limit the kernel sends that signal, which
+/// would end the process; when it is ignored, the write fails with EFBIG.
 pub fn ignoring_file_size_signal(command: &Command) -> Command {
     let mut shell = Command::new("sh");
     shell
@@ -742,7 +775,7 @@
     shell
 }
 
-/// The same for any courier.
+/// Like [`serve_command`], for any courier binary.
 pub fn serve_command_of(program: &Path, folder: &TestFolder, file: &str) -> Command {
     let path = folder.0.join("stairshed.toml");
     fs::write(&path, file).expect("a file");
@@ -751,12 +784,12 @@
     command
 }
 
-/// Hands a message in at a path of an operator's courier.
+/// Submits a message at a path and returns the response, if one comes.
 pub fn post(to: SocketAddr, path: &str, id: &str, heads: &str, body: &str) -> Option<HttpMessage> {
     exchange(to, request(path, id, heads, body).as_bytes())
 }
 
-/// The text of that.
+/// Returns the request that [`post`] sends.
 pub fn request(path: &str, id: &str, heads: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -764,7 +797,7 @@
     )
 }
 
-/// A connection from another address of the loopback: another client.
+/// Connects from another loopback address, which the courier takes for another client.
 pub fn connect_from(source: [u8; 4], to: SocketAddr) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from((source, 0)).into()).expect("an address of the loopback");
@@ -774,13 +807,13 @@
     stream
 }
 
-/// What `/-/memory` says of one purpose.
+/// Returns the entry of one purpose on the page `/-/memory`.
 pub fn purpose(page: &Value, name: &str) -> Value {
     let all = page["purposes"].as_array().expect("purposes");
     all.iter().find(|p| p["purpose"] == name).expect("the purpose").clone()
 }
 
-/// Outcomes in an operator's courier's file: each message's, in order.
+/// Reads the outcomes file: id and result of each message, in order.
 pub fn outcomes(folder: &TestFolder) -> Vec<(String, String)> {
     let text = fs::read_to_string(folder.0.join("state/outcomes.ndjson")).unwrap_or_default();
     let whole = text.rsplit_once('\n').map(|(whole, _)| whole).unwrap_or_default();
@@ -789,7 +822,7 @@
     lines.map(|l| (text(&l["ref"]), text(&l["result"]))).collect()
 }
 
-/// Sends bytes on a connection of their own; the answer, if one comes.
+/// Sends bytes on a new connection and returns the response, if one comes.
 pub fn exchange(to: SocketAddr, bytes: &[u8]) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
--- a/crates/rig/src/machine_faults.rs
+++ b/crates/rig/src/machine_faults.rs
@@ -1,5 +1,5 @@
-//! Faults of the machine for one courier: the library `stairshed-preload` in its process, and the file that tells it which
-//! calls fail.
+//! Injects system call faults into one courier: loads the library `stairshed-preload` into its process and writes the file
+//! that lists the calls to fail.
 
 use crate::TestFolder;
 use std::fs;
@@ -8,16 +8,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// The library reads its file at most every 5 ms; by then a change is in effect.
-const TAKES_EFFECT: Duration = Duration::from_millis(10);
+/// The library reads its file again after 5 ms at the latest, so that a change is in effect after this time.
+const RELOAD_TIME: Duration = Duration::from_millis(10);
 
-/// What is wrong with the machine of one courier.
+/// The fault rules of one courier.
 pub struct MachineFaults {
     path: PathBuf,
 }
 
 impl MachineFaults {
-    /// Loads the library into the courier of this command. `rules` hold from its start.
+    /// Adds the library to a courier's command. `rules` apply from its start.
     pub fn load(command: &mut Command, folder: &TestFolder, rules: &str) -> Self {
         let faults = MachineFaults { path: folder.0.join("faults") };
         faults.write(rules);
@@ -28,10 +28,10 @@
         faults
     }
 
-    /// From when this returns, these rules hold in place of those before.
+    /// Replaces the rules. They are in effect when this returns.
     pub fn set(&self, rules: &str) {
         self.write(rules);
-        thread::sleep(TAKES_EFFECT);
+        thread::sleep(RELOAD_TIME);
     }
 
     fn write(&self, rules: &str) {
@@ -41,7 +41,8 @@
     }
 }
 
-/// The library, built beside the program that runs: a test stands in `deps/` under it.
+/// Path of the library, which is built in the folder of the running program, or its parent for tests, which run from
+/// `deps/`.
 fn library() -> PathBuf {
     let own = std::env::current_exe().expect("a path");
     let folders = own.ancestors().skip(1).take(2);
--- a/crates/rig/src/name_server.rs
+++ b/crates/rig/src/name_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in DNS server: answers A questions over UDP and TCP from a table that a test changes.
+//! A fake DNS server that answers A queries over UDP and TCP from a table that a test changes.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -6,20 +6,22 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What it does with a question for a name.
+/// How the server answers a query for a name.
 #[derive(Clone, Debug)]
 pub enum DnsAnswer {
-    /// Addresses and their time to live, s.
+    /// Addresses and their TTL in seconds.
     Addresses(Vec<Ipv4Addr>, u32),
-    /// The same, over TCP only.
+    /// The same over TCP; over UDP an empty answer with the TC flag.
     Truncated(Vec<Ipv4Addr>, u32),
     /// SERVFAIL.
     ServerFailure,
+    /// Sends no answer.
     NoAnswer,
-    /// First an answer with another id, then the right one.
+    /// An answer with a wrong transaction id first, then the correct one.
     Forged(Vec<Ipv4Addr>, u32),
 }
 
+/// The fake DNS server. Clones share its table.
 #[derive(Clone)]
 pub struct NameServer {
     pub address: SocketAddr,
@@ -33,7 +35,7 @@
     }
 }
 
-/// The name of a question, and where it ends.
+/// Returns the name in the question section and the offset of the section's end.
 fn question(bytes: &[u8]) -> Option<(String, usize)> {
     let (mut at, mut labels) = (12, Vec::new());
     loop {
@@ -54,7 +56,7 @@
     out.extend([0, 0, 0, 0]);
     out.extend(&asked[12..end]);
     for address in addresses {
-        // The name is the question's.
+        // A pointer to the name in the question, type A, class IN.
         out.extend([0xc0, 12, 0, 1, 0, 1]);
         out.extend(ttl.to_be_bytes());
         out.extend([0, 4]);
@@ -63,11 +65,15 @@
     out
 }
 
+/// Header flags of a successful answer.
 const OK: u16 = 0x8180;
-const CUT: u16 = 0x8380;
-const FAILED: u16 = 0x8182;
+/// Header flags of a truncated answer (TC).
+const TRUNCATED: u16 = 0x8380;
+/// Header flags of SERVFAIL.
+const SERVFAIL: u16 = 0x8182;
 
 impl NameServer {
+    /// Starts a server that answers SERVFAIL for all names.
     pub fn new() -> Self {
         let (udp, tcp) = Self::sockets();
         let address = udp.local_addr().expect("an address");
@@ -79,7 +85,7 @@
         this
     }
 
-    /// One port for both.
+    /// Binds UDP and TCP to the same port.
     fn sockets() -> (UdpSocket, TcpListener) {
         for _ in 0..100 {
             let tcp = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -87,13 +93,15 @@
                 return (udp, tcp);
             }
         }
-        panic!("no port is free for both");
+        panic!("no port is free for both UDP and TCP");
     }
 
+    /// Sets the answer for a name.
     pub fn set(&self, name: &str, zone: DnsAnswer) {
         self.zones.lock().expect("the zones").insert(name.to_owned(), zone);
     }
 
+    /// Returns the number of queries for a name.
     pub fn asked(&self, name: &str) -> usize {
         self.asked.lock().expect("the questions").iter().filter(|n| *n == name).count()
     }
@@ -113,8 +121,8 @@
             let send = |bytes: Vec<u8>| drop(socket.send_to(&bytes, from));
             match zone {
                 DnsAnswer::Addresses(all, ttl) => send(answer(asked, end, &all, ttl, OK)),
-                DnsAnswer::Truncated(..) => send(answer(asked, end, &[], 0, CUT)),
-                DnsAnswer::ServerFailure => send(answer(asked, end, &[], 0, FAILED)),
+                DnsAnswer::Truncated(..) => send(answer(asked, end, &[], 0, TRUNCATED)),
+                DnsAnswer::ServerFailure => send(answer(asked, end, &[], 0, SERVFAIL)),
                 DnsAnswer::NoAnswer => {}
                 DnsAnswer::Forged(all, ttl) => {
                     let mut forged = answer(asked, end, &[Ipv4Addr::new(127, 0, 0, 99)], 60, OK);
--- a/crates/rig/src/process_stats.rs
+++ b/crates/rig/src/process_stats.rs
@@ -1,12 +1,12 @@
-//! What the system tells of a process: CPU, memory and descriptors.
+//! CPU time, memory and open descriptors of a process, read from `/proc`.
 
-/// Clock ticks of `/proc` in a second; Linux has this everywhere.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc`; 100 on all Linux platforms.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Seconds of CPU that a process has had.
+/// CPU time that a process has used, in seconds.
 pub fn cpu_seconds(id: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    // Behind the name, which may hold blanks, in brackets: the 12th and 13th fields from there.
+    // utime and stime: fields 12 and 13 after the name, which is in parentheses and may contain spaces.
     let fields: Vec<f64> = text
         .rsplit(')')
         .next()
@@ -16,20 +16,20 @@
         .take(2)
         .filter_map(|f| f.parse().ok())
         .collect();
-    fields.iter().sum::<f64>() / TICKS
+    fields.iter().sum::<f64>() / TICKS_PER_SECOND
 }
 
-/// Peak resident memory, MB.
+/// Peak resident memory in MB.
 pub fn peak_resident_mb(id: u32) -> f64 {
     status(id, "VmHWM:")
 }
 
-/// Resident memory, MB.
+/// Resident memory in MB.
 pub fn resident_mb(id: u32) -> f64 {
     status(id, "VmRSS:")
 }
 
-/// Descriptors that a process has open; None once it is gone.
+/// Number of open descriptors of a process; None once it has ended.
 pub fn open_descriptors(id: u32) -> Option<usize> {
     std::fs::read_dir(format!("/proc/{id}/fd")).ok().map(Iterator::count)
 }
--- a/crates/rig/src/trend.rs
+++ b/crates/rig/src/trend.rs
@@ -1,48 +1,49 @@
-//! What a soak's samples say: whether a figure stays flat while its load comes and goes in the same pattern.
+//! Trend analysis of a soak test: whether a metric stays flat under a load that repeats the same pattern.
 
-/// One figure over time.
+/// Samples of one metric.
 #[derive(Clone, Debug, Default)]
 pub struct TimeSeries {
     pub name: String,
-    /// Hours since the start, and the figure.
+    /// Hours since the start, and the value.
     pub points: Vec<(f64, f64)>,
 }
 
-/// What became of a figure once it was warm.
+/// The trend of a metric after the warm-up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slope {
     pub mean: f64,
-    /// Per hour, and what of it is noise: two standard errors.
+    /// Change per hour.
     pub per_hour: f64,
+    /// Two standard errors of `per_hour`.
     pub noise: f64,
 }
 
 impl Slope {
-    /// Under 1 % of its mean an hour, or not to be told from its noise, or under `grain` an hour.
+    /// Whether the metric rises by at most 1 % of its mean, its noise or `grain` per hour, whichever is largest.
     pub fn is_flat(&self, grain: f64) -> bool {
         self.per_hour <= (0.01 * self.mean).max(self.noise).max(grain)
     }
 }
 
 impl TimeSeries {
-    /// The slope over whole mornings of `period` hours, the first quarter of them left out as warm-up. Each point is
-    /// held against the mean of its own place in the morning, so that the pattern itself is no slope. None with fewer
-    /// than two mornings to compare.
+    /// Returns the slope over whole load cycles of `period` hours, without the first quarter of them, which is the
+    /// warm-up. Each sample is compared with the mean at the same position of the cycle, so that the pattern itself
+    /// does not count as a slope. None with fewer than two cycles to compare.
     pub fn slope(&self, period: f64) -> Option<Slope> {
         const PARTS: usize = 16;
         let last = self.points.last()?.0;
-        let mornings = ((last + period * 0.02) / period).floor() as usize;
-        let warm = mornings.div_ceil(4);
-        if mornings < warm + 2 {
+        let cycles = ((last + period * 0.02) / period).floor() as usize;
+        let warm = cycles.div_ceil(4);
+        if cycles < warm + 2 {
             return None;
         }
-        // Means of each part of each morning: neighbours in time are no independent samples.
-        let mut parts = vec![vec![(0.0, 0.0, 0u32); mornings]; PARTS];
+        // Uses the mean of each part of each cycle, since adjacent samples are not independent.
+        let mut parts = vec![vec![(0.0, 0.0, 0u32); cycles]; PARTS];
         for (at, value) in &self.points {
-            let morning = (at / period) as usize;
+            let cycle = (at / period) as usize;
             let part = ((at / period).fract() * PARTS as f64) as usize;
-            if (warm..mornings).contains(&morning) {
-                let of = &mut parts[part.min(PARTS - 1)][morning];
+            if (warm..cycles).contains(&cycle) {
+                let of = &mut parts[part.min(PARTS - 1)][cycle];
                 *of = (of.0 + at, of.1 + value, of.2 + 1);
             }
         }
@@ -61,12 +62,12 @@
             sum += value;
             all.extend(of.into_iter().map(|p| (p.0 - at, p.1 - value)));
         }
-        let groups = all.len() as f64 / (mornings - warm) as f64;
+        let groups = all.len() as f64 / (cycles - warm) as f64;
         let (xx, xy) = all.iter().fold((0.0, 0.0), |(xx, xy), (x, y)| (xx + x * x, xy + x * y));
         let per_hour = if xx > 0.0 { xy / xx } else { 0.0 };
-        let left: f64 = all.iter().map(|(x, y)| (y - per_hour * x).powi(2)).sum();
-        let freedom = (all.len() as f64 - groups - 1.0).max(1.0);
-        let noise = if xx > 0.0 { 2.0 * (left / freedom / xx).sqrt() } else { 0.0 };
+        let residual: f64 = all.iter().map(|(x, y)| (y - per_hour * x).powi(2)).sum();
+        let degrees_of_freedom = (all.len() as f64 - groups - 1.0).max(1.0);
+        let noise = if xx > 0.0 { 2.0 * (residual / degrees_of_freedom / xx).sqrt() } else { 0.0 };
         Some(Slope { mean: sum / groups.max(1.0), per_hour, noise })
     }
 }
