--- a/crates/rig/src/bin/stairshed-load.rs
+++ b/crates/rig/src/bin/stairshed-load.rs
@@ -1,10 +1,10 @@
-//! A load on one courier after another, with stand-ins in the same run: how long a client waits for its answer
-//! and what CPU a message costs; with `--rest`, what of its memory it gives back.
+//! Measures HTTP couriers under load, with fake endpoints in the same process: the response time that clients see and the
+//! CPU time per message; with `--rest`, how much memory the courier releases afterwards.
 //!
 //!     stairshed-load [--messages N] [--connections N] [--rounds N] [--settings FILE] [--rest SECONDS] PROGRAM...
 //!
-//! Each PROGRAM is a courier (`target/release/stairshed`, or that of another checkout). They are played in
-//! turn, `rounds` times, so that what the machine does besides falls on all alike.
+//! Each PROGRAM is a courier binary (`target/release/stairshed`, or that of another checkout). They run in turn,
+//! `rounds` times, so that other load on the machine affects all of them alike.
 
 use stairshed_rig::process_stats::{cpu_seconds, peak_resident_mb, resident_mb};
 use stairshed_rig::*;
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Destinations, each with an endpoint of its own: one alone would be held to its slots.
+/// Number of destinations, each with an endpoint of its own. A single endpoint would be limited by its slots.
 const DESTINATIONS: u64 = 20;
 
 struct Load {
@@ -24,12 +24,12 @@
     connections: u64,
     rounds: usize,
     settings: Option<PathBuf>,
-    /// After the last message, until its resident memory is looked at once more.
+    /// Idle time after the last message, before the resident memory is measured again.
     rest: Option<Duration>,
     programs: Vec<PathBuf>,
 }
 
-fn read() -> Option<Load> {
+fn parse_args() -> Option<Load> {
     let mut load = Load {
         messages: 20_000,
         connections: 16,
@@ -38,21 +38,21 @@
         rest: None,
         programs: Vec::new(),
     };
-    let mut words = std::env::args().skip(1);
-    while let Some(word) = words.next() {
-        match word.as_str() {
-            "--messages" => load.messages = words.next()?.parse().ok()?,
-            "--connections" => load.connections = words.next()?.parse().ok()?,
-            "--rounds" => load.rounds = words.next()?.parse().ok()?,
-            "--rest" => load.rest = Some(Duration::from_secs(words.next()?.parse().ok()?)),
-            "--settings" => load.settings = Some(words.next()?.into()),
-            _ => load.programs.push(word.into()),
+    let mut args = std::env::args().skip(1);
+    while let Some(arg) = args.next() {
+        match arg.as_str() {
+            "--messages" => load.messages = args.next()?.parse().ok()?,
+            "--connections" => load.connections = args.next()?.parse().ok()?,
+            "--rounds" => load.rounds = args.next()?.parse().ok()?,
+            "--rest" => load.rest = Some(Duration::from_secs(args.next()?.parse().ok()?)),
+            "--settings" => load.settings = Some(args.next()?.into()),
+            _ => load.programs.push(arg.into()),
         }
     }
     (!load.programs.is_empty() && load.messages > 0 && load.connections > 0).then_some(load)
 }
 
-fn play(load: &Load, program: &Path) {
+fn run_round(load: &Load, program: &Path) {
     let endpoints: Vec<_> =
         (0..DESTINATIONS).map(|_| Endpoint::new(|_| EndpointAction::Respond(OK))).collect();
     let hosts = endpoints.iter().enumerate();
@@ -67,9 +67,9 @@
     let started = Instant::now();
     let courier = Courier::spawn(&mut command);
     let started = started.elapsed();
-    let (before, empty) = (cpu_seconds(courier.id()), resident_mb(courier.id()));
+    let (cpu_before, resident_before) = (cpu_seconds(courier.id()), resident_mb(courier.id()));
     let (next, address) = (Arc::new(AtomicU64::new(0)), courier.address);
-    let begin = Instant::now();
+    let begun = Instant::now();
     let clients: Vec<_> = (0..load.connections)
         .map(|_| {
             let (next, messages) = (next.clone(), load.messages);
@@ -77,19 +77,19 @@
                 let mut to = TcpStream::connect(address).expect("a connection");
                 to.set_nodelay(true).expect("no delay");
                 let mut from = BufReader::new(to.try_clone().expect("a handle"));
-                let (mut waits, mut refused) = (Vec::new(), 0);
+                let (mut latencies, mut refused) = (Vec::new(), 0);
                 let body = "x".repeat(500);
                 loop {
                     let n = next.fetch_add(1, Ordering::Relaxed);
                     if n >= messages {
-                        return (waits, refused);
+                        return (latencies, refused);
                     }
                     let text = message_with(&format!("m{n}"), "status", n % DESTINATIONS, 20_000, &body);
                     let at = Instant::now();
                     to.write_all(text.as_bytes()).expect("sent");
                     let page = HttpMessage::read(&mut from).expect("an answer");
                     match page.status() {
-                        202 => waits.push(at.elapsed()),
+                        202 => latencies.push(at.elapsed()),
                         _ => {
                             refused += 1;
                             thread::sleep(Duration::from_millis(5));
@@ -99,44 +99,44 @@
             })
         })
         .collect();
-    let (mut waits, mut refused) = (Vec::new(), 0);
+    let (mut latencies, mut refused) = (Vec::new(), 0);
     for client in clients {
-        let (some, not) = client.join().expect("a client");
-        waits.extend(some);
-        refused += not;
+        let (client_latencies, client_refused) = client.join().expect("a client");
+        latencies.extend(client_latencies);
+        refused += client_refused;
     }
-    let took = begin.elapsed().as_secs_f64();
+    let elapsed = begun.elapsed().as_secs_f64();
     let delivered = || endpoints.iter().map(|e| e.seen.lock().expect("calls").len()).sum::<usize>();
-    let told = || discovery.notices.lock().expect("notices").len();
-    wait_until("every end", || delivered() + told() >= waits.len());
-    let cost = (cpu_seconds(courier.id()) - before) * 1e6 / waits.len().max(1) as f64;
-    waits.sort();
-    let at = |q: f64| waits[((waits.len() - 1) as f64 * q) as usize].as_secs_f64() * 1e3;
+    let notified = || discovery.notices.lock().expect("notices").len();
+    wait_until("the end of all messages", || delivered() + notified() >= latencies.len());
+    let cpu_us = (cpu_seconds(courier.id()) - cpu_before) * 1e6 / latencies.len().max(1) as f64;
+    latencies.sort();
+    let percentile_ms = |q: f64| latencies[((latencies.len() - 1) as f64 * q) as usize].as_secs_f64() * 1e3;
     println!(
-        "{:<40} {:>7.0}/s  answer p50 {:>6.2} p99 {:>6.2} p99.9 {:>6.2} ms  CPU {cost:>6.1} us a message  peak {:>5.1} MB  ready in {:>4.0} ms  {} taken, {} refused later, {refused} at once",
+        "{:<40} {:>7.0}/s  answer p50 {:>6.2} p99 {:>6.2} p99.9 {:>6.2} ms  CPU {cpu_us:>6.1} us per message  peak {:>5.1} MB  ready in {:>4.0} ms  {} accepted, {} ended by a notice, {refused} refused",
         program.display(),
-        waits.len() as f64 / took,
-        at(0.5),
-        at(0.99),
-        at(0.999),
+        latencies.len() as f64 / elapsed,
+        percentile_ms(0.5),
+        percentile_ms(0.99),
+        percentile_ms(0.999),
         peak_resident_mb(courier.id()),
         started.as_secs_f64() * 1e3,
-        waits.len(),
-        told(),
+        latencies.len(),
+        notified(),
     );
     if let Some(rest) = load.rest {
-        let full = resident_mb(courier.id());
+        let resident_loaded = resident_mb(courier.id());
         thread::sleep(rest);
-        let rested = resident_mb(courier.id());
+        let resident_after_rest = resident_mb(courier.id());
         println!(
-            "  resident {empty:.1} MB before, {full:.1} MB after the last message, {rested:.1} MB after {} s of rest",
+            "  resident {resident_before:.1} MB before, {resident_loaded:.1} MB after the last message, {resident_after_rest:.1} MB after {} s of rest",
             rest.as_secs()
         );
     }
 }
 
 fn main() {
-    let Some(load) = read() else {
+    let Some(load) = parse_args() else {
         eprintln!(
             "usage: stairshed-load [--messages N] [--connections N] [--rounds N] [--settings FILE] [--rest SECONDS] PROGRAM..."
         );
@@ -144,7 +144,7 @@
     };
     for _ in 0..load.rounds {
         for program in &load.programs {
-            play(&load, program);
+            run_round(&load, program);
         }
     }
 }
--- a/crates/rig/src/bin/stairshed-soak.rs
+++ b/crates/rig/src/bin/stairshed-soak.rs
@@ -1,14 +1,14 @@
-//! Replays dispatch mornings on one courier and looks whether any figure of its memory creeps:
+//! Runs repeated load cycles ("mornings") on one courier and checks whether any metric of its memory keeps growing:
 //!
 //!     stairshed-soak [--minutes N] [--mornings N] [--rate N] [--seed N] [--total SIZE] [--plant LEAK] [--out FOLDER]
 //!         [PROGRAM]
 //!
-//! A morning is quiet, rises to `rate` messages a second, has a wave on each quarter hour, a partner that is slow, one
-//! that is away for a while, clients that reconnect, and MQTT vans that sleep. `mornings` of them are pressed into
-//! `minutes`. Writes `soak.csv` and `soak.svg`; exit status 1
-//! if a figure creeps. `--plant` makes the courier hold ever more, without a change of it, so that the verdict is seen
-//! to find it: `bodies` (1 KB for each message stays, on its way to a partner that takes none), `connections` (one
-//! client's connection in a thousand requests stays open), `map` (ids of messages that have ended stay for a day).
+//! A cycle starts idle, rises to `rate` messages per second and has a burst on each quarter hour, one slow partner and one that rejects calls
+//! for a while, clients that reconnect and MQTT clients that are mostly offline. `minutes` holds `mornings` such cycles.
+//! Writes `soak.csv` and `soak.svg`; the exit status is 1 if a metric grows. `--plant` makes an unchanged courier retain
+//! ever more memory, to verify that the check detects it: `bodies` (1 KB for each message remains, in messages to a pool
+//! without endpoints), `connections` (after one in a thousand requests the client's connection stays open), `map` (ids of
+//! ended messages are kept for a day).
 
 use plotters::prelude::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -30,13 +30,16 @@
 
 const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 const PARTNERS: usize = 6;
-const CLIENTS: u64 = 24;
-const VANS: u64 = 40;
-const SAMPLE: Duration = Duration::from_millis(500);
-/// A figure that rises by less in an hour is of no concern: a page or two, the grain of the allocator.
-const GRAIN: f64 = 64.0 * 1024.0;
+/// Number of HTTP clients.
+const HTTP_CLIENTS: u64 = 24;
+/// Number of MQTT clients.
+const MQTT_CLIENTS: u64 = 40;
+/// Time between two samples of the metrics.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Growth in bytes per hour that is ignored: 64 KiB is within the granularity of the allocator.
+const GRAIN_BYTES: f64 = 64.0 * 1024.0;
 
-/// What stays.
+/// The kind of leak that is simulated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Plant {
     Nothing,
@@ -45,8 +48,9 @@
     Map,
 }
 
-/// Of so many messages one has a kilobyte for each of them, and stays; of so many requests one leaves its connection.
+/// With `--plant bodies`, every 32nd message of a client stays, with 1 KB for each of the 32.
 const BODY_EVERY: u64 = 32;
+/// With `--plant connections`, one in 1000 requests on average leaves its connection open.
 const CONNECTION_EVERY: u32 = 1000;
 
 struct Soak {
@@ -60,7 +64,7 @@
     program: PathBuf,
 }
 
-fn read() -> Option<Soak> {
+fn parse_args() -> Option<Soak> {
     let mut soak = Soak {
         minutes: 8.0,
         mornings: 8.0,
@@ -71,25 +75,25 @@
         out: ".".into(),
         program: PathBuf::new(),
     };
-    let mut words = std::env::args().skip(1);
-    while let Some(word) = words.next() {
-        match word.as_str() {
-            "--minutes" => soak.minutes = words.next()?.parse().ok()?,
-            "--mornings" => soak.mornings = words.next()?.parse().ok()?,
-            "--rate" => soak.rate = words.next()?.parse().ok()?,
-            "--seed" => soak.seed = words.next()?.parse().ok()?,
-            "--total" => soak.total = words.next()?,
+    let mut args = std::env::args().skip(1);
+    while let Some(arg) = args.next() {
+        match arg.as_str() {
+            "--minutes" => soak.minutes = args.next()?.parse().ok()?,
+            "--mornings" => soak.mornings = args.next()?.parse().ok()?,
+            "--rate" => soak.rate = args.next()?.parse().ok()?,
+            "--seed" => soak.seed = args.next()?.parse().ok()?,
+            "--total" => soak.total = args.next()?,
             "--plant" => {
-                soak.plant = match words.next()?.as_str() {
+                soak.plant = match args.next()?.as_str() {
                     "bodies" => Plant::Bodies,
                     "connections" => Plant::Connections,
                     "map" => Plant::Map,
                     _ => return None,
                 }
             }
-            "--out" => soak.out = words.next()?.into(),
-            _ if word.starts_with('-') => return None,
-            _ => soak.program = word.into(),
+            "--out" => soak.out = args.next()?.into(),
+            _ if arg.starts_with('-') => return None,
+            _ => soak.program = arg.into(),
         }
     }
     if soak.program.as_os_str().is_empty() {
@@ -98,7 +102,7 @@
     (soak.minutes > 0.0 && soak.minutes <= 600.0 && soak.mornings >= 1.0 && soak.rate > 0.0).then_some(soak)
 }
 
-/// Where a morning stands.
+/// The position in the current load cycle.
 #[derive(Clone)]
 struct Clock {
     begun: Instant,
@@ -106,30 +110,31 @@
 }
 
 impl Clock {
-    /// From 0 to 1.
+    /// Returns the position in the cycle, from 0 to 1.
     fn phase(&self) -> f64 {
         (self.begun.elapsed().as_secs_f64() / self.morning.as_secs_f64()).fract()
     }
 
-    /// Messages a second, as a share of the peak: quiet, a ramp, waves on the quarter hours, quiet again.
+    /// Returns the message rate as a share of the peak: idle, a ramp, a burst on each sixteenth of
+    /// the cycle (a quarter hour), idle again.
     fn load(&self) -> f64 {
         let at = self.phase();
-        let wave = if (0.3..0.9).contains(&at) && (at * 16.0).fract() < 0.3 { 1.0 } else { 0.5 };
+        let burst = if (0.3..0.9).contains(&at) && (at * 16.0).fract() < 0.3 { 1.0 } else { 0.5 };
         match at {
             _ if at < 0.1 => 0.03,
             _ if at < 0.3 => 0.03 + (at - 0.1) / 0.2 * 0.47,
-            _ if at < 0.9 => wave,
+            _ if at < 0.9 => burst,
             _ => 0.02,
         }
     }
 }
 
-/// Partners of which one is slow for a while, and one away.
+/// Starts a fake partner. Partner 1 is slow for a part of the cycle, and partner 2 rejects calls for a part of it.
 fn partner(n: usize, clock: Clock, seed: u64) -> Endpoint {
     let rng = Mutex::new(SmallRng::seed_from_u64(seed + n as u64));
     Endpoint::new(move |_| {
         let (roll, wait) = {
-            let mut rng = rng.lock().expect("the dice");
+            let mut rng = rng.lock().expect("the generator");
             (rng.random_range(0..200), Duration::from_millis(rng.random_range(1..8)))
         };
         match (n, clock.phase()) {
@@ -142,7 +147,7 @@
     })
 }
 
-fn file(soak: &Soak, partners: &[Endpoint]) -> String {
+fn config_file(soak: &Soak, partners: &[Endpoint]) -> String {
     let mut text = format!(
         "name = \"soak\"\n[listen]\nhttp = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\nmqtt = \"127.0.0.1:0\"\n\
          [limits]\nheld = 5000\n[memory]\ntotal = \"{}\"\nclient_share = 1.0\n\
@@ -167,37 +172,44 @@
     text
 }
 
-/// What the clients saw.
+/// Counts of the responses that HTTP clients received.
 #[derive(Default)]
-struct Tally {
-    taken: AtomicU64,
+struct ResponseCounts {
+    accepted: AtomicU64,
     refused: AtomicU64,
     unanswered: AtomicU64,
 }
 
-/// A client that keeps its connection, and opens another now and then.
-fn client(n: u64, to: SocketAddr, soak: (f64, u64, Plant), clock: &Clock, tally: &Tally, stop: &AtomicBool) {
+/// Runs an HTTP client that keeps its connection and reconnects about once in 300 requests.
+fn run_http_client(
+    n: u64,
+    to: SocketAddr,
+    soak: (f64, u64, Plant),
+    clock: &Clock,
+    counts: &ResponseCounts,
+    stop: &AtomicBool,
+) {
     let (rate, seed, plant) = soak;
-    let mut kept = Vec::new();
+    let mut leaked_connections = Vec::new();
     let mut rng = SmallRng::seed_from_u64(seed ^ (n << 32));
-    let mut link: Option<(TcpStream, BufReader<TcpStream>)> = None;
+    let mut connection: Option<(TcpStream, BufReader<TcpStream>)> = None;
     let mut number = 0u64;
     while !stop.load(Ordering::SeqCst) {
-        let pause = CLIENTS as f64 / (rate * clock.load()).max(0.5) * rng.random_range(0.5..1.5);
+        let pause = HTTP_CLIENTS as f64 / (rate * clock.load()).max(0.5) * rng.random_range(0.5..1.5);
         thread::sleep(Duration::from_secs_f64(pause.min(1.0)));
         if rng.random_range(0..300) == 0 {
-            link = None;
+            connection = None;
         }
         if plant == Plant::Connections && rng.random_range(0..CONNECTION_EVERY) == 0 {
-            kept.extend(link.take());
+            leaked_connections.extend(connection.take());
         }
-        let (to, from) = match &mut link {
-            Some(link) => link,
+        let (to, from) = match &mut connection {
+            Some(connection) => connection,
             None => {
                 let Ok(stream) = TcpStream::connect(to) else { continue };
                 let set = stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(WAIT_TIMEOUT)));
                 let (Ok(()), Ok(other)) = (set, stream.try_clone()) else { continue };
-                link.insert((stream, BufReader::new(other)))
+                connection.insert((stream, BufReader::new(other)))
             }
         };
         number += 1;
@@ -205,7 +217,7 @@
         let path = if rng.random_bool(0.3) { "pay" } else { "notice" };
         let stays = plant == Plant::Bodies && number.is_multiple_of(BODY_EVERY);
         let path = if stays { "stays" } else { path };
-        // Mostly small, now and then one near the longest.
+        // Mostly small bodies; one in 50 is 40 KB.
         let size = if rng.random_range(0..50) == 0 { 40_000 } else { rng.random_range(100..1500) };
         let size = if stays { 1024 * BODY_EVERY as usize } else { size };
         let request = format!(
@@ -214,60 +226,62 @@
         );
         let answer = to.write_all(request.as_bytes()).ok().and_then(|()| HttpMessage::read(from));
         let count = match answer.as_ref().map(HttpMessage::status) {
-            Some(202) => &tally.taken,
-            Some(_) => &tally.refused,
+            Some(202) => &counts.accepted,
+            Some(_) => &counts.refused,
             None => {
-                link = None;
-                &tally.unanswered
+                connection = None;
+                &counts.unanswered
             }
         };
         count.fetch_add(1, Ordering::SeqCst);
         if answer.is_some_and(|a| a.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))) {
-            link = None;
+            connection = None;
         }
     }
 }
 
-/// A van that wakes up, hands in a payment or two, and sleeps.
-fn van(n: u64, to: SocketAddr, seed: u64, clock: &Clock, stop: &AtomicBool) {
+/// Runs an MQTT client that repeatedly connects, submits one or two payments and disconnects for a while.
+fn run_mqtt_client(n: u64, to: SocketAddr, seed: u64, clock: &Clock, stop: &AtomicBool) {
     let mut rng = SmallRng::seed_from_u64(seed ^ (n << 40));
     let mut number = 0u64;
     while !stop.load(Ordering::SeqCst) {
-        let nap = rng.random_range(0.1..0.6) / clock.load().max(0.1);
-        thread::sleep(Duration::from_secs_f64(nap.min(3.0)));
+        let pause = rng.random_range(0.1..0.6) / clock.load().max(0.1);
+        thread::sleep(Duration::from_secs_f64(pause.min(3.0)));
         let client = format!("van-{n}");
-        let (mut van, connack) = MqttClient::connect(to, persistent_session(Version::V5, &client));
+        let (mut connection, connack) = MqttClient::connect(to, persistent_session(Version::V5, &client));
         if connack.code != 0 {
             continue;
         }
-        van.read_outcomes(&client);
+        connection.read_outcomes(&client);
         for _ in 0..rng.random_range(1..3) {
             number += 1;
             let place = rng.random_range(0..PARTNERS);
             let text = format!("{{\"id\": \"v{n}-{number}\", \"amount\": 42}}");
-            let _ = van.submit(&format!("pay/{place}"), number as u16 | 1, &text, &[]);
+            let _ = connection.submit(&format!("pay/{place}"), number as u16 | 1, &text, &[]);
         }
     }
 }
 
+/// Adds one sample of each metric, `at` hours after the start.
 fn sample(courier: &Courier, all: &mut BTreeMap<String, TimeSeries>, at: f64) {
     let page = courier.page("/-/memory");
-    let mut note = |name: &str, value: Option<f64>| {
+    let mut add_point = |name: &str, value: Option<f64>| {
         let series = all.entry(name.to_owned()).or_default();
         series.name = name.to_owned();
         series.points.extend(value.map(|v| (at, v)));
     };
     for key in ["resident", "allocated", "unaccounted"] {
-        note(key, page[key].as_f64());
+        add_point(key, page[key].as_f64());
     }
-    note("descriptors", open_descriptors(courier.id()).map(|n| n as f64));
+    add_point("descriptors", open_descriptors(courier.id()).map(|n| n as f64));
     for purpose in page["purposes"].as_array().into_iter().flatten() {
         let held = |key: &str| purpose[key].as_f64().unwrap_or_default();
-        note(purpose["purpose"].as_str().unwrap_or("?"), Some(held("in_use") + held("reserved")));
+        add_point(purpose["purpose"].as_str().unwrap_or("?"), Some(held("in_use") + held("reserved")));
     }
 }
 
-fn csv(all: &BTreeMap<String, TimeSeries>, to: &Path) -> std::io::Result<()> {
+/// Writes all samples as CSV, one column per metric.
+fn write_csv(all: &BTreeMap<String, TimeSeries>, to: &Path) -> std::io::Result<()> {
     let names: Vec<&str> = all.keys().map(String::as_str).collect();
     let mut text = format!("hours,{}\n", names.join(","));
     let rows = all.values().map(|s| s.points.len()).min().unwrap_or_default();
@@ -279,7 +293,7 @@
     fs::write(to, text)
 }
 
-/// Each figure in a strip of its own, since they differ by orders of magnitude.
+/// Plots each metric in a chart of its own, since they differ by orders of magnitude.
 fn plot(all: &BTreeMap<String, TimeSeries>, hours: f64, to: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let shown: Vec<&TimeSeries> = all.values().filter(|s| s.points.iter().any(|p| p.1 != 0.0)).collect();
     let root = SVGBackend::new(to, (1000, 110 * shown.len() as u32)).into_drawing_area();
@@ -307,54 +321,59 @@
 }
 
 fn main() {
-    let Some(soak) = read() else {
+    let Some(soak) = parse_args() else {
         eprintln!(
             "usage: stairshed-soak [--minutes N] [--mornings N] [--rate N] [--seed N] [--total SIZE] [--plant bodies|connections|map] [--out FOLDER] [PROGRAM]"
         );
         std::process::exit(2);
     };
     println!(
-        "seed {}, {} mornings in {} minutes, {} messages/s at the peak",
+        "seed {}, {} cycles in {} minutes, peak rate {} messages/s",
         soak.seed, soak.mornings, soak.minutes, soak.rate
     );
     let morning = Duration::from_secs_f64(soak.minutes * 60.0 / soak.mornings);
     let clock = Clock { begun: Instant::now(), morning };
     let partners: Vec<Endpoint> = (0..PARTNERS).map(|n| partner(n, clock.clone(), soak.seed)).collect();
     let folder = TestFolder::new();
-    let mut command = serve_command_of(&soak.program, &folder, &file(&soak, &partners));
+    let mut command = serve_command_of(&soak.program, &folder, &config_file(&soak, &partners));
     let courier = Courier::spawn(&mut command);
-    let (stop, tally) = (Arc::new(AtomicBool::new(false)), Arc::new(Tally::default()));
+    let (stop, counts) = (Arc::new(AtomicBool::new(false)), Arc::new(ResponseCounts::default()));
     let mut threads = Vec::new();
-    for n in 0..CLIENTS {
-        let (to, of, clock, tally, stop) =
-            (courier.address, (soak.rate, soak.seed, soak.plant), clock.clone(), tally.clone(), stop.clone());
-        threads.push(thread::spawn(move || client(n, to, of, &clock, &tally, &stop)));
+    for n in 0..HTTP_CLIENTS {
+        let (to, of, clock, counts, stop) = (
+            courier.address,
+            (soak.rate, soak.seed, soak.plant),
+            clock.clone(),
+            counts.clone(),
+            stop.clone(),
+        );
+        threads.push(thread::spawn(move || run_http_client(n, to, of, &clock, &counts, &stop)));
     }
-    for n in 0..VANS {
+    for n in 0..MQTT_CLIENTS {
         let (to, seed, clock, stop) = (courier.mqtt(), soak.seed, clock.clone(), stop.clone());
-        threads.push(thread::spawn(move || van(n, to, seed, &clock, &stop)));
+        threads.push(thread::spawn(move || run_mqtt_client(n, to, seed, &clock, &stop)));
     }
     let (mut all, end) = (BTreeMap::new(), clock.begun + morning.mul_f64(soak.mornings));
     while Instant::now() < end {
         sample(&courier, &mut all, clock.begun.elapsed().as_secs_f64() / 3600.0);
-        // Else the stand-ins' own books would be what grows.
+        // Limits the memory that the fake partners' own records use.
         partners.iter().for_each(|p| p.seen.lock().expect("calls").clear());
-        thread::sleep(SAMPLE);
+        thread::sleep(SAMPLE_INTERVAL);
     }
     stop.store(true, Ordering::SeqCst);
     threads.into_iter().for_each(|t| t.join().expect("a thread"));
     let (period, hours) = (morning.as_secs_f64() / 3600.0, clock.begun.elapsed().as_secs_f64() / 3600.0);
-    let mut well = true;
-    println!("{:<14} {:>12} {:>14} {:>14}  verdict", "figure", "mean", "an hour", "noise");
+    let mut all_flat = true;
+    println!("{:<14} {:>12} {:>14} {:>14}  verdict", "metric", "mean", "per hour", "noise");
     for series in all.values() {
         let Some(slope) = series.slope(period) else {
-            println!("{:<14} too few mornings to tell", series.name);
+            println!("{:<14} too few cycles for a verdict", series.name);
             continue;
         };
-        let flat = slope.is_flat(if series.name == "descriptors" { 1.0 } else { GRAIN });
-        // What is held back by the allocator shows in `allocated` and `resident`, which are judged as the others.
-        well &= flat;
-        let verdict = if flat { "flat" } else { "CREEPS" };
+        let flat = slope.is_flat(if series.name == "descriptors" { 1.0 } else { GRAIN_BYTES });
+        // Memory that the allocator retains shows in `allocated` and `resident`, which are checked like the others.
+        all_flat &= flat;
+        let verdict = if flat { "flat" } else { "GROWS" };
         println!(
             "{:<14} {:>12.0} {:>+14.0} {:>14.0}  {verdict}",
             series.name, slope.mean, slope.per_hour, slope.noise
@@ -363,16 +382,16 @@
     let n = |of: &AtomicU64| of.load(Ordering::SeqCst);
     let page: Value = courier.page("/-/memory");
     println!(
-        "{} taken, {} refused, {} without an answer; level {}",
-        n(&tally.taken),
-        n(&tally.refused),
-        n(&tally.unanswered),
+        "{} accepted, {} refused, {} without a response; level {}",
+        n(&counts.accepted),
+        n(&counts.refused),
+        n(&counts.unanswered),
         page["level"]
     );
-    fs::create_dir_all(&soak.out).expect("a folder for what is written");
-    csv(&all, &soak.out.join("soak.csv")).expect("soak.csv");
+    fs::create_dir_all(&soak.out).expect("the output folder");
+    write_csv(&all, &soak.out.join("soak.csv")).expect("soak.csv");
     plot(&all, hours, &soak.out.join("soak.svg")).expect("soak.svg");
-    // An exit drops nothing, and the courier would go on.
+    // `exit` runs no destructors, so the courier would keep running.
     drop(courier);
-    std::process::exit(i32::from(!well));
+    std::process::exit(i32::from(!all_flat));
 }
