--- a/crates/rig/src/bin/stairshed-load.rs
+++ b/crates/rig/src/bin/stairshed-load.rs
@@ -1,10 +1,10 @@
-//! Measures HTTP couriers under load, with fake endpoints in the same process: the response time that clients see and the
-//! CPU time per message; with `--rest`, how much memory the courier releases afterwards.
+//! Measures HTTP couriers under load, with fake endpoints in the same process: the response time that clients
+//! see and the CPU time per message; with `--rest`, how much memory the courier releases afterwards.
 //!
 //!     stairshed-load [--messages N] [--connections N] [--rounds N] [--settings FILE] [--rest SECONDS] PROGRAM...
 //!
-//! Each PROGRAM is a courier binary (`target/release/stairshed`, or that of another checkout). They run in turn,
-//! `rounds` times, so that other load on the machine affects all of them alike.
+//! Each PROGRAM is a courier binary (`target/release/stairshed`, or that of another checkout). They run in
+//! turn, `rounds` times, so that other load on the machine affects all of them alike.
 
 use stairshed_rig::process_stats::{cpu_seconds, peak_resident_mb, resident_mb};
 use stairshed_rig::*;
--- a/crates/rig/src/bin/stairshed-mqtt-load.rs
+++ b/crates/rig/src/bin/stairshed-mqtt-load.rs
@@ -1,5 +1,6 @@
-//! Compares message submission over HTTP and over MQTT at QoS 1 and 2 in one run: rate, CPU time of the courier per
-//! message and time to the acknowledgement; then the memory of idle connections and of sessions without a connection.
+//! Compares message submission over HTTP and over MQTT at QoS 1 and 2 in one run: rate, CPU time of the
+//! courier per message and time to the acknowledgement; then the memory of idle connections and of sessions
+//! without a connection.
 //!
 //!     stairshed-mqtt-load [--messages N] [--connections N] [--sessions N] PROGRAM
 
--- a/crates/rig/src/bin/stairshed-soak.rs
+++ b/crates/rig/src/bin/stairshed-soak.rs
@@ -1,14 +1,16 @@
-//! Runs repeated load cycles ("mornings") on one courier and checks whether any metric of its memory keeps growing:
+//! Runs repeated load cycles ("mornings") on one courier and checks whether any metric of its memory keeps
+//! growing:
 //!
 //!     stairshed-soak [--minutes N] [--mornings N] [--rate N] [--seed N] [--total SIZE] [--plant LEAK] [--out FOLDER]
 //!         [PROGRAM]
 //!
-//! A cycle starts idle, rises to `rate` messages per second and has a burst on each quarter hour, one slow partner and one that rejects calls
-//! for a while, clients that reconnect and MQTT clients that are mostly offline. `minutes` holds `mornings` such cycles.
-//! Writes `soak.csv` and `soak.svg`; the exit status is 1 if a metric grows. `--plant` makes an unchanged courier retain
-//! ever more memory, to verify that the check detects it: `bodies` (1 KB for each message remains, in messages to a pool
-//! without endpoints), `connections` (after one in a thousand requests the client's connection stays open), `map` (ids of
-//! ended messages are kept for a day).
+//! A cycle starts idle, rises to `rate` messages per second and has a burst on each quarter hour, one slow
+//! partner and one that rejects calls for a while, clients that reconnect and MQTT clients that are mostly
+//! offline. `minutes` holds `mornings` such cycles. Writes `soak.csv` and `soak.svg`; the exit status is 1 if
+//! a metric grows. `--plant` makes an unchanged courier retain ever more memory, to verify that the check
+//! detects it: `bodies` (1 KB for each message remains, in messages to a pool without endpoints),
+//! `connections` (after one in a thousand requests the client's connection stays open), `map` (ids of ended
+//! messages are kept for a day).
 
 use plotters::prelude::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -129,7 +131,8 @@
     }
 }
 
-/// Starts a fake partner. Partner 1 is slow for a part of the cycle, and partner 2 rejects calls for a part of it.
+/// Starts a fake partner. Partner 1 is slow for a part of the cycle, and partner 2 rejects calls for a part
+/// of it.
 fn partner(n: usize, clock: Clock, seed: u64) -> Endpoint {
     let rng = Mutex::new(SmallRng::seed_from_u64(seed + n as u64));
     Endpoint::new(move |_| {
@@ -371,7 +374,8 @@
             continue;
         };
         let flat = slope.is_flat(if series.name == "descriptors" { 1.0 } else { GRAIN_BYTES });
-        // Memory that the allocator retains shows in `allocated` and `resident`, which are checked like the others.
+        // Memory that the allocator retains shows in `allocated` and `resident`, which are checked like the
+        // others.
         all_flat &= flat;
         let verdict = if flat { "flat" } else { "GROWS" };
         println!(
--- a/crates/rig/src/broker.rs
+++ b/crates/rig/src/broker.rs
@@ -1,6 +1,6 @@
-//! A fake MQTT broker on a loopback socket with fault injection: it drops connections at any byte, acknowledges late,
-//! twice, out of order or never, loses sessions or claims ones that it does not have, sends malformed packets and
-//! redirects its clients. It counts how often each message took effect.
+//! A fake MQTT broker on a loopback socket with fault injection: it drops connections at any byte,
+//! acknowledges late, twice, out of order or never, loses sessions or claims ones that it does not have,
+//! sends malformed packets and redirects its clients. It counts how often each message took effect.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -28,8 +28,8 @@
 /// Faults that the broker injects; they can change at any time.
 #[derive(Clone, Debug, Default)]
 pub struct BrokerFaults {
-    /// Seed, and the range from which each connection draws the number of bytes, in both directions together, after
-    /// which it is dropped.
+    /// Seed, and the range from which each connection draws the number of bytes, in both directions together,
+    /// after which it is dropped.
     pub drop_after: Option<(u64, std::ops::Range<usize>)>,
     /// Loses all sessions at every n-th connection.
     pub lose_sessions_every: Option<u32>,
@@ -43,8 +43,8 @@
     pub connack_refusal: Option<u8>,
     /// Answers the next PUBLISH with bytes that are not a valid packet.
     pub send_garbage: bool,
-    /// Reason code, and optional `retry-after` in seconds, of a DISCONNECT that answers the next PUBLISH, which is not
-    /// accepted.
+    /// Reason code, and optional `retry-after` in seconds, of a DISCONNECT that answers the next PUBLISH,
+    /// which is not accepted.
     pub disconnect_with: Option<(u8, Option<f64>)>,
 }
 
--- a/crates/rig/src/charge_ledger.rs
+++ b/crates/rig/src/charge_ledger.rs
@@ -40,8 +40,8 @@
         self.0.lock().expect("the ledger").clone()
     }
 
-    /// Starts an endpoint that mostly charges and responds with 200. It sometimes responds late, closes the connection
-    /// before or after the charge, or rejects the call with 500 or 503.
+    /// Starts an endpoint that mostly charges and responds with 200. It sometimes responds late, closes the
+    /// connection before or after the charge, or rejects the call with 500 or 503.
     pub fn endpoint(&self, seed: u64) -> Endpoint {
         let (ledger, rng) = (self.clone(), Mutex::new(SmallRng::seed_from_u64(seed)));
         Endpoint::by_call(move |call| {
--- a/crates/rig/src/delivery_rules.rs
+++ b/crates/rig/src/delivery_rules.rs
@@ -1,6 +1,6 @@
-//! Checks the rules on lost and duplicate messages against what the endpoints and the platform recorded during a test
-//! run. Message ids start with their class: `payment` has the effect `once`, `notice` is keyed by zone, `status` is
-//! repeatable.
+//! Checks the rules on lost and duplicate messages against what the endpoints and the platform recorded
+//! during a test run. Message ids start with their class: `payment` has the effect `once`, `notice` is keyed
+//! by zone, `status` is repeatable.
 
 use crate::duplicating_endpoint::{CallLog, ServedCall};
 use crate::{Discovery, MS};
@@ -39,8 +39,8 @@
 }
 
 impl CourierKill {
-    /// Whether a response that the courier received at this time may be missing from the journal, which is all that
-    /// outlives the process.
+    /// Whether a response that the courier received at this time may be missing from the journal, which is
+    /// all that outlives the process.
     fn may_have_lost(&self, received: Instant) -> bool {
         let recorded_before = self.at - JOURNAL_DELAY;
         let unrecorded_from =
--- a/crates/rig/src/duplicating_endpoint.rs
+++ b/crates/rig/src/duplicating_endpoint.rs
@@ -18,7 +18,8 @@
     pub delay: Duration,
     /// Whether the connection is reset immediately after the response.
     pub reset_after: bool,
-    /// Delay after which a second copy of the response is sent, whatever was received on the connection by then.
+    /// Delay after which a second copy of the response is sent, whatever was received on the connection by
+    /// then.
     pub copy_after: Option<Duration>,
 }
 
@@ -41,8 +42,8 @@
 }
 
 impl ServedCall {
-    /// Whether the courier still waits for the response. Asks the kernel, since the thread that serves the call may not
-    /// have noticed a close yet.
+    /// Whether the courier still waits for the response. Asks the kernel, since the thread that serves the
+    /// call may not have noticed a close yet.
     fn is_in_flight(&self) -> bool {
         self.stream.as_ref().is_some_and(|stream| !is_closed(stream))
     }
@@ -108,8 +109,8 @@
     format!("HTTP/1.1 410 Gone\r\n{}", rest[rng.random_range(0..rest.len())])
 }
 
-/// Starts one endpoint per destination in each of two zones and returns their entries in discovery's format. Each
-/// endpoint draws its scripts from a random generator of its own.
+/// Starts one endpoint per destination in each of two zones and returns their entries in discovery's format.
+/// Each endpoint draws its scripts from a random generator of its own.
 pub fn start_in_two_zones(
     destinations: u64,
     log: &CallLog,
@@ -150,7 +151,8 @@
                 return self.record_end(entry, None);
             };
             let status = answer.split(' ').nth(1).and_then(|s| s.parse().ok());
-            // Recorded before the write: otherwise a courier that reacts to the response could appear to act before it.
+            // Recorded before the write: otherwise a courier that reacts to the response could appear to act
+            // before it.
             self.record_end(entry, status);
             if !write(&out, &answer) {
                 return;
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,5 +1,6 @@
 //! Test harness: runs the courier binary against fake clients, endpoints, discovery and platform services on
-//! loopback sockets, each on an ephemeral port. Tests poll for conditions with a timeout that only a fault reaches.
+//! loopback sockets, each on an ephemeral port. Tests poll for conditions with a timeout that only a fault
+//! reaches.
 
 pub mod broker;
 pub mod charge_ledger;
@@ -30,8 +31,8 @@
 /// One millisecond.
 pub const MS: Duration = Duration::from_millis(1);
 
-/// Returns an address with a free port. The loopback host is derived from the process id: on 127.0.0.1, a connection
-/// of another process could take the port before it is used.
+/// Returns an address with a free port. The loopback host is derived from the process id: on 127.0.0.1, a
+/// connection of another process could take the port before it is used.
 pub fn free_address() -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     let own = SocketAddr::from(([127, 77, high, low.max(1)], 0));
@@ -254,8 +255,8 @@
 pub enum WatchAnswer {
     /// Streams the endpoint list, its changes and heartbeats.
     Serve,
-    /// Responds 503 after this delay: at once like an overloaded service, late like one that is down or has a long
-    /// queue.
+    /// Responds 503 after this delay: at once like an overloaded service, late like one that is down or has a
+    /// long queue.
     RefuseAfter(Duration),
     /// Sends the response head and then a space every 200 ms, without ever completing a line.
     NeverCompleteLine,
@@ -272,8 +273,8 @@
 }
 
 impl PostScript {
-    /// Accepts the first POST at once and sends a second copy of that response while the next POST is in flight; the
-    /// next POST is refused after that.
+    /// Accepts the first POST at once and sends a second copy of that response while the next POST is in
+    /// flight; the next POST is refused after that.
     pub const DUPLICATED_THEN_REFUSED: [PostScript; 2] = [
         PostScript { status: 204, delay: Duration::ZERO, copy_after: Some(Duration::from_millis(400)) },
         PostScript { status: 503, delay: Duration::from_millis(900), copy_after: None },
@@ -535,8 +536,8 @@
     pub startup_log: Vec<String>,
 }
 
-/// Path of the courier binary, which is built in the folder of the running program, or its parent for tests, which run
-/// from `deps/`.
+/// Path of the courier binary, which is built in the folder of the running program, or its parent for tests,
+/// which run from `deps/`.
 pub fn program() -> PathBuf {
     let own = std::env::current_exe().expect("a path");
     let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join("stairshed"));
@@ -655,8 +656,9 @@
         post(self.address, path, id, heads, body).expect("an answer")
     }
 
-    /// Limits the size in bytes of each file that the courier may write (RLIMIT_FSIZE); lowering the limit of an own
-    /// process needs no privileges. The courier must have been started by [`ignoring_file_size_signal`].
+    /// Limits the size in bytes of each file that the courier may write (RLIMIT_FSIZE); lowering the limit of
+    /// an own process needs no privileges. The courier must have been started by
+    /// [`ignoring_file_size_signal`].
     pub fn set_file_size_limit(&self, bytes: Option<u64>) {
         use rustix::process::{Pid, Resource, Rlimit, prlimit};
         let pid = Pid::from_raw(self.child.id() as i32);
@@ -761,8 +763,8 @@
     serve_command_of(&program(), folder, file)
 }
 
-/// Wraps a courier's command so that it ignores SIGXFSZ. Beyond the file size limit the kernel sends that signal, which
-/// would end the process; when it is ignored, the write fails with EFBIG.
+/// Wraps a courier's command so that it ignores SIGXFSZ. Beyond the file size limit the kernel sends that
+/// signal, which would end the process; when it is ignored, the write fails with EFBIG.
 pub fn ignoring_file_size_signal(command: &Command) -> Command {
     let mut shell = Command::new("sh");
     shell
--- a/crates/rig/src/machine_faults.rs
+++ b/crates/rig/src/machine_faults.rs
@@ -1,5 +1,5 @@
-//! Injects system call faults into one courier: loads the library `stairshed-preload` into its process and writes the file
-//! that lists the calls to fail.
+//! Injects system call faults into one courier: loads the library `stairshed-preload` into its process and
+//! writes the file that lists the calls to fail.
 
 use crate::TestFolder;
 use std::fs;
@@ -41,8 +41,8 @@
     }
 }
 
-/// Path of the library, which is built in the folder of the running program, or its parent for tests, which run from
-/// `deps/`.
+/// Path of the library, which is built in the folder of the running program, or its parent for tests, which
+/// run from `deps/`.
 fn library() -> PathBuf {
     let own = std::env::current_exe().expect("a path");
     let folders = own.ancestors().skip(1).take(2);
--- a/crates/rig/src/trend.rs
+++ b/crates/rig/src/trend.rs
@@ -19,16 +19,17 @@
 }
 
 impl Slope {
-    /// Whether the metric rises by at most 1 % of its mean, its noise or `grain` per hour, whichever is largest.
+    /// Whether the metric rises by at most 1 % of its mean, its noise or `grain` per hour, whichever is
+    /// largest.
     pub fn is_flat(&self, grain: f64) -> bool {
         self.per_hour <= (0.01 * self.mean).max(self.noise).max(grain)
     }
 }
 
 impl TimeSeries {
-    /// Returns the slope over whole load cycles of `period` hours, without the first quarter of them, which is the
-    /// warm-up. Each sample is compared with the mean at the same position of the cycle, so that the pattern itself
-    /// does not count as a slope. None with fewer than two cycles to compare.
+    /// Returns the slope over whole load cycles of `period` hours, without the first quarter of them, which
+    /// is the warm-up. Each sample is compared with the mean at the same position of the cycle, so that the
+    /// pattern itself does not count as a slope. None with fewer than two cycles to compare.
     pub fn slope(&self, period: f64) -> Option<Slope> {
         const PARTS: usize = 16;
         let last = self.points.last()?.0;
