--- a/crates/memory/src/caps.rs
+++ b/crates/memory/src/caps.rs
@@ -1,22 +1,22 @@
-//! What each purpose may hold at most: an operator's shares and sizes, checked as a whole.
+//! Memory caps by purpose: the operator's shares and sizes, validated together.
 
 use crate::purpose::{ByPurpose, Purpose};
 use std::fmt;
 
-/// What the program itself takes beside all purposes: its text and tables as far as they are mapped, stacks, the
-/// runtime, what the allocator holds in reserve. Measured: an idle courier has 5 to 7 MB resident.
+/// Memory that the program takes beside all purposes, in bytes: mapped code and tables, stacks, the runtime and free
+/// memory of the allocator. An idle courier has 5 to 7 MB resident.
 pub const PROGRAM_BYTES: u64 = 8_000_000;
 
-/// A cap, as an operator states it.
+/// A cap as set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CapSetting {
-    /// Of what the total leaves beside the program, above 0 and 1 at most.
+    /// Fraction of the total less [`PROGRAM_BYTES`], above 0 and at most 1.
     Share(f64),
     /// Bytes.
     Size(u64),
 }
 
-/// What is wrong with one cap, or with all together.
+/// Why one cap, or all caps together, are invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CapError {
     #[error("{least} at least, for {needs}", least = Bytes(*least))]
@@ -36,7 +36,7 @@
 }
 
 impl CapError {
-    /// Whose cap is wrong; None for the total.
+    /// The purpose whose cap is invalid; None if the total or the sum is.
     pub fn purpose(&self) -> Option<Purpose> {
         match self {
             CapError::TooSmall { purpose, .. }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Bytes, for people: in units of 1,000.
+/// Displays a number of bytes with a decimal unit (kB = 1,000 bytes).
 #[derive(Clone, Copy, Debug)]
 pub struct Bytes(pub u64);
 
@@ -63,22 +63,22 @@
     }
 }
 
-/// What each purpose may hold at most, bytes; u64::MAX is no cap.
+/// Caps in bytes; `u64::MAX` means no cap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caps {
-    /// What the process may hold; None for no bound.
+    /// Limit on the memory of the process, in bytes; None for no limit.
     pub total: Option<u64>,
     pub of: ByPurpose<u64>,
 }
 
 impl Caps {
-    /// No cap on anything.
+    /// Caps that limit nothing.
     pub fn none() -> Caps {
         Caps { total: None, of: ByPurpose::new(|_| u64::MAX) }
     }
 
-    /// The share that a purpose has where none is stated, in thousandths: they come to 1,000. Bodies and messages are
-    /// what a busy morning is made of; the rest is bounded by counts of its own, and its caps stand behind those.
+    /// The default share of a purpose in thousandths; together they make 1,000. Bodies and messages get the most, since
+    /// they grow with the load; the rest is bounded by limits on counts, and the caps are a second line of defence.
     pub const fn default_permille(purpose: Purpose) -> u64 {
         match purpose {
             Purpose::BodiesRead => 125,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// With less a courier could not go on, and what that is for.
+    /// The smallest cap in bytes that a courier can work with, and what it is enough for.
     pub const fn minimum(purpose: Purpose) -> (u64, &'static str) {
         match purpose {
             Purpose::BodiesRead | Purpose::BodiesHeld => (64 * 1024, "one body of 64 KiB"),
@@ -111,19 +111,20 @@
         }
     }
 
-    /// Least total that the usual shares can be made of.
+    /// The smallest total whose default shares satisfy every minimum.
     pub fn min_total() -> u64 {
-        // A share is rounded down.
-        let of = |p: Purpose| (Caps::minimum(p).0 + 1) * 1000 / Caps::default_permille(p) + 1;
-        PROGRAM_BYTES + Purpose::ALL.into_iter().map(of).max().unwrap_or_default()
+        // Shares are rounded down.
+        let total_for = |p: Purpose| (Caps::minimum(p).0 + 1) * 1000 / Caps::default_permille(p) + 1;
+        PROGRAM_BYTES + Purpose::ALL.into_iter().map(total_for).max().unwrap_or_default()
     }
 
-    /// Caps as an operator asks for them; what is not stated has its usual share of the total, or none without one.
+    /// Caps from the settings. A purpose without a setting gets its default share of the total, or no cap without a
+    /// total.
     ///
     /// # Errors
-    /// All that is wrong with them.
-    pub fn new(total: Option<u64>, asked: &ByPurpose<Option<CapSetting>>) -> Result<Caps, Vec<CapError>> {
-        let mut faults = Vec::new();
+    /// All errors found. A total that is too small is returned alone.
+    pub fn new(total: Option<u64>, settings: &ByPurpose<Option<CapSetting>>) -> Result<Caps, Vec<CapError>> {
+        let mut errors = Vec::new();
         if let Some(total) = total
             && total < Caps::min_total()
         {
@@ -132,26 +133,26 @@
         let room = total.map(|total| total - PROGRAM_BYTES);
         let of = ByPurpose::new(|purpose| {
             let share = |share: f64| room.map(|room| (room as f64 * share) as u64);
-            let cap = match asked[purpose] {
+            let cap = match settings[purpose] {
                 None => share(Caps::default_permille(purpose) as f64 / 1000.0).unwrap_or(u64::MAX),
                 Some(CapSetting::Size(bytes)) => bytes,
                 Some(CapSetting::Share(s)) if !(s > 0.0 && s <= 1.0) => {
-                    faults.push(CapError::InvalidShare { purpose });
+                    errors.push(CapError::InvalidShare { purpose });
                     return u64::MAX;
                 }
                 Some(CapSetting::Share(s)) => share(s).unwrap_or_else(|| {
-                    faults.push(CapError::ShareWithoutTotal { purpose });
+                    errors.push(CapError::ShareWithoutTotal { purpose });
                     u64::MAX
                 }),
             };
             let (least, needs) = Caps::minimum(purpose);
             if cap < least {
-                faults.push(CapError::TooSmall { purpose, least, needs });
+                errors.push(CapError::TooSmall { purpose, least, needs });
             }
             cap
         });
         if let Some(room) = room
-            && faults.is_empty()
+            && errors.is_empty()
         {
             let sum = of.iter().fold(0u64, |sum, (_, cap)| sum.saturating_add(*cap));
             if sum > room {
@@ -159,10 +160,10 @@
                 all.sort_unstable_by(|a, b| b.cmp(a));
                 let largest: Vec<String> =
                     all.iter().take(3).map(|(cap, p)| format!("{p} with {}", Bytes(*cap))).collect();
-                faults.push(CapError::ExceedsTotal { sum, room, largest: largest.join(", ") });
+                errors.push(CapError::ExceedsTotal { sum, room, largest: largest.join(", ") });
             }
         }
-        if faults.is_empty() { Ok(Caps { total, of }) } else { Err(faults) }
+        if errors.is_empty() { Ok(Caps { total, of }) } else { Err(errors) }
     }
 }
 
--- a/crates/memory/src/client_identification.rs
+++ b/crates/memory/src/client_identification.rs
@@ -1,50 +1,53 @@
-//! Whose share something counts against: which client is behind a connection, a request or an MQTT session.
+//! Identifies the client behind a connection, a request or an MQTT session, for per-client shares.
 
 use crate::ledger::Client;
 use ipnet::IpNet;
 use std::net::IpAddr;
 
-/// A name in a header is no longer than this, bytes: it is kept for as long as the client holds something.
+/// Maximum length of a client name in a header: it is stored for as long as the client holds memory.
 const MAX_NAME_BYTES: usize = 128;
 
-/// How clients are told apart.
+/// Rules that identify clients.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientIdentification {
-    /// Networks of proxies, each of which carries many clients.
+    /// Networks of trusted proxies, each of which forwards requests of many clients.
     pub proxies: Vec<IpNet>,
-    /// The header, in lower case, in which a proxy names the client of a request.
+    /// Name of the header, in lower case, in which a trusted proxy names the client of a request.
     pub header: Option<String>,
-    /// MQTT clients count by their user alone, not each with its client id.
+    /// Counts MQTT clients by user name alone instead of by user name and client id.
     pub by_user: bool,
 }
 
 impl ClientIdentification {
-    /// Whether an address is a proxy's, whose word is taken for whom it carries.
+    /// Whether the address belongs to a trusted proxy, whose client header is believed.
     pub fn is_trusted_proxy(&self, from: IpAddr) -> bool {
         let from = from.to_canonical();
         self.proxies.iter().any(|net| net.contains(&from))
     }
 
-    /// Who a connection counts for; None for a proxy's, which is nobody's share but keeps to the cap.
+    /// The client that a connection counts for. None for a trusted proxy: its connections count against the cap but
+    /// against no client's share.
     pub fn for_connection(&self, from: IpAddr) -> Option<Client> {
         (!self.is_trusted_proxy(from)).then(|| Client::at(from))
     }
 
-    /// Who a request counts for, by the values of [`Telling::header`] in it. A proxy that names nobody, or several,
-    /// or in words that are no name, counts for itself; whoever is no proxy cannot name another.
+    /// The client that a request counts for, from the values of its [`ClientIdentification::header`] field. A trusted
+    /// proxy that does not send exactly one valid name counts as the client itself; other senders cannot name a
+    /// client.
     pub fn for_request<'a>(&self, from: IpAddr, mut named: impl Iterator<Item = &'a [u8]>) -> Client {
-        let one = named.next().filter(|_| self.header.is_some() && self.is_trusted_proxy(from));
-        let name = one.filter(|_| named.next().is_none()).and_then(|name| std::str::from_utf8(name).ok());
-        let fit = |name: &&str| {
+        let value = named.next().filter(|_| self.header.is_some() && self.is_trusted_proxy(from));
+        let name = value.filter(|_| named.next().is_none()).and_then(|name| std::str::from_utf8(name).ok());
+        let is_valid = |name: &&str| {
             (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(|byte| byte.is_ascii_graphic())
         };
-        match name.map(str::trim).filter(fit) {
+        match name.map(str::trim).filter(is_valid) {
             Some(name) => Client::Name(format!("client {name}").into()),
             None => Client::at(from),
         }
     }
 
-    /// Who an MQTT session counts for: `owner` is its USER/CLIENT. Users count by their names up to a slash.
+    /// The client that an MQTT session counts for. `owner` is USER/CLIENT; with `by_user` only the part before the
+    /// first slash counts.
     pub fn for_session(&self, owner: &str) -> Client {
         match owner.split_once('/').filter(|_| self.by_user) {
             Some((user, _)) => Client::Name(format!("user {user}").into()),
--- a/crates/memory/src/client_identification_test.rs
+++ b/crates/memory/src/client_identification_test.rs
@@ -6,13 +6,13 @@
 }
 
 #[test]
-fn only_a_proxy_names_another_and_only_in_one_fit_name() {
+fn only_a_trusted_proxy_names_a_client_and_only_with_one_valid_name() {
     let (client_identification, proxy) = (client_identification(), "10.2.7.1".parse().expect("an address"));
     let long = [b'x'; 65_536];
     let of = |from: IpAddr, named: &[&[u8]]| client_identification.for_request(from, named.iter().copied());
     assert_eq!(of(proxy, &[b"van-7"]), Client::Name("client van-7".into()));
-    let unfit: [&[&[u8]]; 6] = [&[], &[b""], &[b"a", b"a"], &[&long], &[b"\xff"], &[b"a b"]];
-    for named in unfit {
+    let invalid: [&[&[u8]]; 6] = [&[], &[b""], &[b"a", b"a"], &[&long], &[b"\xff"], &[b"a b"]];
+    for named in invalid {
         assert_eq!(of(proxy, named), Client::at(proxy), "{} values", named.len());
     }
     let other = "10.3.0.1".parse().expect("an address");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_proxy_has_no_share_of_its_own_and_sessions_count_by_their_user() {
+fn a_proxy_connection_counts_against_no_share_and_sessions_count_by_user() {
     let (client_identification, plain) = (client_identification(), ClientIdentification::default());
     let [proxy, other]: [IpAddr; 2] = ["fd00::1", "2001:db8::1"].map(|a| a.parse().expect("an address"));
     assert_eq!(
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The books: one account a purpose, guards over what each holds, and what each client has of it.
+//! The ledger: one account per purpose, guards for the memory held, and the usage of each client.
 
 use crate::Time;
 use crate::caps::Caps;
@@ -14,16 +14,17 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// Who holds something, as far as clients are told apart.
+/// Identity of a client that memory is accounted to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Client {
+    /// A client known by its address only; for IPv6 by its /64 network.
     Address(IpAddr),
-    /// A client with a name of its own: an MQTT user with its client id.
+    /// A client with a name: an MQTT user with its client id, or a name from a trusted proxy.
     Name(Rc<str>),
 }
 
 impl Client {
-    /// A client at an address. Of IPv6 the network counts: one machine has all addresses of a /64.
+    /// The client at an address. IPv6 addresses are reduced to their /64 network, since one machine can use all of them.
     pub fn at(address: IpAddr) -> Client {
         Client::Address(match address.to_canonical() {
             IpAddr::V6(v6) => IpAddr::V6(Ipv6Addr::from(u128::from(v6) >> 64 << 64)),
@@ -32,28 +33,28 @@
     }
 }
 
-/// Why there is no room.
+/// Why memory was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCause {
-    /// The purpose is at its cap.
+    /// The request does not fit under the cap of the purpose.
     Cap,
-    /// The purpose is tight, and this client has more of it than its share.
+    /// The purpose is tight, and the request exceeds the share of this client.
     Share,
-    /// The process holds as much as it may, whatever the purposes say.
+    /// The process has reached its memory limit, whatever the purposes hold.
     Total,
 }
 
-/// No room for something new.
+/// Error: memory for new work was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     pub purpose: Purpose,
     pub why: RefusalCause,
-    /// Bytes that were asked for.
+    /// Bytes requested.
     pub bytes: u64,
 }
 
-/// For the client, whose business the courier's figures are not.
+/// Text for the client; it leaves out figures of the courier.
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let words = self.purpose.words();
@@ -66,7 +67,7 @@
 }
 
 impl Refused {
-    /// The reason as one word, for a header: `memory-bodies_held`, `share-clients`, `memory-total`.
+    /// The machine-readable reason for the header field: `memory-bodies_held`, `share-clients`, `memory-total`.
     pub fn reason(&self) -> Reason {
         match self.why {
             RefusalCause::Cap => Reason::Memory(self.purpose),
@@ -81,11 +82,11 @@
     used: Cell<u64>,
     reserved: Cell<u64>,
     cap: Cell<u64>,
-    /// The most that was held at once.
-    most: Cell<u64>,
-    /// Bytes given back since the beginning.
-    emptied: Cell<u64>,
-    /// What was put on the books beyond the cap, since it was there already.
+    /// Peak of the bytes held.
+    peak: Cell<u64>,
+    /// Total bytes released since the start.
+    released: Cell<u64>,
+    /// Total bytes charged beyond the cap by `force_charge`.
     forced: Cell<u64>,
     refused: [Cell<u64>; 3],
     level: Cell<Level>,
@@ -97,7 +98,7 @@
 }
 
 fn sub(cell: &Cell<u64>, bytes: u64) {
-    debug_assert!(cell.get() >= bytes, "given back twice");
+    debug_assert!(cell.get() >= bytes, "memory released twice");
     cell.set(cell.get().saturating_sub(bytes));
 }
 
@@ -106,96 +107,101 @@
         self.used.get() + self.reserved.get()
     }
 
-    fn rise(&self) {
-        self.most.set(self.most.get().max(self.held()));
+    fn update_peak(&self) {
+        self.peak.set(self.peak.get().max(self.held()));
     }
 
-    fn share(&self) -> f64 {
+    fn fraction_used(&self) -> f64 {
         self.held() as f64 / self.cap.get() as f64
     }
 }
 
 /// What one client holds. Off the books with its last guest.
-struct Row {
+struct ClientUsage {
     held: ByPurpose<Cell<u64>>,
     client: Client,
-    books: Weak<Books>,
+    ledger: Weak<LedgerState>,
 }
 
-impl Drop for Row {
+impl Drop for ClientUsage {
     fn drop(&mut self) {
-        let Some(books) = self.books.upgrade() else { return };
-        let mut clients = books.clients.borrow_mut();
-        // The client may have come back since: its row is another.
-        if clients.get(&self.client).is_some_and(|row| row.strong_count() == 0) {
+        let Some(ledger) = self.ledger.upgrade() else { return };
+        let mut clients = ledger.clients.borrow_mut();
+        // The client may have reconnected meanwhile and have another entry.
+        if clients.get(&self.client).is_some_and(|usage| usage.strong_count() == 0) {
             clients.remove(&self.client);
         }
     }
 }
 
-struct Books {
+struct LedgerState {
     accounts: ByPurpose<Account>,
     total: Cell<Option<u64>>,
-    /// Share of a cap that one client may have while the purpose is tight; 1 for all of it.
-    share: Cell<f64>,
-    clients: RefCell<HashMap<Client, Weak<Row>>>,
-    /// What the process holds, as last told, and its level.
+    /// Fraction of a cap that one client may hold while the purpose is tight; 1 for no limit.
+    client_share: Cell<f64>,
+    clients: RefCell<HashMap<Client, Weak<ClientUsage>>>,
+    /// Resident memory of the process in bytes, as last reported.
     resident: Cell<u64>,
     level: Cell<Level>,
-    ticked: Cell<Time>,
+    last_tick: Cell<Time>,
 }
 
-/// The ledger. Copies of it are the same one; for one thread.
+/// Accounts for the memory of all purposes. Clones share one state; not for use by several threads.
 #[derive(Clone)]
-pub struct Ledger(Rc<Books>);
+pub struct Ledger(Rc<LedgerState>);
 
-/// A client while it is connected, or while something of its is held.
+/// Handle of a client that is connected or holds memory. All handles of one client share its usage.
 #[derive(Clone)]
-pub struct ClientAccount(Rc<Row>);
+pub struct ClientAccount(Rc<ClientUsage>);
 
-/// How an account stands.
+/// Usage of one purpose, for the admin page. Amounts are in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct PurposeUsage {
     pub purpose: Purpose,
     pub in_use: u64,
     pub reserved: u64,
-    /// None where there is none.
+    /// None for no cap.
     pub cap: Option<u64>,
+    /// Peak of the memory held.
     pub most: u64,
-    /// Held beyond the cap because it was there already: taken over at a start, or measured and not asked for.
+    /// Total charged beyond the cap by `force_charge`, for memory that existed already: recovered at a start, or
+    /// measured rather than requested.
     pub forced: u64,
     pub level: Level,
-    /// Refusals since the start: at the cap, by a client's share, for the process as a whole.
+    /// Requests refused at the cap since the start.
     pub refused_cap: u64,
+    /// Requests refused by a client's share since the start.
     pub refused_share: u64,
+    /// Requests refused by the limit of the process since the start.
     pub refused_total: u64,
-    /// Bytes a second that it gives back.
+    /// Release rate, bytes per second.
     pub empties: u64,
 }
 
 impl Ledger {
-    /// `share` is what one client may have of a cap while its purpose is tight, above 0 and 1 at most.
+    /// A ledger with these caps. `share` is the fraction of a cap that one client may hold while its purpose is tight,
+    /// above 0 and at most 1.
     pub fn new(caps: &Caps, share: f64) -> Ledger {
-        let ledger = Ledger(Rc::new(Books {
+        let ledger = Ledger(Rc::new(LedgerState {
             accounts: ByPurpose::new(|_| Account::default()),
             total: Cell::new(None),
-            share: Cell::new(1.0),
+            client_share: Cell::new(1.0),
             clients: RefCell::default(),
             resident: Cell::new(0),
             level: Cell::default(),
-            ticked: Cell::new(Time::ZERO),
+            last_tick: Cell::new(Time::ZERO),
         }));
         ledger.set_caps(caps, share);
         ledger
     }
 
-    /// Other caps from now on. Nothing is dropped: what holds more than it may refuses what is new until it fits.
+    /// Replaces the caps. Nothing is dropped: a purpose that holds more than its new cap refuses requests until it fits.
     pub fn set_caps(&self, caps: &Caps, share: f64) {
         for (purpose, cap) in caps.of.iter() {
             self.0.accounts[purpose].cap.set(*cap);
         }
         self.0.total.set(caps.total);
-        self.0.share.set(share);
+        self.0.client_share.set(share);
     }
 
     /// The client's guest, the same row for all connections of one client.
@@ -203,116 +209,116 @@
         let mut clients = self.0.clients.borrow_mut();
         let known = clients.get(&client).and_then(Weak::upgrade);
         ClientAccount(known.unwrap_or_else(|| {
-            let (books, held) = (Rc::downgrade(&self.0), ByPurpose::default());
-            let row = Rc::new(Row { held, client: client.clone(), books });
-            clients.insert(client, Rc::downgrade(&row));
-            row
+            let (ledger, held) = (Rc::downgrade(&self.0), ByPurpose::default());
+            let usage = Rc::new(ClientUsage { held, client: client.clone(), ledger });
+            clients.insert(client, Rc::downgrade(&usage));
+            usage
         }))
     }
 
-    /// Clients that hold something or are connected.
+    /// Number of clients that are connected or hold memory.
     pub fn clients(&self) -> usize {
         self.0.clients.borrow().len()
     }
 
-    /// Whether `bytes` more would fit; counted as a refusal if not.
+    /// Checks whether `bytes` more would fit; counts a refusal if not.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason for the refusal.
     pub fn check_room(
         &self,
         purpose: Purpose,
         bytes: u64,
-        guest: Option<&ClientAccount>,
+        client: Option<&ClientAccount>,
     ) -> Result<(), Refused> {
         let account = &self.0.accounts[purpose];
         let (cap, after) = (account.cap.get(), account.held().saturating_add(bytes));
-        let crowds = |guest: &ClientAccount| {
-            let most = cap as f64 * self.0.share.get();
+        let exceeds_share = |client: &ClientAccount| {
+            let most = cap as f64 * self.0.client_share.get();
             after as f64 > cap as f64 * TIGHT_THRESHOLDS.1
-                && (guest.0.held[purpose].get() + bytes) as f64 > most
+                && (client.0.held[purpose].get() + bytes) as f64 > most
         };
-        let why = match guest {
+        let why = match client {
             _ if self.0.level.get() == Level::Full && purpose.is_new_work() => RefusalCause::Total,
             _ if after > cap => RefusalCause::Cap,
-            Some(guest) if cap < u64::MAX && crowds(guest) => RefusalCause::Share,
+            Some(client) if cap < u64::MAX && exceeds_share(client) => RefusalCause::Share,
             _ => return Ok(()),
         };
         add(&account.refused[why as usize], 1);
         Err(Refused { purpose, why, bytes })
     }
 
-    /// Takes memory for something new.
+    /// Charges memory for new work.
     ///
     /// # Errors
-    /// There is no room; nothing is taken then.
+    /// The memory is refused; nothing is charged.
     pub fn try_charge(
         &self,
         purpose: Purpose,
         bytes: u64,
-        guest: Option<&ClientAccount>,
+        client: Option<&ClientAccount>,
     ) -> Result<Charge, Refused> {
-        self.check_room(purpose, bytes, guest)?;
-        Ok(self.charge(purpose, bytes, guest))
+        self.check_room(purpose, bytes, client)?;
+        Ok(self.add_charge(purpose, bytes, client))
     }
 
-    /// Sets memory aside for what may still be needed.
+    /// Reserves memory that may be needed later.
     ///
     /// # Errors
-    /// There is no room; nothing is set aside then.
+    /// The memory is refused; nothing is reserved.
     pub fn reserve(&self, purpose: Purpose, bytes: u64) -> Result<Reserve, Refused> {
         self.check_room(purpose, bytes, None)?;
-        Ok(self.set_aside(purpose, bytes))
+        Ok(self.add_reserve(purpose, bytes))
     }
 
-    /// Puts on the books what is there already, or cannot be refused: what an earlier life has accepted, what is
-    /// measured.
+    /// Charges memory regardless of the cap, because it exists already or cannot be refused: messages accepted before a
+    /// restart, measured sizes.
     pub fn force_charge(&self, purpose: Purpose, bytes: u64) -> Charge {
         let account = &self.0.accounts[purpose];
-        let charge = self.charge(purpose, bytes, None);
+        let charge = self.add_charge(purpose, bytes, None);
         let over = account.held().saturating_sub(account.cap.get()).min(bytes);
         add(&account.forced, over);
         charge
     }
 
-    /// The same as a reserve.
+    /// Reserves memory regardless of the cap.
     pub fn force_reserve(&self, purpose: Purpose, bytes: u64) -> Reserve {
-        self.set_aside(purpose, bytes)
+        self.add_reserve(purpose, bytes)
     }
 
-    fn charge(&self, purpose: Purpose, bytes: u64, guest: Option<&ClientAccount>) -> Charge {
+    fn add_charge(&self, purpose: Purpose, bytes: u64, client: Option<&ClientAccount>) -> Charge {
         let account = &self.0.accounts[purpose];
         add(&account.used, bytes);
-        account.rise();
-        if let Some(guest) = guest {
-            add(&guest.0.held[purpose], bytes);
+        account.update_peak();
+        if let Some(client) = client {
+            add(&client.0.held[purpose], bytes);
         }
-        Charge { ledger: self.clone(), purpose, bytes, guest: guest.cloned() }
+        Charge { ledger: self.clone(), purpose, bytes, client: client.cloned() }
     }
 
-    fn set_aside(&self, purpose: Purpose, bytes: u64) -> Reserve {
+    fn add_reserve(&self, purpose: Purpose, bytes: u64) -> Reserve {
         let account = &self.0.accounts[purpose];
         add(&account.reserved, bytes);
-        account.rise();
+        account.update_peak();
         Reserve { ledger: self.clone(), purpose, bytes }
     }
 
-    /// What the process holds all in all, as the system tells it, bytes.
+    /// Sets the resident memory of the process, as the operating system reports it, in bytes.
     pub fn set_resident(&self, resident: u64) {
         self.0.resident.set(resident);
     }
 
-    /// Looks at all purposes. Cheap, and more often than each 100 ms of no use.
+    /// Updates levels and release rates, and returns the level changes. Calls within 100 ms of the last one do nothing.
     pub fn tick(&self, now: Time) -> Vec<LevelChange> {
         let mut changes = Vec::new();
-        if now < self.0.ticked.get() + MIN_UPDATE_INTERVAL && self.0.ticked.get() > Time::ZERO {
+        if now < self.0.last_tick.get() + MIN_UPDATE_INTERVAL && self.0.last_tick.get() > Time::ZERO {
             return changes;
         }
-        self.0.ticked.set(now);
+        self.0.last_tick.set(now);
         for (purpose, account) in self.0.accounts.iter() {
-            account.release_rate.borrow_mut().update(account.emptied.get(), now);
+            account.release_rate.borrow_mut().update(account.released.get(), now);
             let (before, cap) = (account.level.get(), account.cap.get());
-            let level = before.next(if cap == u64::MAX { 0.0 } else { account.share() });
+            let level = before.next(if cap == u64::MAX { 0.0 } else { account.fraction_used() });
             if account.level.replace(level) != level {
                 changes.push(LevelChange {
                     purpose: Some(purpose),
@@ -335,12 +341,12 @@
         changes
     }
 
-    /// When somebody who was refused may come back: from how fast the purpose empties, and behind those who were
-    /// told before.
+    /// Retry delay after a refusal, from the release rate of the purpose and behind the clients that were told to retry
+    /// before.
     pub fn retry_after(&self, refused: &Refused, now: Time) -> Duration {
         let account = &self.0.accounts[refused.purpose];
         let cap = account.cap.get();
-        // A client over its share finds room when the purpose is not tight any more, or it has less itself.
+        // A client over its share is served again once the purpose is no longer tight, or once it holds less.
         let room = match refused.why {
             RefusalCause::Cap | RefusalCause::Total => cap,
             RefusalCause::Share => (cap as f64 * TIGHT_THRESHOLDS.1) as u64,
@@ -357,53 +363,55 @@
         account.release_rate.borrow_mut().retry_after(over, refused.bytes, now)
     }
 
-    /// The level of one purpose, as of the last tick.
+    /// Level of one purpose, as of the last tick.
     pub fn level(&self, purpose: Purpose) -> Level {
         self.0.accounts[purpose].level.get()
     }
 
-    /// The highest level of all, and of the process.
+    /// The highest level of all purposes and of the process.
     pub fn max_level(&self) -> Level {
         let all = self.0.accounts.iter().map(|(_, account)| account.level.get());
         all.fold(self.0.level.get(), Level::max)
     }
 
-    /// The level of the process as a whole.
+    /// Level of the process as a whole, as of the last tick.
     pub fn process_level(&self) -> Level {
         self.0.level.get()
     }
 
-    /// What the process may hold; None for no bound.
+    /// Limit on the memory of the process, in bytes; None for no limit.
     pub fn total(&self) -> Option<u64> {
         self.0.total.get()
     }
 
-    /// What is in use or reserved for a purpose, bytes.
+    /// Bytes in use or reserved for a purpose.
     pub fn held(&self, purpose: Purpose) -> u64 {
         self.0.accounts[purpose].held()
     }
 
+    /// Cap of a purpose in bytes; `u64::MAX` means no cap.
     pub fn cap(&self, purpose: Purpose) -> u64 {
         self.0.accounts[purpose].cap.get()
     }
 
-    /// Room that is left for a purpose, bytes.
+    /// Bytes left under the cap of a purpose.
     pub fn room(&self, purpose: Purpose) -> u64 {
         self.cap(purpose).saturating_sub(self.held(purpose))
     }
 
-    /// Bytes in use for all purposes.
+    /// Bytes in use for all purposes, without reserves.
     pub fn in_use(&self) -> u64 {
         self.0.accounts.iter().map(|(_, account)| account.used.get()).sum()
     }
 
+    /// Usage of all purposes, in the order of [`Purpose::ALL`].
     pub fn usage(&self) -> Vec<PurposeUsage> {
         let of = self.0.accounts.iter().map(|(purpose, account)| PurposeUsage {
             purpose,
             in_use: account.used.get(),
             reserved: account.reserved.get(),
             cap: Some(account.cap.get()).filter(|cap| *cap < u64::MAX),
-            most: account.most.get(),
+            most: account.peak.get(),
             forced: account.forced.get(),
             level: account.level.get(),
             refused_cap: account.refused[0].get(),
@@ -415,12 +423,12 @@
     }
 }
 
-/// Memory in use. It goes back when dropped.
+/// Memory in use. Dropping the charge releases it.
 pub struct Charge {
     ledger: Ledger,
     purpose: Purpose,
     bytes: u64,
-    guest: Option<ClientAccount>,
+    client: Option<ClientAccount>,
 }
 
 impl Charge {
@@ -436,53 +444,53 @@
         &self.ledger.0.accounts[self.purpose]
     }
 
-    /// Holds this much from now on, whatever the cap says: for what is measured.
+    /// Changes the size regardless of the cap, for memory that is measured.
     pub fn resize(&mut self, bytes: u64) {
         if bytes > self.bytes {
             add(&self.account().used, bytes - self.bytes);
-            self.account().rise();
-            if let Some(guest) = &self.guest {
-                add(&guest.0.held[self.purpose], bytes - self.bytes);
+            self.account().update_peak();
+            if let Some(client) = &self.client {
+                add(&client.0.held[self.purpose], bytes - self.bytes);
             }
         } else {
-            self.give_back(self.bytes - bytes);
+            self.release(self.bytes - bytes);
         }
         self.bytes = bytes;
     }
 
-    /// Holds more.
+    /// Adds `bytes` to the charge.
     ///
     /// # Errors
-    /// There is no room; it holds what it did.
+    /// The memory is refused; the charge stays as it was.
     pub fn grow(&mut self, bytes: u64) -> Result<(), Refused> {
-        self.ledger.check_room(self.purpose, bytes, self.guest.as_ref())?;
+        self.ledger.check_room(self.purpose, bytes, self.client.as_ref())?;
         self.resize(self.bytes + bytes);
         Ok(())
     }
 
-    /// The same memory for another purpose from now on.
+    /// Moves the charge to another purpose.
     ///
     /// # Errors
-    /// There is no room for that; the charge stays as it was.
+    /// The other purpose refuses the memory; the unchanged charge is returned.
     pub fn transfer_to(self, purpose: Purpose) -> Result<Charge, (Charge, Refused)> {
-        match self.ledger.check_room(purpose, self.bytes, self.guest.as_ref()) {
-            Ok(()) => Ok(self.ledger.charge(purpose, self.bytes, self.guest.as_ref())),
+        match self.ledger.check_room(purpose, self.bytes, self.client.as_ref()) {
+            Ok(()) => Ok(self.ledger.add_charge(purpose, self.bytes, self.client.as_ref())),
             Err(refused) => Err((self, refused)),
         }
     }
 
-    fn give_back(&self, bytes: u64) {
+    fn release(&self, bytes: u64) {
         sub(&self.account().used, bytes);
-        add(&self.account().emptied, bytes);
-        if let Some(guest) = &self.guest {
-            sub(&guest.0.held[self.purpose], bytes);
+        add(&self.account().released, bytes);
+        if let Some(client) = &self.client {
+            sub(&client.0.held[self.purpose], bytes);
         }
     }
 }
 
 impl Drop for Charge {
     fn drop(&mut self) {
-        self.give_back(self.bytes);
+        self.release(self.bytes);
     }
 }
 
@@ -492,7 +500,7 @@
     }
 }
 
-/// Memory set aside. What is not drawn goes back when dropped.
+/// Reserved memory. Dropping it releases what was not drawn.
 pub struct Reserve {
     ledger: Ledger,
     purpose: Purpose,
@@ -504,14 +512,14 @@
         self.bytes
     }
 
-    /// Takes memory into use. More than was set aside is put on the books all the same: what was accepted is not
-    /// failed for want of memory.
+    /// Turns reserved memory into a charge. An amount beyond the reserve is charged regardless of the cap, so that an
+    /// accepted message does not fail for lack of memory.
     pub fn draw(&mut self, bytes: u64) -> Charge {
         let of = bytes.min(self.bytes);
         self.bytes -= of;
         sub(&self.ledger.0.accounts[self.purpose].reserved, of);
         match bytes - of {
-            0 => self.ledger.charge(self.purpose, bytes, None),
+            0 => self.ledger.add_charge(self.purpose, bytes, None),
             _ => self.ledger.force_charge(self.purpose, bytes),
         }
     }
@@ -521,13 +529,13 @@
     fn drop(&mut self) {
         let account = &self.ledger.0.accounts[self.purpose];
         sub(&account.reserved, self.bytes);
-        add(&account.emptied, self.bytes);
+        add(&account.released, self.bytes);
     }
 }
 
 impl fmt::Debug for Reserve {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} B set aside for {}", self.bytes, self.purpose)
+        write!(f, "{} B reserved for {}", self.bytes, self.purpose)
     }
 }
 
--- a/crates/memory/src/level.rs
+++ b/crates/memory/src/level.rs
@@ -1,30 +1,30 @@
-//! How near a purpose is to its cap, with hysteresis: one that hovers about a mark must not log a line each time.
+//! Pressure levels of a purpose, with hysteresis: usage that oscillates around a threshold must not log a line each time.
 
 use crate::purpose::Purpose;
 use serde::Serialize;
 use std::fmt;
 
-/// How much of a cap is in use or reserved.
+/// Pressure level: how much of a cap is in use or reserved.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
     #[default]
     Ample,
-    /// Caches shrink, and no client gets more than its share.
+    /// Caches shrink, and no client gets more than its share of the cap.
     Tight,
-    /// What is new is refused, or soon will be.
+    /// New work is rejected, or soon will be.
     Full,
 }
 
-/// Share of the cap from which a purpose is tight, and under which it is ample again.
+/// Fraction of the cap at which a purpose becomes tight, and below which it is ample again.
 pub const TIGHT_THRESHOLDS: (f64, f64) = (0.75, 0.65);
-/// Share of the cap from which a purpose is full, and under which it is only tight again.
+/// Fraction of the cap at which a purpose becomes full, and below which it is only tight again.
 pub const FULL_THRESHOLDS: (f64, f64) = (0.95, 0.85);
 
 impl Level {
-    /// The level after this one, for a share of the cap in use.
+    /// The next level, for the given fraction of the cap in use.
     pub fn next(self, share: f64) -> Level {
-        let at = |(from, under): (f64, f64), holds: bool| share >= if holds { under } else { from };
+        let at = |(enter, leave): (f64, f64), reached: bool| share >= if reached { leave } else { enter };
         match () {
             () if at(FULL_THRESHOLDS, self == Level::Full) => Level::Full,
             () if at(TIGHT_THRESHOLDS, self >= Level::Tight) => Level::Tight,
@@ -43,14 +43,16 @@
     }
 }
 
-/// A purpose has another level. Its text is the log's line.
+/// A change of level. Its `Display` text is the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LevelChange {
-    /// None: the process as a whole.
+    /// None for the process as a whole.
     pub purpose: Option<Purpose>,
     pub before: Level,
     pub now: Level,
+    /// Bytes in use or reserved.
     pub held: u64,
+    /// Bytes.
     pub cap: u64,
 }
 
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -1,22 +1,22 @@
-//! The ledger of a courier's memory: what each purpose holds, what it may hold at most, and when somebody who is
-//! turned away may come back. Pure: no clock, no allocator and no system are asked; time is an argument, and what
-//! the system says of the process is told by [`Ledger::weighed`].
+//! Memory accounting of a courier: what each purpose holds, its cap, and when a rejected client may retry. The crate
+//! performs no I/O: time is an argument, and the resident memory of the process is reported by
+//! [`Ledger::set_resident`].
 //!
 //! ```text
-//!   Caps ----------> Ledger ---- take, reserve ---> Charge, Reserve   guards: what they hold goes back when dropped
-//!   (caps)             |   \---- tick(now) -------> level changes     (level)
-//!                      |--- Guest: what one client holds              (ledger)
-//!                      \--- pace: how fast a purpose empties -> wait  (pace)
-//!   Refused ----> Reason, as clients are told (reason); Partings: connections until they have been told (partings)
-//!   Telling: whose share something counts against             (telling)
+//!   Caps ---------> Ledger ---- try_charge, reserve -> Charge, Reserve   guards; dropping one releases its memory
+//!   (caps)            |   \---- tick(now) ----------> level changes      (level)
+//!                     |--- ClientAccount: what one client holds          (ledger)
+//!                     \--- release rate of a purpose -> retry delay      (release_rate)
+//!   Refused ---> Reason, as clients see it (reason); RejectedConnections: open until answered (rejected_connections)
+//!   ClientIdentification: the client whose share a request counts against (client_identification)
 //! ```
 //!
 //! A *charge* is memory in use. A *reserve* is memory that an accepted message may still need; it is taken when the
-//! message is accepted, so that nothing done on its behalf later can be refused. Both count against the cap.
-//! Whoever holds a guard needs not give anything back by hand, so nothing is counted twice or left behind.
+//! message is accepted, so that no later step on its behalf can be refused. Both count against the cap. The guards
+//! release memory when dropped, so nothing is counted twice or leaked.
 //!
-//! Read in this order: [`caps`], [`ledger`], [`level`], [`pace`], [`reason`], [`partings`], [`telling`].
-//! `docs/memory.md` tells why it is so.
+//! Read in this order: [`caps`], [`ledger`], [`level`], [`release_rate`], [`reason`], [`rejected_connections`],
+//! [`client_identification`]. `docs/memory.md` gives the reasons for the design.
 
 pub mod caps;
 pub mod client_identification;
--- a/crates/memory/src/purpose.rs
+++ b/crates/memory/src/purpose.rs
@@ -1,34 +1,34 @@
-//! What memory is held for.
+//! The purposes that memory is accounted by.
 
 use serde::Serialize;
 use std::fmt;
 use std::ops::{Index, IndexMut};
 
-/// What memory is held for. Each has an account of its own.
+/// What memory is held for. Each purpose has its own account and cap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Purpose {
-    /// Bodies that are being read or judged.
+    /// Message bodies that are being read or wait for the decision to accept them.
     BodiesRead,
-    /// Bodies of accepted messages, until they have ended.
+    /// Bodies of accepted messages, until the messages end.
     BodiesHeld,
-    /// All else of accepted messages: heads, ids, their rows in journal, decision module and owner.
+    /// Everything else of accepted messages: headers, ids, and their entries in journal, decision module and dispatcher.
     Messages,
-    /// Connections of clients.
+    /// Client connections.
     Clients,
     /// Connections to endpoints.
     Endpoints,
-    /// MQTT sessions, and outcomes that their clients have not read.
+    /// MQTT sessions, and outcomes that their clients have not read yet.
     Sessions,
-    /// Ids of messages that have ended.
+    /// Ids of ended messages, kept to recognise duplicates.
     Remembered,
-    /// The journal's buffers and its own tables.
+    /// The journal's buffers and tables.
     Journal,
-    /// The decision module's records of endpoints and destinations, and their charts.
+    /// The decision module's records of endpoints and destinations, and their occupancy charts.
     Module,
-    /// Names and configuration.
+    /// The configuration and its names.
     Configuration,
-    /// Notices of outcomes that wait for their receiver.
+    /// Notices of outcomes that have not been delivered yet.
     Notices,
 }
 
@@ -47,7 +47,7 @@
         Purpose::Notices,
     ];
 
-    /// As the operator's file and the pages have it.
+    /// Name in the settings file and on the admin pages.
     pub const fn name(self) -> &'static str {
         match self {
             Purpose::BodiesRead => "bodies_read",
@@ -64,7 +64,7 @@
         }
     }
 
-    /// As a client is told: "no memory for ...".
+    /// Text in messages to clients: "no memory for ...".
     pub const fn words(self) -> &'static str {
         match self {
             Purpose::BodiesRead => "bodies that are being read",
@@ -81,13 +81,14 @@
         }
     }
 
-    /// Whether it is taken for something new. The rest serves what was accepted, or answers that nothing new is: it goes
-    /// on when the process holds as much as it may.
+    /// Whether the memory serves new work. The other purposes serve accepted messages or the answers that reject new
+    /// ones, so they are still granted when the process has reached its limit.
     pub const fn is_new_work(self) -> bool {
         use Purpose::*;
         matches!(self, BodiesRead | BodiesHeld | Messages | Sessions | Configuration)
     }
 
+    /// The purpose of this name, if there is one.
     pub fn named(name: &str) -> Option<Purpose> {
         Purpose::ALL.into_iter().find(|p| p.name() == name)
     }
--- a/crates/memory/src/reason.rs
+++ b/crates/memory/src/reason.rs
@@ -1,26 +1,28 @@
-//! Why something new is not taken for want of room, as one word: the list of all that a client can be told.
+//! Machine-readable reasons for rejecting new work for lack of memory or connections.
 
 use crate::purpose::Purpose;
 use std::fmt;
 
-/// What `X-Reason` says.
+/// The value of the `X-Reason` header field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
     /// `memory-PURPOSE`: the purpose is at its cap.
     Memory(Purpose),
-    /// `share-PURPOSE`: the purpose is tight, and this client has its share of it.
+    /// `share-PURPOSE`: the purpose is tight, and this client has used up its share.
     Share(Purpose),
-    /// `memory-total`: the process holds as much as it may.
+    /// `memory-total`: the process has reached its memory limit.
     Total,
-    /// `connections`: as many clients are connected as may be.
+    /// `connections`: the maximum number of client connections is open.
     Connections,
 }
 
 impl Reason {
-    /// All of them, in the order of the operator's page.
+    /// All reasons, in the order of the operator's documentation.
     pub fn all() -> impl Iterator<Item = Reason> {
-        let of = |make: fn(Purpose) -> Reason| Purpose::ALL.into_iter().map(make);
-        of(Reason::Memory).chain(of(Reason::Share)).chain([Reason::Total, Reason::Connections])
+        let by_purpose = |make: fn(Purpose) -> Reason| Purpose::ALL.into_iter().map(make);
+        by_purpose(Reason::Memory)
+            .chain(by_purpose(Reason::Share))
+            .chain([Reason::Total, Reason::Connections])
     }
 }
 
--- a/crates/memory/src/rejected_connections.rs
+++ b/crates/memory/src/rejected_connections.rs
@@ -1,6 +1,7 @@
-//! Connections that there is no room for, until they have been told so. A client that is turned away must be able to
-//! tell "come back in 2 s" from a crash, and a flood of them must take neither sockets nor time: so many at once, a
-//! bounded time each, and past that a close, counted. Decisions only; the sockets are the courier's.
+//! Rejected connections that are still open until their answer is sent. A rejected client must be able to tell "retry
+//! in 2 s" from a crash, and a flood of connections must exhaust neither sockets nor time: their number and duration
+//! are bounded, and connections beyond that are closed at once and counted. This module only decides; the courier
+//! owns the sockets.
 
 use crate::Time;
 use crate::reason::Reason;
@@ -9,29 +10,29 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// How many are seen off at once: what one client of 64 connections may open in one go, twice.
+/// Maximum number of rejected connections open at once: twice the 64 connections that one client may open in one burst.
 pub const MAX_CONCURRENT: usize = 128;
-/// For so long a client that is turned away may say nothing: as long as one that is let in.
+/// How long a rejected client may send nothing: as long as an admitted one.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// So long it may take to read its answer and to stop sending.
+/// How long a rejected client may take to read its answer and stop sending.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// So much of what it sends meanwhile is read, so that no reset overtakes the answer, bytes.
+/// Maximum input read and discarded meanwhile: unread input would cause a TCP reset that can overtake the answer.
 pub const MAX_DISCARDED_BYTES: u64 = 1024 * 1024;
-/// Log lines about them are no closer together than this.
-const LOG_PAUSE: Duration = Duration::from_secs(10);
+/// Minimum interval between log lines about rejected connections.
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How it ended for one that was turned away.
+/// How a rejected connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionOutcome {
-    /// It has its answer, with the reason and when to come back.
+    /// The answer was sent, with the reason and the retry delay.
     Told,
-    /// It had asked for nothing, so a close takes nothing from it.
+    /// The client sent no request, so the connection was closed without an answer.
     Silent,
-    /// It was closed without a word, being one too many.
+    /// Closed without an answer, because the maximum number was open.
     Untold,
 }
 
-/// How many ended how, for one reason.
+/// Number of rejected connections by outcome, for one reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     pub told: u64,
@@ -49,78 +50,79 @@
     }
 }
 
-/// One that may be seen off.
+/// A slot for one rejected connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RejectionSlot {
     pub id: u64,
-    /// Its place is that of this one, which is to be closed at once.
+    /// The connection whose slot this was; the caller closes it at once.
     pub evicted: Option<u64>,
 }
 
-/// The book of those who are being turned away.
+/// Tracks the open rejected connections and counts their outcomes.
 #[derive(Debug, Default)]
 pub struct RejectedConnections {
-    next: u64,
-    /// Nothing has come from these yet; by age.
-    listening: BTreeSet<u64>,
-    client_identification: BTreeSet<u64>,
+    next_id: u64,
+    /// Connections that have sent nothing yet, oldest first.
+    awaiting_request: BTreeSet<u64>,
+    answering: BTreeSet<u64>,
     counts: BTreeMap<Reason, Counts>,
-    /// Since the last line of the log.
-    fresh: BTreeMap<Reason, Counts>,
-    logged: Option<Time>,
+    /// Outcomes since the last log line.
+    unlogged: BTreeMap<Reason, Counts>,
+    last_logged: Option<Time>,
 }
 
 impl RejectedConnections {
-    /// A place for one more, if there is one. Who has said nothing for longest goes first: nothing is owed to it.
-    /// `heard` says whether part of a request has come already.
+    /// Admits one more connection, if there is a free slot or a connection that has sent nothing. The oldest such
+    /// connection is evicted, since it is owed no answer. `request_started` says whether part of a request has been
+    /// received.
     pub fn admit(&mut self, request_started: bool) -> Option<RejectionSlot> {
-        let full = self.listening.len() + self.client_identification.len() >= MAX_CONCURRENT;
-        let evicted = if full { Some(self.listening.pop_first()?) } else { None };
-        let id = self.next;
-        self.next += 1;
-        let stage = if request_started { &mut self.client_identification } else { &mut self.listening };
+        let full = self.awaiting_request.len() + self.answering.len() >= MAX_CONCURRENT;
+        let evicted = if full { Some(self.awaiting_request.pop_first()?) } else { None };
+        let id = self.next_id;
+        self.next_id += 1;
+        let stage = if request_started { &mut self.answering } else { &mut self.awaiting_request };
         stage.insert(id);
         Some(RejectionSlot { id, evicted })
     }
 
-    /// It has asked for something, and is owed an answer: it gives way to nobody from now on.
+    /// Part of a request was received, so the connection is owed an answer and is not evicted any more.
     pub fn request_started(&mut self, id: u64) {
-        if self.listening.remove(&id) {
-            self.client_identification.insert(id);
+        if self.awaiting_request.remove(&id) {
+            self.answering.insert(id);
         }
     }
 
-    /// It is closed. None for one that never had a place.
+    /// Records that a connection is closed. `id` is None for one that never had a slot.
     pub fn closed(&mut self, id: Option<u64>, reason: Reason, how: RejectionOutcome) {
         if let Some(id) = id {
-            self.listening.remove(&id);
-            self.client_identification.remove(&id);
+            self.awaiting_request.remove(&id);
+            self.answering.remove(&id);
         }
         self.counts.entry(reason).or_default().add(how);
-        self.fresh.entry(reason).or_default().add(how);
+        self.unlogged.entry(reason).or_default().add(how);
     }
 
-    /// How many are being seen off.
+    /// Number of open rejected connections.
     pub fn open(&self) -> usize {
-        self.listening.len() + self.client_identification.len()
+        self.awaiting_request.len() + self.answering.len()
     }
 
-    /// By reason, since the start.
+    /// Outcomes by reason since the start.
     pub fn counts(&self) -> BTreeMap<String, Counts> {
         self.counts.iter().map(|(reason, counts)| (reason.to_string(), *counts)).collect()
     }
 
-    /// When there is a line for the log, if nothing more happens.
+    /// When the next log line is due; None if nothing has been counted since the last one.
     pub fn log_due(&self) -> Option<Time> {
-        (!self.fresh.is_empty()).then(|| self.logged.map_or(Time::ZERO, |at| at + LOG_PAUSE))
+        (!self.unlogged.is_empty()).then(|| self.last_logged.map_or(Time::ZERO, |at| at + MIN_LOG_INTERVAL))
     }
 
-    /// The line that is due: what ended since the last one.
+    /// The log line, if it is due: outcomes since the last one.
     pub fn take_log_line(&mut self, now: Time) -> Option<String> {
         self.log_due().filter(|due| *due <= now)?;
-        self.logged = Some(now);
+        self.last_logged = Some(now);
         let mut text = "clients: connections turned away:".to_owned();
-        for (reason, Counts { told, silent, untold }) in std::mem::take(&mut self.fresh) {
+        for (reason, Counts { told, silent, untold }) in std::mem::take(&mut self.unlogged) {
             let _ = write!(text, " {reason} ({told} told, {silent} silent, {untold} untold)");
         }
         Some(text)
--- a/crates/memory/src/rejected_connections_test.rs
+++ b/crates/memory/src/rejected_connections_test.rs
@@ -1,36 +1,40 @@
 use super::*;
 
 #[test]
-fn who_has_asked_for_nothing_gives_way_and_who_is_owed_an_answer_never_does() {
-    let mut book = RejectedConnections::default();
-    let first = book.admit(false).expect("a place").id;
-    let asked = book.admit(false).expect("a place").id;
-    book.request_started(asked);
+fn connections_without_a_request_are_evicted_and_those_owed_an_answer_are_not() {
+    let mut connections = RejectedConnections::default();
+    let first = connections.admit(false).expect("a slot").id;
+    let asked = connections.admit(false).expect("a slot").id;
+    connections.request_started(asked);
     for _ in 2..MAX_CONCURRENT {
-        assert!(book.admit(true).is_some_and(|p| p.evicted.is_none()));
+        assert!(connections.admit(true).is_some_and(|slot| slot.evicted.is_none()));
     }
-    assert_eq!(book.open(), MAX_CONCURRENT);
-    assert_eq!(book.admit(true).expect("the silent one's place").evicted, Some(first));
-    assert_eq!(book.admit(true), None, "all are owed an answer");
-    assert_eq!(book.open(), MAX_CONCURRENT);
-    book.closed(Some(asked), Reason::Connections, RejectionOutcome::Told);
-    assert!(book.admit(false).is_some_and(|p| p.evicted.is_none()));
+    assert_eq!(connections.open(), MAX_CONCURRENT);
+    assert_eq!(
+        connections.admit(true).expect("the slot of the connection without a request").evicted,
+        Some(first)
+    );
+    assert_eq!(connections.admit(true), None, "all are owed an answer");
+    assert_eq!(connections.open(), MAX_CONCURRENT);
+    connections.closed(Some(asked), Reason::Connections, RejectionOutcome::Told);
+    assert!(connections.admit(false).is_some_and(|slot| slot.evicted.is_none()));
 }
 
 #[test]
-fn a_flood_is_a_line_each_ten_seconds_and_every_end_is_counted() {
-    let (mut book, mut lines, mut now) = (RejectedConnections::default(), Vec::new(), Time::from_secs(5));
+fn a_flood_logs_one_line_per_ten_seconds_and_every_outcome_is_counted() {
+    let (mut connections, mut lines, mut now) =
+        (RejectedConnections::default(), Vec::new(), Time::from_secs(5));
     for n in 0..3000 {
         now += Duration::from_millis(10);
-        let how = [RejectionOutcome::Told, RejectionOutcome::Silent, RejectionOutcome::Untold][n % 3];
-        let id = book.admit(false).map(|p| p.id);
-        book.closed(id, Reason::Share(crate::Purpose::Clients), how);
-        lines.extend(book.take_log_line(now));
+        let outcome = [RejectionOutcome::Told, RejectionOutcome::Silent, RejectionOutcome::Untold][n % 3];
+        let id = connections.admit(false).map(|slot| slot.id);
+        connections.closed(id, Reason::Share(crate::Purpose::Clients), outcome);
+        lines.extend(connections.take_log_line(now));
     }
     assert_eq!(lines.len(), 3, "{lines:?}");
     assert_eq!(lines[0], "clients: connections turned away: share-clients (1 told, 0 silent, 0 untold)");
-    let counts = book.counts()["share-clients"];
+    let counts = connections.counts()["share-clients"];
     assert_eq!(counts, Counts { told: 1000, silent: 1000, untold: 1000 });
-    assert!(book.log_due() > Some(now), "what came since has its line later");
-    assert!(book.take_log_line(now + LOG_PAUSE).is_some() && book.log_due().is_none());
+    assert!(connections.log_due() > Some(now), "outcomes since then are logged later");
+    assert!(connections.take_log_line(now + MIN_LOG_INTERVAL).is_some() && connections.log_due().is_none());
 }
