--- a/crates/memory/benches/ledger.rs
+++ b/crates/memory/benches/ledger.rs
@@ -1,4 +1,5 @@
-//! What a charge costs, beside a plain counter that is raised and lowered, in one run; and what the books weigh.
+//! Cost of a charge compared with a plain counter that is incremented and decremented, in one run, and the sizes of the
+//! guards. Run with
 //! `cargo bench -p stairshed-memory`
 
 use stairshed_memory::{ByPurpose, Caps, Charge, Client, ClientAccount, Ledger, Purpose};
@@ -6,45 +7,51 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-const ROUNDS: usize = 2_000_000;
+const CALLS_PER_RUN: usize = 2_000_000;
 
-/// Nanoseconds each, the best of five runs.
-fn time(what: &str, mut one: impl FnMut(usize)) {
-    let run = |one: &mut dyn FnMut(usize)| {
-        let began = Instant::now();
-        (0..ROUNDS).for_each(one);
-        began.elapsed().as_nanos() as f64 / ROUNDS as f64
+/// Prints the nanoseconds per call, best of five runs.
+fn time(label: &str, mut call: impl FnMut(usize)) {
+    let run = |call: &mut dyn FnMut(usize)| {
+        let started = Instant::now();
+        (0..CALLS_PER_RUN).for_each(call);
+        started.elapsed().as_nanos() as f64 / CALLS_PER_RUN as f64
     };
-    let best = (0..5).map(|_| run(&mut one)).fold(f64::MAX, f64::min);
-    println!("{what:<64} {best:>7.1} ns");
+    let best = (0..5).map(|_| run(&mut call)).fold(f64::MAX, f64::min);
+    println!("{label:<64} {best:>7.1} ns");
 }
 
 fn main() {
     let ledger = Ledger::new(&Caps::new(Some(192_000_000), &ByPurpose::default()).expect("sound"), 0.5);
-    let guest = ledger.client_account(Client::at([127, 0, 0, 1].into()));
-    let plain = Cell::new(0u64);
-    time("a plain counter, raised and lowered", |n| {
-        plain.set(plain.get() + n as u64);
-        black_box(&plain);
-        plain.set(plain.get() - n as u64);
+    let account = ledger.client_account(Client::at([127, 0, 0, 1].into()));
+    let counter = Cell::new(0u64);
+    time("a plain counter, incremented and decremented", |n| {
+        counter.set(counter.get() + n as u64);
+        black_box(&counter);
+        counter.set(counter.get() - n as u64);
     });
-    let take = |p: Purpose, n: usize, guest: Option<&ClientAccount>| {
-        ledger.try_charge(p, (n % 1000) as u64, guest).expect("room")
+    let charge = |p: Purpose, n: usize, account: Option<&ClientAccount>| {
+        ledger.try_charge(p, (n % 1000) as u64, account).expect("room")
     };
-    time("a charge, taken and given back", |n| drop(black_box(take(Purpose::BodiesRead, n, None))));
-    time("the same for a client", |n| drop(black_box(take(Purpose::BodiesRead, n, Some(&guest)))));
-    time("a message: read, held, its rows, two reserves; all given back", |n| {
-        let read = take(Purpose::BodiesRead, n, Some(&guest));
+    time("a charge, taken and released", |n| drop(black_box(charge(Purpose::BodiesRead, n, None))));
+    time("a charge for a client, taken and released", |n| {
+        drop(black_box(charge(Purpose::BodiesRead, n, Some(&account))))
+    });
+    time("a message: body read, held, entries, two reserves; all released", |n| {
+        let read = charge(Purpose::BodiesRead, n, Some(&account));
         let held = read.transfer_to(Purpose::BodiesHeld).expect("room");
-        let rows = take(Purpose::Messages, n, Some(&guest));
+        let entries = charge(Purpose::Messages, n, Some(&account));
         let notice = ledger.reserve(Purpose::Notices, 100).expect("room");
-        let kept = ledger.reserve(Purpose::Remembered, 100).expect("room");
-        black_box((held, rows, notice, kept));
+        let remembered = ledger.reserve(Purpose::Remembered, 100).expect("room");
+        black_box((held, entries, notice, remembered));
     });
     let mut now = Duration::ZERO;
-    time("a tick over all purposes", |_| {
+    time("a tick of all purposes", |_| {
         now += Duration::from_millis(100);
         black_box(ledger.tick(now));
     });
-    println!("a charge has {} bytes, a client's guest {}", size_of::<Charge>(), size_of::<ClientAccount>());
+    println!(
+        "size of a charge: {} bytes, of a client account: {}",
+        size_of::<Charge>(),
+        size_of::<ClientAccount>()
+    );
 }
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// What one client holds. Off the books with its last guest.
+/// Bytes held by one client. Removed from the ledger with its last [`ClientAccount`].
 struct ClientUsage {
     held: ByPurpose<Cell<u64>>,
     client: Client,
@@ -204,7 +204,7 @@
         self.0.client_share.set(share);
     }
 
-    /// The client's guest, the same row for all connections of one client.
+    /// The account of a client; all its connections share one.
     pub fn client_account(&self, client: Client) -> ClientAccount {
         let mut clients = self.0.clients.borrow_mut();
         let known = clients.get(&client).and_then(Weak::upgrade);
@@ -234,9 +234,9 @@
         let account = &self.0.accounts[purpose];
         let (cap, after) = (account.cap.get(), account.held().saturating_add(bytes));
         let exceeds_share = |client: &ClientAccount| {
-            let most = cap as f64 * self.0.client_share.get();
+            let max_share = cap as f64 * self.0.client_share.get();
             after as f64 > cap as f64 * TIGHT_THRESHOLDS.1
-                && (client.0.held[purpose].get() + bytes) as f64 > most
+                && (client.0.held[purpose].get() + bytes) as f64 > max_share
         };
         let why = match client {
             _ if self.0.level.get() == Level::Full && purpose.is_new_work() => RefusalCause::Total,
--- a/crates/memory/src/ledger_test.rs
+++ b/crates/memory/src/ledger_test.rs
@@ -4,12 +4,13 @@
 const KB: u64 = 1000;
 
 fn ledger(of: &[(Purpose, u64)], share: f64) -> Ledger {
-    let asked = ByPurpose::new(|p| of.iter().find(|(q, _)| *q == p).map(|(_, cap)| CapSetting::Size(*cap)));
-    Ledger::new(&Caps::new(None, &asked).expect("sound"), share)
+    let settings =
+        ByPurpose::new(|p| of.iter().find(|(q, _)| *q == p).map(|(_, cap)| CapSetting::Size(*cap)));
+    Ledger::new(&Caps::new(None, &settings).expect("valid caps"), share)
 }
 
 #[test]
-fn what_is_taken_goes_back_when_its_guard_is_dropped_and_never_twice() {
+fn a_dropped_charge_is_released_exactly_once() {
     let ledger = ledger(&[(Purpose::BodiesRead, 100 * KB), (Purpose::BodiesHeld, 100 * KB)], 1.0);
     let read = ledger.try_charge(Purpose::BodiesRead, 60 * KB, None).expect("room");
     let refused = ledger.try_charge(Purpose::BodiesRead, 41 * KB, None).expect_err("none");
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn what_was_set_aside_is_there_at_the_cap_and_more_than_that_is_put_on_the_books() {
+fn a_reserve_can_be_drawn_at_the_cap_and_an_excess_is_charged_beyond_it() {
     let ledger = ledger(&[(Purpose::Notices, 10 * KB)], 1.0);
     let mut reserve = ledger.reserve(Purpose::Notices, 4 * KB).expect("room");
     let fill = ledger.try_charge(Purpose::Notices, 6 * KB, None).expect("room");
@@ -45,34 +46,35 @@
 }
 
 #[test]
-fn one_client_cannot_take_all_and_its_connections_count_as_one() {
+fn one_client_cannot_use_the_whole_cap_and_its_connections_count_together() {
     let ledger = ledger(&[(Purpose::BodiesRead, 100 * KB)], 0.4);
     let at = |text: &str| ledger.client_account(Client::at(text.parse().expect("an address")));
-    let (greedy, again, other) = (at("2001:db8::1"), at("2001:db8::2:1"), at("2001:db8:0:1::1"));
-    let take = |guest: &ClientAccount, kb: u64| ledger.try_charge(Purpose::BodiesRead, kb * KB, Some(guest));
-    // Alone it may have what nobody else asks for, up to where it gets tight.
-    let held: Vec<Charge> = (0..6).map(|_| take(&greedy, 10).expect("room")).collect();
-    let refused = take(&again, 10).expect_err("the same client");
+    let (first, first_again, other) = (at("2001:db8::1"), at("2001:db8::2:1"), at("2001:db8:0:1::1"));
+    let charge =
+        |account: &ClientAccount, kb: u64| ledger.try_charge(Purpose::BodiesRead, kb * KB, Some(account));
+    // A single client may exceed its share until the purpose is tight.
+    let held: Vec<Charge> = (0..6).map(|_| charge(&first, 10).expect("room")).collect();
+    let refused = charge(&first_again, 10).expect_err("the same client");
     assert_eq!(
         (refused.why, refused.reason().to_string().as_str()),
         (RefusalCause::Share, "share-bodies_read")
     );
-    let others: Vec<Charge> = (0..4).map(|_| take(&other, 10).expect("others get in")).collect();
-    assert_eq!(take(&other, 1).expect_err("at the cap").why, RefusalCause::Cap);
+    let others: Vec<Charge> = (0..4).map(|_| charge(&other, 10).expect("room for other clients")).collect();
+    assert_eq!(charge(&other, 1).expect_err("at the cap").why, RefusalCause::Cap);
     assert_eq!(ledger.clients(), 2);
-    drop((held, others, greedy, other));
-    assert_eq!(ledger.clients(), 1, "one guest of it is left");
-    drop(again);
+    drop((held, others, first, other));
+    assert_eq!(ledger.clients(), 1, "one account of the first client is left");
+    drop(first_again);
     assert_eq!((ledger.clients(), ledger.held(Purpose::BodiesRead)), (0, 0));
 }
 
 #[test]
-fn a_cap_that_is_lowered_below_what_is_in_use_drops_nothing_and_refuses_until_it_is_met() {
+fn a_cap_lowered_below_the_usage_drops_nothing_and_refuses_until_usage_fits() {
     let ledger = ledger(&[(Purpose::Messages, 1000 * KB)], 1.0);
     let mut held: Vec<Charge> =
         (0..9).map(|_| ledger.try_charge(Purpose::Messages, 100 * KB, None).expect("room")).collect();
     let lower = ByPurpose::new(|p| (p == Purpose::Messages).then_some(CapSetting::Size(100 * KB)));
-    ledger.set_caps(&Caps::new(None, &lower).expect("sound"), 1.0);
+    ledger.set_caps(&Caps::new(None, &lower).expect("valid caps"), 1.0);
     assert_eq!(ledger.held(Purpose::Messages), 900 * KB);
     while held.pop().is_some() {
         let fits = ledger.try_charge(Purpose::Messages, 50 * KB, None).is_ok();
@@ -81,8 +83,8 @@
 }
 
 #[test]
-fn a_process_that_holds_as_much_as_it_may_refuses_whatever_its_purposes_say() {
-    let ledger = Ledger::new(&Caps::new(Some(32_000_000), &ByPurpose::default()).expect("sound"), 1.0);
+fn a_process_at_its_memory_limit_refuses_new_work_for_every_purpose() {
+    let ledger = Ledger::new(&Caps::new(Some(32_000_000), &ByPurpose::default()).expect("valid caps"), 1.0);
     let second = |n: u64| Time::from_secs(n);
     ledger.set_resident(31_000_000);
     let changes = ledger.tick(second(1));
@@ -91,10 +93,10 @@
     let refused = ledger.try_charge(Purpose::Messages, 10, None).expect_err("full");
     assert_eq!((refused.why, refused.reason().to_string().as_str()), (RefusalCause::Total, "memory-total"));
     assert!(ledger.retry_after(&refused, second(1)) >= Duration::from_millis(50));
-    // What was accepted goes on.
+    // Memory for accepted messages is still charged.
     drop(ledger.force_charge(Purpose::Messages, 10));
     ledger.set_resident(29_000_000);
-    assert!(ledger.tick(second(2)).is_empty(), "still above the lower mark");
+    assert!(ledger.tick(second(2)).is_empty(), "still above the lower threshold");
     ledger.set_resident(20_000_000);
     assert_eq!(ledger.tick(second(3))[0].now, Level::Ample);
     assert!(ledger.try_charge(Purpose::Messages, 10, None).is_ok());
--- a/crates/memory/tests/model.rs
+++ b/crates/memory/tests/model.rs
@@ -1,5 +1,5 @@
-//! The ledger on random histories beside a plain model: after every operation the sums are right, nothing new gets
-//! past a cap, clients' rows agree, and all is zero at the end.
+//! Compares the ledger with a plain model on random sequences of operations: the sums match after every operation, no
+//! new work exceeds a cap, usage by client matches, and everything is zero at the end.
 
 use proptest::prelude::*;
 use stairshed_memory::{
@@ -9,17 +9,17 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Take { purpose: usize, bytes: u64, client: Option<usize> },
+    Charge { purpose: usize, bytes: u64, client: Option<usize> },
     Reserve { purpose: usize, bytes: u64 },
     Force { purpose: usize, bytes: u64 },
     Draw { of: usize, bytes: u64 },
-    Drop { of: usize },
-    Unreserve { of: usize },
-    Turn { of: usize, purpose: usize },
-    Set { of: usize, bytes: u64 },
+    DropCharge { of: usize },
+    DropReserve { of: usize },
+    Transfer { of: usize, purpose: usize },
+    Resize { of: usize, bytes: u64 },
     Grow { of: usize, bytes: u64 },
     Caps { purpose: usize, bytes: u64 },
-    Leave { client: usize },
+    Reconnect { client: usize },
 }
 
 const PURPOSES: usize = Purpose::ALL.len();
@@ -30,21 +30,21 @@
     let (purpose, bytes, of) = (0..PURPOSES, 0..90_000u64, 0..64usize);
     let client = prop_oneof![Just(None), (0..CLIENTS).prop_map(Some)];
     prop_oneof![
-        6 => (purpose.clone(), bytes.clone(), client).prop_map(|(purpose, bytes, client)| Op::Take { purpose, bytes, client }),
+        6 => (purpose.clone(), bytes.clone(), client).prop_map(|(purpose, bytes, client)| Op::Charge { purpose, bytes, client }),
         3 => (purpose.clone(), bytes.clone()).prop_map(|(purpose, bytes)| Op::Reserve { purpose, bytes }),
         1 => (purpose.clone(), bytes.clone()).prop_map(|(purpose, bytes)| Op::Force { purpose, bytes }),
         2 => (of.clone(), bytes.clone()).prop_map(|(of, bytes)| Op::Draw { of, bytes }),
-        4 => of.clone().prop_map(|of| Op::Drop { of }),
-        1 => of.clone().prop_map(|of| Op::Unreserve { of }),
-        2 => (of.clone(), purpose.clone()).prop_map(|(of, purpose)| Op::Turn { of, purpose }),
-        1 => (of.clone(), bytes.clone()).prop_map(|(of, bytes)| Op::Set { of, bytes }),
+        4 => of.clone().prop_map(|of| Op::DropCharge { of }),
+        1 => of.clone().prop_map(|of| Op::DropReserve { of }),
+        2 => (of.clone(), purpose.clone()).prop_map(|(of, purpose)| Op::Transfer { of, purpose }),
+        1 => (of.clone(), bytes.clone()).prop_map(|(of, bytes)| Op::Resize { of, bytes }),
         1 => (of, bytes.clone()).prop_map(|(of, bytes)| Op::Grow { of, bytes }),
         1 => (purpose, 256_000..400_000u64).prop_map(|(purpose, bytes)| Op::Caps { purpose, bytes }),
-        1 => (0..CLIENTS).prop_map(|client| Op::Leave { client }),
+        1 => (0..CLIENTS).prop_map(|client| Op::Reconnect { client }),
     ]
 }
 
-/// What the ledger should say.
+/// Expected state of the ledger.
 #[derive(Default)]
 struct Model {
     caps: BTreeMap<usize, u64>,
@@ -63,7 +63,7 @@
         self.charges.iter().filter(|c| c.0 == purpose && c.2 == Some(client)).map(|c| c.1).sum()
     }
 
-    fn why(&self, purpose: usize, bytes: u64, client: Option<usize>) -> Option<RefusalCause> {
+    fn expected_refusal(&self, purpose: usize, bytes: u64, client: Option<usize>) -> Option<RefusalCause> {
         let (cap, after) = (self.caps[&purpose], self.held(purpose) + bytes);
         if after > cap {
             return Some(RefusalCause::Cap);
@@ -75,31 +75,37 @@
 }
 
 fn caps(of: &BTreeMap<usize, u64>) -> Caps {
-    let asked = ByPurpose::new(|p| Some(CapSetting::Size(of[&(p as usize)])));
-    Caps::new(None, &asked).expect("sound")
+    let settings = ByPurpose::new(|p| Some(CapSetting::Size(of[&(p as usize)])));
+    Caps::new(None, &settings).expect("valid caps")
 }
 
-fn play(ops: Vec<Op>) {
+fn run(ops: Vec<Op>) {
     let mut model = Model { caps: (0..PURPOSES).map(|p| (p, 300_000)).collect(), ..Model::default() };
     let ledger = Ledger::new(&caps(&model.caps), SHARE);
     let name = |n: usize| Client::Name(format!("client {n}").into());
-    let mut guests: Vec<ClientAccount> = (0..CLIENTS).map(|n| ledger.client_account(name(n))).collect();
+    let mut accounts: Vec<ClientAccount> = (0..CLIENTS).map(|n| ledger.client_account(name(n))).collect();
     let (mut charges, mut reserves): (Vec<Charge>, Vec<Reserve>) = (Vec::new(), Vec::new());
     for op in ops {
         let purpose_of = |n: usize| Purpose::ALL[n];
         match op {
-            Op::Take { purpose, bytes, client } => {
-                let taken = ledger.try_charge(purpose_of(purpose), bytes, client.map(|c| &guests[c]));
-                assert_eq!(taken.as_ref().err().map(|r| r.why), model.why(purpose, bytes, client));
-                if let Ok(charge) = taken {
+            Op::Charge { purpose, bytes, client } => {
+                let charged = ledger.try_charge(purpose_of(purpose), bytes, client.map(|c| &accounts[c]));
+                assert_eq!(
+                    charged.as_ref().err().map(|r| r.why),
+                    model.expected_refusal(purpose, bytes, client)
+                );
+                if let Ok(charge) = charged {
                     charges.push(charge);
                     model.charges.push((purpose, bytes, client));
                 }
             }
             Op::Reserve { purpose, bytes } => {
-                let kept = ledger.reserve(purpose_of(purpose), bytes);
-                assert_eq!(kept.as_ref().err().map(|r| r.why), model.why(purpose, bytes, None));
-                if let Ok(reserve) = kept {
+                let reserved = ledger.reserve(purpose_of(purpose), bytes);
+                assert_eq!(
+                    reserved.as_ref().err().map(|r| r.why),
+                    model.expected_refusal(purpose, bytes, None)
+                );
+                if let Ok(reserve) = reserved {
                     reserves.push(reserve);
                     model.reserves.push((purpose, bytes));
                 }
@@ -114,51 +120,51 @@
                 model.reserves[of].1 = left.saturating_sub(bytes);
                 model.charges.push((purpose, bytes, None));
             }
-            Op::Drop { of } if of < charges.len() => {
+            Op::DropCharge { of } if of < charges.len() => {
                 charges.swap_remove(of);
                 model.charges.swap_remove(of);
             }
-            Op::Unreserve { of } if of < reserves.len() => {
+            Op::DropReserve { of } if of < reserves.len() => {
                 reserves.swap_remove(of);
                 model.reserves.swap_remove(of);
             }
-            Op::Turn { of, purpose } if of < charges.len() => {
+            Op::Transfer { of, purpose } if of < charges.len() => {
                 let (before, bytes, client) = model.charges[of];
                 let charge = charges.swap_remove(of);
                 model.charges.swap_remove(of);
-                // It stands on the old account while the new one is asked.
+                // The charge still counts for the old purpose while the new one is checked.
                 model.charges.push((before, bytes, client));
-                let why = model.why(purpose, bytes, client);
+                let expected_refusal = model.expected_refusal(purpose, bytes, client);
                 match charge.transfer_to(purpose_of(purpose)) {
                     Ok(charge) => {
-                        assert_eq!(why, None);
+                        assert_eq!(expected_refusal, None);
                         charges.push(charge);
                         model.charges.pop();
                         model.charges.push((purpose, bytes, client));
                     }
                     Err((charge, refused)) => {
-                        assert_eq!(Some(refused.why), why);
+                        assert_eq!(Some(refused.why), expected_refusal);
                         charges.push(charge);
                     }
                 }
             }
-            Op::Set { of, bytes } if of < charges.len() => {
+            Op::Resize { of, bytes } if of < charges.len() => {
                 charges[of].resize(bytes);
                 model.charges[of].1 = bytes;
             }
             Op::Grow { of, bytes } if of < charges.len() => {
                 let (purpose, _, client) = model.charges[of];
                 let grown = charges[of].grow(bytes);
-                assert_eq!(grown.err().map(|r| r.why), model.why(purpose, bytes, client));
+                assert_eq!(grown.err().map(|r| r.why), model.expected_refusal(purpose, bytes, client));
                 model.charges[of].1 = charges[of].bytes();
             }
             Op::Caps { purpose, bytes } => {
                 model.caps.insert(purpose, bytes);
                 ledger.set_caps(&caps(&model.caps), SHARE);
             }
-            Op::Leave { client } => {
-                // It comes back at once: what it holds still counts as its own.
-                guests[client] = ledger.client_account(name(client));
+            Op::Reconnect { client } => {
+                // The client reconnects at once; what it holds still counts for it.
+                accounts[client] = ledger.client_account(name(client));
             }
             _ => {}
         }
@@ -169,10 +175,10 @@
         assert_eq!(ledger.in_use(), in_use);
     }
     drop((charges, reserves));
-    assert!(Purpose::ALL.into_iter().all(|p| ledger.held(p) == 0), "something was left behind");
+    assert!(Purpose::ALL.into_iter().all(|p| ledger.held(p) == 0), "some memory was not released");
     assert_eq!(ledger.clients(), CLIENTS);
-    drop(guests);
-    assert_eq!(ledger.clients(), 0, "a client without anything is still on the books");
+    drop(accounts);
+    assert_eq!(ledger.clients(), 0, "a client that holds nothing is still in the ledger");
 }
 
 proptest! {
@@ -180,6 +186,6 @@
 
     #[test]
     fn sums_are_right_after_every_operation_and_zero_at_the_end(ops in prop::collection::vec(op(), 1..200)) {
-        play(ops);
+        run(ops);
     }
 }
--- a/crates/preload/src/calls.rs
+++ b/crates/preload/src/calls.rs
@@ -1,4 +1,4 @@
-//! The C library's calls, with the faults of the rules before them.
+//! Replacements for C library functions that inject the faults of the rules and then call the real function.
 
 use crate::rules::{Call, Fault, clock_offset, fault, folder};
 use libc::{
@@ -7,55 +7,55 @@
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// The next definition of a function after this library's; for use where `unsafe` is allowed, with the type that the C
-/// library declares.
-macro_rules! real {
+/// The next definition of a function after this library's (`RTLD_NEXT`). Expands to unsafe code; the type must be the one
+/// that the C library declares.
+macro_rules! real_function {
     ($name:literal as $type:ty) => {{
-        static REAL: OnceLock<usize> = OnceLock::new();
+        static ADDRESS: OnceLock<usize> = OnceLock::new();
         let find = || libc::dlsym(libc::RTLD_NEXT, concat!($name, "\0").as_ptr().cast()) as usize;
-        std::mem::transmute::<usize, $type>(*REAL.get_or_init(find))
+        std::mem::transmute::<usize, $type>(*ADDRESS.get_or_init(find))
     }};
 }
 
-fn fails(errno: c_int) -> ssize_t {
-    // SAFETY: the place of this thread's error.
+fn fail_with(errno: c_int) -> ssize_t {
+    // SAFETY: points to the `errno` of this thread.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
 
-/// A part of a length, at least one byte.
-fn part(length: size_t) -> size_t {
+/// Half of a length, but at least one byte unless it is zero.
+fn partial_length(length: size_t) -> size_t {
     (length / 2).max(length.min(1))
 }
 
-/// Whether a descriptor is of a file in the folder whose files may fail.
+/// Whether a descriptor refers to a file in the folder whose files are subject to faults.
 fn in_folder(descriptor: c_int) -> bool {
     let Some(folder) = folder() else { return false };
     let link = format!("/proc/self/fd/{descriptor}\0");
     let mut path = [0u8; 512];
-    // SAFETY: the link ends with a zero byte, and the buffer is as long as the call is told.
+    // SAFETY: the link is NUL-terminated, and the buffer has the length that is passed.
     let length = unsafe {
         libc::syscall(libc::SYS_readlinkat, libc::AT_FDCWD, link.as_ptr(), path.as_mut_ptr(), path.len())
     };
     usize::try_from(length).is_ok_and(|length| path[..length].starts_with(folder.as_bytes()))
 }
 
-/// Whether a descriptor is of a Unix socket.
+/// Whether a descriptor is a Unix socket.
 fn is_unix(socket: c_int) -> bool {
     let (mut domain, mut length): (c_int, socklen_t) = (0, size_of::<c_int>() as socklen_t);
-    // SAFETY: `domain` is a place for the result, and as long as the call is told.
+    // SAFETY: `domain` is valid for writes and has the length that is passed.
     let result = unsafe {
         libc::getsockopt(socket, libc::SOL_SOCKET, libc::SO_DOMAIN, (&raw mut domain).cast(), &raw mut length)
     };
     result == 0 && domain == libc::AF_UNIX
 }
 
-/// Whether a path is in the folder whose files may fail.
+/// Whether a path is in the folder whose files are subject to faults.
 ///
 /// # Safety
-/// `path` ends with a zero byte.
+/// `path` must point to a NUL-terminated string.
 unsafe fn is_below_folder(path: *const c_char) -> bool {
-    // SAFETY: as the caller says.
+    // SAFETY: guaranteed by the caller.
     let path = unsafe { CStr::from_ptr(path) };
     folder().is_some_and(|folder| path.to_bytes().starts_with(folder.as_bytes()))
 }
@@ -66,12 +66,12 @@
 unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
     let call = if is_unix(socket) { Call::RecvLocal } else { Call::Recv };
     let length = match fault(call) {
-        Some(Fault::Errno(errno)) => return fails(errno),
+        Some(Fault::Errno(errno)) => return fail_with(errno),
         Some(Fault::Short) => length.min(1),
         None => length,
     };
-    // SAFETY: the caller's arguments, or a part of its buffer.
-    unsafe { real!("recv" as Recv)(socket, buffer, length, flags) }
+    // SAFETY: the caller's arguments, or a shorter length for its buffer.
+    unsafe { real_function!("recv" as Recv)(socket, buffer, length, flags) }
 }
 
 type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
@@ -79,12 +79,12 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
     let length = match fault(Call::Send) {
-        Some(Fault::Errno(errno)) => return fails(errno),
-        Some(Fault::Short) => part(length),
+        Some(Fault::Errno(errno)) => return fail_with(errno),
+        Some(Fault::Short) => partial_length(length),
         None => length,
     };
-    // SAFETY: the caller's arguments, or a part of its buffer.
-    unsafe { real!("send" as Send)(socket, buffer, length, flags) }
+    // SAFETY: the caller's arguments, or a shorter length for its buffer.
+    unsafe { real_function!("send" as Send)(socket, buffer, length, flags) }
 }
 
 type Writev = unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t;
@@ -92,12 +92,12 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     let count = match fault(Call::Send) {
-        Some(Fault::Errno(errno)) => return fails(errno),
+        Some(Fault::Errno(errno)) => return fail_with(errno),
         Some(Fault::Short) => count.min(1),
         None => count,
     };
     // SAFETY: the caller's arguments, or fewer of its buffers.
-    unsafe { real!("writev" as Writev)(descriptor, buffers, count) }
+    unsafe { real_function!("writev" as Writev)(descriptor, buffers, count) }
 }
 
 type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
@@ -105,10 +105,10 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     if let Some(Fault::Errno(errno)) = fault(Call::Connect) {
-        return fails(errno) as c_int;
+        return fail_with(errno) as c_int;
     }
     // SAFETY: the caller's arguments.
-    unsafe { real!("connect" as Connect)(socket, address, length) }
+    unsafe { real_function!("connect" as Connect)(socket, address, length) }
 }
 
 type Accept = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
@@ -121,24 +121,24 @@
     flags: c_int,
 ) -> c_int {
     if let Some(Fault::Errno(errno)) = fault(Call::Accept) {
-        return fails(errno) as c_int;
+        return fail_with(errno) as c_int;
     }
     // SAFETY: the caller's arguments.
-    unsafe { real!("accept4" as Accept)(socket, address, length, flags) }
+    unsafe { real_function!("accept4" as Accept)(socket, address, length, flags) }
 }
 
 type Write = unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t;
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    let found = if in_folder(descriptor) { fault(Call::Write) } else { None };
-    let length = match found {
-        Some(Fault::Errno(errno)) => return fails(errno),
-        Some(Fault::Short) => part(length),
+    let injected = if in_folder(descriptor) { fault(Call::Write) } else { None };
+    let length = match injected {
+        Some(Fault::Errno(errno)) => return fail_with(errno),
+        Some(Fault::Short) => partial_length(length),
         None => length,
     };
-    // SAFETY: the caller's arguments, or a part of its buffer.
-    unsafe { real!("write" as Write)(descriptor, buffer, length) }
+    // SAFETY: the caller's arguments, or a shorter length for its buffer.
+    unsafe { real_function!("write" as Write)(descriptor, buffer, length) }
 }
 
 type Pwrite = unsafe extern "C" fn(c_int, *const c_void, size_t, i64) -> ssize_t;
@@ -150,14 +150,14 @@
     length: size_t,
     offset: i64,
 ) -> ssize_t {
-    let found = if in_folder(descriptor) { fault(Call::Write) } else { None };
-    let length = match found {
-        Some(Fault::Errno(errno)) => return fails(errno),
-        Some(Fault::Short) => part(length),
+    let injected = if in_folder(descriptor) { fault(Call::Write) } else { None };
+    let length = match injected {
+        Some(Fault::Errno(errno)) => return fail_with(errno),
+        Some(Fault::Short) => partial_length(length),
         None => length,
     };
-    // SAFETY: the caller's arguments, or a part of its buffer.
-    unsafe { real!("pwrite64" as Pwrite)(descriptor, buffer, length, offset) }
+    // SAFETY: the caller's arguments, or a shorter length for its buffer.
+    unsafe { real_function!("pwrite64" as Pwrite)(descriptor, buffer, length, offset) }
 }
 
 type Sync = unsafe extern "C" fn(c_int) -> c_int;
@@ -167,10 +167,10 @@
     if in_folder(descriptor)
         && let Some(Fault::Errno(errno)) = fault(Call::Sync)
     {
-        return fails(errno) as c_int;
+        return fail_with(errno) as c_int;
     }
     // SAFETY: the caller's argument.
-    unsafe { real!("fsync" as Sync)(descriptor) }
+    unsafe { real_function!("fsync" as Sync)(descriptor) }
 }
 
 #[unsafe(no_mangle)]
@@ -178,39 +178,39 @@
     if in_folder(descriptor)
         && let Some(Fault::Errno(errno)) = fault(Call::Sync)
     {
-        return fails(errno) as c_int;
+        return fail_with(errno) as c_int;
     }
     // SAFETY: the caller's argument.
-    unsafe { real!("fdatasync" as Sync)(descriptor) }
+    unsafe { real_function!("fdatasync" as Sync)(descriptor) }
 }
 
 type Rename = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    // SAFETY: paths end with a zero byte.
+    // SAFETY: the caller passes a NUL-terminated path.
     if unsafe { is_below_folder(to) }
         && let Some(Fault::Errno(errno)) = fault(Call::Rename)
     {
-        return fails(errno) as c_int;
+        return fail_with(errno) as c_int;
     }
     // SAFETY: the caller's arguments.
-    unsafe { real!("rename" as Rename)(from, to) }
+    unsafe { real_function!("rename" as Rename)(from, to) }
 }
 
 type Open = unsafe extern "C" fn(*const c_char, c_int, c_uint) -> c_int;
 
-/// Its last argument is read only with `O_CREAT`; without it whatever stands there is passed on.
+/// The mode is used only with `O_CREAT`; without it an unspecified value is passed on, which the real function ignores.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: paths end with a zero byte.
+    // SAFETY: the caller passes a NUL-terminated path.
     if unsafe { is_below_folder(path) }
         && let Some(Fault::Errno(errno)) = fault(Call::Open)
     {
-        return fails(errno) as c_int;
+        return fail_with(errno) as c_int;
     }
     // SAFETY: the caller's arguments.
-    unsafe { real!("open64" as Open)(path, flags, mode) }
+    unsafe { real_function!("open64" as Open)(path, flags, mode) }
 }
 
 type ClockGettime = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
@@ -218,9 +218,9 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     // SAFETY: the caller's arguments.
-    let result = unsafe { real!("clock_gettime" as ClockGettime)(clock, time) };
+    let result = unsafe { real_function!("clock_gettime" as ClockGettime)(clock, time) };
     if result == 0 && clock == libc::CLOCK_REALTIME {
-        // SAFETY: the call has filled it.
+        // SAFETY: the successful call has initialised `time`.
         unsafe { (*time).tv_sec += clock_offset() };
     }
     result
--- a/crates/preload/src/rules.rs
+++ b/crates/preload/src/rules.rs
@@ -1,20 +1,20 @@
-//! The rules of the control file, and whether one of them applies to a call.
+//! The rules of the control file, and which of them applies to a call.
 
 use std::cell::Cell;
 use std::ffi::CString;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::{Mutex, OnceLock};
 
-/// How often the control file is read again, in ns.
-const REFRESH_NS: i64 = 5_000_000;
-/// Longest control file, in bytes.
-const MAX_FILE: usize = 4096;
+/// Interval between reads of the control file.
+const REFRESH_INTERVAL_NS: i64 = 5_000_000;
+/// Maximum size of the control file.
+const MAX_FILE_BYTES: usize = 4096;
 
 /// A call that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     Recv,
-    /// `recv` of a Unix socket: what a program says to itself.
+    /// `recv` on a Unix socket, such as a socket pair within one program.
     RecvLocal,
     Send,
     Connect,
@@ -26,7 +26,7 @@
 }
 
 impl Call {
-    fn named(name: &str) -> Option<Self> {
+    fn from_name(name: &str) -> Option<Self> {
         Some(match name {
             "recv" => Call::Recv,
             "recv-local" => Call::RecvLocal,
@@ -42,17 +42,17 @@
     }
 }
 
-/// What happens in place of the whole call.
+/// The fault injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this `errno`.
+    /// The call fails with this `errno`.
     Errno(i32),
-    /// It does a part of what it was asked for.
+    /// The call transfers only a part of the data.
     Short,
 }
 
 impl Fault {
-    fn named(name: &str) -> Option<Self> {
+    fn from_name(name: &str) -> Option<Self> {
         Some(Fault::Errno(match name {
             "short" => return Some(Fault::Short),
             "EINTR" => libc::EINTR,
@@ -75,35 +75,36 @@
 struct Rule {
     call: Call,
     fault: Fault,
-    /// It applies to the first of every so many calls.
+    /// The rule applies to the first of every `every` calls.
     every: u64,
+    /// Calls seen so far.
     calls: u64,
 }
 
-/// Seconds by which the wall clock is off.
+/// Offset added to the wall clock, in seconds.
 static CLOCK_OFFSET: AtomicI64 = AtomicI64::new(0);
 static RULES: Mutex<Vec<Rule>> = Mutex::new(Vec::new());
 static LAST_READ: AtomicI64 = AtomicI64::new(i64::MIN);
 static LAST_TEXT: Mutex<String> = Mutex::new(String::new());
-/// Faults that were injected.
+/// Number of injected faults.
 static INJECTED: AtomicU64 = AtomicU64::new(0);
 
 thread_local! {
-    /// This thread is in this library: its own calls are left alone.
+    /// Whether this thread is inside this library; calls that the library itself makes are not intercepted.
     static INSIDE: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Runs `work`, unless this thread is in this library already.
-pub fn guarded<T>(work: impl FnOnce() -> T) -> Option<T> {
+/// Runs `work`, unless this thread is already inside this library; then returns None.
+pub fn without_reentry<T>(work: impl FnOnce() -> T) -> Option<T> {
     INSIDE.try_with(|inside| inside.replace(true)).ok().filter(|inside| !inside)?;
     let result = work();
     INSIDE.with(|inside| inside.set(false));
     Some(result)
 }
 
-/// What happens to this call, if anything.
+/// The fault to inject into this call, if any. Counts the call for its rules.
 pub fn fault(call: Call) -> Option<Fault> {
-    guarded(|| {
+    without_reentry(|| {
         refresh();
         let mut rules = RULES.lock().ok()?;
         let mut found = None;
@@ -121,13 +122,13 @@
     .flatten()
 }
 
-/// Seconds by which the wall clock is off.
+/// Offset to add to the wall clock, in seconds.
 pub fn clock_offset() -> i64 {
-    guarded(refresh);
+    without_reentry(refresh);
     CLOCK_OFFSET.load(Ordering::Relaxed)
 }
 
-/// The folder whose files may fail, without a slash at its end.
+/// The folder whose files are subject to faults, from `STAIRSHED_FAULTS_FOLDER`, without a trailing slash.
 pub fn folder() -> Option<&'static str> {
     static FOLDER: OnceLock<Option<String>> = OnceLock::new();
     FOLDER.get_or_init(|| std::env::var("STAIRSHED_FAULTS_FOLDER").ok()).as_deref()
@@ -138,11 +139,11 @@
     PATH.get_or_init(|| CString::new(std::env::var("STAIRSHED_FAULTS").ok()?).ok()).as_ref()
 }
 
-/// Reads the control file again if it is time, and puts what has changed into effect.
+/// Reads the control file again when the interval has passed, and applies its rules if it has changed.
 fn refresh() {
     let now = monotonic_ns();
     let last = LAST_READ.load(Ordering::Relaxed);
-    let due = now.saturating_sub(last) >= REFRESH_NS;
+    let due = now.saturating_sub(last) >= REFRESH_INTERVAL_NS;
     if !due || LAST_READ.compare_exchange(last, now, Ordering::Relaxed, Ordering::Relaxed).is_err() {
         return;
     }
@@ -164,7 +165,7 @@
             [call, fault, every] => {
                 let every = every.parse().ok().filter(|n| *n > 0);
                 if let (Some(call), Some(fault), Some(every)) =
-                    (Call::named(call), Fault::named(fault), every)
+                    (Call::from_name(call), Fault::from_name(fault), every)
                 {
                     rules.push(Rule { call, fault, every, calls: 0 });
                 }
@@ -177,17 +178,17 @@
     }
 }
 
-/// Reads a short file by system calls of its own: those of the C library lead back here.
+/// Reads a short file with direct system calls, since the functions of the C library are intercepted by this library.
 fn read_file(path: &'static CString) -> Option<String> {
-    let mut bytes = vec![0u8; MAX_FILE];
-    // SAFETY: the path ends with a zero byte, and the buffer is as long as the call is told.
+    let mut bytes = vec![0u8; MAX_FILE_BYTES];
+    // SAFETY: the path is NUL-terminated, and the buffer has the length that is passed.
     let read = unsafe {
         let file =
             libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDONLY | libc::O_CLOEXEC);
         if file < 0 {
             return None;
         }
-        let read = libc::syscall(libc::SYS_read, file, bytes.as_mut_ptr(), MAX_FILE);
+        let read = libc::syscall(libc::SYS_read, file, bytes.as_mut_ptr(), MAX_FILE_BYTES);
         libc::syscall(libc::SYS_close, file);
         read
     };
@@ -197,7 +198,7 @@
 
 fn monotonic_ns() -> i64 {
     let mut time = libc::timespec { tv_sec: 0, tv_nsec: 0 };
-    // SAFETY: `time` is a place for the result.
+    // SAFETY: `time` is valid for writes.
     unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &raw mut time) };
     time.tv_sec * 1_000_000_000 + time.tv_nsec
 }
