--- a/crates/memory/benches/ledger.rs
+++ b/crates/memory/benches/ledger.rs
@@ -1,6 +1,5 @@
-//! Cost of a charge compared with a plain counter that is incremented and decremented, in one run, and the sizes of the
-//! guards. Run with
-//! `cargo bench -p stairshed-memory`
+//! Cost of a charge compared with a plain counter that is incremented and decremented, in one run, and the
+//! sizes of the guards. Run with `cargo bench -p stairshed-memory`
 
 use stairshed_memory::{ByPurpose, Caps, Charge, Client, ClientAccount, Ledger, Purpose};
 use std::cell::Cell;
--- a/crates/memory/src/caps.rs
+++ b/crates/memory/src/caps.rs
@@ -3,8 +3,8 @@
 use crate::purpose::{ByPurpose, Purpose};
 use std::fmt;
 
-/// Memory that the program takes beside all purposes, in bytes: mapped code and tables, stacks, the runtime and free
-/// memory of the allocator. An idle courier has 5 to 7 MB resident.
+/// Memory that the program takes beside all purposes, in bytes: mapped code and tables, stacks, the runtime
+/// and free memory of the allocator. An idle courier has 5 to 7 MB resident.
 pub const PROGRAM_BYTES: u64 = 8_000_000;
 
 /// A cap as set by the operator.
@@ -77,8 +77,9 @@
         Caps { total: None, of: ByPurpose::new(|_| u64::MAX) }
     }
 
-    /// The default share of a purpose in thousandths; together they make 1,000. Bodies and messages get the most, since
-    /// they grow with the load; the rest is bounded by limits on counts, and the caps are a second line of defence.
+    /// The default share of a purpose in thousandths; together they make 1,000. Bodies and messages get the
+    /// most, since they grow with the load; the rest is bounded by limits on counts, and the caps are a
+    /// second line of defence.
     pub const fn default_permille(purpose: Purpose) -> u64 {
         match purpose {
             Purpose::BodiesRead => 125,
@@ -118,8 +119,8 @@
         PROGRAM_BYTES + Purpose::ALL.into_iter().map(total_for).max().unwrap_or_default()
     }
 
-    /// Caps from the settings. A purpose without a setting gets its default share of the total, or no cap without a
-    /// total.
+    /// Caps from the settings. A purpose without a setting gets its default share of the total, or no cap
+    /// without a total.
     ///
     /// # Errors
     /// All errors found. A total that is too small is returned alone.
--- a/crates/memory/src/client_identification.rs
+++ b/crates/memory/src/client_identification.rs
@@ -25,15 +25,15 @@
         self.proxies.iter().any(|net| net.contains(&from))
     }
 
-    /// The client that a connection counts for. None for a trusted proxy: its connections count against the cap but
-    /// against no client's share.
+    /// The client that a connection counts for. None for a trusted proxy: its connections count against the
+    /// cap but against no client's share.
     pub fn for_connection(&self, from: IpAddr) -> Option<Client> {
         (!self.is_trusted_proxy(from)).then(|| Client::at(from))
     }
 
-    /// The client that a request counts for, from the values of its [`ClientIdentification::header`] field. A trusted
-    /// proxy that does not send exactly one valid name counts as the client itself; other senders cannot name a
-    /// client.
+    /// The client that a request counts for, from the values of its [`ClientIdentification::header`] field. A
+    /// trusted proxy that does not send exactly one valid name counts as the client itself; other senders
+    /// cannot name a client.
     pub fn for_request<'a>(&self, from: IpAddr, mut named: impl Iterator<Item = &'a [u8]>) -> Client {
         let value = named.next().filter(|_| self.header.is_some() && self.is_trusted_proxy(from));
         let name = value.filter(|_| named.next().is_none()).and_then(|name| std::str::from_utf8(name).ok());
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The client that an MQTT session counts for. `owner` is USER/CLIENT; with `by_user` only the part before the
-    /// first slash counts.
+    /// The client that an MQTT session counts for. `owner` is USER/CLIENT; with `by_user` only the part
+    /// before the first slash counts.
     pub fn for_session(&self, owner: &str) -> Client {
         match owner.split_once('/').filter(|_| self.by_user) {
             Some((user, _)) => Client::Name(format!("user {user}").into()),
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -24,7 +24,8 @@
 }
 
 impl Client {
-    /// The client at an address. IPv6 addresses are reduced to their /64 network, since one machine can use all of them.
+    /// The client at an address. IPv6 addresses are reduced to their /64 network, since one machine can use
+    /// all of them.
     pub fn at(address: IpAddr) -> Client {
         Client::Address(match address.to_canonical() {
             IpAddr::V6(v6) => IpAddr::V6(Ipv6Addr::from(u128::from(v6) >> 64 << 64)),
@@ -67,7 +68,8 @@
 }
 
 impl Refused {
-    /// The machine-readable reason for the header field: `memory-bodies_held`, `share-clients`, `memory-total`.
+    /// The machine-readable reason for the header field: `memory-bodies_held`, `share-clients`,
+    /// `memory-total`.
     pub fn reason(&self) -> Reason {
         match self.why {
             RefusalCause::Cap => Reason::Memory(self.purpose),
@@ -164,8 +166,8 @@
     pub cap: Option<u64>,
     /// Peak of the memory held.
     pub most: u64,
-    /// Total charged beyond the cap by `force_charge`, for memory that existed already: recovered at a start, or
-    /// measured rather than requested.
+    /// Total charged beyond the cap by `force_charge`, for memory that existed already: recovered at a start,
+    /// or measured rather than requested.
     pub forced: u64,
     pub level: Level,
     /// Requests refused at the cap since the start.
@@ -179,8 +181,8 @@
 }
 
 impl Ledger {
-    /// A ledger with these caps. `share` is the fraction of a cap that one client may hold while its purpose is tight,
-    /// above 0 and at most 1.
+    /// A ledger with these caps. `share` is the fraction of a cap that one client may hold while its purpose
+    /// is tight, above 0 and at most 1.
     pub fn new(caps: &Caps, share: f64) -> Ledger {
         let ledger = Ledger(Rc::new(LedgerState {
             accounts: ByPurpose::new(|_| Account::default()),
@@ -195,7 +197,8 @@
         ledger
     }
 
-    /// Replaces the caps. Nothing is dropped: a purpose that holds more than its new cap refuses requests until it fits.
+    /// Replaces the caps. Nothing is dropped: a purpose that holds more than its new cap refuses requests
+    /// until it fits.
     pub fn set_caps(&self, caps: &Caps, share: f64) {
         for (purpose, cap) in caps.of.iter() {
             self.0.accounts[purpose].cap.set(*cap);
@@ -271,8 +274,8 @@
         Ok(self.add_reserve(purpose, bytes))
     }
 
-    /// Charges memory regardless of the cap, because it exists already or cannot be refused: messages accepted before a
-    /// restart, measured sizes.
+    /// Charges memory regardless of the cap, because it exists already or cannot be refused: messages
+    /// accepted before a restart, measured sizes.
     pub fn force_charge(&self, purpose: Purpose, bytes: u64) -> Charge {
         let account = &self.0.accounts[purpose];
         let charge = self.add_charge(purpose, bytes, None);
@@ -308,7 +311,8 @@
         self.0.resident.set(resident);
     }
 
-    /// Updates levels and release rates, and returns the level changes. Calls within 100 ms of the last one do nothing.
+    /// Updates levels and release rates, and returns the level changes. Calls within 100 ms of the last one
+    /// do nothing.
     pub fn tick(&self, now: Time) -> Vec<LevelChange> {
         let mut changes = Vec::new();
         if now < self.0.last_tick.get() + MIN_UPDATE_INTERVAL && self.0.last_tick.get() > Time::ZERO {
@@ -341,8 +345,8 @@
         changes
     }
 
-    /// Retry delay after a refusal, from the release rate of the purpose and behind the clients that were told to retry
-    /// before.
+    /// Retry delay after a refusal, from the release rate of the purpose and behind the clients that were
+    /// told to retry before.
     pub fn retry_after(&self, refused: &Refused, now: Time) -> Duration {
         let account = &self.0.accounts[refused.purpose];
         let cap = account.cap.get();
@@ -512,8 +516,8 @@
         self.bytes
     }
 
-    /// Turns reserved memory into a charge. An amount beyond the reserve is charged regardless of the cap, so that an
-    /// accepted message does not fail for lack of memory.
+    /// Turns reserved memory into a charge. An amount beyond the reserve is charged regardless of the cap, so
+    /// that an accepted message does not fail for lack of memory.
     pub fn draw(&mut self, bytes: u64) -> Charge {
         let of = bytes.min(self.bytes);
         self.bytes -= of;
--- a/crates/memory/src/level.rs
+++ b/crates/memory/src/level.rs
@@ -1,4 +1,5 @@
-//! Pressure levels of a purpose, with hysteresis: usage that oscillates around a threshold must not log a line each time.
+//! Pressure levels of a purpose, with hysteresis: usage that oscillates around a threshold must not log a
+//! line each time.
 
 use crate::purpose::Purpose;
 use serde::Serialize;
--- a/crates/memory/src/purpose.rs
+++ b/crates/memory/src/purpose.rs
@@ -12,7 +12,8 @@
     BodiesRead,
     /// Bodies of accepted messages, until the messages end.
     BodiesHeld,
-    /// Everything else of accepted messages: headers, ids, and their entries in journal, decision module and dispatcher.
+    /// Everything else of accepted messages: headers, ids, and their entries in journal, decision module and
+    /// dispatcher.
     Messages,
     /// Client connections.
     Clients,
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Whether the memory serves new work. The other purposes serve accepted messages or the answers that reject new
-    /// ones, so they are still granted when the process has reached its limit.
+    /// Whether the memory serves new work. The other purposes serve accepted messages or the answers that
+    /// reject new ones, so they are still granted when the process has reached its limit.
     pub const fn is_new_work(self) -> bool {
         use Purpose::*;
         matches!(self, BodiesRead | BodiesHeld | Messages | Sessions | Configuration)
--- a/crates/memory/src/rejected_connections.rs
+++ b/crates/memory/src/rejected_connections.rs
@@ -1,7 +1,7 @@
-//! Rejected connections that are still open until their answer is sent. A rejected client must be able to tell "retry
-//! in 2 s" from a crash, and a flood of connections must exhaust neither sockets nor time: their number and duration
-//! are bounded, and connections beyond that are closed at once and counted. This module only decides; the courier
-//! owns the sockets.
+//! Rejected connections that are still open until their answer is sent. A rejected client must be able to
+//! tell "retry in 2 s" from a crash, and a flood of connections must exhaust neither sockets nor time: their
+//! number and duration are bounded, and connections beyond that are closed at once and counted. This module
+//! only decides; the courier owns the sockets.
 
 use crate::Time;
 use crate::reason::Reason;
@@ -10,13 +10,15 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Maximum number of rejected connections open at once: twice the 64 connections that one client may open in one burst.
+/// Maximum number of rejected connections open at once: twice the 64 connections that one client may open in
+/// one burst.
 pub const MAX_CONCURRENT: usize = 128;
 /// How long a rejected client may send nothing: as long as an admitted one.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long a rejected client may take to read its answer and stop sending.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Maximum input read and discarded meanwhile: unread input would cause a TCP reset that can overtake the answer.
+/// Maximum input read and discarded meanwhile: unread input would cause a TCP reset that can overtake the
+/// answer.
 pub const MAX_DISCARDED_BYTES: u64 = 1024 * 1024;
 /// Minimum interval between log lines about rejected connections.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(10);
@@ -72,9 +74,9 @@
 }
 
 impl RejectedConnections {
-    /// Admits one more connection, if there is a free slot or a connection that has sent nothing. The oldest such
-    /// connection is evicted, since it is owed no answer. `request_started` says whether part of a request has been
-    /// received.
+    /// Admits one more connection, if there is a free slot or a connection that has sent nothing. The oldest
+    /// such connection is evicted, since it is owed no answer. `request_started` says whether part of a
+    /// request has been received.
     pub fn admit(&mut self, request_started: bool) -> Option<RejectionSlot> {
         let full = self.awaiting_request.len() + self.answering.len() >= MAX_CONCURRENT;
         let evicted = if full { Some(self.awaiting_request.pop_first()?) } else { None };
--- a/crates/memory/src/release_rate.rs
+++ b/crates/memory/src/release_rate.rs
@@ -47,18 +47,20 @@
         self.rate
     }
 
-    /// Retry delay for a client that needs `bytes` while `over` bytes more than the cap are requested. Each client is
-    /// placed behind those that were told to retry before; otherwise all would retry at once and all but the first
-    /// would be rejected again.
+    /// Retry delay for a client that needs `bytes` while `over` bytes more than the cap are requested. Each
+    /// client is placed behind those that were told to retry before; otherwise all would retry at once and
+    /// all but the first would be rejected again.
     pub fn retry_after(&mut self, over: u64, bytes: u64, now: Time) -> Duration {
         let idle = now.saturating_sub(self.last_release);
-        // When the rate has decayed to almost nothing, the time since the last release is the better estimate.
+        // When the rate has decayed to almost nothing, the time since the last release is the better
+        // estimate.
         let release_time = |bytes: u64| match self.rate > 1.0 {
             true => Duration::try_from_secs_f64(bytes as f64 / self.rate).unwrap_or(MAX_WAIT).min(MAX_WAIT),
             false => idle.min(MAX_WAIT),
         };
         let from = self.promised_until.max(now + release_time(over.saturating_sub(bytes)));
-        // Promises are limited, since long ones would delay later clients when memory is released faster than estimated.
+        // Promises are limited, since long ones would delay later clients when memory is released faster than
+        // estimated.
         self.promised_until = (from + release_time(bytes)).min(now + MAX_WAIT);
         self.promised_until.saturating_sub(now).clamp(MIN_WAIT, MAX_WAIT)
     }
--- a/crates/memory/tests/model.rs
+++ b/crates/memory/tests/model.rs
@@ -1,5 +1,5 @@
-//! Compares the ledger with a plain model on random sequences of operations: the sums match after every operation, no
-//! new work exceeds a cap, usage by client matches, and everything is zero at the end.
+//! Compares the ledger with a plain model on random sequences of operations: the sums match after every
+//! operation, no new work exceeds a cap, usage by client matches, and everything is zero at the end.
 
 use proptest::prelude::*;
 use stairshed_memory::{
--- a/crates/preload/src/calls.rs
+++ b/crates/preload/src/calls.rs
@@ -7,8 +7,8 @@
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// The next definition of a function after this library's (`RTLD_NEXT`). Expands to unsafe code; the type must be the one
-/// that the C library declares.
+/// The next definition of a function after this library's (`RTLD_NEXT`). Expands to unsafe code; the type
+/// must be the one that the C library declares.
 macro_rules! real_function {
     ($name:literal as $type:ty) => {{
         static ADDRESS: OnceLock<usize> = OnceLock::new();
@@ -200,7 +200,8 @@
 
 type Open = unsafe extern "C" fn(*const c_char, c_int, c_uint) -> c_int;
 
-/// The mode is used only with `O_CREAT`; without it an unspecified value is passed on, which the real function ignores.
+/// The mode is used only with `O_CREAT`; without it an unspecified value is passed on, which the real
+/// function ignores.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     // SAFETY: the caller passes a NUL-terminated path.
--- a/crates/preload/src/lib.rs
+++ b/crates/preload/src/lib.rs
@@ -1,8 +1,9 @@
-//! Fault injection for tests: loaded into a courier with `LD_PRELOAD`, it makes selected system calls fail with errors
-//! that Linux documents for them, or transfer only a part, and steps the wall clock. It is never part of the courier.
+//! Fault injection for tests: loaded into a courier with `LD_PRELOAD`, it makes selected system calls fail
+//! with errors that Linux documents for them, or transfer only a part, and steps the wall clock. It is never
+//! part of the courier.
 //!
-//! The file named by `STAIRSHED_FAULTS` has one rule per line. It is read again while the process runs, so that a test can
-//! start and stop a fault:
+//! The file named by `STAIRSHED_FAULTS` has one rule per line. It is read again while the process runs, so
+//! that a test can start and stop a fault:
 //!
 //! ```text
 //! recv EINTR 3        the first of every three recv fails with EINTR
@@ -11,7 +12,8 @@
 //! clock -3600         the wall clock is one hour behind from now on
 //! ```
 //!
-//! Calls: `recv` (for Unix sockets: `recv-local`), `send` (also `writev`), `connect`, `accept`, `write`, `sync`, `rename`, `open`.
+//! Calls: `recv` (for Unix sockets: `recv-local`), `send` (also `writev`), `connect`, `accept`, `write`,
+//! `sync`, `rename`, `open`.
 
 mod calls;
 mod rules;
--- a/crates/preload/src/rules.rs
+++ b/crates/preload/src/rules.rs
@@ -178,7 +178,8 @@
     }
 }
 
-/// Reads a short file with direct system calls, since the functions of the C library are intercepted by this library.
+/// Reads a short file with direct system calls, since the functions of the C library are intercepted by this
+/// library.
 fn read_file(path: &'static CString) -> Option<String> {
     let mut bytes = vec![0u8; MAX_FILE_BYTES];
     // SAFETY: the path is NUL-terminated, and the buffer has the length that is passed.
