--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,5 +1,6 @@
-//! The operator's file as it is written: every key with its type, unit, default and meaning. These comments
-//! are the schema's descriptions. What stands here is not checked yet: see [`crate::installation`].
+//! The operator's configuration file as written: each key with its type, unit, default and meaning. The doc
+//! comments on fields become the descriptions of the JSON schema. Values are not validated here; see
+//! [`crate::installation`].
 
 use crate::units::{Portion, Rate, Size, Span};
 use schemars::JsonSchema;
@@ -9,47 +10,48 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// An installation of stairshed.
+/// The configuration of a stairshed installation.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct File {
-    /// This courier's name, in its log and towards the control service.
+    /// Name of this courier in its log and in requests to the control service.
     pub name: Option<String>,
-    /// The folder that lasts: journal, last good version, outcomes. Relative to the file's own folder.
+    /// Folder for persistent state: journal, last good configuration version, outcomes. Relative to the
+    /// folder of this file.
     pub state: Option<PathBuf>,
     pub listen: Listen,
-    /// What kinds of message there are, by name.
+    /// Message classes, by name.
     pub classes: BTreeMap<String, Class>,
-    /// Destinations, each with its endpoints, by name.
+    /// Destinations with their endpoints, by name.
     pub pools: BTreeMap<String, Pool>,
-    /// Which requests are taken, and where to, by name. Their order in the file means nothing.
+    /// Routes of HTTP requests to pools, by name. Their order in the file has no effect.
     pub routes: BTreeMap<String, Route>,
-    /// Which MQTT topics are taken, and where to, by name. Their order in the file means nothing.
+    /// Routes of MQTT topics to pools, by name. Their order in the file has no effect.
     pub topics: BTreeMap<String, Topic>,
     pub limits: Limits,
     pub memory: Memory,
     pub outcomes: Outcomes,
     pub journal: Journal,
-    /// Takes configuration in versions from a control service.
+    /// Receives numbered configuration versions from a control service.
     pub control: Option<Control>,
-    /// Takes endpoints of pools with `discovery = true` from a discovery service.
+    /// Receives the endpoints of pools with `discovery = true` from a discovery service.
     pub discovery: Option<Discovery>,
     pub dns: Dns,
     pub mqtt: Mqtt,
 }
 
-/// Sections that a version may hold; the others stand in the file and need a restart.
+/// Sections that a configuration version may contain. All others are set in the file only and need a restart.
 pub const VERSIONED_SECTIONS: [&str; 7] =
     ["listen", "classes", "pools", "routes", "topics", "limits", "memory"];
 
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Listen {
-    /// Address for clients.
+    /// Address on which HTTP clients are served.
     pub http: String,
-    /// Address for MQTT clients; off unless it is set. Changed by a restart only.
+    /// Address on which MQTT clients are served; disabled unless set. A change needs a restart.
     pub mqtt: Option<String>,
-    /// Address of the operator's own pages (`/-/config`); off unless it is set, and loopback only.
+    /// Address of the admin pages (`/-/config`); disabled unless set. Must be a loopback address.
     pub admin: Option<String>,
 }
 
@@ -59,20 +61,21 @@
     }
 }
 
-/// What a repeated delivery of a message does.
+/// Effect of delivering a message more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Nothing: repeats are harmless.
+    /// A repeated delivery is harmless.
     Repeatable,
-    /// Dropped by receivers that share a memory of keys, within a window.
+    /// Receivers that share a record of keys drop a repeated delivery within the key window.
     Keyed,
-    /// It takes effect again, so it is never repeated once it may have run.
+    /// A repeated delivery takes effect again, so a message is never sent again after an attempt that may
+    /// have run.
     #[default]
     Once,
 }
 
-/// Which endpoints of a pool share the memory of a key.
+/// Which endpoints of a pool share their record of keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyScope {
@@ -82,31 +85,35 @@
     Endpoint,
 }
 
-/// A class of message.
+/// A message class.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Class {
-    /// What a repeat does. `keyed` needs `key_window`.
+    /// Effect of a repeated delivery. `keyed` requires `key_window`.
     pub effect: Effect,
-    /// For `keyed`: who shares the memory of a key (`Idempotency-Key`).
+    /// For `keyed`: which endpoints share their record of keys (`Idempotency-Key`).
     pub key_scope: KeyScope,
-    /// For `keyed`: how long a key is remembered from the first send that may have run.
+    /// For `keyed`: how long receivers remember a key, counted from the first attempt that may have run.
     pub key_window: Option<Span>,
-    /// Full worth is earned when delivered within this time.
+    /// A message delivered within this time earns its full worth.
     pub aim: Span,
-    /// How long a message may be delivered where its client tells none, and the most that a client may ask for.
+    /// Time limit for delivery: the default where the client sets none, and the maximum that a client may
+    /// request.
     pub deadline: Span,
-    /// Worth of a message delivered within the aim; where not all can be served the classes share by it.
+    /// Worth of a message delivered within `aim`. Under overload, classes share the capacity in proportion to
+    /// it.
     pub worth: f64,
-    /// Share of the worth that is left at the deadline.
+    /// Fraction of the worth that remains at the deadline.
     pub late_share: f64,
-    /// Attempts that a message may have; without it `limits.attempts`.
+    /// Maximum number of delivery attempts for a message. Default: `limits.attempts`.
     pub attempts: Option<u32>,
-    /// The header whose value orders messages: those of one value go one at a time, in order of arrival.
+    /// Header that defines the order of messages: those with the same value are delivered one at a time, in
+    /// order of arrival.
     pub order_by: Option<String>,
-    /// How long a message's id is remembered from when it was taken on, also once it has ended: a repeat within that
-    /// time is acknowledged and not taken on again, unless it had bounced. Without it, for messages that come over
-    /// MQTT, `key_window` of a keyed class and an hour for `once`; for others not at all.
+    /// How long a message's id is remembered after the message was accepted, even after it has ended. A
+    /// repeat within this time is acknowledged but not accepted again, unless the message bounced. Default
+    /// for messages received over MQTT: `key_window` for a keyed class, one hour for `once`, otherwise 0.
+    /// Default for all others: 0.
     pub remember: Option<Span>,
 }
 
@@ -131,20 +138,20 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Pool {
-    /// Its endpoints: where its messages may be delivered.
+    /// Endpoints to which messages of this pool may be delivered.
     pub endpoints: Vec<Endpoint>,
-    /// Takes its endpoints from `[discovery]`, too: those whose block is `destination`.
+    /// Also uses the endpoints from `[discovery]` whose block equals `destination`.
     pub discovery: bool,
-    /// The number under which discovery and the journal know it; without it one is made of its name.
+    /// Number that identifies the pool in discovery and in the journal. Default: a hash of its name.
     pub destination: Option<u64>,
-    /// Calls that the pool takes from all couriers together, where that is known. A first estimate: what
-    /// endpoints report or refuse corrects it.
+    /// Rate of calls that the pool accepts from all couriers together, if known. An initial estimate,
+    /// corrected by what endpoints report or refuse.
     pub limit: Option<Rate>,
-    /// For endpoints that are MQTT brokers.
+    /// Settings for endpoints that are MQTT brokers.
     pub mqtt: Option<Broker>,
 }
 
-/// A version of MQTT.
+/// Protocol version of MQTT.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 pub enum MqttVersion {
     #[serde(rename = "3.1.1")]
@@ -154,25 +161,25 @@
     V5,
 }
 
-/// How brokers among the endpoints of a pool are spoken to.
+/// Client settings for the MQTT brokers among the endpoints of a pool.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Broker {
     pub version: MqttVersion,
-    /// 1 or 2. Messages of a class with `once` always go at QoS 2.
+    /// QoS, 1 or 2. Messages of a class with effect `once` are always sent at QoS 2.
     pub qos: u8,
-    /// The client id; without it one is made of the courier's name and the endpoint's. Two couriers must not have
-    /// the same.
+    /// Client id. Default: derived from the names of the courier and the endpoint. Must be unique for each
+    /// courier.
     pub client: Option<String>,
     pub user: Option<String>,
-    /// A file with the password in its first line. Relative to the operator's file.
+    /// File with the password on its first line. Relative to the folder of this file.
     pub password_file: Option<PathBuf>,
-    /// Whole seconds; a connection on which nothing is sent for so long is pinged.
+    /// Keep alive, in whole seconds: after this time without sending, a PINGREQ is sent.
     pub keep_alive: Span,
-    /// How long the broker is asked to keep the session. An attempt whose acknowledgement is lost can be resumed
-    /// within that time only.
+    /// Session expiry interval requested from the broker. An attempt whose acknowledgement was lost can be
+    /// resumed only within this time.
     pub session_expiry: Span,
-    /// Messages on their way at once, whatever the broker allows.
+    /// Maximum number of messages in flight, even if the broker allows more.
     pub in_flight: usize,
 }
 
@@ -195,50 +202,50 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Endpoint {
-    /// `address:port`, or `name:port`, which is looked up: each of its addresses is an endpoint. For an MQTT broker
-    /// `mqtt://address:port/topic`.
+    /// `address:port`, or `name:port`, which is resolved by DNS with one endpoint for each of its addresses.
+    /// For an MQTT broker `mqtt://address:port/topic`.
     pub address: Option<String>,
-    /// Its name in journal and log; without it the address. What has the same name is the same endpoint.
+    /// Name of the endpoint in the journal and the log; identifies it across changes. Default: its address.
     pub name: Option<String>,
-    /// Where it stands: endpoints of one zone share what `key_scope = "zone"` means.
+    /// Zone of the endpoint. With `key_scope = "zone"`, endpoints of one zone share their record of keys.
     pub zone: String,
-    /// Calls that this endpoint takes from all couriers together, apart from the pool's others.
+    /// Rate of calls that this endpoint accepts from all couriers together, separate from the pool's limit.
     pub limit: Option<Rate>,
 }
 
-/// Which requests are taken, and where to.
+/// Conditions on HTTP requests, and the pool and class that matching requests go to.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Route {
-    /// Methods; without any: POST.
+    /// Request methods. Default: POST.
     pub methods: Vec<String>,
-    /// `stations.example`, or `*.example` for all names under it; without it every host.
+    /// Host name, such as `stations.example`, or `*.example` for all of its subdomains. Default: any host.
     pub host: Option<String>,
-    /// The whole path. A segment `{name}` stands for any one segment.
+    /// Exact path. A segment `{name}` matches any single non-empty segment.
     pub path: Option<String>,
-    /// The path and all under it: `/fuel` takes `/fuel` and `/fuel/x`, not `/fuels`.
+    /// Path prefix, by whole segments: `/fuel` matches `/fuel` and `/fuel/x`, but not `/fuels`.
     pub prefix: Option<String>,
-    /// Headers that must be there with exactly this value.
+    /// Headers that must be present with exactly these values.
     pub headers: BTreeMap<String, String>,
     /// The pool that the message is for.
     pub pool: Option<String>,
-    /// Its class where the client names none (`X-Priority-Class`).
+    /// Class of the message unless the client names one (`X-Priority-Class`).
     pub class: Option<String>,
-    /// Other classes that a client may name.
+    /// Further classes that a client may name.
     pub classes: Vec<String>,
     pub rewrite: Rewrite,
 }
 
-/// How the request to the endpoint differs from the client's.
+/// Changes made to the client's request before it is sent to the endpoint.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rewrite {
-    /// The path towards the endpoint; `{name}` is what matched there, `{rest}` what came behind a prefix.
-    /// Without it the client's path.
+    /// Path of the request to the endpoint. `{name}` is replaced by the segment that it matched, `{rest}` by
+    /// what follows the prefix. Default: the path of the client's request.
     pub path: Option<String>,
-    /// The client's headers that are passed on.
+    /// Headers of the client's request that are forwarded.
     pub pass: Vec<String>,
-    /// Headers that are set.
+    /// Headers that are added, with their values.
     pub set: BTreeMap<String, String>,
 }
 
@@ -248,84 +255,86 @@
     }
 }
 
-/// Which MQTT topics are taken, and where to.
+/// An MQTT topic filter, and the pool and class that matching messages go to.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Topic {
-    /// A topic filter: `fuel/+/pay`, `fuel/#`.
+    /// Topic filter, such as `fuel/+/pay` or `fuel/#`.
     pub filter: Option<String>,
     /// The pool that the message is for.
     pub pool: Option<String>,
-    /// Its class.
+    /// Class of the message.
     pub class: Option<String>,
-    /// What tells one message from another, the same at each repeat. Needed unless a repeat is harmless.
+    /// Value that identifies a message and is the same in each repeat. Required unless the class is
+    /// `repeatable`.
     pub identity: Option<Pick>,
-    /// Whose messages the identity tells apart.
+    /// Whether the identity is unique for each client or for all clients.
     pub identity_scope: IdentityScope,
-    /// The key for the receivers (`Idempotency-Key`); without it the identity.
+    /// Key sent to the receivers (`Idempotency-Key`). Default: the identity.
     pub key: Option<Pick>,
-    /// How long the message may be delivered, in milliseconds. It, the message's expiry interval and the class's
-    /// deadline: the shortest holds.
+    /// Time limit for delivery, in milliseconds. The shortest of this value, the message expiry interval and
+    /// the deadline of the class applies.
     pub time_out: Option<Pick>,
-    /// How the request differs from the message. The path is the topic unless it is set; `{1}` is what the first `+`
-    /// matched, `{rest}` what `#` did. Of `pass` and `set` names are also those of user properties.
+    /// How the message becomes a request. The path is the topic unless set; in it, `{1}` is replaced by what
+    /// the first `+` matched and `{rest}` by what `#` matched. Names in `pass` and `set` are also names of
+    /// user properties.
     pub rewrite: Rewrite,
 }
 
-/// Where a value stands in a message: one of these.
+/// Source of a value in a message: exactly one of these keys.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Pick {
-    /// A user property by its name (5.0 only).
+    /// Name of a user property (MQTT 5.0 only).
     pub property: Option<String>,
-    /// A level of the topic, from 1.
+    /// Level of the topic, counted from 1.
     pub level: Option<usize>,
-    /// A field of the payload, which is JSON, by a JSON pointer (RFC 6901): `/payment/id`.
+    /// JSON Pointer (RFC 6901) to a field of a JSON payload, such as `/payment/id`.
     pub pointer: Option<String>,
 }
 
-/// Whose messages an identity tells apart.
+/// Scope in which an identity is unique.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum IdentityScope {
-    /// Those of one client: another client's message with the same identity is another.
+    /// One client: the same identity from another client is another message.
     #[default]
     Client,
-    /// Those of all clients and of HTTP, where it is `X-Request-ID`.
+    /// All MQTT clients, and HTTP clients, whose identity is `X-Request-ID`.
     All,
 }
 
-/// What becomes of clients' wills.
+/// Handling of clients' will messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Wills {
-    /// They are messages as any other.
+    /// Accepts and delivers will messages like any other message.
     #[default]
     Deliver,
-    /// A CONNECT with one is refused.
+    /// Refuses a CONNECT that contains a will message.
     Refuse,
 }
 
-/// `[mqtt]`: what MQTT clients may do. Needs a restart.
+/// `[mqtt]`: limits for MQTT clients. A change needs a restart.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Mqtt {
-    /// A file with a line `user:hash` for each user (`stairshed mqtt-password` makes them). Relative to the
-    /// operator's file. Without it everybody may connect.
+    /// File with a line `user:hash` for each user, as written by `stairshed mqtt-password`. Relative to the
+    /// folder of this file. Without it, clients connect without authentication.
     pub users: Option<PathBuf>,
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub connections: usize,
-    /// Sessions, connected or not.
+    /// Maximum number of sessions, connected or not.
     pub sessions: usize,
-    /// Longest time that a session outlives its connection.
+    /// Maximum session expiry interval.
     pub session_expiry: Span,
-    /// Longest keep alive; for clients of 5.0 also where they ask for none.
+    /// Maximum keep alive. For MQTT 5.0 clients it also applies if they request none.
     pub keep_alive: Span,
-    /// PUBLISHes of one client that wait for their acknowledgement.
+    /// Receive maximum: number of unacknowledged PUBLISH packets of one client.
     pub receive_maximum: u16,
-    /// Topic aliases of one connection.
+    /// Maximum number of topic aliases for each connection.
     pub topic_aliases: u16,
-    /// Outcomes that wait for one client. More are not told to it.
+    /// Maximum number of outcomes queued for one client. Any beyond it are not sent to the client.
     pub outcomes: usize,
     pub wills: Wills,
 }
@@ -349,33 +358,34 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Messages that may be held, sent or not.
+    /// Maximum number of messages held, in flight or waiting.
     pub held: usize,
-    /// Calls that may be out at once.
+    /// Maximum number of calls in flight.
     pub calls: usize,
-    /// Attempts that a message may have.
+    /// Maximum number of delivery attempts for a message.
     pub attempts: u32,
-    /// Connections of clients and to endpoints together.
+    /// Maximum number of connections, from clients and to endpoints together.
     pub connections: usize,
-    /// Bytes of bodies that are being read or judged, all clients together.
+    /// Maximum total size of bodies that are being read or checked for acceptance, for all clients together.
     pub bodies: Size,
-    /// Couriers that share the pools' limits, this one included.
+    /// Number of couriers that share the pools' limits, including this one.
     pub couriers: usize,
-    /// A connection to an endpoint not established within this time has failed.
+    /// Time limit for establishing a connection to an endpoint.
     pub connect_timeout: Span,
-    /// Endpoints close idle connections after this time: none is kept for longer.
+    /// Time after which endpoints close idle connections; the courier keeps none idle for longer.
     pub keepalive: Span,
-    /// A pool back from an outage has this share of its capacity at least, and all of it after `cold_span`.
+    /// Slow start after an outage: minimum share of its capacity that a pool has, rising to all of it after
+    /// `cold_span`.
     pub cold_from: f64,
     pub cold_span: Span,
-    /// A cold pool falls over when sent more than this multiple of its present capacity.
+    /// A pool in slow start fails if it is sent more than this multiple of its current capacity.
     pub fall_multiple: f64,
-    /// How long an order rests after an attempt that may still be running.
+    /// How long messages of one order value (`order_by`) wait after an attempt that may still be running.
     pub order_pause: Span,
-    /// How long messages of a pool that a version has removed wait for it to come back.
+    /// How long messages of a pool that a configuration version removed wait for the pool to return.
     pub pool_wait: Span,
-    /// Messages that have ended and are remembered, or whose end a client is still to be told. With more, new messages
-    /// that would have to be remembered are refused.
+    /// Maximum number of ended messages that are remembered or whose outcome a client has not yet received.
+    /// At this limit, new messages that would have to be remembered are refused.
     pub remembered: usize,
 }
 
@@ -400,45 +410,47 @@
     }
 }
 
-/// `[memory]`: what the courier may hold, all in all and for each purpose. Caps that are stated must go with the total
-/// and with each other; what is not stated has its usual share of the total, or no cap without one.
+/// `[memory]`: caps on the memory of the courier, in total and for each purpose. Configured caps must be
+/// consistent with the total and with each other. A purpose without a configured cap gets its default share
+/// of the total, or no cap if there is no total.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Memory {
-    /// What the process may hold. Without it: the limit that the process was started with (RLIMIT_AS), if there is
-    /// one, less what the program's own mappings take; else there is no bound.
+    /// Maximum memory of the process. Default: the limit that the process was started with (RLIMIT_AS), less
+    /// the size of the program's own mappings; no limit if there is none.
     pub total: Option<Size>,
-    /// What one client (an address, or an MQTT client) may have of a purpose while that is tight. Alone it may have
-    /// what nobody else asks for, up to there.
+    /// Maximum share of a purpose's cap that one client (an address, or an MQTT client) may use while the
+    /// purpose is tight. Up to this share, a client may use whatever no other client requests.
     pub client_share: f64,
-    /// Networks of proxies that carry many clients each, like `["10.2.0.0/16"]`. Their connections keep to the cap, and
-    /// have no share.
+    /// Networks of proxies that each forward many clients, such as `["10.2.0.0/16"]`. Their connections count
+    /// towards the cap, but `client_share` does not apply to them.
     pub proxies: Option<Vec<String>>,
-    /// The header in which a proxy names the client of a request. From elsewhere it means nothing.
+    /// Header in which a proxy names the client of a request. Ignored in requests that do not come from a
+    /// proxy.
     pub client_header: Option<String>,
-    /// MQTT clients count by their user alone, not each with its client id.
+    /// Counts MQTT clients by user name only, instead of separately for each client id.
     pub by_user: bool,
-    /// Bodies that are being read or judged. Without it `limits.bodies`, and no more than 12.5 % of the total.
+    /// Bodies being read or checked for acceptance. Default: `limits.bodies`, at most 12.5 % of the total.
     pub bodies_read: Option<Portion>,
-    /// Bodies of accepted messages, until they have ended. 28 % unless it is set.
+    /// Bodies of accepted messages, until the messages have ended. Default: 28 %.
     pub bodies_held: Option<Portion>,
-    /// Heads, ids and rows of accepted messages. 15 % unless it is set.
+    /// Heads, ids and table rows of accepted messages. Default: 15 %.
     pub messages: Option<Portion>,
-    /// Connections of clients. 10 % unless it is set.
+    /// Connections of clients. Default: 10 %.
     pub clients: Option<Portion>,
-    /// Connections to endpoints. 8 % unless it is set.
+    /// Connections to endpoints. Default: 8 %.
     pub endpoints: Option<Portion>,
-    /// MQTT sessions, and outcomes that their clients have not read. 8 % unless it is set.
+    /// MQTT sessions, and outcomes that their clients have not read. Default: 8 %.
     pub sessions: Option<Portion>,
-    /// Ids of messages that have ended. 4.5 % unless it is set.
+    /// Ids of messages that have ended. Default: 4.5 %.
     pub remembered: Option<Portion>,
-    /// The journal's buffers. 4 % unless it is set.
+    /// Buffers of the journal. Default: 4 %.
     pub journal: Option<Portion>,
-    /// The decision module's records of endpoints and destinations. 3.5 % unless it is set.
+    /// Records of endpoints and destinations in the scheduler. Default: 3.5 %.
     pub module: Option<Portion>,
-    /// Names and configuration. 4 % unless it is set.
+    /// Names and configuration. Default: 4 %.
     pub configuration: Option<Portion>,
-    /// Notices of outcomes that wait for their receiver. 2.5 % unless it is set.
+    /// Outcome notices that wait for their receiver. Default: 2.5 %.
     pub notices: Option<Portion>,
 }
 
@@ -466,7 +478,7 @@
 }
 
 impl Memory {
-    /// What is stated for each purpose.
+    /// The configured cap of each purpose, if any.
     pub fn portions_by_purpose(&self) -> ByPurpose<Option<Portion>> {
         ByPurpose::new(|purpose| match purpose {
             Purpose::BodiesRead => self.bodies_read,
@@ -484,56 +496,60 @@
     }
 }
 
-/// Where the outcomes of messages go that were taken on and not delivered. Without any key they are appended
-/// to `outcomes.ndjson` in the state folder.
+/// Destination of outcome notices for messages that were accepted but not delivered. If no key is set, they
+/// are appended to `outcomes.ndjson` in the state folder.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Outcomes {
-    /// Posted there as lines of JSON until it answers 2xx: `http://address:port/path`.
+    /// URL that notices are POSTed to as newline-delimited JSON until it answers 2xx:
+    /// `http://address:port/path`.
     pub url: Option<String>,
-    /// Appended there as lines of JSON. Relative to the state folder.
+    /// File that notices are appended to as newline-delimited JSON. Relative to the state folder.
     pub file: Option<PathBuf>,
 }
 
-/// `[journal]`
+/// `[journal]`: size and durability of the journal of accepted messages.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Journal {
-    /// When a record counts as kept: `process` or `machine`.
+    /// When a record counts as durable: once it survives the end of the process (`process`), or once it
+    /// survives a power failure (`machine`).
     #[schemars(with = "String", extend("enum" = ["process", "machine"]))]
     pub durability: Durability,
-    /// What all files may take; without it 1 GB, or the platform's `disk_mb`.
+    /// Maximum total size of the journal's files. Default: 1 GB, or the platform's `disk_mb`.
     pub room: Option<Size>,
-    /// A segment; without it a share of the room.
+    /// Size of a segment. Default: a share of `room`.
     pub segment: Option<Size>,
-    /// Sets room aside on the disk for what accepted messages may still need.
+    /// Reserves disk space for the records that accepted messages may still need.
     pub set_aside: bool,
-    /// Bytes of an endpoint's and its zone's name for which room is kept in each attempt.
+    /// Bytes reserved in each attempt's record for the names of the endpoint and its zone.
     pub names: u64,
-    /// Share of the room that live messages may take with all that they may still need, above 0, 0.9 at most.
+    /// Maximum share of `room` for live messages and all records that they may still need: above 0, at most
+    /// 0.9.
     pub live_share: f64,
-    /// What a start does with a journal of which a part cannot be read: `salvage` or `stop`.
+    /// What to do at startup if a part of the journal cannot be read: `salvage` or `stop`.
     #[schemars(with = "String", extend("enum" = ["salvage", "stop"]))]
     pub on_damage: OnDamage,
 }
 
 impl Default for Journal {
     fn default() -> Self {
-        let usual = Options::new(0);
+        let defaults = Options::new(0);
         Journal {
-            durability: usual.durability,
+            durability: defaults.durability,
             room: None,
             segment: None,
-            set_aside: usual.set_aside,
-            names: usual.names,
-            live_share: usual.live_share,
-            on_damage: usual.on_damage,
+            set_aside: defaults.set_aside,
+            names: defaults.names,
+            live_share: defaults.live_share,
+            on_damage: defaults.on_damage,
         }
     }
 }
 
 impl Journal {
-    /// The journal's options, with `room` bytes where the file tells none.
+    /// The journal's options. `room`, in bytes, applies if the file sets none; `attempts` is the limit per
+    /// message.
     pub fn options(&self, room: u64, attempts: u64) -> Options {
         let room = self.room.map_or(room, |room| room.0);
         Options {
@@ -549,17 +565,19 @@
     }
 }
 
-/// `[control]`
+/// `[control]`: connection to the control service.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Control {
-    /// The control service: `http://address:port/path`.
+    /// URL of the control service: `http://address:port/path`.
     pub url: Option<String>,
-    /// The longest version that is read.
+    /// Maximum size of a configuration version.
     pub version_most: Size,
-    /// How long a start without a last good version, and without pools in its file, waits for a first one.
+    /// How long startup waits for the first version if there is no last good version and the file has no
+    /// pools.
     pub first_wait: Span,
-    /// The service sends an empty line at least this often; silence for twice as long ends the connection.
+    /// Maximum time between empty lines from the service. The connection is closed after twice this time of
+    /// silence.
     pub heartbeat: Span,
 }
 
@@ -574,7 +592,7 @@
     }
 }
 
-/// `[discovery]`
+/// `[discovery]`: connection to the discovery service.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
@@ -582,13 +600,14 @@
     pub address: Option<String>,
 }
 
-/// `[dns]`: how names of endpoints are looked up.
+/// `[dns]`: resolution of endpoints' host names.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Dns {
-    /// `address:port` of the resolver; without it the first of /etc/resolv.conf.
+    /// `address:port` of the resolver. Default: the first name server in /etc/resolv.conf.
     pub resolver: Option<String>,
-    /// An answer is asked for again after its time to live, within these bounds.
+    /// A name is resolved again when the TTL of its answer ends, but no sooner than this and no later than
+    /// `refresh_most`.
     pub refresh_least: Span,
     pub refresh_most: Span,
 }
