--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -1,6 +1,9 @@
 //! Connections from accept to close: CONNECT and CONNACK, keep alive, wills, session takeover.
 
-use super::{AfterStore, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer, owner, refusal, keep_alive_timeout, wait_property, will_message};
+use super::{
+    AfterStore, Connection, Due, Effect, MAX_CLIENT_ID_BYTES, Outcome, Owner, Server, Stage, Timer,
+    keep_alive_timeout, owner, refusal, wait_property, will_message,
+};
 use crate::Time;
 use crate::error::ConnectionError;
 use crate::frame::Reader;
