--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -55,16 +55,16 @@
         }
         let u16_at = |at: usize| u16::from_le_bytes([bytes[at], bytes[at + 1]]);
         let sum = u32::from_le_bytes([bytes[44], bytes[45], bytes[46], bytes[47]]);
-        let sound = crc32fast::hash(&bytes[..HEADER_BYTES - 4]) == sum;
+        let checksum_matches = crc32fast::hash(&bytes[..HEADER_BYTES - 4]) == sum;
         if &bytes[..8] != MAGIC {
             return Err(HeaderError::Corrupt);
         }
         // All versions keep these bytes and their checksum, so that a flipped bit is not taken for a newer
         // format.
-        if sound && u16_at(8) > FORMAT_VERSION {
+        if checksum_matches && u16_at(8) > FORMAT_VERSION {
             return Err(HeaderError::NewerVersion(u16_at(8)));
         }
-        if !sound {
+        if !checksum_matches {
             return Err(HeaderError::Corrupt);
         }
         let u64_at = |at: usize| u64_le(&bytes[at..at + 8]);
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -105,7 +105,7 @@
     pub fn open(storage: Arc<dyn Storage>, options: Options) -> Result<(Self, RecoveryReport), Error> {
         options.check()?;
         let names = storage.list().map_err(|e| Error::io("journal", "list", e))?;
-        let old = names.iter().any(|n| n == legacy::FILE_NAME);
+        let is_legacy = names.iter().any(|n| n == legacy::FILE_NAME);
         let mut found = recover(&*storage, &options, None)?;
         if options.on_damage == OnDamage::Stop
             && let Some(damage) = found.damages.first()
@@ -113,14 +113,14 @@
             return Err(Error::Damaged(damage.clone()));
         }
         let remove = |name: &str| storage.remove(name).map_err(|e| Error::io(name, "remove", e));
-        if old {
+        if is_legacy {
             if !found.migration {
                 return Err(Error::ConflictingFormats);
             }
             // A migration was interrupted: the old file still holds all messages.
-            let begun: Vec<u64> =
+            let existing: Vec<u64> =
                 found.segments.keys().chain(&found.stale).chain(&found.misplaced).copied().collect();
-            for number in begun {
+            for number in existing {
                 remove(&frame::segment_name(number))?;
             }
             found = Recovered { next_number: 1, next_seq: 1, ..Recovered::default() };
@@ -133,7 +133,7 @@
         for number in &found.stale {
             remove(&frame::segment_name(*number))?;
         }
-        let mut journal = Self::from_recovered(storage.clone(), options, &mut found, old, &names)?;
+        let mut journal = Self::from_recovered(storage.clone(), options, &mut found, is_legacy, &names)?;
         let mut report = RecoveryReport {
             damages: found.damages,
             lost_messages: found.lost_messages,
@@ -141,7 +141,7 @@
             read_bytes: found.read,
             ..RecoveryReport::default()
         };
-        if old {
+        if is_legacy {
             report.migrated = Some(journal.migrate_legacy(&mut report)?);
         }
         if !report.damages.is_empty() {
@@ -152,7 +152,7 @@
             journal.sync_now()?;
         }
         // Only after the salvage: these files are what shows the next start that something is missing.
-        for number in found.misplaced.iter().filter(|_| !old) {
+        for number in found.misplaced.iter().filter(|_| !is_legacy) {
             journal.retire_file(*number, true)?;
         }
         Ok((journal, report))
@@ -171,7 +171,7 @@
             let name = frame::segment_name(*number);
             files.insert(*number, storage.open(&name).map_err(|e| Error::io(&name, "open", e))?);
         }
-        if let Some((number, size)) = found.cut
+        if let Some((number, size)) = found.truncate_at
             && let Some(file) = files.get(&number)
         {
             file.set_size(size).map_err(|e| Error::io(&frame::segment_name(number), "truncate", e))?;
@@ -182,7 +182,7 @@
             damaged_bytes += size.map_err(|e| Error::io(name, "size", e))?.next_multiple_of(512);
         }
         let config = LogConfig {
-            segment: options.segment(),
+            segment_bytes: options.effective_segment_bytes(),
             sync_writes: options.durability == Durability::Machine,
             migration,
         };
@@ -220,8 +220,8 @@
             self.storage.open(legacy::FILE_NAME).map_err(|e| Error::io(legacy::FILE_NAME, "open", e))?;
         let mut bytes = Vec::new();
         read_into(&*file, &mut bytes).map_err(|e| Error::io(legacy::FILE_NAME, "read", e))?;
-        let (live, _, sound) = legacy::replay(&bytes);
-        report.truncated_bytes += (bytes.len() - sound) as u64;
+        let (live, _, valid_len) = legacy::replay(&bytes);
+        report.truncated_bytes += (bytes.len() - valid_len) as u64;
         let messages = live.len();
         for (message, live) in live {
             self.snapshot(message, live);
@@ -243,8 +243,8 @@
     /// After damage, records an attempt for each message that may have been sent, and moves all live records
     /// out of the older segments.
     fn salvage(&mut self, lost_before: u64) -> Result<Vec<u64>, Error> {
-        let suspected = self.state.undecided_before(lost_before);
-        for message in &suspected {
+        let presumed_sent = self.state.undecided_before(lost_before);
+        for message in &presumed_sent {
             let sent = self.state.latest_time();
             if let Some(live) = self.get(*message) {
                 let index = live.attempts.len().min(usize::from(u16::MAX)) as u16;
@@ -252,7 +252,7 @@
             }
         }
         self.evacuate_below_segment(self.log.newest())?;
-        Ok(suspected)
+        Ok(presumed_sent)
     }
 
     /// The live messages, by number.
@@ -539,7 +539,7 @@
     /// byte freed, and more only if space is short.
     pub fn wants_compaction(&self) -> bool {
         let spare = self.usable().saturating_sub(self.state.bytes());
-        let live = self.state.bytes().max(self.options.segment());
+        let live = self.state.bytes().max(self.options.effective_segment_bytes());
         let worth = self.log.has_segment_below(self.evacuate_below)
             || self.oldest_is_dead()
             || self.dead_bytes() > live.min(spare / 4 * 3);
@@ -565,7 +565,7 @@
                 Some(bytes) => copied += bytes,
                 None => {
                     // The cost of a removal grows with the size of the segment.
-                    freed += self.options.segment();
+                    freed += self.options.effective_segment_bytes();
                     self.log.retire(false);
                 }
             }
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -81,7 +81,7 @@
 
 /// Replays the valid records. Returns the live messages, the highest number and the length of the valid part.
 pub(crate) fn replay(bytes: &[u8]) -> (BTreeMap<u64, LiveMessage>, u64, usize) {
-    let (mut live, mut last, mut sound) = (BTreeMap::new(), 0, 0);
+    let (mut live, mut last, mut valid_len) = (BTreeMap::new(), 0, 0);
     let mut f = FieldReader(bytes);
     while let (Some(len), Some(sum)) = (f.u32(), f.u32()) {
         // A length that no record has belongs to a torn or corrupt tail.
@@ -90,9 +90,9 @@
         if record.and_then(|r| apply(&mut live, &mut last, r)).is_none() {
             break;
         }
-        sound = bytes.len() - f.0.len();
+        valid_len = bytes.len() - f.0.len();
     }
-    (live, last, sound)
+    (live, last, valid_len)
 }
 
 #[cfg(test)]
--- a/crates/journal/src/legacy_test.rs
+++ b/crates/journal/src/legacy_test.rs
@@ -86,8 +86,8 @@
 #[test]
 fn every_record_of_the_old_format_is_read() {
     let (file, _) = file_with_all_records();
-    let (live, last, sound) = replay(&file);
-    assert_eq!((live.len(), last, sound), (2, 3, file.len()));
+    let (live, last, valid_len) = replay(&file);
+    assert_eq!((live.len(), last, valid_len), (2, 3, file.len()));
     let one = &live[&1];
     assert_eq!(*one.accepted, sample_message("a", b"bo\0dy"));
     let attempts: Vec<_> = one.attempts.iter().map(|a| (a.host.as_str(), a.may_have_run)).collect();
@@ -100,9 +100,9 @@
 fn a_torn_tail_of_the_old_format_hides_nothing_before_it() {
     let (file, ends) = file_with_all_records();
     for cut in 0..=file.len() {
-        let (live, _, sound) = replay(&file[..cut]);
+        let (live, _, valid_len) = replay(&file[..cut]);
         let end = ends.iter().rev().find(|end| **end <= cut).expect("the start");
-        assert_eq!(sound, *end, "cut at {cut}");
+        assert_eq!(valid_len, *end, "cut at {cut}");
         assert_eq!(live, replay(&file[..*end]).0, "cut at {cut}");
     }
 }
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LogConfig {
     /// Segment size in bytes, and upper limit for the space reserved for messages that begin in a segment.
-    pub segment: u64,
+    pub segment_bytes: u64,
     pub sync_writes: bool,
     pub migration: bool,
 }
@@ -217,10 +217,12 @@
     pub fn put(&mut self, reserved_bytes: u64, record: &Record) -> (u64, u64) {
         let (size, active) = (FRAME_HEADER_BYTES as u64 + record.size(), self.newest());
         let s = self.segments.get(&active);
-        let exceeds_reservation = s
-            .is_some_and(|s| s.reserved_bytes > 0 && s.reserved_bytes + reserved_bytes > self.config.segment);
+        let exceeds_reservation = s.is_some_and(|s| {
+            s.reserved_bytes > 0 && s.reserved_bytes + reserved_bytes > self.config.segment_bytes
+        });
         let exceeds_length = s.is_some_and(|s| {
-            s.size > HEADER_BYTES as u64 && s.size + size + SEAL_FRAME_BYTES as u64 > self.config.segment
+            s.size > HEADER_BYTES as u64
+                && s.size + size + SEAL_FRAME_BYTES as u64 > self.config.segment_bytes
         });
         if (reserved_bytes > 0 && exceeds_reservation) || exceeds_length {
             self.roll();
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -81,7 +81,7 @@
 
     /// Segment size in bytes. It also limits the space reserved for the messages that begin in one segment,
     /// and so the bytes that must be copied before the segment can be removed.
-    pub(crate) fn segment(&self) -> u64 {
+    pub(crate) fn effective_segment_bytes(&self) -> u64 {
         let min_segment = self.max_frame_bytes() + self.followup_bytes(self.reserved_attempts);
         self.segment_bytes
             .unwrap_or_else(|| {
@@ -97,7 +97,7 @@
     /// Space in bytes that only compaction may use: the copies out of one segment, and the headers of the
     /// segments they are written to.
     pub(crate) fn compaction_reserve_bytes(&self) -> u64 {
-        self.segment() + 8 * 512
+        self.effective_segment_bytes() + 8 * 512
     }
 
     /// Maximum number of bytes that a message adds after its acceptance, including frames.
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -26,7 +26,7 @@
     /// Files whose header names another segment. Their content is ignored.
     pub misplaced: Vec<u64>,
     /// The last segment and the length of its valid part, if it is longer than that.
-    pub cut: Option<(u64, u64)>,
+    pub truncate_at: Option<(u64, u64)>,
     pub truncated_bytes: u64,
     pub next_number: u64,
     pub next_seq: u64,
@@ -46,10 +46,10 @@
 /// A place in the log where records are missing.
 #[derive(Clone, Copy)]
 struct Gap {
-    number: u64,
+    segment: u64,
     /// The last segment that the gap reaches into.
-    to: u64,
-    at: u64,
+    last_segment: u64,
+    offset: u64,
     why: &'static str,
     first_lost: u64,
     last_lost: u64,
@@ -68,8 +68,8 @@
     /// Later records state that records up to this sequence number were on the device.
     synced_seq: u64,
     next_seq: u64,
-    cut: Option<(u64, u64)>,
-    cut_bytes: u64,
+    truncate_at: Option<(u64, u64)>,
+    truncated_bytes: u64,
     sealed: bool,
     read: u64,
 }
@@ -89,7 +89,7 @@
     let numbers: BTreeSet<u64> = names.iter().filter_map(|n| frame::segment_number(n)).collect();
     let headers = headers(storage, &numbers)?;
     let mut known = headers.values().filter_map(|head| match head {
-        SegmentHeader::Sound(h) | SegmentHeader::Misplaced(h) => Some(h),
+        SegmentHeader::Valid(h) | SegmentHeader::Misplaced(h) => Some(h),
         SegmentHeader::Unreadable => None,
     });
     // Starts at the first existing segment, even if it is not needed, so that the sequence numbers around a
@@ -102,7 +102,7 @@
     let mut limit: Option<Gap> = None;
     let mut oldest = oldest_needed(&headers, &first, limit);
     while let Some(torn) = torn(&first, oldest)
-        && limit.is_none_or(|l| (torn.number, torn.at) < (l.number, l.at))
+        && limit.is_none_or(|l| (torn.segment, torn.offset) < (l.segment, l.offset))
     {
         limit = Some(torn);
         oldest = oldest_needed(&headers, &first, limit);
@@ -111,16 +111,16 @@
     if observe.is_some() || oldest != from || limit.is_some() {
         first = scan(storage, options, &headers, oldest, limit, observe)?;
     }
-    let lost_before = first.gaps.iter().map(|h| h.last_lost.saturating_add(1)).max().unwrap_or_default();
+    let lost_before = first.gaps.iter().map(|gap| gap.last_lost.saturating_add(1)).max().unwrap_or_default();
     let damages: Vec<Damage> = first
         .gaps
         .iter()
-        .map(|h| Damage {
-            file: frame::segment_name(h.number),
-            offset: h.at,
-            why: h.why,
-            first_lost: h.first_lost,
-            last_lost: h.last_lost,
+        .map(|gap| Damage {
+            file: frame::segment_name(gap.segment),
+            offset: gap.offset,
+            why: gap.why,
+            first_lost: gap.first_lost,
+            last_lost: gap.last_lost,
         })
         .collect();
     // Without damage, a record without a message can only be one that a later snapshot replaced.
@@ -139,7 +139,12 @@
                 !h.migration && h.sync_writes == (options.durability == Durability::Machine)
             }),
         migration: known.all(|h| h.migration),
-        damaged: first.gaps.iter().map(|h| h.number).filter(|n| first.segments.contains_key(n)).collect(),
+        damaged: first
+            .gaps
+            .iter()
+            .map(|gap| gap.segment)
+            .filter(|n| first.segments.contains_key(n))
+            .collect(),
         // Numbers have no gaps: a segment that was incompletely created or dropped leaves its number to the
         // next one. Only misplaced files, which stay until the salvage is done, keep theirs.
         next_number: last.max(misplaced.last().copied()).map_or(oldest.max(1), |n| n + 1),
@@ -148,8 +153,8 @@
         segments: first.segments,
         stale,
         misplaced,
-        cut: first.cut,
-        truncated_bytes: first.cut_bytes,
+        truncate_at: first.truncate_at,
+        truncated_bytes: first.truncated_bytes,
         damages,
         lost_messages,
         lost_before,
@@ -159,7 +164,7 @@
 
 /// What the start of a segment's file contains.
 enum SegmentHeader {
-    Sound(Header),
+    Valid(Header),
     /// The header of another segment: files have been copied or renamed. Its statement about trimmed segments
     /// belongs to that segment, and would remove segments that are needed here.
     Misplaced(Header),
@@ -169,7 +174,7 @@
 impl SegmentHeader {
     fn valid(&self) -> Option<&Header> {
         match self {
-            SegmentHeader::Sound(header) => Some(header),
+            SegmentHeader::Valid(header) => Some(header),
             SegmentHeader::Misplaced(_) | SegmentHeader::Unreadable => None,
         }
     }
@@ -186,7 +191,7 @@
         let mut head = vec![0; (HEADER_BYTES as u64).min(size) as usize];
         file.read_at(0, &mut head).map_err(|e| Error::io(&name, "read", e))?;
         let head = match Header::read(&head) {
-            Ok(header) if header.number == *number => SegmentHeader::Sound(header),
+            Ok(header) if header.number == *number => SegmentHeader::Valid(header),
             Ok(header) => SegmentHeader::Misplaced(header),
             Err(HeaderError::NewerVersion(found)) => {
                 return Err(Error::NewerFormat { file: name, found, known: FORMAT_VERSION });
@@ -202,23 +207,24 @@
 /// it decides, then the nearest after it. The current options do not: they may have changed, and damage would
 /// be taken for a torn tail.
 fn written_with_syncs(headers: &Headers, number: u64, options: &Options) -> bool {
-    let before = headers.range(..=number).rev().find_map(|(_, h)| h.valid());
-    let nearest = before.or_else(|| headers.range(number..).find_map(|(_, h)| h.valid()));
+    let preceding = headers.range(..=number).rev().find_map(|(_, h)| h.valid());
+    let nearest = preceding.or_else(|| headers.range(number..).find_map(|(_, h)| h.valid()));
     nearest.map_or(options.durability == Durability::Machine, |h| h.sync_writes)
 }
 
 /// The oldest segment that is needed, according to all headers and `Trim` records before `limit`.
 fn oldest_needed(headers: &Headers, scan: &Scan, limit: Option<Gap>) -> u64 {
-    let kept = headers.iter().filter(|(n, _)| limit.is_none_or(|l| **n <= l.number));
+    let kept = headers.iter().filter(|(n, _)| limit.is_none_or(|l| **n <= l.segment));
     let headers = kept.filter_map(|(_, h)| h.valid()).map(|h| h.oldest);
-    let before = scan.trims.iter().filter(|(n, at, _)| limit.is_none_or(|l| (*n, *at) < (l.number, l.at)));
-    headers.chain(before.map(|(_, _, oldest)| *oldest)).max().unwrap_or_default()
+    let trims =
+        scan.trims.iter().filter(|(n, at, _)| limit.is_none_or(|l| (*n, *at) < (l.segment, l.offset)));
+    headers.chain(trims.map(|(_, _, oldest)| *oldest)).max().unwrap_or_default()
 }
 
 /// The first gap that a power failure during unsynced writes can explain.
 fn torn(scan: &Scan, oldest: u64) -> Option<Gap> {
-    let gaps = scan.gaps.iter().filter(|h| h.to >= oldest);
-    gaps.copied().find(|h| h.may_be_torn && h.first_lost > scan.synced_seq)
+    let gaps = scan.gaps.iter().filter(|gap| gap.last_segment >= oldest);
+    gaps.copied().find(|gap| gap.may_be_torn && gap.first_lost > scan.synced_seq)
 }
 
 /// Reads all segments from `oldest` up to `limit` and applies the valid records.
@@ -230,11 +236,11 @@
     limit: Option<Gap>,
     mut observe: Observer,
 ) -> Result<Scan, Error> {
-    let mut p = Scan::default();
+    let mut result = Scan::default();
     let mut buffer = Vec::new();
-    let mut wanted = oldest;
+    let mut expected_number = oldest;
     // Whether the previous segment was sealed, that is, whether another one followed it.
-    let mut before = None;
+    let mut previous_sealed = None;
     let last = headers.keys().next_back().copied();
     let misplaced = |from: u64| headers.range(from..).any(|(_, h)| matches!(h, SegmentHeader::Misplaced(_)));
     for (number, header) in headers.range(oldest..) {
@@ -242,130 +248,132 @@
             // The segment at this place counts as missing.
             continue;
         }
-        if limit.is_some_and(|l| *number > l.number || *number == l.number && l.at == 0) {
+        if limit.is_some_and(|l| *number > l.segment || *number == l.segment && l.offset == 0) {
             break;
         }
         let name = frame::segment_name(*number);
         let file = storage.open(&name).map_err(|e| Error::io(&name, "open", e))?;
         read_into(&*file, &mut buffer).map_err(|e| Error::io(&name, "read", e))?;
         let bytes = &buffer[..];
-        p.read += bytes.len() as u64;
+        result.read += bytes.len() as u64;
         let sync_writes = written_with_syncs(headers, *number, options);
         let header = header.valid();
         let mut reader = Reader { bytes, number: *number, sync_writes };
-        let begun = header.is_some() || reader.next(HEADER_BYTES.min(bytes.len()), p.next_seq).is_some();
-        if !begun && last == Some(*number) && !p.sealed {
+        let readable =
+            header.is_some() || reader.next(HEADER_BYTES.min(bytes.len()), result.next_seq).is_some();
+        if !readable && last == Some(*number) && !result.sealed {
             // The process was killed while it created this segment, which held no records yet.
-            p.cut_bytes += bytes.len() as u64;
+            result.truncated_bytes += bytes.len() as u64;
             break;
         }
         if let Some(h) = header {
-            p.synced_seq = p.synced_seq.max(h.synced_seq);
+            result.synced_seq = result.synced_seq.max(h.synced_seq);
             // Without earlier segments, sequence numbers start at this header.
-            if p.next_seq == 0 && wanted == *number {
-                p.next_seq = h.first_seq;
+            if result.next_seq == 0 && expected_number == *number {
+                result.next_seq = h.first_seq;
             }
         }
-        if *number > wanted && wanted > 0 {
-            let first = header.map_or(p.next_seq, |h| h.first_seq);
-            let lost = (p.next_seq, first.saturating_sub(1).max(p.next_seq));
-            p.gaps.push(Gap {
-                number: wanted,
-                to: number - 1,
-                at: 0,
+        if *number > expected_number && expected_number > 0 {
+            let first = header.map_or(result.next_seq, |h| h.first_seq);
+            let lost = (result.next_seq, first.saturating_sub(1).max(result.next_seq));
+            result.gaps.push(Gap {
+                segment: expected_number,
+                last_segment: number - 1,
+                offset: 0,
                 why: "the segment is missing",
                 first_lost: lost.0,
                 last_lost: lost.1,
                 may_be_torn: sync_writes
-                    && before.is_none_or(|sealed: bool| !sealed)
-                    && !headers.contains_key(&wanted),
+                    && previous_sealed.is_none_or(|sealed: bool| !sealed)
+                    && !headers.contains_key(&expected_number),
             });
-            p.next_seq = p.next_seq.max(first);
-        } else if header.is_none() && (begun || p.sealed) {
-            p.gaps.push(Gap {
-                number: *number,
-                to: *number,
-                at: 0,
+            result.next_seq = result.next_seq.max(first);
+        } else if header.is_none() && (readable || result.sealed) {
+            result.gaps.push(Gap {
+                segment: *number,
+                last_segment: *number,
+                offset: 0,
                 why: "the header cannot be read",
-                first_lost: p.next_seq,
-                last_lost: if begun { p.next_seq.saturating_sub(1) } else { p.next_seq },
+                first_lost: result.next_seq,
+                last_lost: if readable { result.next_seq.saturating_sub(1) } else { result.next_seq },
                 // The previous segment's seal was written when this header existed.
-                may_be_torn: sync_writes && !p.sealed,
+                may_be_torn: sync_writes && !result.sealed,
             });
-            p.next_seq += u64::from(!begun);
+            result.next_seq += u64::from(!readable);
         }
-        wanted = number + 1;
-        let first_seq = p.next_seq;
-        p.segments.insert(*number, Segment { first_seq, size: bytes.len() as u64, reserved_bytes: 0 });
-        p.sealed = false;
-        p.cut = None;
-        let end = limit.filter(|l| l.number == *number).map_or(bytes.len() as u64, |l| l.at);
+        expected_number = number + 1;
+        let first_seq = result.next_seq;
+        result.segments.insert(*number, Segment { first_seq, size: bytes.len() as u64, reserved_bytes: 0 });
+        result.sealed = false;
+        result.truncate_at = None;
+        let end = limit.filter(|l| l.segment == *number).map_or(bytes.len() as u64, |l| l.offset);
         reader.bytes = &bytes[..end.min(bytes.len() as u64) as usize];
-        let valid_end = reader.read(&mut p, options, &mut observe);
-        before = Some(p.sealed);
+        let valid_end = reader.read(&mut result, options, &mut observe);
+        previous_sealed = Some(result.sealed);
         if valid_end < bytes.len() as u64 {
-            p.cut = Some((*number, valid_end));
+            result.truncate_at = Some((*number, valid_end));
             // An invalid tail is certainly no gap only at the very end of the log.
-            let behind = headers.range(number + 1..).any(|(n, _)| limit.is_none_or(|l| *n <= l.number));
-            if behind {
+            let has_later_segment =
+                headers.range(number + 1..).any(|(n, _)| limit.is_none_or(|l| *n <= l.segment));
+            if has_later_segment {
                 let next = headers.range(number + 1..).find_map(|(n, h)| Some((n - 1, h.valid()?.first_seq)));
                 // Segments without a readable header in between belong to the gap.
-                let (to, next) = next.unwrap_or((*number, p.next_seq));
+                let (last_segment, next) = next.unwrap_or((*number, result.next_seq));
                 // A torn seal hides no records.
-                if next > p.next_seq {
-                    p.gaps.push(Gap {
-                        number: *number,
-                        to,
-                        at: valid_end,
+                if next > result.next_seq {
+                    result.gaps.push(Gap {
+                        segment: *number,
+                        last_segment,
+                        offset: valid_end,
                         why: "the bytes cannot be read",
-                        first_lost: p.next_seq,
+                        first_lost: result.next_seq,
                         last_lost: next - 1,
                         may_be_torn: sync_writes,
                     });
-                    p.next_seq = next;
+                    result.next_seq = next;
                 }
             }
         } else if let Some((_, h)) = headers.range(number + 1..).next()
-            && limit.is_none_or(|l| l.number > *number)
+            && limit.is_none_or(|l| l.segment > *number)
             && let Some(h) = h.valid()
-            && h.first_seq > p.next_seq
-            && headers.contains_key(&wanted)
+            && h.first_seq > result.next_seq
+            && headers.contains_key(&expected_number)
         {
             // The segment ends with a valid frame, but the next one starts at a later sequence number: its
             // tail is missing.
-            p.gaps.push(Gap {
-                number: *number,
-                to: *number,
-                at: valid_end,
+            result.gaps.push(Gap {
+                segment: *number,
+                last_segment: *number,
+                offset: valid_end,
                 why: "the segment ends too early",
-                first_lost: p.next_seq,
+                first_lost: result.next_seq,
                 last_lost: h.first_seq - 1,
-                may_be_torn: sync_writes && !p.sealed,
+                may_be_torn: sync_writes && !result.sealed,
             });
-            p.next_seq = h.first_seq;
+            result.next_seq = h.first_seq;
         }
     }
     // Only the last segment is truncated. The torn part of an earlier one may be its seal, and nothing is
     // appended there.
-    if let Some((number, valid_end)) = p.cut
-        && let Some(s) = p.segments.get_mut(&number)
+    if let Some((number, valid_end)) = result.truncate_at
+        && let Some(s) = result.segments.get_mut(&number)
     {
-        p.cut_bytes += s.size - valid_end;
+        result.truncated_bytes += s.size - valid_end;
         s.size = valid_end;
     }
-    if limit.is_none() && (p.sealed || misplaced(wanted.max(oldest))) {
-        p.gaps.push(Gap {
-            number: wanted,
-            to: wanted,
-            at: 0,
+    if limit.is_none() && (result.sealed || misplaced(expected_number.max(oldest))) {
+        result.gaps.push(Gap {
+            segment: expected_number,
+            last_segment: expected_number,
+            offset: 0,
             why: "the segment is missing",
-            first_lost: p.next_seq,
-            last_lost: p.next_seq,
+            first_lost: result.next_seq,
+            last_lost: result.next_seq,
             may_be_torn: false,
         });
-        p.next_seq += 1;
+        result.next_seq += 1;
     }
-    Ok(p)
+    Ok(result)
 }
 
 struct Reader<'a> {
@@ -380,20 +388,20 @@
     }
 
     /// Applies all valid frames and returns the offset at which they end.
-    fn read(&self, p: &mut Scan, options: &Options, observe: &mut Observer) -> u64 {
+    fn read(&self, result: &mut Scan, options: &Options, observe: &mut Observer) -> u64 {
         let mut at = HEADER_BYTES.min(self.bytes.len());
         while at < self.bytes.len() {
-            let frame = frame::frame_at(self.bytes, at).filter(|f| f.seq == p.next_seq);
+            let frame = frame::frame_at(self.bytes, at).filter(|f| f.seq == result.next_seq);
             let frame = match frame {
                 Some(frame) => frame,
                 None => {
-                    let Some(next) = self.next(at, p.next_seq) else { return at as u64 };
-                    p.gaps.push(Gap {
-                        number: self.number,
-                        to: self.number,
-                        at: at as u64,
+                    let Some(next) = self.next(at, result.next_seq) else { return at as u64 };
+                    result.gaps.push(Gap {
+                        segment: self.number,
+                        last_segment: self.number,
+                        offset: at as u64,
                         why: "the bytes cannot be read",
-                        first_lost: p.next_seq,
+                        first_lost: result.next_seq,
                         last_lost: next.seq.saturating_sub(1),
                         may_be_torn: self.sync_writes,
                     });
@@ -404,15 +412,15 @@
             let bytes = (frame.end - frame.at) as u64;
             match frame.content {
                 Content::Seal => {
-                    p.next_seq = frame.seq;
-                    p.sealed = true;
+                    result.next_seq = frame.seq;
+                    result.sealed = true;
                     return at as u64;
                 }
                 Content::Record(record) => {
-                    p.next_seq = frame.seq + 1;
+                    result.next_seq = frame.seq + 1;
                     match record {
-                        Record::Trim { oldest } => p.trims.push((self.number, frame.at as u64, oldest)),
-                        Record::Synced { upto } => p.synced_seq = p.synced_seq.max(upto),
+                        Record::Trim { oldest } => result.trims.push((self.number, frame.at as u64, oldest)),
+                        Record::Synced { upto } => result.synced_seq = result.synced_seq.max(upto),
                         _ => {}
                     }
                     if let Some(observe) = observe {
@@ -423,10 +431,10 @@
                         Record::Kept { .. } | Record::Note { .. } => with_end_record(bytes),
                         _ => 0,
                     };
-                    if let Some(s) = p.segments.get_mut(&self.number) {
+                    if let Some(s) = result.segments.get_mut(&self.number) {
                         s.reserved_bytes += reserved_bytes;
                     }
-                    p.state.apply(record, frame.seq, bytes, options);
+                    result.state.apply(record, frame.seq, bytes, options);
                 }
             }
         }
