--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -80,6 +80,7 @@
     }
 }
 
+/// Why a header cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeaderError {
     Truncated,
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -68,6 +68,7 @@
     pub copied: u64,
 }
 
+/// The journal of a courier. Records take effect in memory at once and are written by [`Journal::flush`].
 pub struct Journal {
     storage: Arc<dyn Storage>,
     options: Options,
@@ -260,6 +261,7 @@
         self.state.live()
     }
 
+    /// The live message of this number.
     pub fn get(&self, message: u64) -> Option<&LiveMessage> {
         self.state.get(message).and_then(|entry| entry.item.live())
     }
@@ -312,6 +314,7 @@
         self.log.memory() + self.state.notes() + self.files.len() as u64 * OPEN_FILE_MEMORY_BYTES
     }
 
+    /// Current space usage.
     pub fn usage(&self) -> Usage {
         Usage {
             room: self.options.capacity_bytes,
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -23,6 +23,7 @@
     },
 }
 
+/// A segment of the log.
 #[derive(Debug)]
 pub(crate) struct Segment {
     /// Sequence number of its first record.
@@ -47,6 +48,7 @@
 /// forever.
 const MAX_BUFFER_BYTES: usize = 128 * 1024;
 
+/// The planned log and the queue of operations that carry the plan out.
 pub(crate) struct Log {
     config: LogConfig,
     segments: BTreeMap<u64, Segment>,
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -100,7 +100,7 @@
     pub verdict: Option<Verdict>,
 }
 
-/// One record of the log.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// The complete state of a message, written at its acceptance and whenever compaction copies it. Replaces
--- a/crates/journal/src/record_test.rs
+++ b/crates/journal/src/record_test.rs
@@ -47,7 +47,7 @@
     let bounced = Verdict::Bounced { wait: None };
     let [routed, once, owned, remembered] = routed;
     let kept = EndedMessage { id: "id".to_owned(), owner, verdict: None, until: sent_at };
-    let told = EndedMessage { owner: None, verdict: Some(bounced), ..kept.clone() };
+    let notified = EndedMessage { owner: None, verdict: Some(bounced), ..kept.clone() };
     let note = Note { key: "session/7".to_owned(), value: Bytes::from_static(b"\0{}") };
     vec![
         Record::Snapshot { message: 1, live: fresh },
@@ -64,7 +64,7 @@
         Record::Snapshot { message: 10, live: owned },
         Record::Snapshot { message: 11, live: remembered },
         Record::Kept { message: 12, kept: Rc::new(kept) },
-        Record::Kept { message: 13, kept: Rc::new(told) },
+        Record::Kept { message: 13, kept: Rc::new(notified) },
         Record::Note { number: 14, note: Rc::new(note) },
     ]
 }
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -34,6 +34,7 @@
     }
 }
 
+/// An item with its position in the log and its space.
 pub(crate) struct Entry {
     pub item: Item,
     /// Sequence number of its latest snapshot; earlier records of it are dead.
@@ -44,6 +45,7 @@
     pub reserved_bytes: u64,
 }
 
+/// All entries, by number.
 #[derive(Default)]
 pub(crate) struct State {
     entries: BTreeMap<u64, Entry>,
--- a/crates/journal/src/storage/faulty.rs
+++ b/crates/journal/src/storage/faulty.rs
@@ -94,6 +94,7 @@
         self.inner().steps.clone()
     }
 
+    /// A copy of all files.
     pub fn image(&self) -> BTreeMap<String, Vec<u8>> {
         self.content.image()
     }
--- a/crates/journal/src/storage/memory.rs
+++ b/crates/journal/src/storage/memory.rs
@@ -5,6 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+/// The content of an in-memory file.
 pub type MemoryFile = Arc<Mutex<Vec<u8>>>;
 
 /// An in-memory directory. Clones share it.
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -133,13 +133,13 @@
                 if let Some(number) = self.pick(*n) {
                     let new = attempt(self.next + *n as u64);
                     if self.journal.record_attempt(number, new.clone()).is_ok() {
-                        self.map.get_mut(&number).expect("it lives").attempts.push(new);
+                        self.map.get_mut(&number).expect("the message is live").attempts.push(new);
                     }
                 }
             }
             Operation::NeverRan(n, a) => {
                 if let Some(number) = self.pick(*n) {
-                    let attempts = &mut self.map.get_mut(&number).expect("it lives").attempts;
+                    let attempts = &mut self.map.get_mut(&number).expect("the message is live").attempts;
                     if !attempts.is_empty() {
                         let a = a % attempts.len();
                         attempts[a].may_have_run = false;
@@ -154,7 +154,7 @@
                     let wait = (*kind == 2).then(|| Duration::from_millis(250));
                     let verdict = if *kind == 0 { Verdict::Dead } else { Verdict::Bounced { wait } };
                     self.journal.record_verdict(number, verdict);
-                    self.map.get_mut(&number).expect("it lives").verdict = Some(verdict);
+                    self.map.get_mut(&number).expect("the message is live").verdict = Some(verdict);
                 }
             }
             Operation::End(n) => {
--- a/crates/journal/tests/faults.rs
+++ b/crates/journal/tests/faults.rs
@@ -293,7 +293,7 @@
                 refused += 1;
                 // Not always the oldest one, so that segments keep some live messages.
                 let at = (n as usize * 7) % live.len();
-                journal.record_end(live.remove(at).expect("it lives"));
+                journal.record_end(live.remove(at).expect("the message is live"));
             }
             journal.flush().expect("written");
             assert!(
