--- a/crates/mqtt/src/server.rs
+++ b/crates/mqtt/src/server.rs
@@ -348,7 +348,7 @@
             Stage::Open => {
                 let pending = self.sessions.get(&c.owner).map_or(0, |s| s.pending.len());
                 let max_pending = usize::from(self.limits.receive_maximum);
-                // A client of 5.0 that exceeds its Receive Maximum violates the protocol; its packets are
+                // A client of 5.0 that exceeds the Receive Maximum violates the protocol; its packets are
                 // read so that the error can be reported to it.
                 c.pending_qos0 < MAX_PENDING_QOS0 && (c.version == Version::V5 || pending < max_pending)
             }
