--- a/crates/rig/src/delivery_rules.rs
+++ b/crates/rig/src/delivery_rules.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CourierKill {
     pub at: Instant,
-    /// Since when writes to the state folder had failed; None if they succeeded.
+    /// Since when no write to the state folder had succeeded; None if writes succeeded.
     pub folder_failed_since: Option<Instant>,
 }
 
@@ -50,18 +50,18 @@
 }
 
 /// Waits until all accepted messages have ended, but no longer than `limit`.
-pub fn wait_for_ends(taken: &BTreeSet<String>, log: &CallLog, discovery: &Discovery, limit: Duration) {
+pub fn wait_for_ends(accepted: &BTreeSet<String>, log: &CallLog, discovery: &Discovery, limit: Duration) {
     let end = Instant::now() + limit;
-    while Instant::now() < end && !unended(taken, log, discovery).is_empty() {
+    while Instant::now() < end && !unended(accepted, log, discovery).is_empty() {
         thread::sleep(20 * MS);
     }
 }
 
 /// Returns accepted messages that have neither been delivered nor ended by a notice.
-fn unended(taken: &BTreeSet<String>, log: &CallLog, discovery: &Discovery) -> Vec<String> {
+fn unended(accepted: &BTreeSet<String>, log: &CallLog, discovery: &Discovery) -> Vec<String> {
     let calls = log.lock().expect("the log");
     let delivered = delivered(&calls);
-    let open = taken.iter().filter(|id| !delivered.contains(id) && discovery.results(id).is_empty());
+    let open = accepted.iter().filter(|id| !delivered.contains(id) && discovery.results(id).is_empty());
     open.cloned().collect()
 }
 
@@ -87,7 +87,7 @@
     }
 
     /// Returns the calls of each message of a class, in order of arrival.
-    fn of(&self, class: &str) -> BTreeMap<&str, Vec<&ServedCall>> {
+    fn calls_by_message(&self, class: &str) -> BTreeMap<&str, Vec<&ServedCall>> {
         let mut all: BTreeMap<&str, Vec<&ServedCall>> = BTreeMap::new();
         for call in self.calls.iter().filter(|c| c.id.starts_with(class)) {
             all.entry(&call.id).or_default().push(call);
@@ -96,7 +96,7 @@
     }
 
     /// Returns the couriers' log, filtered to one message and general lines, and the message's calls.
-    fn account(&self, id: &str) -> String {
+    fn message_history(&self, id: &str) -> String {
         let log =
             self.log.iter().filter(|line| !line.starts_with("follow ") || line.contains(&format!(" {id} ")));
         let calls = self.calls.iter().filter(|c| c.id == id);
@@ -109,39 +109,43 @@
 
     /// Asserts that a payment is not sent again once a call of it may have run.
     pub fn assert_payments_run_once(&self) {
-        for (id, calls) in self.of("payment") {
+        for (id, calls) in self.calls_by_message("payment") {
             let ran = calls.iter().position(|c| c.status != Some(REFUSED));
-            assert!(ran.is_none_or(|n| n + 1 == calls.len()), "{id} was sent again:\n{}", self.account(id));
+            assert!(
+                ran.is_none_or(|n| n + 1 == calls.len()),
+                "{id} was sent again:\n{}",
+                self.message_history(id)
+            );
         }
     }
 
     /// Asserts that no message has two attempts in flight at once.
     pub fn assert_one_attempt_at_once(&self) {
         if let Some(call) = self.calls.iter().find(|call| call.overlaps) {
-            panic!("two attempts were in flight at once:\n{}", self.account(&call.id));
+            panic!("two attempts were in flight at once:\n{}", self.message_history(&call.id));
         }
     }
 
     /// Asserts that a keyed message is not sent to another zone once a call of it may have run.
     pub fn assert_keyed_repeats_stay_in_their_zone(&self) {
-        for (id, calls) in self.of("notice") {
+        for (id, calls) in self.calls_by_message("notice") {
             let after: Vec<_> = calls.iter().skip_while(|c| c.status == Some(REFUSED)).collect();
-            let strayed = after.iter().any(|c| c.endpoint != after[0].endpoint);
+            let changed_zone = after.iter().any(|c| c.endpoint != after[0].endpoint);
             assert!(
-                !strayed,
+                !changed_zone,
                 "{id} may have run in one zone and was sent to the other:\n{}",
-                self.account(id)
+                self.message_history(id)
             );
         }
     }
 
     /// Asserts that no message is sent again once an endpoint has answered 410.
     pub fn assert_none_sent_after_gone(&self) {
-        let on_record = |at: Instant| !self.kills.iter().any(|kill| kill.may_have_lost(at));
+        let journaled = |at: Instant| !self.kills.iter().any(|kill| kill.may_have_lost(at));
         for gone in self.calls.iter().filter(|call| call.status == Some(GONE)) {
-            let Some(at) = gone.ended.filter(|at| on_record(*at)) else { continue };
+            let Some(at) = gone.ended.filter(|at| journaled(*at)) else { continue };
             let again = self.calls.iter().any(|call| call.id == gone.id && call.arrived > at);
-            assert!(!again, "{} was over and was sent again:\n{}", gone.id, self.account(&gone.id));
+            assert!(!again, "{} was over and was sent again:\n{}", gone.id, self.message_history(&gone.id));
         }
     }
 
@@ -150,7 +154,7 @@
         let delivered = delivered(&self.calls);
         let ended = |id: &String| delivered.contains(id) || self.notices.contains_key(id);
         let lost: Vec<_> = self.taken.iter().filter(|id| !ended(id)).collect();
-        let first = lost.first().map(|id| self.account(id)).unwrap_or_default();
+        let first = lost.first().map(|id| self.message_history(id)).unwrap_or_default();
         assert!(lost.is_empty(), "{} were lost; the first:\n{first}", lost.len());
     }
 
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -74,20 +74,20 @@
 
     /// Reads one message, its body by `Content-Length`. Returns None if the connection ends first.
     pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
-        let mut page = HttpMessage::default();
+        let mut message = HttpMessage::default();
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|n| *n > 0)?;
-        page.start_line = line.trim_end().to_owned();
+        message.start_line = line.trim_end().to_owned();
         loop {
             line.clear();
             from.read_line(&mut line).ok().filter(|n| *n > 0)?;
             let Some((name, value)) = line.trim_end().split_once(':') else { break };
-            page.headers.push((name.to_owned(), value.trim().to_owned()));
+            message.headers.push((name.to_owned(), value.trim().to_owned()));
         }
-        let length = page.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
-        page.body = vec![0; length];
-        from.read_exact(&mut page.body).ok()?;
-        Some(page)
+        let length = message.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        message.body = vec![0; length];
+        from.read_exact(&mut message.body).ok()?;
+        Some(message)
     }
 }
 
@@ -157,7 +157,7 @@
     }
 
     fn open(
-        places: usize,
+        connection_limit: usize,
         act: impl Fn(usize, &ReceivedCall) -> EndpointAction + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -165,19 +165,20 @@
         let seen: Arc<Mutex<Vec<ReceivedCall>>> = Arc::default();
         let closed: Arc<AtomicUsize> = Arc::default();
         let (act, all, connections) = (Arc::new(act), seen.clone(), AtomicUsize::new(0));
-        let ends = closed.clone();
-        let places = Arc::new(AtomicUsize::new(places));
+        let closed_count = closed.clone();
+        let free_slots = Arc::new(AtomicUsize::new(connection_limit));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (act, all) = (act.clone(), all.clone());
                 let connection = connections.fetch_add(1, Ordering::SeqCst);
-                let (ends, places) = (ends.clone(), places.clone());
+                let (closed_count, free_slots) = (closed_count.clone(), free_slots.clone());
                 thread::spawn(move || {
-                    let take = |free: usize| free.checked_sub(1);
-                    let admitted = places.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take).is_ok();
+                    let take_slot = |free: usize| free.checked_sub(1);
+                    let admitted =
+                        free_slots.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take_slot).is_ok();
                     serve(stream, (connection, admitted), &*act, &all);
-                    places.fetch_add(usize::from(admitted), Ordering::SeqCst);
-                    ends.fetch_add(1, Ordering::SeqCst);
+                    free_slots.fetch_add(usize::from(admitted), Ordering::SeqCst);
+                    closed_count.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
