--- a/crates/memory/src/rejected_connections.rs
+++ b/crates/memory/src/rejected_connections.rs
@@ -30,7 +30,7 @@
     Told,
     /// The client sent no request, so the connection was closed without an answer.
     Silent,
-    /// Closed without an answer, because the maximum number was open.
+    /// Closed without an answer, because the maximum number was open or the answer could not be sent.
     Untold,
 }
 
@@ -43,8 +43,8 @@
 }
 
 impl Counts {
-    fn add(&mut self, how: RejectionOutcome) {
-        *match how {
+    fn add(&mut self, outcome: RejectionOutcome) {
+        *match outcome {
             RejectionOutcome::Told => &mut self.told,
             RejectionOutcome::Silent => &mut self.silent,
             RejectionOutcome::Untold => &mut self.untold,
@@ -66,6 +66,7 @@
     next_id: u64,
     /// Connections that have sent nothing yet, oldest first.
     awaiting_request: BTreeSet<u64>,
+    /// Connections that have sent part of a request and are owed an answer.
     answering: BTreeSet<u64>,
     counts: BTreeMap<Reason, Counts>,
     /// Outcomes since the last log line.
@@ -95,13 +96,13 @@
     }
 
     /// Records that a connection is closed. `id` is None for one that never had a slot.
-    pub fn closed(&mut self, id: Option<u64>, reason: Reason, how: RejectionOutcome) {
+    pub fn closed(&mut self, id: Option<u64>, reason: Reason, outcome: RejectionOutcome) {
         if let Some(id) = id {
             self.awaiting_request.remove(&id);
             self.answering.remove(&id);
         }
-        self.counts.entry(reason).or_default().add(how);
-        self.unlogged.entry(reason).or_default().add(how);
+        self.counts.entry(reason).or_default().add(outcome);
+        self.unlogged.entry(reason).or_default().add(outcome);
     }
 
     /// Number of open rejected connections.
--- a/crates/memory/src/release_rate.rs
+++ b/crates/memory/src/release_rate.rs
@@ -19,7 +19,7 @@
     rate: f64,
     last_update: Time,
     /// Total bytes released as of the last update.
-    seen: u64,
+    last_total: u64,
     /// When memory was last seen to be released.
     last_release: Time,
     /// Until when the memory to be released is promised to clients that were told to retry.
@@ -33,13 +33,13 @@
         if span < MIN_UPDATE_INTERVAL {
             return;
         }
-        let released = total_released.saturating_sub(self.seen);
+        let released = total_released.saturating_sub(self.last_total);
         let decay = 0.5f64.powf(span.as_secs_f64() / RATE_HALF_LIFE_SECONDS);
         self.rate = self.rate * decay + (1.0 - decay) * released as f64 / span.as_secs_f64();
         if released > 0 {
             self.last_release = now;
         }
-        (self.last_update, self.seen) = (now, total_released);
+        (self.last_update, self.last_total) = (now, total_released);
     }
 
     /// Smoothed release rate in bytes per second.
@@ -52,8 +52,8 @@
     /// all but the first would be rejected again.
     pub fn retry_after(&mut self, over: u64, bytes: u64, now: Time) -> Duration {
         let idle = now.saturating_sub(self.last_release);
-        // When the rate has decayed to almost nothing, the time since the last release is the better
-        // estimate.
+        // When the rate has decayed to almost nothing, the time since the last release says more: the client
+        // waits at least as long again.
         let release_time = |bytes: u64| match self.rate > 1.0 {
             true => Duration::try_from_secs_f64(bytes as f64 / self.rate).unwrap_or(MAX_WAIT).min(MAX_WAIT),
             false => idle.min(MAX_WAIT),
--- a/crates/memory/src/release_rate_test.rs
+++ b/crates/memory/src/release_rate_test.rs
@@ -32,7 +32,7 @@
     let waits: Vec<f64> = [60, 100, 160, 4000]
         .map(|s| {
             let mut release_rate = release_rate;
-            release_rate.update(release_rate.seen, SECOND * s);
+            release_rate.update(release_rate.last_total, SECOND * s);
             release_rate.retry_after(1, 1, SECOND * s).as_secs_f64()
         })
         .to_vec();
