--- a/crates/config/benches/routes.rs
+++ b/crates/config/benches/routes.rs
@@ -1,6 +1,6 @@
-//! What a lookup costs at 10, 1,000 and 10,000 routes. Beside it, as a limit, one look into a hash map of the very
-//! paths that are asked for: no patterns, hosts, methods or headers.
-//! `cargo bench -p stairshed-config --bench routes`
+//! Time of a route lookup with 10, 1,000 and 10,000 routes. For comparison, as a lower bound: a single lookup
+//! of the same path in a hash map, without patterns, hosts, methods or headers. `cargo bench -p
+//! stairshed-config --bench routes`
 
 use stairshed_config::load;
 use stairshed_config::route::Request;
@@ -8,13 +8,13 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-struct Asked {
+struct BenchRequest {
     host: String,
     path: String,
     tenant: String,
 }
 
-impl Request for Asked {
+impl Request for BenchRequest {
     fn method(&self) -> &str {
         "POST"
     }
@@ -31,7 +31,7 @@
 
 const LOOKUPS: usize = 400_000;
 
-/// Nanoseconds a lookup, the best of five runs.
+/// Nanoseconds per lookup, best of five runs.
 fn time(mut one: impl FnMut(usize)) -> f64 {
     let run = |one: &mut dyn FnMut(usize)| {
         let began = Instant::now();
@@ -57,28 +57,28 @@
             load("hosts", &file(&|n| format!("host = \"h{n}.example\"\nprefix = \"/\"\n"))).expect("sound");
         let by = |n| format!("path = \"/a\"\nheaders = {{ X-Tenant = \"t{n}\" }}\n");
         let headers = load("headers", &file(&by)).expect("sound");
-        let asked: Vec<Asked> = (0..1024)
+        let requests: Vec<BenchRequest> = (0..1024)
             .map(|n| {
                 let n = n * 7919 % routes;
                 let path = format!("{}/17/pay", path(n));
-                Asked { host: format!("h{n}.example"), path, tenant: format!("t{n}") }
+                BenchRequest { host: format!("h{n}.example"), path, tenant: format!("t{n}") }
             })
             .collect();
-        let in_a: Vec<Asked> = asked
+        let in_a: Vec<BenchRequest> = requests
             .iter()
-            .map(|a| Asked { host: String::new(), path: "/a".to_owned(), tenant: a.tenant.clone() })
+            .map(|a| BenchRequest { host: String::new(), path: "/a".to_owned(), tenant: a.tenant.clone() })
             .collect();
         let whole: HashMap<String, usize> = (0..routes).map(|n| (format!("{}/17/pay", path(n)), n)).collect();
-        let one = |table: &stairshed_config::Installation, all: &[Asked], n: usize| {
+        let one = |table: &stairshed_config::Installation, all: &[BenchRequest], n: usize| {
             black_box(table.router.route(&all[n % 1024])).expect("a route");
         };
         println!(
             "{routes:6}  {:9.0}  {:12.0}  {:9.0}  {:11.0}  {loaded:18.1}",
-            time(|n| one(&paths, &asked, n)),
+            time(|n| one(&paths, &requests, n)),
             time(|n| {
-                black_box(whole.get(&asked[n % 1024].path).expect("a path"));
+                black_box(whole.get(&requests[n % 1024].path).expect("a path"));
             }),
-            time(|n| one(&hosts, &asked, n)),
+            time(|n| one(&hosts, &requests, n)),
             time(|n| one(&headers, &in_a, n)),
         );
     }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,15 +1,15 @@
-//! What a new configuration changes among the endpoints: so that one that stays is not touched, and one that
-//! returns is the same.
+//! Differences between the endpoints of two configurations, so that unchanged endpoints keep their state and
+//! an endpoint that returns keeps its identity.
 
 use crate::installation::{Installation, Pool, PoolMember};
 use std::collections::HashMap;
 
-/// A member of a pool that is new, other than before, or gone.
+/// A pool member that was added, changed or removed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
     pub destination: u64,
     pub member: PoolMember,
-    /// Calls a second, its own or the pool's; None where none is stated.
+    /// Limit in calls per second, of the member or else of its pool; None if neither is set.
     pub limit: Option<f64>,
     pub removed: bool,
 }
@@ -19,7 +19,7 @@
     MemberChange { destination: pool.destination, member: member.clone(), limit, removed }
 }
 
-/// What differs from `before` (nothing, at the start) to `after`: what is gone first.
+/// Changes from `before` (None at startup) to `after`; removed members come first.
 pub fn member_changes(before: Option<&Installation>, after: &Installation) -> Vec<MemberChange> {
     let all = |i: &Installation| -> HashMap<String, MemberChange> {
         let pools = i.pools.iter().flat_map(|p| p.members.iter().map(move |m| changed(p, m, false)));
@@ -38,7 +38,7 @@
     all
 }
 
-/// Destinations that are there no more, and those that are.
+/// The destinations that were removed, and all current destinations.
 pub fn removed_and_current_destinations(
     before: Option<&Installation>,
     after: &Installation,
--- a/crates/config/src/classes.rs
+++ b/crates/config/src/classes.rs
@@ -1,11 +1,12 @@
-//! Classes as the decision module numbers them, over versions of the configuration. A message keeps the class
-//! by which it was taken; if its class has become stricter since, the stricter of the two holds for it.
+//! Class numbers of the scheduler across configuration versions. A message keeps the class under which it was
+//! accepted; if the effect of that class has become stricter since, the stricter effect applies to the
+//! message.
 
 use stairshed_decide::interface::{Class, Effect, KeyScope};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The stricter of two: what may be repeated by both.
+/// The stricter of two effects: it permits only repeats that both permit.
 pub fn stricter(a: Effect, b: Effect) -> Effect {
     match (a, b) {
         (Effect::Once, _) | (_, Effect::Once) => Effect::Once,
@@ -21,15 +22,16 @@
     }
 }
 
+/// A class with its name.
 #[derive(Clone, Debug)]
 struct Row {
     name: String,
     class: Class,
-    /// New messages of this name take this row.
+    /// New messages of the class with this name use this row.
     current: bool,
 }
 
-/// All classes that messages may be of. A row's place is the class's number.
+/// All classes of accepted messages. The index of a row is the number of the class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassTable {
     rows: Vec<Row>,
@@ -41,9 +43,10 @@
         ClassTable { rows: classes.into_iter().map(row).collect() }
     }
 
-    /// For a courier that has no configuration yet: the module must have a class, and nothing is of it.
+    /// Table for a courier without a configuration: the scheduler requires at least one class, and no message
+    /// uses it.
     pub fn placeholder() -> Self {
-        let class = gone(Effect::Once, Duration::from_secs(1));
+        let class = removed_class(Effect::Once, Duration::from_secs(1));
         ClassTable { rows: vec![Row { name: String::new(), class, current: false }] }
     }
 
@@ -55,7 +58,7 @@
         self.rows.is_empty()
     }
 
-    /// The classes in the order of their numbers.
+    /// All classes, in the order of their numbers.
     pub fn classes(&self) -> Vec<Class> {
         self.rows.iter().map(|r| r.class.clone()).collect()
     }
@@ -64,20 +67,20 @@
         self.rows.get(number).map(|r| &r.class)
     }
 
-    /// The class that new messages of this name are of.
+    /// Number of the class that new messages use, by its name.
     pub fn current(&self, name: &str) -> Option<usize> {
         self.rows.iter().position(|r| r.current && r.name == name)
     }
 
-    /// The class of a message that was taken when a repeat did `effect`. With `deadline` for a class that is
-    /// no more.
+    /// Number of the class of a message from the journal, accepted when the class had `effect`. `deadline` is
+    /// used if the class no longer exists.
     pub fn for_recorded_message(&mut self, name: &str, effect: Effect, deadline: Duration) -> usize {
         let now = self.current(name).map(|n| &self.rows[n].class);
         let class = match now {
             Some(class) => Class { effect: stricter(class.effect, effect), ..class.clone() },
-            None => gone(effect, deadline),
+            None => removed_class(effect, deadline),
         };
-        let same = |r: &Row| r.name == name && alike(&r.class, &class);
+        let same = |r: &Row| r.name == name && same_settings(&r.class, &class);
         if let Some(n) = self.rows.iter().position(same) {
             return n;
         }
@@ -85,8 +88,8 @@
         self.rows.len() - 1
     }
 
-    /// Other classes from now on. Rows in use keep their numbers, and become as strict as what has taken
-    /// their name.
+    /// Replaces the current classes. Rows in use keep their numbers, and their effect becomes at least as
+    /// strict as that of the new class with the same name.
     pub fn update(&mut self, classes: impl IntoIterator<Item = (String, Class)>, in_use: &BTreeSet<usize>) {
         for row in &mut self.rows {
             row.current = false;
@@ -97,10 +100,10 @@
                     row.class.effect = stricter(row.class.effect, class.effect);
                 }
             }
-            let alike = |r: &Row| r.name == name && alike(&r.class, &class);
-            // A row that nobody uses any more is taken for another class, so that the table does not grow.
+            let same_class = |r: &Row| r.name == name && same_settings(&r.class, &class);
+            // Reuses a row that no message uses, so that the table does not grow with each version.
             let free = |(n, r): (usize, &Row)| !r.current && !in_use.contains(&n);
-            let at = self.rows.iter().position(alike);
+            let at = self.rows.iter().position(same_class);
             let at = at.or_else(|| self.rows.iter().enumerate().position(free));
             let row = Row { name, class, current: true };
             match at {
@@ -111,8 +114,9 @@
     }
 }
 
-/// A class that is no more, for what is left of it: worth what the least is.
-fn gone(effect: Effect, deadline: Duration) -> Class {
+/// Settings for remaining messages of a class that no longer exists. Their worth, 1.0, does not decay until
+/// the deadline.
+fn removed_class(effect: Effect, deadline: Duration) -> Class {
     Class {
         aim: deadline,
         deadline,
@@ -125,9 +129,9 @@
     }
 }
 
-fn alike(a: &Class, b: &Class) -> bool {
-    let figures = |c: &Class| (c.aim, c.deadline, c.worth, c.late_share, c.ordered, c.max_attempts);
-    figures(a) == figures(b) && a.effect == b.effect
+fn same_settings(a: &Class, b: &Class) -> bool {
+    let parameters = |c: &Class| (c.aim, c.deadline, c.worth, c.late_share, c.ordered, c.max_attempts);
+    parameters(a) == parameters(b) && a.effect == b.effect
 }
 
 #[cfg(test)]
--- a/crates/config/src/classes_test.rs
+++ b/crates/config/src/classes_test.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn class(effect: Effect) -> Class {
-    gone(effect, Duration::from_secs(30))
+    removed_class(effect, Duration::from_secs(30))
 }
 
 fn keyed(scope: KeyScope, secs: u64) -> Effect {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_stricter_of_two_allows_what_both_allow() {
+fn the_stricter_effect_permits_only_what_both_permit() {
     let (zone, all) = (keyed(KeyScope::Zone, 9), keyed(KeyScope::All, 3));
     assert_eq!(stricter(zone, all), keyed(KeyScope::Zone, 3));
     assert_eq!(stricter(all, keyed(KeyScope::Endpoint, 5)), keyed(KeyScope::Endpoint, 3));
@@ -24,21 +24,21 @@
 }
 
 #[test]
-fn a_class_that_becomes_unsafe_is_unsafe_for_what_is_out() {
+fn a_stricter_class_applies_to_accepted_messages() {
     let mut table = ClassTable::new(one(keyed(KeyScope::All, 9)));
     table.update(one(Effect::Once), &BTreeSet::from([0]));
     assert_eq!(table.get(0).map(|c| c.effect), Some(Effect::Once));
 }
 
 #[test]
-fn a_class_that_becomes_safe_is_unsafe_for_what_is_out() {
+fn a_less_strict_class_does_not_apply_to_accepted_messages() {
     let mut table = ClassTable::new(one(Effect::Once));
     table.update(one(Effect::Repeatable), &BTreeSet::from([0]));
     assert_eq!(table.get(0).map(|c| c.effect), Some(Effect::Once));
     let now = table.current("pay").expect("the class");
     assert_ne!(now, 0);
     assert_eq!(table.get(now).map(|c| c.effect), Some(Effect::Repeatable));
-    // What was taken before comes back after a restart.
+    // After a restart, a message recorded under the stricter effect keeps it.
     let mut table = ClassTable::new(one(Effect::Repeatable));
     let n = table.for_recorded_message("pay", Effect::Once, Duration::from_secs(5));
     assert_eq!(table.get(n).map(|c| c.effect), Some(Effect::Once));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_table_does_not_grow_with_versions_and_rows_in_use_are_not_taken() {
+fn the_table_does_not_grow_with_versions_and_rows_in_use_are_not_reused() {
     let mut table = ClassTable::new(one(Effect::Once));
     for n in 1..1000 {
         table.update(one(keyed(KeyScope::All, n)), &BTreeSet::from([0]));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_class_that_is_gone_is_what_it_was_for_what_is_out() {
+fn a_removed_class_keeps_its_effect_for_accepted_messages() {
     let mut table = ClassTable::new(one(Effect::Once));
     table.update(Vec::new(), &BTreeSet::from([0]));
     assert_eq!(table.current("pay"), None);
--- a/crates/config/src/decode.rs
+++ b/crates/config/src/decode.rs
@@ -1,17 +1,17 @@
-//! A tree into types, by serde, with all that is wrong at once: whatever cannot be read is noted with its
-//! path, taken out, and the rest read again. No crate on the registry does this for TOML: each stops at the
-//! first fault.
+//! Deserializes a tree into types with serde and reports all errors at once: a value that cannot be decoded
+//! is recorded with its path and removed, and the rest is decoded again. Existing TOML crates stop at the
+//! first error.
 
 use crate::problem::{Path, PathStep, Problem, suggest};
 use crate::tree::{Entry, Node, Value};
 use serde::de::{self, DeserializeSeed, IntoDeserializer, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
-/// Faults that are told of one document; more would be noise.
+/// Maximum number of problems reported for a document; more would not help the reader.
 pub const MAX_PROBLEMS: usize = 100;
 
-/// Reads `tree`. With faults the rest stands in what is returned, each fault's value as its default; and the
-/// paths of what was taken out, so that nothing else is said about them.
+/// Decodes `tree`. Returns the decoded value, in which values that could not be decoded have their defaults,
+/// and a problem for each of these with its path, so that later checks can skip them.
 pub fn decode<T: de::DeserializeOwned + Default>(tree: &Node) -> (T, Vec<Problem>) {
     let mut tree = tree.clone();
     let mut problems = Vec::new();
@@ -30,7 +30,7 @@
     }
 }
 
-/// Why a value cannot be read; the steps to it, last first.
+/// Why a value cannot be decoded, and the steps of its path in reverse order.
 #[derive(Debug)]
 pub struct DecodeError {
     reason: String,
@@ -119,7 +119,7 @@
     ) -> Result<V::Value, DecodeError> {
         match &self.value {
             Value::Table(_) => self.deserialize_any(visitor),
-            // Serde's structs would take a list for their fields in order.
+            // Structs derived with serde would accept a list as their fields in order.
             _ => Err(de::Error::custom("a table is expected")),
         }
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,19 +1,19 @@
-//! One model of an installation: what stands in the operator's file, or comes as a numbered version from a
-//! control service. No I/O but reading text; nothing here knows a socket or a clock.
+//! The configuration of an installation, from the operator's file or from numbered versions sent by a control
+//! service. This crate parses text only; it uses no files, sockets or clocks.
 //!
-//! Reading order, each below the next:
+//! The modules, each after those that it builds on:
 //!
-//! - [`problem`]: what is wrong, and where: file, line, column, key, nearest valid name.
-//! - [`tree`]: a document, TOML or JSON, with the place of each value.
-//! - [`decode`]: a tree into types, with all its faults at once.
-//! - [`units`], [`file`]: the types, with defaults and a JSON schema.
-//! - [`route`]: a request in, a route out, or a named reason.
-//! - [`topic`]: MQTT topics and filters; a topic in, what is to become of its message out.
-//! - [`installation`]: a file checked as a whole, in the terms of the courier.
-//! - [`change`], [`classes`]: what a new configuration changes, and what stays for what is held.
-//! - [`lines`]: a stream of bytes as lines.
-//! - [`version`]: numbered versions of it: which is worked on, acknowledged, refused.
-//! - [`report`]: the effective configuration with the source of each value; differences of two.
+//! - [`problem`]: errors with file, line, column, key and the nearest valid name.
+//! - [`tree`]: a TOML or JSON document with the position of each value.
+//! - [`decode`]: decodes a tree into types and reports all errors at once.
+//! - [`units`], [`file`]: the types of the file, with defaults and a JSON schema.
+//! - [`route`]: finds the route of a request, or the reason why there is none.
+//! - [`topic`]: MQTT topic names and filters; maps a topic to a pool, a class and a path.
+//! - [`installation`]: the validated configuration, in the courier's own terms.
+//! - [`change`], [`classes`]: what a new configuration changes, and the classes that held messages keep.
+//! - [`lines`]: splits byte streams into lines.
+//! - [`version`]: numbered versions: which one is being applied, acknowledged or refused.
+//! - [`report`]: the effective configuration with the source of each value, and differences of two configurations.
 
 pub mod change;
 pub mod classes;
--- a/crates/config/src/lines.rs
+++ b/crates/config/src/lines.rs
@@ -1,43 +1,46 @@
-//! Cuts a stream of bytes into lines: the control service's versions, discovery's lists.
+//! Splits byte streams into lines: versions from the control service, lists from the discovery service.
 
-/// Cuts a stream of bytes into lines, with a bound on each.
+/// Splits a byte stream into lines of limited length.
 #[derive(Debug)]
 pub struct LineBuffer {
     bytes: Vec<u8>,
-    /// Up to here there is no end of a line.
-    seen: usize,
-    /// Bytes behind the last end of a line.
-    open: usize,
-    most: usize,
+    /// Number of leading bytes already searched for a line feed.
+    scanned_bytes: usize,
+    /// Number of bytes after the last line feed.
+    unterminated_bytes: usize,
+    max_bytes: usize,
 }
 
-/// A line is longer than the bound.
+/// A line is longer than the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineTooLong;
 
 impl LineBuffer {
-    pub fn new(most: usize) -> Self {
-        LineBuffer { bytes: Vec::new(), seen: 0, open: 0, most }
+    /// `max_bytes` is the maximum length of a line.
+    pub fn new(max_bytes: usize) -> Self {
+        LineBuffer { bytes: Vec::new(), scanned_bytes: 0, unterminated_bytes: 0, max_bytes }
     }
 
+    /// Appends bytes of the stream.
+    ///
     /// # Errors
-    /// [`TooLong`]; the rest of the stream means nothing then.
-    pub fn push(&mut self, piece: &[u8]) -> Result<(), LineTooLong> {
-        self.bytes.extend_from_slice(piece);
-        // Only what is new is looked at: a long line comes in many pieces.
-        self.open = match piece.iter().rposition(|b| *b == b'\n') {
-            Some(end) => piece.len() - end - 1,
-            None => self.open + piece.len(),
+    /// [`LineTooLong`] if the unfinished line exceeds the limit. The stream cannot be read any further then.
+    pub fn push(&mut self, chunk: &[u8]) -> Result<(), LineTooLong> {
+        self.bytes.extend_from_slice(chunk);
+        // Searches only the new bytes, since a long line arrives in many chunks.
+        self.unterminated_bytes = match chunk.iter().rposition(|b| *b == b'\n') {
+            Some(end) => chunk.len() - end - 1,
+            None => self.unterminated_bytes + chunk.len(),
         };
-        if self.open > self.most { Err(LineTooLong) } else { Ok(()) }
+        if self.unterminated_bytes > self.max_bytes { Err(LineTooLong) } else { Ok(()) }
     }
 
-    /// Whether anything is here that was not taken yet.
+    /// Whether any bytes are buffered.
     pub fn has_buffered_bytes(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// Bytes that are here and were not taken yet.
+    /// Number of bytes buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.len()
     }
@@ -47,12 +50,12 @@
     type Item = Vec<u8>;
 
     fn next(&mut self) -> Option<Vec<u8>> {
-        let Some(at) = self.bytes[self.seen..].iter().position(|b| *b == b'\n') else {
-            self.seen = self.bytes.len();
+        let Some(at) = self.bytes[self.scanned_bytes..].iter().position(|b| *b == b'\n') else {
+            self.scanned_bytes = self.bytes.len();
             return None;
         };
-        let end = self.seen + at;
-        self.seen = 0;
+        let end = self.scanned_bytes + at;
+        self.scanned_bytes = 0;
         let rest = self.bytes.split_off(end + 1);
         let mut line = std::mem::replace(&mut self.bytes, rest);
         line.truncate(end);
--- a/crates/config/src/lines_test.rs
+++ b/crates/config/src/lines_test.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_line_without_end_is_cut_off_at_its_bound() {
+fn an_unterminated_line_beyond_the_limit_is_an_error() {
     let mut lines = LineBuffer::new(10);
     assert_eq!(lines.push(b"one\ntwo\nthree"), Ok(()));
     assert_eq!(lines.by_ref().collect::<Vec<_>>(), [b"one".to_vec(), b"two".to_vec()]);
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a configuration, and where: so that whoever is woken by it finds the line.
+//! Problems of a configuration, with their positions, so that an operator finds the line at fault.
 
 use std::fmt;
 
-/// One step down a document.
+/// One step of a path: a key of a table or an index of a list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PathStep {
     Key(String),
     Item(usize),
 }
 
-/// The way to a value from the document's root.
+/// Path to a value from the root of the document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Path(pub Vec<PathStep>);
 
@@ -22,13 +22,13 @@
         Path(self.0.iter().cloned().chain([PathStep::Item(index)]).collect())
     }
 
-    /// Whether this is `other`, or stands within it.
+    /// Whether this path equals `other` or leads to a value within it.
     pub fn is_within(&self, other: &Path) -> bool {
         self.0.starts_with(&other.0)
     }
 }
 
-/// The path of these keys.
+/// Builds a path from keys.
 pub fn path(keys: &[&str]) -> Path {
     Path(keys.iter().map(|k| PathStep::Key((*k).to_owned())).collect())
 }
@@ -52,12 +52,12 @@
     }
 }
 
-/// One fault of a document.
+/// One problem of a document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
-    /// The value that is at fault; the root where the text itself cannot be read.
+    /// The value at fault, or the root if the text itself cannot be parsed.
     pub path: Path,
-    /// Line and column, from 1; None for a document without lines.
+    /// Line and column, counted from 1; None if the document is not a text file.
     pub position: Option<(usize, usize)>,
     pub reason: String,
 }
@@ -77,16 +77,16 @@
     }
 }
 
-/// All faults of a document, in the order of their places.
+/// All problems of a document, in the order of their positions.
 #[derive(Clone, Debug, Default)]
 pub struct Problems {
-    /// The file, or what else the document is called.
+    /// Name of the file or other document.
     pub source: String,
     pub all: Vec<Problem>,
 }
 
 impl Problems {
-    /// Each as a line, without the source.
+    /// Each problem as a line of text, without the source.
     pub fn lines(&self) -> Vec<String> {
         self.all.iter().map(Problem::to_string).collect()
     }
@@ -107,16 +107,17 @@
 
 impl std::error::Error for Problems {}
 
-/// The names, and the nearest of them where it may have been meant.
+/// Text to append to an error about an unknown name: the most similar known name, or else a list of known
+/// names.
 pub fn suggest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> String {
     let mut known: Vec<&str> = known.into_iter().collect();
     known.sort_unstable();
     let near = known.iter().map(|k| (strsim::damerau_levenshtein(name, k), *k)).min();
-    // A third of the letters may differ: further off it is another word.
+    // Up to a third of the letters may differ; with more it is probably a different word.
     if let Some((_, k)) = near.filter(|(off, k)| *off <= (name.len().max(k.len())).div_ceil(3)) {
         return format!("; did you mean {k:?}?");
     }
-    // More would hide what is wrong.
+    // A longer list would obscure the error itself.
     const SHOWN: usize = 12;
     let more = if known.len() > SHOWN { ", ..." } else { "" };
     match known.is_empty() {
--- a/crates/config/src/report.rs
+++ b/crates/config/src/report.rs
@@ -1,4 +1,4 @@
-//! The effective configuration with the source of each value, and what differs between two.
+//! The effective configuration with the source of each value, and the differences between two configurations.
 
 use crate::file::File;
 use crate::installation::Document;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Where a value comes from.
+/// Source of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     Default,
@@ -26,17 +26,17 @@
     }
 }
 
-/// A value of the effective configuration.
+/// A value of the effective configuration, with its path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leaf {
     pub path: Path,
     pub value: Value,
 }
 
-/// All values of a file, by their paths.
+/// All values of a file, with their paths. Values that are not set are left out.
 pub fn leaves(file: &File) -> Vec<Leaf> {
     let mut all = Vec::new();
-    // A file is made of text, numbers and tables with names: none that JSON has not.
+    // Cannot fail: a file contains only strings, numbers, booleans, lists and tables with string keys.
     collect(Path::default(), serde_json::to_value(file).unwrap_or_default(), &mut all);
     all
 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// All values of the effective configuration with their sources. Takes a while for a large one.
+/// All values of the effective configuration with their sources. Slow for a large configuration.
 pub fn values(file: &File, document: &Document, version: Option<(u64, &Value)>) -> Vec<(Leaf, Source)> {
     let over = version.map(|(number, config)| (number, tree::from_json(config)));
     let lines = document.lines();
@@ -66,7 +66,7 @@
         let own = || lines.line(path).map_or(Source::Default, |line| Source::File { line });
         let Some((number, over)) = &over else { return own() };
         let section = Path(path.0.iter().take(1).cloned().collect());
-        // The operator's pages stay where the operator put them.
+        // A version cannot change the address of the admin pages.
         match over.at(&section).filter(|_| path.to_string() != "listen.admin") {
             None => own(),
             Some(_) => over.at(path).map_or(Source::Default, |_| Source::Version(*number)),
@@ -75,12 +75,13 @@
     leaves(file).into_iter().map(|leaf| (source(&leaf.path), leaf)).map(|(s, l)| (l, s)).collect()
 }
 
-/// One value that differs.
+/// A value that differs between two configurations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     pub path: Path,
-    /// None where it is not there.
+    /// None if the value was added.
     pub before: Option<Value>,
+    /// None if the value was removed.
     pub after: Option<Value>,
 }
 
@@ -95,7 +96,7 @@
     }
 }
 
-/// What differs from `before` to `after`, sorted by path.
+/// Differences from `before` to `after`, sorted by path.
 pub fn diff(before: &File, after: &File) -> Vec<Difference> {
     let table = |file| leaves(file).into_iter().map(|l| (l.path, l.value)).collect::<BTreeMap<_, _>>();
     let (before, mut after) = (table(before), table(after));
@@ -111,7 +112,7 @@
     all
 }
 
-/// The JSON schema of the operator's file.
+/// The JSON schema of the configuration file.
 pub fn schema() -> Value {
     serde_json::to_value(schemars::schema_for!(File)).unwrap_or_default()
 }
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -1,43 +1,45 @@
-//! Which route a request takes. Pure: a request in, a route out, or a named reason.
+//! Route matching: finds the route of a request, or the reason why there is none. Performs no I/O.
 //!
-//! Precedence, the first that differs decides:
+//! Precedence, decided by the first criterion that differs:
 //!
-//! 1. host: its own name, then `*.` names with more labels before fewer, then any host;
-//! 2. path, segment by segment from the left: the text itself, then `{name}`, then the end of a prefix; a
-//!    path that ends there before a prefix that ends there;
+//! 1. host: an exact name, then `*.` names with more labels before those with fewer, then any host;
+//! 2. path, segment by segment from the left: literal text, then `{name}`, then the end of a prefix; an exact
+//!    path that ends at a segment comes before a prefix that ends there;
 //! 3. more headers before fewer.
 //!
-//! Two routes of which neither comes first, and that one request could both match, are a conflict, told when
-//! the table is built. So a request has one route whatever the order in which routes were written.
+//! Two routes of equal precedence that could match the same request are a conflict, which is reported when
+//! the router is built. Each request therefore has one route, independent of the order in which routes are
+//! written.
 //!
-//! A lookup walks the path once through a tree, then asks one table for each set of header names that is
-//! used at that place: its cost does not grow with the number of routes.
+//! A lookup walks the segments of the path down a tree, then looks into one hash table for each set of header
+//! names used at that node, so its cost does not grow with the number of routes.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Path segments that are looked at; a path with more is no route's.
+/// Maximum number of segments in the path of a route.
 pub const MAX_SEGMENTS: usize = 64;
 
-/// What a request must be.
+/// Conditions under which a route matches a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Condition {
-    /// In lower case, perhaps with `*.` ahead; None for any.
+    /// Host name in lower case, optionally with a leading `*.`; None matches any host.
     pub host: Option<String>,
     pub path: Pattern,
-    /// Upper case.
+    /// Methods in upper case.
     pub methods: Vec<String>,
-    /// Names in lower case.
+    /// Required values by header name in lower case.
     pub headers: BTreeMap<String, String>,
 }
 
-/// A path, or a prefix of paths.
+/// Pattern of a whole path or of a path prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pattern {
     pub segments: Vec<Segment>,
-    /// What stands behind the segments is matched, too.
+    /// Also matches any segments that follow.
     pub prefix: bool,
 }
 
+/// A segment of a pattern: literal text, or a named wildcard for one segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Segment {
     Literal(String),
@@ -45,10 +47,10 @@
 }
 
 impl Pattern {
-    /// Reads `/a/{name}/c`.
+    /// Parses a pattern such as `/a/{name}/c`.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The reason why the text is not a valid pattern.
     pub fn read(text: &str, prefix: bool) -> Result<Pattern, String> {
         let rest = text.strip_prefix('/').ok_or("a path begins with /")?;
         if prefix && text.len() > 1 && text.ends_with('/') {
@@ -92,7 +94,7 @@
         Ok(Pattern { segments, prefix })
     }
 
-    /// Names that a rewrite may use.
+    /// Names that a rewritten path may refer to.
     pub fn names(&self) -> Vec<&str> {
         let any = self.segments.iter().filter_map(|s| match s {
             Segment::Wildcard(name) => Some(name.as_str()),
@@ -101,7 +103,7 @@
         any.chain(self.prefix.then_some("rest")).collect()
     }
 
-    /// What the names stand for in a path that it matches.
+    /// Values of the names in a path that the pattern matches.
     pub fn captures<'a>(&'a self, path: &'a str) -> Vec<(&'a str, &'a str)> {
         let mut rest = path.strip_prefix('/').unwrap_or(path);
         let mut found = Vec::new();
@@ -117,9 +119,10 @@
     }
 }
 
-/// A path as it is compared: percent-encoded characters that need no encoding are decoded, the others in
-/// upper case (RFC 3986, 6.2.2). None for one that readers take for different paths: an empty segment before
-/// the end, `.` and `..`, an encoded slash, a control character, an encoding that is none.
+/// Normalizes a path for comparison: percent-encoded characters that need no encoding are decoded, other
+/// encodings are written in upper case (RFC 3986, 6.2.2). None for a path that different servers may
+/// interpret differently: with an empty segment before the end, `.` or `..`, an encoded slash, a backslash, a
+/// control character or an invalid percent-encoding.
 pub fn normalize_path(path: &str) -> Option<String> {
     let mut out = String::with_capacity(path.len());
     let mut rest = path.as_bytes();
@@ -145,133 +148,136 @@
     }
     let inner = out.strip_prefix('/')?;
     let parts: Vec<&str> = inner.split('/').collect();
-    let odd =
+    let is_ambiguous =
         |(n, part): (usize, &&str)| matches!(*part, "." | "..") || (part.is_empty() && n + 1 < parts.len());
-    (!parts.iter().enumerate().any(odd)).then_some(out)
+    (!parts.iter().enumerate().any(is_ambiguous)).then_some(out)
 }
 
-/// A request, as far as routes ask.
+/// The parts of a request that routes match.
 pub trait Request {
     fn method(&self) -> &str;
-    /// In lower case and without a port.
+    /// Host name in lower case, without a port.
     fn host(&self) -> &str;
-    /// As [`normal_path`] gives it.
+    /// Path as returned by [`normalize_path`].
     fn path(&self) -> &str;
-    /// The value of a header, by its name in lower case, if it is there once.
+    /// Value of a header, by its name in lower case, if the header occurs exactly once.
     fn header(&self, name: &str) -> Option<&str>;
 }
 
-/// Why a request has no route.
+/// Why no route matches a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NoRoute {
-    /// No route has this host and path.
+    /// No route matches the host and path.
     Path,
-    /// Some have, with other headers.
+    /// Routes match the host and path, but with other headers.
     Headers,
-    /// Some have, with these methods only.
+    /// Routes match host, path and headers, but only with these methods.
     Method(Vec<String>),
 }
 
-/// Two routes that a request could both match, and neither comes first.
+/// Indexes of two routes of equal precedence that could match the same request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict(pub usize, pub usize);
 
-/// All routes. `T` numbers what they lead to.
+/// Finds the matching route among all routes, by its index.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
-    hosts: HashMap<String, Tree>,
-    /// By what stands behind `*.`.
-    under: HashMap<String, Tree>,
-    any: Tree,
+    hosts: HashMap<String, Node>,
+    /// By the name that follows `*.`.
+    wildcard_hosts: HashMap<String, Node>,
+    any_host: Node,
 }
 
+/// A node of the tree of path segments.
 #[derive(Clone, Debug, Default)]
-struct Tree {
-    texts: HashMap<String, Tree>,
-    segment: Option<Box<Tree>>,
-    /// Routes that end here, and prefixes that do.
-    whole: Leaf,
+struct Node {
+    literals: HashMap<String, Node>,
+    wildcard: Option<Box<Node>>,
+    /// Routes whose exact path ends at this node.
+    exact: Leaf,
+    /// Routes whose prefix ends at this node.
     prefix: Leaf,
 }
 
-/// Routes of one host and path.
+/// Routes with the same host and path.
 #[derive(Clone, Debug, Default)]
 struct Leaf {
-    /// By the names of the headers that they ask for; more names first.
+    /// Grouped by the names of the required headers; groups with more names come first.
     groups: Vec<Group>,
 }
 
+/// Routes that require the same set of header names.
 #[derive(Clone, Debug)]
 struct Group {
     names: Vec<String>,
-    /// By the values of those headers.
-    by_values: HashMap<Vec<String>, Vec<Choice>>,
+    /// By the required values, in the order of `names`.
+    by_values: HashMap<Vec<String>, Vec<Candidate>>,
 }
 
-/// Routes that differ by method only.
+/// One of several routes that differ only in their methods.
 #[derive(Clone, Debug)]
-struct Choice {
+struct Candidate {
     methods: Vec<String>,
     route: usize,
 }
 
-impl Choice {
-    fn overlaps(&self, other: &Choice) -> bool {
+impl Candidate {
+    fn overlaps(&self, other: &Candidate) -> bool {
         self.methods.iter().any(|m| other.methods.contains(m))
     }
 }
 
 impl Router {
-    /// Builds the table. Routes are named by their place in `routes`.
+    /// Builds a router. Routes are identified by their index in `routes`.
     ///
     /// # Errors
-    /// All conflicts that were found; at most one for each route and set of headers.
+    /// The conflicts found, at most one for each route and set of headers.
     pub fn new(routes: &[Condition]) -> Result<Router, Vec<Conflict>> {
         let mut router = Router::default();
         let mut conflicts = Vec::new();
         for (route, condition) in routes.iter().enumerate() {
-            let mut tree = match condition.host.as_deref().map(|h| (h.strip_prefix("*."), h)) {
-                None => &mut router.any,
-                Some((Some(under), _)) => router.under.entry(under.to_owned()).or_default(),
+            let mut node = match condition.host.as_deref().map(|h| (h.strip_prefix("*."), h)) {
+                None => &mut router.any_host,
+                Some((Some(under), _)) => router.wildcard_hosts.entry(under.to_owned()).or_default(),
                 Some((None, host)) => router.hosts.entry(host.to_owned()).or_default(),
             };
             for segment in &condition.path.segments {
-                tree = match segment {
-                    Segment::Literal(text) => tree.texts.entry(text.clone()).or_default(),
-                    Segment::Wildcard(_) => tree.segment.get_or_insert_default(),
+                node = match segment {
+                    Segment::Literal(text) => node.literals.entry(text.clone()).or_default(),
+                    Segment::Wildcard(_) => node.wildcard.get_or_insert_default(),
                 };
             }
-            let leaf = if condition.path.prefix { &mut tree.prefix } else { &mut tree.whole };
+            let leaf = if condition.path.prefix { &mut node.prefix } else { &mut node.exact };
             conflicts.extend(leaf.add(route, condition));
         }
         if conflicts.is_empty() { Ok(router) } else { Err(conflicts) }
     }
 
-    /// The route of a request.
+    /// The index of the route that matches a request.
     ///
     /// # Errors
-    /// Why it has none.
+    /// Why no route matches.
     pub fn route(&self, request: &impl Request) -> Result<usize, NoRoute> {
         let path = request.path().strip_prefix('/').unwrap_or_default();
         let segments: Vec<&str> = path.split('/').take(MAX_SEGMENTS + 1).collect();
-        let mut miss = Miss::default();
+        let mut partial = PartialMatches::default();
         let mut found = None;
-        if let Some(tree) = self.hosts.get(request.host()) {
-            found = tree.find(&segments, request, &mut miss);
+        if let Some(node) = self.hosts.get(request.host()) {
+            found = node.find(&segments, request, &mut partial);
         }
         let mut host = request.host();
         while let (None, Some((_, under))) = (found, host.split_once('.')) {
-            if let Some(tree) = self.under.get(under) {
-                found = tree.find(&segments, request, &mut miss);
+            if let Some(node) = self.wildcard_hosts.get(under) {
+                found = node.find(&segments, request, &mut partial);
             }
             host = under;
         }
-        let found = found.or_else(|| self.any.find(&segments, request, &mut miss));
+        let found = found.or_else(|| self.any_host.find(&segments, request, &mut partial));
         found.ok_or_else(|| {
-            miss.methods.sort();
-            miss.methods.dedup();
-            match (miss.methods.is_empty(), miss.headers) {
-                (false, _) => NoRoute::Method(miss.methods),
+            partial.methods.sort();
+            partial.methods.dedup();
+            match (partial.methods.is_empty(), partial.headers) {
+                (false, _) => NoRoute::Method(partial.methods),
                 (true, true) => NoRoute::Headers,
                 (true, false) => NoRoute::Path,
             }
@@ -279,63 +285,67 @@
     }
 }
 
-/// What came near.
+/// Partial matches found by a lookup, which determine the error if no route matches.
 #[derive(Default)]
-struct Miss {
+struct PartialMatches {
     headers: bool,
     methods: Vec<String>,
 }
 
-impl Tree {
-    /// Each node is come to once at most: its place in the tree is its place in the path.
-    fn find(&self, segments: &[&str], request: &impl Request, miss: &mut Miss) -> Option<usize> {
+impl Node {
+    /// Visits each node at most once, since the depth of a node equals the index of the path segment.
+    fn find(&self, segments: &[&str], request: &impl Request, partial: &mut PartialMatches) -> Option<usize> {
         let Some((first, rest)) = segments.split_first() else {
-            return self.whole.find(request, miss).or_else(|| self.prefix.find(request, miss));
+            return self.exact.find(request, partial).or_else(|| self.prefix.find(request, partial));
         };
-        let text = self.texts.get(*first).and_then(|t| t.find(rest, request, miss));
-        let any = self.segment.as_deref().filter(|_| !first.is_empty());
-        text.or_else(|| any.and_then(|tree| tree.find(rest, request, miss)))
-            .or_else(|| self.prefix.find(request, miss))
+        let text = self.literals.get(*first).and_then(|t| t.find(rest, request, partial));
+        let any = self.wildcard.as_deref().filter(|_| !first.is_empty());
+        text.or_else(|| any.and_then(|node| node.find(rest, request, partial)))
+            .or_else(|| self.prefix.find(request, partial))
     }
 }
 
 impl Leaf {
     fn add(&mut self, route: usize, condition: &Condition) -> Vec<Conflict> {
-        let choice = Choice { methods: condition.methods.clone(), route };
+        let candidate = Candidate { methods: condition.methods.clone(), route };
         let names: Vec<String> = condition.headers.keys().cloned().collect();
         let values: Vec<String> = condition.headers.values().cloned().collect();
         let mut conflicts = Vec::new();
-        // One request can have the headers of both, unless they ask for two values of one.
+        // One request can satisfy both sets of headers unless they require different values of the same
+        // header.
         for group in self.groups.iter().filter(|g| g.names.len() == names.len() && g.names != names) {
-            let agrees = |of: &Vec<String>| {
+            let compatible = |of: &Vec<String>| {
                 group.names.iter().zip(of).all(|(n, v)| condition.headers.get(n).is_none_or(|own| own == v))
             };
-            let mut both = group.by_values.iter().filter(|(of, _)| agrees(of)).flat_map(|(_, c)| c);
-            conflicts.extend(both.find(|c| c.overlaps(&choice)).map(|c| Conflict(c.route, route)));
+            let mut both = group.by_values.iter().filter(|(of, _)| compatible(of)).flat_map(|(_, c)| c);
+            conflicts.extend(both.find(|c| c.overlaps(&candidate)).map(|c| Conflict(c.route, route)));
         }
         let at = self.groups.iter().position(|g| g.names == names).unwrap_or_else(|| {
             let at = self.groups.partition_point(|g| g.names.len() >= names.len());
             self.groups.insert(at, Group { names, by_values: HashMap::new() });
             at
         });
-        let choices = self.groups[at].by_values.entry(values).or_default();
-        conflicts.extend(choices.iter().find(|c| c.overlaps(&choice)).map(|c| Conflict(c.route, route)));
-        choices.push(choice);
+        let candidates = self.groups[at].by_values.entry(values).or_default();
+        conflicts
+            .extend(candidates.iter().find(|c| c.overlaps(&candidate)).map(|c| Conflict(c.route, route)));
+        candidates.push(candidate);
         conflicts
     }
 
-    fn find(&self, request: &impl Request, miss: &mut Miss) -> Option<usize> {
+    fn find(&self, request: &impl Request, partial: &mut PartialMatches) -> Option<usize> {
         for group in &self.groups {
             let values = group.names.iter().map(|n| request.header(n).map(str::to_owned));
             let values: Option<Vec<String>> = values.collect();
-            let Some(choices) = values.and_then(|v| group.by_values.get(&v)) else {
-                miss.headers = true;
+            let Some(candidates) = values.and_then(|v| group.by_values.get(&v)) else {
+                partial.headers = true;
                 continue;
             };
-            if let Some(choice) = choices.iter().find(|c| c.methods.iter().any(|m| m == request.method())) {
-                return Some(choice.route);
+            if let Some(candidate) =
+                candidates.iter().find(|c| c.methods.iter().any(|m| m == request.method()))
+            {
+                return Some(candidate.route);
             }
-            miss.methods.extend(choices.iter().flat_map(|c| c.methods.iter().cloned()));
+            partial.methods.extend(candidates.iter().flat_map(|c| c.methods.iter().cloned()));
         }
         None
     }
--- a/crates/config/src/route_test.rs
+++ b/crates/config/src/route_test.rs
@@ -1,18 +1,19 @@
-//! The table against a naive scan in the stated precedence, on random tables and requests, and by example.
+//! Compares the router with a linear scan by the documented precedence, on random routes and requests, and
+//! tests examples.
 
 use super::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::cmp::Ordering;
 
 #[derive(Debug)]
-struct Asked {
+struct TestRequest {
     method: &'static str,
     host: &'static str,
     path: String,
     headers: Vec<(&'static str, &'static str)>,
 }
 
-impl Request for Asked {
+impl Request for TestRequest {
     fn method(&self) -> &str {
         self.method
     }
@@ -27,16 +28,16 @@
     }
 }
 
-/// Whether a route matches, from its meaning alone.
-fn matches(c: &Condition, asked: &Asked) -> bool {
+/// Reference implementation: whether a route matches a request.
+fn matches(c: &Condition, request: &TestRequest) -> bool {
     let host = match c.host.as_deref() {
         None => true,
         Some(h) => match h.strip_prefix('*') {
-            Some(under) => asked.host.len() > under.len() && asked.host.ends_with(under),
-            None => h == asked.host,
+            Some(under) => request.host.len() > under.len() && request.host.ends_with(under),
+            None => h == request.host,
         },
     };
-    let parts: Vec<&str> = asked.path[1..].split('/').collect();
+    let parts: Vec<&str> = request.path[1..].split('/').collect();
     let long = match c.path.prefix {
         true => parts.len() >= c.path.segments.len(),
         false => parts.len() == c.path.segments.len(),
@@ -46,11 +47,11 @@
             Segment::Literal(t) => t == p,
             Segment::Wildcard(_) => !p.is_empty(),
         });
-    let headers = c.headers.iter().all(|(n, v)| asked.header(n) == Some(v));
-    host && path && headers && c.methods.iter().any(|m| m == asked.method)
+    let headers = c.headers.iter().all(|(n, v)| request.header(n) == Some(v));
+    host && path && headers && c.methods.iter().any(|m| m == request.method)
 }
 
-/// Less comes first.
+/// Reference implementation of the precedence; the lesser condition comes first.
 fn precedence(a: &Condition, b: &Condition) -> Ordering {
     let host = |c: &Condition| match c.host.as_deref() {
         None => (2, 0),
@@ -60,7 +61,7 @@
     let path = |c: &Condition| {
         let mut ranks: Vec<u8> =
             c.path.segments.iter().map(|s| u8::from(matches!(s, Segment::Wildcard(_)))).collect();
-        // Behind the last segment: the end, or anything.
+        // After the last segment, an exact path ranks before a prefix.
         ranks.push(if c.path.prefix { 3 } else { 2 });
         ranks
     };
@@ -70,7 +71,7 @@
         .then_with(|| b.headers.len().cmp(&a.headers.len()))
 }
 
-/// Two of equal precedence that one request could both match.
+/// Whether two routes have equal precedence and could match the same request.
 fn conflict(a: &Condition, b: &Condition) -> bool {
     let texts = |c: &Condition| -> Vec<Option<String>> {
         let text = |s: &Segment| if let Segment::Literal(t) = s { Some(t.clone()) } else { None };
@@ -114,7 +115,7 @@
     Condition { host, path: Pattern::read(&text, prefix).expect(&text), methods, headers }
 }
 
-fn random_request(rng: &mut SmallRng) -> Asked {
+fn random_request(rng: &mut SmallRng) -> TestRequest {
     let depth = rng.random_range(0..5);
     let mut path: String = (0..depth).map(|_| format!("/{}", pick(rng, &["x", "y", "z"]))).collect();
     if path.is_empty() || rng.random_bool(0.1) {
@@ -127,37 +128,38 @@
         }
     }
     let (methods, hosts) = (["POST", "PUT", "GET"], ["a.b.c", "z.b.c", "y.z.b.c", "b.c", "c", "d"]);
-    Asked { method: pick(rng, &methods), host: pick(rng, &hosts), path, headers }
+    TestRequest { method: pick(rng, &methods), host: pick(rng, &hosts), path, headers }
 }
 
 #[test]
-fn a_lookup_agrees_with_a_scan_in_stated_precedence_and_conflicts_are_all_told() {
+fn lookup_agrees_with_a_scan_by_precedence_and_all_conflicts_are_reported() {
     let mut found = [0; 4];
     for seed in 0..2000 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut routes: Vec<Condition> = Vec::new();
         for _ in 0..rng.random_range(1..40) {
             let new = random_route(&mut rng);
-            let against = routes.iter().position(|old| conflict(old, &new));
+            let conflicting = routes.iter().position(|old| conflict(old, &new));
             routes.push(new);
             let built = Router::new(&routes);
-            assert_eq!(built.is_err(), against.is_some(), "seed {seed}: {routes:#?}");
-            if let (Some(against), Err(told)) = (against, built) {
+            assert_eq!(built.is_err(), conflicting.is_some(), "seed {seed}: {routes:#?}");
+            if let (Some(conflicting), Err(result)) = (conflicting, built) {
                 let last = routes.len() - 1;
                 let right = |c: &Conflict| c.1 == last && conflict(&routes[c.0], &routes[last]);
-                assert!(told.iter().all(right), "seed {seed}: {told:?}, not {against} and {last}");
+                assert!(result.iter().all(right), "seed {seed}: {result:?}, not {conflicting} and {last}");
                 routes.pop();
                 found[3] += 1;
             }
         }
         let router = Router::new(&routes).expect("no conflict");
         for _ in 0..50 {
-            let asked = random_request(&mut rng);
-            let mut fits: Vec<usize> = (0..routes.len()).filter(|n| matches(&routes[*n], &asked)).collect();
-            fits.sort_by(|a, b| precedence(&routes[*a], &routes[*b]));
-            let told = router.route(&asked);
-            assert_eq!(told.as_ref().ok(), fits.first(), "seed {seed}: {asked:?} in {routes:#?}");
-            found[match told {
+            let request = random_request(&mut rng);
+            let mut matching: Vec<usize> =
+                (0..routes.len()).filter(|n| matches(&routes[*n], &request)).collect();
+            matching.sort_by(|a, b| precedence(&routes[*a], &routes[*b]));
+            let result = router.route(&request);
+            assert_eq!(result.as_ref().ok(), matching.first(), "seed {seed}: {request:?} in {routes:#?}");
+            found[match result {
                 Ok(_) => 0,
                 Err(NoRoute::Path) => 1,
                 Err(_) => 2,
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn the_order_in_which_routes_are_written_means_nothing() {
+fn the_order_of_routes_has_no_effect() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut routes: Vec<Condition> = Vec::new();
@@ -178,18 +180,18 @@
                 routes.push(new);
             }
         }
-        let turned: Vec<_> = routes.iter().rev().cloned().collect();
-        let (one, two) = (Router::new(&routes).expect("sound"), Router::new(&turned).expect("sound"));
+        let reversed: Vec<_> = routes.iter().rev().cloned().collect();
+        let (one, two) = (Router::new(&routes).expect("sound"), Router::new(&reversed).expect("sound"));
         for _ in 0..50 {
-            let asked = random_request(&mut rng);
-            let other = two.route(&asked).map(|n| routes.len() - 1 - n);
-            assert_eq!(one.route(&asked), other, "seed {seed}: {asked:?}");
+            let request = random_request(&mut rng);
+            let other = two.route(&request).map(|n| routes.len() - 1 - n);
+            assert_eq!(one.route(&request), other, "seed {seed}: {request:?}");
         }
     }
 }
 
 #[test]
-fn paths_that_readers_take_for_different_ones_are_none() {
+fn ambiguous_paths_are_rejected() {
     for (path, normal) in [
         ("/", Some("/")),
         ("/a/b/", Some("/a/b/")),
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn patterns_that_mean_nothing_are_refused() {
+fn invalid_patterns_are_rejected() {
     for (text, prefix) in [
         ("", false),
         ("a", false),
@@ -238,14 +240,14 @@
 }
 
 #[test]
-fn a_path_without_end_is_no_routes_and_costs_little() {
+fn very_long_paths_are_looked_up_only_up_to_the_segment_limit() {
     let router = Router::new(&[Condition {
         path: Pattern::read("/a", true).expect("sound"),
         methods: vec!["POST".to_owned()],
         ..Condition::default()
     }]);
     let router = router.expect("sound");
-    let asked = |path| Asked { method: "POST", host: "", path, headers: Vec::new() };
-    assert_eq!(router.route(&asked("/b".repeat(100_000))), Err(NoRoute::Path));
-    assert_eq!(router.route(&asked("/a".to_owned() + &"/b".repeat(100_000))), Ok(0));
+    let request = |path| TestRequest { method: "POST", host: "", path, headers: Vec::new() };
+    assert_eq!(router.route(&request("/b".repeat(100_000))), Err(NoRoute::Path));
+    assert_eq!(router.route(&request("/a".to_owned() + &"/b".repeat(100_000))), Ok(0));
 }
--- a/crates/config/src/topic.rs
+++ b/crates/config/src/topic.rs
@@ -1,22 +1,23 @@
-//! MQTT topics: what is a name and what a filter (section 4.7 of both versions), and what becomes of a message that is
-//! published to one. Pure: a topic in, a pool, a class and a path out.
+//! MQTT topic names and filters (section 4.7 of MQTT 3.1.1 and 5.0), and the mapping of a published message
+//! to a pool, a class and a path. Performs no I/O.
 //!
-//! Of several filters that match, the first level from the left that differs decides: the text itself, then `+`, then
-//! `#`. So a topic has one entry whatever the order in which they were written. Two with the same filter are an error.
+//! Where several filters match, the first level from the left that differs decides: literal text comes before
+//! `+`, and `+` before `#`. A topic therefore has one entry, independent of the order in which entries are
+//! written. Two entries with the same filter are an error.
 
 use crate::file::{IdentityScope, Pick};
 use crate::route::{Condition, MAX_SEGMENTS, Pattern, Request, Router, Segment, normalize_path};
 use std::borrow::Cow;
 
-/// Longest topic, bytes: it is on record with each message.
+/// Maximum length of a topic in bytes, since it is recorded with each message.
 pub const MAX_TOPIC_BYTES: usize = 1024;
 
-/// Whether a topic can be published to.
+/// Whether the text is a valid topic name, to which a client can publish.
 pub fn is_topic_name(topic: &str) -> bool {
     !topic.is_empty() && topic.len() <= MAX_TOPIC_BYTES && !topic.contains(['+', '#', '\0'])
 }
 
-/// Whether it is a filter.
+/// Whether the text is a valid topic filter.
 pub fn is_topic_filter(filter: &str) -> bool {
     let levels: Vec<&str> = filter.split('/').collect();
     let last = levels.len() - 1;
@@ -30,7 +31,7 @@
 
 /// Whether a topic matches a filter.
 pub fn matches(filter: &str, topic: &str) -> bool {
-    // A wildcard at the head matches no topic of the server's own.
+    // A leading wildcard does not match topics that begin with $, which are reserved for the server.
     if topic.starts_with('$') && !filter.starts_with('$') {
         return false;
     }
@@ -46,7 +47,7 @@
     }
 }
 
-/// What becomes of messages whose topic matches.
+/// How messages whose topic matches a filter are handled. `pool` and `class` are indexes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Topic {
     pub name: String,
@@ -57,20 +58,21 @@
     pub identity_scope: IdentityScope,
     pub key: Option<Pick>,
     pub time_out: Option<Pick>,
-    /// The path towards the endpoint; None for the topic itself.
+    /// Path of the request to the endpoint; None for a path made of the topic.
     pub rewrite: Option<String>,
-    /// User properties that are passed on, in lower case.
+    /// Names of forwarded user properties, in lower case.
     pub pass: Vec<String>,
     pub set: Vec<(String, String)>,
 }
 
-/// An empty level, which the tree of routes does not know: no topic has this character.
-const EMPTY: &str = "\0";
+/// Stands for an empty level in the router, which does not match empty segments. No topic contains this
+/// character.
+const EMPTY_LEVEL: &str = "\0";
 
-/// The pattern of a filter. What the first `+` matched is its name `1`.
+/// Parses a filter into a pattern, in which the wildcards are named `1`, `2` and so on.
 ///
 /// # Errors
-/// It is none.
+/// The reason why the text cannot be used as a filter.
 pub fn parse_filter(filter: &str) -> Result<Pattern, String> {
     if !is_topic_filter(filter) {
         return Err(format!("{filter:?} is no topic filter, such as \"fuel/+/pay\" or \"fuel/#\""));
@@ -78,15 +80,15 @@
     if filter.starts_with('$') {
         return Err("topics that begin with $ are the courier's own".to_owned());
     }
-    let (mut segments, mut prefix, mut wild) = (Vec::new(), false, 0);
+    let (mut segments, mut prefix, mut wildcards) = (Vec::new(), false, 0);
     for level in filter.split('/') {
         match level {
             "#" => prefix = true,
             "+" => {
-                wild += 1;
-                segments.push(Segment::Wildcard(wild.to_string()));
+                wildcards += 1;
+                segments.push(Segment::Wildcard(wildcards.to_string()));
             }
-            "" => segments.push(Segment::Literal(EMPTY.to_owned())),
+            "" => segments.push(Segment::Literal(EMPTY_LEVEL.to_owned())),
             text => segments.push(Segment::Literal(text.to_owned())),
         }
     }
@@ -96,18 +98,18 @@
     Ok(Pattern { segments, prefix })
 }
 
-/// A topic as a path of the tree of routes.
-fn in_tree(topic: &str) -> String {
+/// Converts a topic to the form of path that the router matches.
+fn router_path(topic: &str) -> String {
     let mut path = String::with_capacity(topic.len() + 1);
     for level in topic.split('/') {
         path.push('/');
-        path.push_str(if level.is_empty() { EMPTY } else { level });
+        path.push_str(if level.is_empty() { EMPTY_LEVEL } else { level });
     }
     path
 }
 
-/// A level as a segment of a path (RFC 3986, 3.3).
-fn encoded(text: &str) -> String {
+/// Percent-encodes a topic level as a path segment (RFC 3986, 3.3).
+fn percent_encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
         match byte {
@@ -118,7 +120,7 @@
     out
 }
 
-/// A message, as far as it is looked at.
+/// The parts of a PUBLISH packet that values are extracted from.
 pub struct PublishedMessage<'a> {
     pub topic: &'a str,
     pub payload: &'a [u8],
@@ -126,14 +128,14 @@
 }
 
 impl PublishedMessage<'_> {
-    /// The value of a user property, if it is there once.
+    /// Value of a user property, if the property occurs exactly once.
     pub fn property(&self, name: &str) -> Option<&str> {
         let mut of =
             self.properties.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str());
         of.next().filter(|_| of.next().is_none())
     }
 
-    /// What stands where `pick` says; None if there is nothing, or it is neither text nor a number.
+    /// The value that `pick` selects, or None if it is missing, empty, or neither a string nor a number.
     pub fn extract(&self, pick: &Pick) -> Option<Cow<'_, str>> {
         let text = if let Some(name) = &pick.property {
             Cow::Borrowed(self.property(name)?)
@@ -152,35 +154,37 @@
 }
 
 impl Topic {
-    /// The path towards an endpoint; None for a topic that would be no plain path.
+    /// Path of the request to the endpoint, or None if the topic does not give a valid path.
     pub fn path(&self, topic: &str) -> Option<String> {
         let Some(rewrite) = &self.rewrite else {
-            let levels: Vec<String> = topic.split('/').map(encoded).collect();
+            let levels: Vec<String> = topic.split('/').map(percent_encode).collect();
             return normalize_path(&format!("/{}", levels.join("/")));
         };
         let mut path = rewrite.clone();
-        let tree = in_tree(topic);
+        let tree = router_path(topic);
         for (name, value) in self.pattern.captures(&tree) {
-            let levels: Vec<String> = value.split('/').map(|l| encoded(l.trim_matches('\0'))).collect();
+            let levels: Vec<String> =
+                value.split('/').map(|l| percent_encode(l.trim_matches('\0'))).collect();
             path = path.replace(&format!("{{{name}}}"), &levels.join("/"));
         }
         normalize_path(&path)
     }
 }
 
-/// All topics that are taken.
+/// Finds the entry that matches a topic.
 #[derive(Clone, Debug, Default)]
 pub struct Topics {
     topics: Vec<Topic>,
     router: Router,
 }
 
-struct Asked(String);
+/// A topic as a request to the router.
+struct TopicRequest(String);
 
-/// There is one thing to do with a topic.
+/// The only method in the router for topics.
 const PUBLISH: &str = "PUBLISH";
 
-impl Request for Asked {
+impl Request for TopicRequest {
     fn method(&self) -> &str {
         PUBLISH
     }
@@ -199,8 +203,10 @@
 }
 
 impl Topics {
+    /// Builds the table of topics.
+    ///
     /// # Errors
-    /// The names of those that have the same filter, in pairs.
+    /// Pairs of names of entries that have the same filter.
     pub fn new(topics: Vec<Topic>) -> Result<Topics, Vec<(String, String)>> {
         let condition = |t: &Topic| Condition {
             path: t.pattern.clone(),
@@ -217,12 +223,12 @@
         }
     }
 
-    /// What becomes of a message that is published to a topic; None if it is not taken.
+    /// The entry for messages published to a topic, or None if no filter matches or the topic begins with $.
     pub fn match_topic(&self, topic: &str) -> Option<&Topic> {
         if topic.starts_with('$') {
             return None;
         }
-        self.router.route(&Asked(in_tree(topic))).ok().map(|n| &self.topics[n])
+        self.router.route(&TopicRequest(router_path(topic))).ok().map(|n| &self.topics[n])
     }
 
     pub fn len(&self) -> usize {
--- a/crates/config/src/topic_test.rs
+++ b/crates/config/src/topic_test.rs
@@ -43,10 +43,11 @@
     }
 }
 
-/// Whether `a` comes before `b`: the first level that differs, text before `+` before `#`.
+/// Whether `a` has precedence over `b`: at the first level that differs, text comes before `+`, and `+`
+/// before `#`.
 fn before(a: &str, b: &str) -> bool {
     let rank = |level: Option<&str>| match level {
-        // A filter that ends there comes before one that ends in #.
+        // A filter that ends at this level comes before one that continues with #.
         None => 0,
         Some("#") => 3,
         Some("+") => 2,
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn the_tree_agrees_with_a_scan_of_all_filters() {
+fn lookup_agrees_with_a_scan_of_all_filters() {
     use rand::rngs::SmallRng;
     use rand::{Rng, SeedableRng};
     for seed in 0..2000 {
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn topics_become_paths() {
+fn topics_are_converted_to_paths() {
     let plain = topic("a", "a/#");
     assert_eq!(plain.path("a/b c/d?").as_deref(), Some("/a/b%20c/d%3F"));
     assert_eq!(plain.path("a/../b"), None);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn values_are_found_where_they_are_said_to_be() {
+fn values_are_extracted_from_their_configured_source() {
     let properties = [
         ("id".to_owned(), "p-1".to_owned()),
         ("Twice".to_owned(), "1".to_owned()),
--- a/crates/config/src/tree.rs
+++ b/crates/config/src/tree.rs
@@ -1,21 +1,22 @@
-//! A document as a tree, from TOML or JSON, with the place of each value in its text.
+//! A document tree, parsed from TOML or JSON, with the position of each value in the text.
 
 use crate::problem::{Path, PathStep, Problem};
 use std::ops::Range;
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A value, and where it stands.
+/// A value with its position in the text.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Node {
-    /// Bytes of the text; None for JSON, whose lines nobody edits.
+    /// Byte range in the text; None for JSON, which operators do not edit.
     pub span: Option<Range<usize>>,
     pub value: Value,
 }
 
+/// A TOML or JSON value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Value {
-    /// Taken out, since it cannot be read: it counts as not there.
+    /// Removed because it could not be decoded; treated as missing.
     #[default]
     Removed,
     Null,
@@ -27,7 +28,7 @@
     Table(Vec<Entry>),
 }
 
-/// A key of a table with its value.
+/// A key and value of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub key: String,
@@ -35,7 +36,7 @@
     pub node: Node,
 }
 
-/// Reads TOML, as far as it can be read, with what is wrong with its syntax.
+/// Parses TOML with error recovery, and returns the tree with all syntax errors.
 pub fn from_toml(text: &str) -> (Node, Vec<Problem>) {
     let (table, errors) = DeTable::parse_recoverable(text);
     let problems = errors.iter().map(|e| {
@@ -43,7 +44,7 @@
         Problem { path: Path::default(), position, reason: e.message().replace('\n', ", ") }
     });
     let mut problems: Vec<Problem> = problems.collect();
-    // What follows in one line mostly comes of the first.
+    // Keeps only the first error of a line, since further ones are usually its consequences.
     problems.dedup_by_key(|p| p.position.map(|(line, _)| line));
     let span = Some(table.span());
     (Node { span, value: table_of(table.into_inner()) }, problems)
@@ -120,7 +121,7 @@
         })
     }
 
-    /// Keys of the table at `path`.
+    /// Keys of the table at `path`; empty if there is no table.
     pub fn keys(&self, path: &Path) -> Vec<&str> {
         match self.at(path).map(|n| &n.value) {
             Some(Value::Table(entries)) => entries.iter().map(|e| e.key.as_str()).collect(),
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Where a path begins in the text: at its key, or the nearest one above that is there.
+    /// Byte offset of the key of `path` in the text, or of its nearest ancestor that exists.
     pub fn start(&self, path: &Path) -> Option<usize> {
         let mut node = self;
         let mut start = None;
@@ -151,7 +152,7 @@
     }
 }
 
-/// Line and column of a byte, from 1. Columns count characters.
+/// Line and column of a byte offset, counted from 1. Columns are counted in characters.
 pub fn line_and_column(text: &str, at: usize) -> (usize, usize) {
     let before = text.get(..at).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,4 +1,4 @@
-//! Values with units, as operators write them.
+//! Values with units, as written in the configuration: durations, sizes, rates and portions of memory.
 
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A time span: `"250ms"`, `"2s"`, `"1m 30s"`.
+/// A duration, such as `"250ms"`, `"2s"` or `"1m 30s"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Duration);
 
@@ -21,44 +21,44 @@
     }
 }
 
-/// A size in bytes: `"64KiB"`, `"3MB"`.
+/// A size in bytes, such as `"64KiB"` or `"3MB"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// A rate: `"50/s"`, `"600/min"`, `"10/h"`. Held as calls a second.
+/// A rate, such as `"50/s"`, `"600/min"` or `"10/h"`, stored as calls per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Rate(pub f64);
 
-/// A span longer than this is a slip of the pen: microseconds since a time would not fit a counter.
-const SPAN_MOST: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
+/// Maximum duration. A longer one is rejected as a mistake, since microsecond counters would overflow.
+const MAX_SPAN: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
 
-fn span(text: &str) -> Result<Span, String> {
+fn parse_span(text: &str) -> Result<Span, String> {
     let reason =
         || format!("{text:?} is no time span: write a number and its unit, such as \"250ms\" or \"2s\"");
     let span = humantime::parse_duration(text).map_err(|_| reason())?;
-    if span > SPAN_MOST {
+    if span > MAX_SPAN {
         return Err(format!("{text:?} is longer than ten years"));
     }
     Ok(Span(span))
 }
 
-fn size(text: &str) -> Result<Size, String> {
+fn parse_size(text: &str) -> Result<Size, String> {
     let reason = || format!("{text:?} is no size: write a number and its unit, such as \"64KiB\" or \"3MB\"");
     let bare = text.trim().bytes().all(|b| b.is_ascii_digit());
     let size: bytesize::ByteSize = text.parse().map_err(|_| reason())?;
     if bare { Err(reason()) } else { Ok(Size(size.as_u64())) }
 }
 
-/// A part of the memory: a share, `"30%"`, or a size, `"16MB"`.
+/// A portion of the memory: a share, such as `"30%"`, or a size, such as `"16MB"`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Portion(pub memory::Portion);
 
-fn portion(text: &str) -> Result<Portion, String> {
+fn parse_portion(text: &str) -> Result<Portion, String> {
     let reason = |_| {
         format!("{text:?} is no part of the memory: write a share or a size, such as \"30%\" or \"16MB\"")
     };
     match text.trim().strip_suffix('%') {
-        None => size(text).map(|size| Portion(memory::Portion::Size(size.0))).map_err(reason),
+        None => parse_size(text).map(|size| Portion(memory::Portion::Size(size.0))).map_err(reason),
         Some(number) => {
             let share = number.trim().parse::<f64>().map_err(|e| reason(e.to_string()))?;
             Ok(Portion(memory::Portion::Share(share / 100.0)))
@@ -66,7 +66,7 @@
     }
 }
 
-fn rate(text: &str) -> Result<Rate, String> {
+fn parse_rate(text: &str) -> Result<Rate, String> {
     let reason = || format!("{text:?} is no rate: write a number a span, such as \"50/s\" or \"600/min\"");
     let (number, unit) = text.split_once('/').ok_or_else(reason)?;
     let number: f64 = number.trim().parse().map_err(|_| reason())?;
@@ -107,8 +107,8 @@
     }
 }
 
-/// Reads and writes a unit as text, and describes it in the schema.
-macro_rules! as_text {
+/// Implements (de)serialization of a unit as text, and its JSON schema.
+macro_rules! impl_text_format {
     ($name:ident, $read:ident, $pattern:literal, $what:literal) => {
         impl<'de> Deserialize<'de> for $name {
             fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
@@ -143,15 +143,15 @@
     };
 }
 
-as_text!(Span, span, r"^\s*([0-9]+\s*[a-z]+\s*)+$", "a time span in text, such as \"250ms\"");
-as_text!(Size, size, r"^[0-9.]+\s*[kKMGTP]?i?B$", "a size in text, such as \"64KiB\"");
-as_text!(
+impl_text_format!(Span, parse_span, r"^\s*([0-9]+\s*[a-z]+\s*)+$", "a time span in text, such as \"250ms\"");
+impl_text_format!(Size, parse_size, r"^[0-9.]+\s*[kKMGTP]?i?B$", "a size in text, such as \"64KiB\"");
+impl_text_format!(
     Portion,
-    portion,
+    parse_portion,
     r"^[0-9.]+\s*([kKMGTP]?i?B|%)$",
     "a part of the memory in text, such as \"30%\" or \"16MB\""
 );
-as_text!(Rate, rate, r"^[0-9.]+\s*/\s*(s|min|h)$", "a rate in text, such as \"50/s\"");
+impl_text_format!(Rate, parse_rate, r"^[0-9.]+\s*/\s*(s|min|h)$", "a rate in text, such as \"50/s\"");
 
 #[cfg(test)]
 #[path = "units_test.rs"]
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -1,24 +1,25 @@
-//! Configuration in numbered versions: which one is worked on, which is acknowledged, which refused and why.
-//! A state machine without a socket, a disk or a clock; `docs/config-versions.md` is the protocol.
+//! State of the numbered configuration versions: which one is being applied, and which are acknowledged or
+//! refused, and why. A state machine without I/O or a clock; the protocol is specified in
+//! `docs/config-versions.md`.
 //!
-//! One version is worked on at a time (checked, stored, put into effect); at most one more waits. A newer one
-//! takes the place of the one that waits, so that a service that sends a hundred a second costs one check
-//! after another and no more. Every version gets exactly one answer for each time that it is sent, unless a
-//! later life of the courier finds it in effect.
+//! One version is applied at a time (validated, stored, put into effect), and at most one more waits. A newer
+//! version replaces the one that waits, so that a service that sends a hundred versions a second causes only
+//! one validation after another. Each version gets exactly one answer each time it is sent, unless the
+//! courier restarts and finds it in effect.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::fmt;
 use std::sync::Arc;
 
-/// A line of the stream.
+/// A line of the control service's stream.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Line {
     version: u64,
-    /// The whole configuration,
+    /// The whole configuration; exclusive with `patch`.
     config: Option<Value>,
-    /// or a merge patch (RFC 7396) of version `base`.
+    /// A JSON merge patch (RFC 7396) of version `base`.
     patch: Option<Value>,
     base: Option<u64>,
 }
@@ -27,26 +28,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Version {
     pub version: u64,
-    /// Shared: a large one takes milliseconds to be copied.
+    /// Shared, since copying a large configuration takes milliseconds.
     pub config: Arc<Value>,
 }
 
 /// Why a version is refused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refusal {
-    /// Line that cannot be read: no JSON, no version, both or none of config and patch.
+    /// The line cannot be parsed: it is not JSON, lacks a version, or has both or neither of config and
+    /// patch.
     Unreadable(String),
-    /// A number below the one in effect, or that is worked on.
+    /// The number is below that of the newest version that is in effect, being applied or waiting.
     NotNewer { newest: u64 },
-    /// The number is taken by another configuration.
+    /// The number was already used for a different configuration.
     ConflictingContent,
-    /// A patch of a version that is not the newest here.
+    /// It is a patch of a version that is not the newest known here.
     UnknownBase { base: u64, newest: Option<u64> },
-    /// A newer version came before its turn.
+    /// A newer version arrived before this one was applied.
     Superseded { by: u64 },
-    /// The version that it is a patch of was refused.
+    /// It is a patch of a version that was refused.
     BaseRefused { base: u64 },
-    /// What is wrong with it, or why it cannot be put into effect.
+    /// Problems of the configuration, or reasons why it cannot be put into effect.
     Faults(Vec<String>),
 }
 
@@ -70,38 +72,35 @@
     }
 }
 
-/// What is to be done next.
+/// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VersionAction {
-    /// Check it, store it, put it into effect, and call [`Versions::done`].
+    /// Validate and store the version, put it into effect, then call [`VersionTracker::finish`].
     Apply(Version),
-    /// It is in effect, and a later life would come up on it.
-    Acknowledge {
-        version: u64,
-    },
-    Refuse {
-        version: Option<u64>,
-        reason: Refusal,
-    },
+    /// Acknowledge the version: it is in effect, and a restarted courier would use it.
+    Acknowledge { version: u64 },
+    /// Refuse the version, or a line without a readable version number.
+    Refuse { version: Option<u64>, reason: Refusal },
 }
 
+/// A version that is being applied or waits for that.
 #[derive(Clone, Debug)]
 struct Staged {
     version: Version,
-    /// It is a patch of this one, which must be taken first.
-    needs: Option<u64>,
+    /// The version that this one is a patch of, which must be applied first.
+    depends_on: Option<u64>,
 }
 
-/// Versions as one courier has them.
+/// Tracks the configuration versions of one courier.
 #[derive(Clone, Debug, Default)]
 pub struct VersionTracker {
     in_effect: Option<Version>,
-    working: Option<Staged>,
+    applying: Option<Staged>,
     waiting: Option<Staged>,
 }
 
 impl VersionTracker {
-    /// With the version that is in effect, if it is one of the service's.
+    /// Creates a tracker. `in_effect` is the version in effect, if it came from the control service.
     pub fn new(in_effect: Option<Version>) -> Self {
         VersionTracker { in_effect, ..VersionTracker::default() }
     }
@@ -111,11 +110,11 @@
     }
 
     fn newest(&self) -> Option<&Version> {
-        let staged = self.waiting.as_ref().or(self.working.as_ref()).map(|s| &s.version);
+        let staged = self.waiting.as_ref().or(self.applying.as_ref()).map(|s| &s.version);
         staged.or(self.in_effect.as_ref())
     }
 
-    /// Takes a line of the stream.
+    /// Processes a line of the stream.
     pub fn receive_line(&mut self, line: &[u8]) -> Vec<VersionAction> {
         let line: Line = match serde_json::from_slice(line) {
             Ok(line) => line,
@@ -129,7 +128,7 @@
         let number = line.version;
         let refuse = |reason| vec![VersionAction::Refuse { version: Some(number), reason }];
         let newest = self.newest();
-        let (config, needs) = match (line.config, line.patch, line.base) {
+        let (config, depends_on) = match (line.config, line.patch, line.base) {
             (Some(config), None, None) => (config, None),
             (None, Some(patch), Some(base)) => match newest.filter(|n| n.version == base) {
                 Some(newest) => {
@@ -137,7 +136,7 @@
                     json_patch::merge(&mut config, &patch);
                     (config, Some(base))
                 }
-                // Sent once more after its answer was lost: what is in effect was made of the same base.
+                // Sent again after its answer was lost: the version in effect was made from the same base.
                 None if newest.is_some_and(|n| n.version >= number) => {
                     return match self.in_effect.as_ref().is_some_and(|h| h.version == number) {
                         true => vec![VersionAction::Acknowledge { version: number }],
@@ -155,7 +154,7 @@
         if let Some(known) = self.known(number) {
             return match (known == &version, self.in_effect.as_ref().is_some_and(|h| h.version == number)) {
                 (true, true) => vec![VersionAction::Acknowledge { version: number }],
-                // Its answer is still to come.
+                // Still being applied or waiting; its answer will follow.
                 (true, false) => Vec::new(),
                 (false, _) => refuse(Refusal::ConflictingContent),
             };
@@ -163,16 +162,16 @@
         if let Some(newest) = newest.map(|n| n.version).filter(|n| number < *n) {
             return refuse(Refusal::NotNewer { newest });
         }
-        let staged = Staged { version, needs };
-        if self.working.is_none() {
-            return vec![self.work(staged)];
+        let staged = Staged { version, depends_on };
+        if self.applying.is_none() {
+            return vec![self.apply(staged)];
         }
-        let needs = match &self.waiting {
-            // A patch on what waits holds all of it, and needs what that needed.
-            Some(old) if needs == Some(old.version.version) => old.needs,
-            _ => needs,
+        let depends_on = match &self.waiting {
+            // A patch of the waiting version includes it, and so depends on the same base.
+            Some(old) if depends_on == Some(old.version.version) => old.depends_on,
+            _ => depends_on,
         };
-        let old = self.waiting.replace(Staged { needs, ..staged });
+        let old = self.waiting.replace(Staged { depends_on, ..staged });
         let by = number;
         let superseded = |old: Staged| VersionAction::Refuse {
             version: Some(old.version.version),
@@ -182,19 +181,19 @@
     }
 
     fn known(&self, number: u64) -> Option<&Version> {
-        let staged = [&self.waiting, &self.working].into_iter().flatten().map(|s| &s.version);
+        let staged = [&self.waiting, &self.applying].into_iter().flatten().map(|s| &s.version);
         staged.chain(&self.in_effect).find(|v| v.version == number)
     }
 
-    fn work(&mut self, staged: Staged) -> VersionAction {
+    fn apply(&mut self, staged: Staged) -> VersionAction {
         let version = staged.version.clone();
-        self.working = Some(staged);
+        self.applying = Some(staged);
         VersionAction::Apply(version)
     }
 
-    /// Takes in what became of the version that was worked on.
+    /// Records the result of the version that was being applied.
     pub fn finish(&mut self, result: Result<(), Vec<String>>) -> Vec<VersionAction> {
-        let Some(done) = self.working.take() else { return Vec::new() };
+        let Some(done) = self.applying.take() else { return Vec::new() };
         let number = done.version.version;
         let mut steps = Vec::new();
         let failed = result.is_err();
@@ -207,15 +206,16 @@
         });
         if let Some(next) = self.waiting.take() {
             let version = Some(next.version.version);
-            steps.push(match next.needs == Some(number) && failed {
+            steps.push(match next.depends_on == Some(number) && failed {
                 true => VersionAction::Refuse { version, reason: Refusal::BaseRefused { base: number } },
-                false => self.work(next),
+                false => self.apply(next),
             });
         }
         steps
     }
 
-    /// The connection is gone: what waits there will be sent again, as far as it still counts.
+    /// Discards the waiting version after the connection was lost; the service sends it again if it is still
+    /// current.
     pub fn discard_waiting(&mut self) {
         self.waiting = None;
     }
--- a/crates/config/src/version_test.rs
+++ b/crates/config/src/version_test.rs
@@ -11,7 +11,7 @@
     json!({"version": version, "base": base, "patch": patch}).to_string().into_bytes()
 }
 
-fn work(version: u64, config: Value) -> VersionAction {
+fn apply(version: u64, config: Value) -> VersionAction {
     VersionAction::Apply(Version { version, config: Arc::new(config) })
 }
 
@@ -24,30 +24,30 @@
 }
 
 #[test]
-fn a_version_is_worked_on_then_acknowledged_and_the_next_waits() {
+fn a_version_is_applied_then_acknowledged_while_the_next_waits() {
     let mut v = VersionTracker::default();
-    assert_eq!(v.receive_line(&whole(3, json!({"a": 1}))), [work(3, json!({"a": 1}))]);
+    assert_eq!(v.receive_line(&whole(3, json!({"a": 1}))), [apply(3, json!({"a": 1}))]);
     assert_eq!(v.receive_line(&whole(4, json!({"a": 2}))), []);
     assert_eq!(v.receive_line(&whole(7, json!({"a": 3}))), [refuse(4, Refusal::Superseded { by: 7 })]);
-    assert_eq!(v.finish(Ok(())), [ack(3), work(7, json!({"a": 3}))]);
+    assert_eq!(v.finish(Ok(())), [ack(3), apply(7, json!({"a": 3}))]);
     assert_eq!(v.finish(Err(vec!["no".to_owned()])), [refuse(7, Refusal::Faults(vec!["no".to_owned()]))]);
     assert_eq!(v.in_effect().map(|h| h.version), Some(3));
 }
 
 #[test]
-fn numbers_that_go_back_or_repeat_are_told_apart() {
+fn lower_and_repeated_numbers_are_distinguished() {
     let mut v = VersionTracker::new(Some(Version { version: 5, config: Arc::new(json!({"a": 1})) }));
     assert_eq!(v.receive_line(&whole(5, json!({"a": 1}))), [ack(5)], "sent again: its answer may be lost");
     assert_eq!(v.receive_line(&whole(5, json!({"a": 2}))), [refuse(5, Refusal::ConflictingContent)]);
     assert_eq!(v.receive_line(&whole(4, json!({"a": 1}))), [refuse(4, Refusal::NotNewer { newest: 5 })]);
-    assert_eq!(v.receive_line(&whole(9, json!({"a": 1}))), [work(9, json!({"a": 1}))], "a gap is no fault");
+    assert_eq!(v.receive_line(&whole(9, json!({"a": 1}))), [apply(9, json!({"a": 1}))], "a gap is no fault");
     assert_eq!(v.receive_line(&whole(9, json!({"a": 1}))), [], "its answer is still to come");
     assert_eq!(v.receive_line(&whole(9, json!({"a": 2}))), [refuse(9, Refusal::ConflictingContent)]);
     assert_eq!(v.receive_line(&whole(7, json!({"a": 1}))), [refuse(7, Refusal::NotNewer { newest: 9 })]);
 }
 
 #[test]
-fn patches_need_the_version_that_they_are_made_of() {
+fn patches_require_their_base_version() {
     let mut v =
         VersionTracker::new(Some(Version { version: 5, config: Arc::new(json!({"a": {"b": 1, "c": 2}})) }));
     let newest = Some(5);
@@ -57,20 +57,20 @@
     );
     assert_eq!(
         v.receive_line(&patch(6, 5, json!({"a": {"b": null, "d": 3}}))),
-        [work(6, json!({"a": {"c": 2, "d": 3}}))]
+        [apply(6, json!({"a": {"c": 2, "d": 3}}))]
     );
-    // A patch on what is worked on, and one on that: the first is held in the second.
+    // A patch of the version being applied, then a patch of that patch: the second includes the first.
     assert_eq!(v.receive_line(&patch(7, 6, json!({"e": 1}))), []);
     assert_eq!(v.receive_line(&patch(8, 7, json!({"f": 1}))), [refuse(7, Refusal::Superseded { by: 8 })]);
     let all = json!({"a": {"c": 2, "d": 3}, "e": 1, "f": 1});
-    assert_eq!(v.clone().finish(Ok(())), [ack(6), work(8, all)]);
+    assert_eq!(v.clone().finish(Ok(())), [ack(6), apply(8, all)]);
     let bad = v.finish(Err(vec![]));
     assert_eq!(bad, [refuse(6, Refusal::Faults(vec![])), refuse(8, Refusal::BaseRefused { base: 6 })]);
     assert_eq!(v.in_effect().map(|h| h.version), Some(5));
 }
 
 #[test]
-fn lines_that_are_none_are_refused_and_change_nothing() {
+fn unreadable_lines_are_refused_without_a_change() {
     let mut v = VersionTracker::default();
     for bad in [
         "",
@@ -90,12 +90,12 @@
             "{bad}: {steps:?}"
         );
     }
-    assert_eq!(v.receive_line(&whole(1, json!({}))), [work(1, json!({}))]);
+    assert_eq!(v.receive_line(&whole(1, json!({}))), [apply(1, json!({}))]);
 }
 
-/// Every version that is sent has one answer at the end, and what is in effect is the last acknowledged.
+/// Each version sent gets exactly one answer, and the version in effect is the last one acknowledged.
 #[test]
-fn each_version_has_one_answer_whatever_comes() {
+fn every_version_gets_exactly_one_answer() {
     for seed in 0..2000 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut v = VersionTracker::default();
--- a/crates/config/tests/memory_estimate.rs
+++ b/crates/config/tests/memory_estimate.rs
@@ -1,5 +1,5 @@
-//! The estimate of what a configuration holds, beside what the allocator gave out for it. Alone in its file: nothing
-//! else may allocate meanwhile.
+//! Compares the memory estimate of a configuration with the bytes that the allocator counted. The test is
+//! alone in its file, since no other test may allocate at the same time.
 
 use stairshed_config::installation::Document;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
@@ -8,8 +8,8 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// What the estimate may be off by, as a share of the truth.
-const OFF: f64 = 0.25;
+/// Maximum error of the estimate, relative to the allocated bytes.
+const MAX_RELATIVE_ERROR: f64 = 0.25;
 
 fn file(pools: usize, endpoints: usize, routes: usize) -> String {
     let mut text = "[classes.payment]\n[classes.notice]\neffect = \"repeatable\"\n".to_owned();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_estimate_is_near_what_the_allocator_gave_out() {
+fn the_estimate_is_near_the_allocated_memory() {
     for (pools, endpoints, routes) in [(1000, 1, 1), (10, 200, 1), (100, 5, 30), (2000, 1, 0)] {
         let text = file(pools, endpoints, routes);
         let region = Region::new(ALLOCATOR);
@@ -37,12 +37,18 @@
         let installation = document.installation(None).expect("sound");
         let change = region.change();
         drop(document);
-        let truth = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
+        let allocated = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
         let estimate = installation.estimated_bytes() + text.len() as u64;
-        let off = estimate as f64 / truth - 1.0;
-        let what =
+        let relative_error = estimate as f64 / allocated - 1.0;
+        let label =
             format!("{pools} pools of {endpoints} endpoints and {routes} routes, {} B of text", text.len());
-        println!("{what}: {estimate} B estimated, {truth} B given out: {:+.1} %", 100.0 * off);
-        assert!(off.abs() < OFF, "{what}: {estimate} B estimated, {truth} B given out");
+        println!(
+            "{label}: {estimate} B estimated, {allocated} B allocated: {:+.1} %",
+            100.0 * relative_error
+        );
+        assert!(
+            relative_error.abs() < MAX_RELATIVE_ERROR,
+            "{label}: {estimate} B estimated, {allocated} B allocated"
+        );
     }
 }
