--- a/crates/config/benches/routes.rs
+++ b/crates/config/benches/routes.rs
@@ -51,12 +51,12 @@
         };
         let path = |n: usize| format!("/v1/group{}/place{n}", n % 10);
         let began = Instant::now();
-        let paths = load("paths", &file(&|n| format!("path = \"{}/{{id}}/pay\"\n", path(n)))).expect("sound");
+        let paths = load("paths", &file(&|n| format!("path = \"{}/{{id}}/pay\"\n", path(n)))).expect("valid");
         let loaded = began.elapsed().as_secs_f64() * 1e3;
         let hosts =
-            load("hosts", &file(&|n| format!("host = \"h{n}.example\"\nprefix = \"/\"\n"))).expect("sound");
+            load("hosts", &file(&|n| format!("host = \"h{n}.example\"\nprefix = \"/\"\n"))).expect("valid");
         let by = |n| format!("path = \"/a\"\nheaders = {{ X-Tenant = \"t{n}\" }}\n");
-        let headers = load("headers", &file(&by)).expect("sound");
+        let headers = load("headers", &file(&by)).expect("valid");
         let requests: Vec<BenchRequest> = (0..1024)
             .map(|n| {
                 let n = n * 7919 % routes;
@@ -64,7 +64,7 @@
                 BenchRequest { host: format!("h{n}.example"), path, tenant: format!("t{n}") }
             })
             .collect();
-        let in_a: Vec<BenchRequest> = requests
+        let same_path_requests: Vec<BenchRequest> = requests
             .iter()
             .map(|a| BenchRequest { host: String::new(), path: "/a".to_owned(), tenant: a.tenant.clone() })
             .collect();
@@ -79,7 +79,7 @@
                 black_box(whole.get(&requests[n % 1024].path).expect("a path"));
             }),
             time(|n| one(&hosts, &requests, n)),
-            time(|n| one(&headers, &in_a, n)),
+            time(|n| one(&headers, &same_path_requests, n)),
         );
     }
 }
--- a/crates/config/src/change_test.rs
+++ b/crates/config/src/change_test.rs
@@ -2,7 +2,7 @@
 use crate::installation::load;
 
 fn installation(endpoints: &str) -> Installation {
-    load("test", &format!("[pools.p]\nendpoints = [{endpoints}]\n")).expect("sound")
+    load("test", &format!("[pools.p]\nendpoints = [{endpoints}]\n")).expect("valid")
 }
 
 #[test]
--- a/crates/config/src/classes.rs
+++ b/crates/config/src/classes.rs
@@ -38,6 +38,7 @@
 }
 
 impl ClassTable {
+    /// Creates a table in which all of these classes are current.
     pub fn new(classes: impl IntoIterator<Item = (String, Class)>) -> Self {
         let row = |(name, class)| Row { name, class, current: true };
         ClassTable { rows: classes.into_iter().map(row).collect() }
@@ -63,6 +64,7 @@
         self.rows.iter().map(|r| r.class.clone()).collect()
     }
 
+    /// The class with this number.
     pub fn get(&self, number: usize) -> Option<&Class> {
         self.rows.get(number).map(|r| &r.class)
     }
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -44,6 +44,7 @@
 pub const VERSIONED_SECTIONS: [&str; 7] =
     ["listen", "classes", "pools", "routes", "topics", "limits", "memory"];
 
+/// `[listen]`: addresses on which the courier listens.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Listen {
@@ -75,7 +76,8 @@
     Once,
 }
 
-/// Which endpoints of a pool share their record of keys.
+/// Which endpoints of a pool share their record of keys: all of them, those of one zone, or none (each
+/// endpoint has its own).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyScope {
@@ -165,12 +167,14 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Broker {
+    /// Protocol version used with the brokers.
     pub version: MqttVersion,
     /// QoS, 1 or 2. Messages of a class with effect `once` are always sent at QoS 2.
     pub qos: u8,
     /// Client id. Default: derived from the names of the courier and the endpoint. Must be unique for each
     /// courier.
     pub client: Option<String>,
+    /// User name sent to the brokers.
     pub user: Option<String>,
     /// File with the password on its first line. Relative to the folder of this file.
     pub password_file: Option<PathBuf>,
@@ -336,6 +340,7 @@
     pub topic_aliases: u16,
     /// Maximum number of outcomes queued for one client. Any beyond it are not sent to the client.
     pub outcomes: usize,
+    /// Whether clients' will messages are delivered or refused.
     pub wills: Wills,
 }
 
@@ -355,6 +360,7 @@
     }
 }
 
+/// `[limits]`: limits on messages, calls and connections, and timing of pools and endpoints.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
@@ -377,6 +383,7 @@
     /// Slow start after an outage: minimum share of its capacity that a pool has, rising to all of it after
     /// `cold_span`.
     pub cold_from: f64,
+    /// Duration of slow start after an outage.
     pub cold_span: Span,
     /// A pool in slow start fails if it is sent more than this multiple of its current capacity.
     pub fall_multiple: f64,
@@ -609,6 +616,7 @@
     /// A name is resolved again when the TTL of its answer ends, but no sooner than this and no later than
     /// `refresh_most`.
     pub refresh_least: Span,
+    /// Maximum time until a name is resolved again.
     pub refresh_most: Span,
 }
 
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -324,6 +324,7 @@
     }
 }
 
+/// Validates a decoded file and collects all of its problems.
 struct Validator<'a> {
     tree: &'a Node,
     problems: Vec<Problem>,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`change`], [`classes`]: what a new configuration changes, and the classes that held messages keep.
 //! - [`lines`]: splits byte streams into lines.
 //! - [`version`]: numbered versions: which one is being applied, acknowledged or refused.
-//! - [`report`]: the effective configuration with the source of each value, and differences of two configurations.
+//! - [`report`]: the effective configuration with the source of each value, and differences.
 
 pub mod change;
 pub mod classes;
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -14,10 +14,12 @@
 pub struct Path(pub Vec<PathStep>);
 
 impl Path {
+    /// The path extended by a key of a table.
     pub fn key(&self, name: &str) -> Path {
         Path(self.0.iter().cloned().chain([PathStep::Key(name.to_owned())]).collect())
     }
 
+    /// The path extended by an index of a list, counted from 0.
     pub fn item(&self, index: usize) -> Path {
         Path(self.0.iter().cloned().chain([PathStep::Item(index)]).collect())
     }
@@ -59,10 +61,12 @@
     pub path: Path,
     /// Line and column, counted from 1; None if the document is not a text file.
     pub position: Option<(usize, usize)>,
+    /// What is wrong with the value.
     pub reason: String,
 }
 
 impl Problem {
+    /// Creates a problem without a position.
     pub fn new(path: Path, reason: impl Into<String>) -> Self {
         Problem { path, position: None, reason: reason.into() }
     }
--- a/crates/config/src/route_test.rs
+++ b/crates/config/src/route_test.rs
@@ -181,7 +181,7 @@
             }
         }
         let reversed: Vec<_> = routes.iter().rev().cloned().collect();
-        let (one, two) = (Router::new(&routes).expect("sound"), Router::new(&reversed).expect("sound"));
+        let (one, two) = (Router::new(&routes).expect("valid"), Router::new(&reversed).expect("sound"));
         for _ in 0..50 {
             let request = random_request(&mut rng);
             let other = two.route(&request).map(|n| routes.len() - 1 - n);
@@ -233,7 +233,7 @@
     ] {
         assert!(Pattern::read(text, prefix).is_err(), "{text}");
     }
-    let pattern = Pattern::read("/v1/{station}/pay", true).expect("sound");
+    let pattern = Pattern::read("/v1/{station}/pay", true).expect("valid");
     assert_eq!(pattern.names(), ["station", "rest"]);
     assert_eq!(pattern.captures("/v1/7/pay/a/b"), [("station", "7"), ("rest", "a/b")]);
     assert_eq!(pattern.captures("/v1/7/pay"), [("station", "7"), ("rest", "")]);
@@ -242,11 +242,11 @@
 #[test]
 fn very_long_paths_are_looked_up_only_up_to_the_segment_limit() {
     let router = Router::new(&[Condition {
-        path: Pattern::read("/a", true).expect("sound"),
+        path: Pattern::read("/a", true).expect("valid"),
         methods: vec!["POST".to_owned()],
         ..Condition::default()
     }]);
-    let router = router.expect("sound");
+    let router = router.expect("valid");
     let request = |path| TestRequest { method: "POST", host: "", path, headers: Vec::new() };
     assert_eq!(router.route(&request("/b".repeat(100_000))), Err(NoRoute::Path));
     assert_eq!(router.route(&request("/a".to_owned() + &"/b".repeat(100_000))), Ok(0));
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -12,10 +12,12 @@
 pub struct Span(pub Duration);
 
 impl Span {
+    /// A duration in milliseconds.
     pub const fn ms(ms: u64) -> Self {
         Span(Duration::from_millis(ms))
     }
 
+    /// A duration in seconds.
     pub const fn secs(s: u64) -> Self {
         Span(Duration::from_secs(s))
     }
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -105,6 +105,7 @@
         VersionTracker { in_effect, ..VersionTracker::default() }
     }
 
+    /// The version in effect, if it came from the control service.
     pub fn in_effect(&self) -> Option<&Version> {
         self.in_effect.as_ref()
     }
--- a/crates/config/src/version_test.rs
+++ b/crates/config/src/version_test.rs
@@ -100,13 +100,13 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut v = VersionTracker::default();
         let (mut sent, mut answers) = (BTreeMap::new(), BTreeMap::<u64, Vec<bool>>::new());
-        let (mut effect, mut working): (Option<Version>, Option<Version>) = (None, None);
+        let (mut effect, mut applying): (Option<Version>, Option<Version>) = (None, None);
         let mut next = 1;
-        let mut take = |steps: Vec<VersionAction>, working: &mut Option<Version>| {
+        let mut take = |steps: Vec<VersionAction>, applying: &mut Option<Version>| {
             for step in steps {
                 match step {
                     VersionAction::Apply(version) => {
-                        assert!(working.replace(version).is_none(), "one at a time")
+                        assert!(applying.replace(version).is_none(), "one at a time")
                     }
                     VersionAction::Acknowledge { version } => answers.entry(version).or_default().push(true),
                     VersionAction::Refuse { version: Some(version), .. } => {
@@ -132,21 +132,21 @@
                 }
                 2 => v.receive_line(b"nonsense"),
                 _ => {
-                    let Some(done) = working.take() else { continue };
-                    let good = rng.random_bool(0.7);
-                    if good {
+                    let Some(done) = applying.take() else { continue };
+                    let succeeds = rng.random_bool(0.7);
+                    if succeeds {
                         effect = Some(done);
                     }
-                    v.finish(if good { Ok(()) } else { Err(vec!["x".to_owned()]) })
+                    v.finish(if succeeds { Ok(()) } else { Err(vec!["x".to_owned()]) })
                 }
             };
-            take(steps, &mut working);
+            take(steps, &mut applying);
             next += rng.random_range(1..3);
             assert_eq!(v.in_effect(), effect.as_ref(), "seed {seed}");
         }
-        while let Some(done) = working.take() {
+        while let Some(done) = applying.take() {
             effect = Some(done);
-            take(v.finish(Ok(())), &mut working);
+            take(v.finish(Ok(())), &mut applying);
         }
         for version in sent.keys() {
             assert_eq!(answers.get(version).map(Vec::len), Some(1), "seed {seed}: version {version}");
--- a/crates/config/tests/memory_estimate.rs
+++ b/crates/config/tests/memory_estimate.rs
@@ -33,8 +33,8 @@
     for (pools, endpoints, routes) in [(1000, 1, 1), (10, 200, 1), (100, 5, 30), (2000, 1, 0)] {
         let text = file(pools, endpoints, routes);
         let region = Region::new(ALLOCATOR);
-        let document = Document::read("file", &text).expect("sound");
-        let installation = document.installation(None).expect("sound");
+        let document = Document::read("file", &text).expect("valid");
+        let installation = document.installation(None).expect("valid");
         let change = region.change();
         drop(document);
         let allocated = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
