--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -248,7 +248,8 @@
             Some(installation) => Ok(installation),
             None => {
                 for problem in &mut all {
-                    problem.position = tree.start(&problem.path).map(|at| line_and_column(&self.text, at));
+                    problem.position =
+                        tree.offset_of(&problem.path).map(|at| line_and_column(&self.text, at));
                 }
                 all.sort_by_key(|p| p.position);
                 Err(Problems { source: self.source.clone(), all })
@@ -273,7 +274,7 @@
     /// The line of a value, counted from 1, or None if the file does not contain the value.
     pub fn line(&self, path: &Path) -> Option<usize> {
         self.tree.at(path)?;
-        self.tree.start(path).map(|at| self.line_feeds.partition_point(|end| *end < at) + 1)
+        self.tree.offset_of(path).map(|at| self.line_feeds.partition_point(|end| *end < at) + 1)
     }
 }
 
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -116,16 +116,16 @@
 pub fn suggest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> String {
     let mut known: Vec<&str> = known.into_iter().collect();
     known.sort_unstable();
-    let near = known.iter().map(|k| (strsim::damerau_levenshtein(name, k), *k)).min();
+    let nearest = known.iter().map(|k| (strsim::damerau_levenshtein(name, k), *k)).min();
     // Up to a third of the letters may differ; with more it is probably a different word.
-    if let Some((_, k)) = near.filter(|(off, k)| *off <= (name.len().max(k.len())).div_ceil(3)) {
+    if let Some((_, k)) = nearest.filter(|(distance, k)| *distance <= (name.len().max(k.len())).div_ceil(3)) {
         return format!("; did you mean {k:?}?");
     }
     // A longer list would obscure the error itself.
-    const SHOWN: usize = 12;
-    let more = if known.len() > SHOWN { ", ..." } else { "" };
+    const MAX_LISTED_NAMES: usize = 12;
+    let more = if known.len() > MAX_LISTED_NAMES { ", ..." } else { "" };
     match known.is_empty() {
         true => "; there is none".to_owned(),
-        false => format!("; there is {}{more}", known[..known.len().min(SHOWN)].join(", ")),
+        false => format!("; there is {}{more}", known[..known.len().min(MAX_LISTED_NAMES)].join(", ")),
     }
 }
--- a/crates/config/src/report.rs
+++ b/crates/config/src/report.rs
@@ -60,16 +60,16 @@
 
 /// All values of the effective configuration with their sources. Slow for a large configuration.
 pub fn values(file: &File, document: &Document, version: Option<(u64, &Value)>) -> Vec<(Leaf, Source)> {
-    let over = version.map(|(number, config)| (number, tree::from_json(config)));
+    let overlay = version.map(|(number, config)| (number, tree::from_json(config)));
     let lines = document.lines();
     let source = |path: &Path| {
-        let own = || lines.line(path).map_or(Source::Default, |line| Source::File { line });
-        let Some((number, over)) = &over else { return own() };
+        let file_source = || lines.line(path).map_or(Source::Default, |line| Source::File { line });
+        let Some((number, overlay)) = &overlay else { return file_source() };
         let section = Path(path.0.iter().take(1).cloned().collect());
         // A version cannot change the address of the admin pages.
-        match over.at(&section).filter(|_| path.to_string() != "listen.admin") {
-            None => own(),
-            Some(_) => over.at(path).map_or(Source::Default, |_| Source::Version(*number)),
+        match overlay.at(&section).filter(|_| path.to_string() != "listen.admin") {
+            None => file_source(),
+            Some(_) => overlay.at(path).map_or(Source::Default, |_| Source::Version(*number)),
         }
     };
     leaves(file).into_iter().map(|leaf| (source(&leaf.path), leaf)).map(|(s, l)| (l, s)).collect()
--- a/crates/config/src/tree.rs
+++ b/crates/config/src/tree.rs
@@ -130,7 +130,7 @@
     }
 
     /// Byte offset of the key of `path` in the text, or of its nearest ancestor that exists.
-    pub fn start(&self, path: &Path) -> Option<usize> {
+    pub fn offset_of(&self, path: &Path) -> Option<usize> {
         let mut node = self;
         let mut start = None;
         for step in &path.0 {
