--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -11,7 +11,7 @@
 use crate::tree::{self, Entry, Node, Value, line_and_column};
 use crate::units::{Rate, Span};
 use stairshed_decide::interface as decide;
-use stairshed_memory::{ByPurpose, CapError, CapSetting, Caps, ClientIdentification, Purpose};
+use stairshed_memory::{ByPurpose, CapError, Caps, CapSetting, Purpose, ClientIdentification};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -248,7 +248,8 @@
             Some(installation) => Ok(installation),
             None => {
                 for problem in &mut all {
-                    problem.position = tree.start(&problem.path).map(|at| line_and_column(&self.text, at));
+                    problem.position =
+                        tree.offset_of(&problem.path).map(|at| line_and_column(&self.text, at));
                 }
                 all.sort_by_key(|p| p.position);
                 Err(Problems { source: self.source.clone(), all })
@@ -273,7 +274,7 @@
     /// The line of a value, counted from 1, or None if the file does not contain the value.
     pub fn line(&self, path: &Path) -> Option<usize> {
         self.tree.at(path)?;
-        self.tree.start(path).map(|at| self.line_feeds.partition_point(|end| *end < at) + 1)
+        self.tree.offset_of(path).map(|at| self.line_feeds.partition_point(|end| *end < at) + 1)
     }
 }
 
@@ -324,6 +325,7 @@
     }
 }
 
+/// Validates a decoded file and collects all of its problems.
 struct Validator<'a> {
     tree: &'a Node,
     problems: Vec<Problem>,
