--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -11,7 +11,7 @@
 use crate::tree::{self, Entry, Node, Value, line_and_column};
 use crate::units::{Rate, Span};
 use stairshed_decide::interface as decide;
-use stairshed_memory::{ByPurpose, CapError, Caps, CapSetting, Purpose, ClientIdentification};
+use stairshed_memory::{ByPurpose, CapError, CapSetting, Caps, ClientIdentification, Purpose};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
