--- a/crates/mqtt/src/server/publish.rs
+++ b/crates/mqtt/src/server/publish.rs
@@ -91,7 +91,8 @@
             return Ok(());
         };
         let Some(id) = id else {
-            self.effects.push_back(Effect::Log(format!("{owner}: QoS 0 message rejected: {reason}")));
+            self.effects
+                .push_back(Effect::Log(format!("{owner}: a message at QoS 0 is not taken: {reason}")));
             return Ok(());
         };
         let answer = Answer::Refused { code, reason: reason.to_owned(), wait: None };
@@ -139,8 +140,9 @@
         }
         let Some(id) = id else {
             if let Answer::Refused { reason, .. } = &answer {
-                self.effects
-                    .push_back(Effect::Log(format!("{owner}: unacknowledged message rejected: {reason}")));
+                self.effects.push_back(Effect::Log(format!(
+                    "{owner}: a message without acknowledgement is not taken: {reason}"
+                )));
             }
             if let Some(c) = self.connections.get_mut(&connection) {
                 c.pending_qos0 -= 1;
