--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -278,7 +278,7 @@
         tokio::task::spawn_local(admin::run(listener, pages));
     }
     if installation_mqtt.is_none() && topics {
-        eprintln!("configuration: [topics] are ignored, since listen.mqtt is not set");
+        eprintln!("configuration: there are [topics], and listen.mqtt is not set: none is taken");
     }
     let mut accepting = None;
     if let Some((mqtt_server, address)) = mqtt_server.clone().zip(installation_mqtt) {
