--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -92,9 +92,9 @@
     let http_server = Rc::new(HttpServer {
         routing: Routing::Platform { classes: config.classes.clone() },
         server_state: server_state.clone(),
-        news: events.clone(),
+        events: events.clone(),
         max_connections: client_sockets,
-        room: memory_budget.clone(),
+        memory_budget: memory_budget.clone(),
         rejecter: None,
     });
     tokio::task::spawn_local(reload(hangup, config.file.clone(), events.clone()));
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -209,9 +209,9 @@
     let http_server = Rc::new(HttpServer {
         routing: Routing::Routes(active_config.clone()),
         server_state: server_state.clone(),
-        news: events.clone(),
+        events: events.clone(),
         max_connections: client_sockets,
-        room: memory_budget.clone(),
+        memory_budget: memory_budget.clone(),
         rejecter: Some(rejecter.clone()),
     });
     let outcomes = &installation.file.outcomes;
@@ -273,8 +273,9 @@
         let listener = listen(admin).map_err(|e| invalid("listen.admin", format!("{admin}: {e}")))?;
         let at = listener.local_addr().map_err(|e| invalid("listen.admin", e))?;
         eprintln!("the operator's pages are at {at}");
-        let (view, server_state, room) = (config_updater.view(), server_state.clone(), memory_budget.clone());
-        let pages = AdminPages { view, server_state, room, watch: watch_status, connections };
+        let (view, server_state, memory_budget) =
+            (config_updater.view(), server_state.clone(), memory_budget.clone());
+        let pages = AdminPages { view, server_state, memory_budget, watch: watch_status, connections };
         tokio::task::spawn_local(admin::run(listener, pages));
     }
     if installation_mqtt.is_none() && topics {
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -231,7 +231,7 @@
                 node: node.clone(),
                 current: Rc::new(RefCell::new(current.as_ref().map(|v| v.version))),
                 max_bytes: control.version_most.0,
-                memory_budget: http_server.room.clone(),
+                memory_budget: http_server.memory_budget.clone(),
                 idle_timeout: control.heartbeat.0 * 2,
             };
             status.inner.borrow_mut().connected = Some(false);
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -124,7 +124,7 @@
         &self,
         accepted: &AcceptedMessage,
         body: Charge,
-        (guest, accepts_outcomes): (Option<&ClientAccount>, bool),
+        (client_account, accepts_outcomes): (Option<&ClientAccount>, bool),
     ) -> Result<MessageMemory, Refused> {
         let ledger = &self.budget.ledger;
         let body = body.transfer_to(Purpose::BodiesHeld).map_err(|(_, refused)| refused)?;
@@ -133,7 +133,7 @@
         ledger.check_room(Purpose::Journal, body.bytes() + needs.rows, None)?;
         Ok(MessageMemory {
             _body: body,
-            _rows: ledger.try_charge(Purpose::Messages, needs.rows, guest)?,
+            _rows: ledger.try_charge(Purpose::Messages, needs.rows, client_account)?,
             _attempts: ledger.reserve(Purpose::Messages, ATTEMPTS_BYTES)?,
             notice: ledger.reserve(Purpose::Notices, needs.notice)?,
             notice_charge: None,
@@ -280,8 +280,11 @@
         let body = std::mem::replace(&mut submission.body_charge, empty);
         let owner = submission.accepted.routed.as_ref().and_then(|r| r.owner.as_ref());
         let accepts_outcomes = owner.is_some_and(|owner| self.accepts_outcomes(owner));
-        let memory =
-            self.memory.reserve(&submission.accepted, body, (submission.guest.as_ref(), accepts_outcomes));
+        let memory = self.memory.reserve(
+            &submission.accepted,
+            body,
+            (submission.client_account.as_ref(), accepts_outcomes),
+        );
         memory.map_err(|refused| Reply::OutOfMemory(self.memory.budget.refusal(refused)))
     }
 
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -171,7 +171,7 @@
     /// The memory charged for its body until it is accepted or refused.
     pub body_charge: Charge,
     /// The client whose share of memory it uses.
-    pub guest: Option<ClientAccount>,
+    pub client_account: Option<ClientAccount>,
 }
 
 /// What a configuration changes among endpoints and destinations.
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -35,7 +35,7 @@
 pub struct AdminPages {
     pub view: ConfigView,
     pub server_state: Rc<ServerState>,
-    pub room: MemoryBudget,
+    pub memory_budget: MemoryBudget,
     pub watch: Rc<WatchStatus>,
     pub connections: Rc<ConnectionStatus>,
 }
@@ -68,7 +68,7 @@
         (&Method::GET, "/-/config/values") => Some(effective_values(&pages.view).await),
         (&Method::GET, "/-/connections") => Some(pages.connections.page()),
         (&Method::GET, "/-/discovery") => Some(pages.watch.to_json()),
-        (&Method::GET, "/-/memory") => Some(pages.room.page()),
+        (&Method::GET, "/-/memory") => Some(pages.memory_budget.page()),
         (&Method::GET, "/-/ready") => Some(json!({"ready": pages.server_state.ready.get()})),
         _ => None,
     };
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -296,10 +296,10 @@
 pub struct HttpServer {
     pub routing: Routing,
     pub server_state: Rc<ServerState>,
-    pub news: Sender<DispatcherEvent>,
+    pub events: Sender<DispatcherEvent>,
     /// Limit of open client connections.
     pub max_connections: usize,
-    pub room: MemoryBudget,
+    pub memory_budget: MemoryBudget,
     /// Answers connections that are refused or evicted. `None` where clients are not told apart and have no
     /// memory shares; such connections are then closed without an answer.
     pub rejecter: Option<Rc<ConnectionRejecter>>,
@@ -314,7 +314,7 @@
             // ones wait in the listen backlog. Each eviction admits one connection at once, so hundreds of
             // silent connections starve nobody.
             let full = this.server_state.connections.borrow().len() >= this.max_connections
-                || this.room.ledger.room(Purpose::Clients) < CONNECTION_BYTES;
+                || this.memory_budget.ledger.room(Purpose::Clients) < CONNECTION_BYTES;
             if full && !this.server_state.evict() {
                 sleep(Duration::from_millis(5)).await;
                 continue;
@@ -328,15 +328,23 @@
                             client_identification.for_connection(from)
                         })
                     });
-                    let guest = client.map(|client| this.room.ledger.client_account(client));
+                    let client_account =
+                        client.map(|client| this.memory_budget.ledger.client_account(client));
                     // A client that has used up its share is rejected; others are still admitted.
-                    match this.room.ledger.try_charge(Purpose::Clients, CONNECTION_BYTES, guest.as_ref()) {
-                        Ok(memory) => {
-                            drop(tokio::task::spawn_local(this.clone().serve(stream, from, guest, memory)))
-                        }
+                    match this.memory_budget.ledger.try_charge(
+                        Purpose::Clients,
+                        CONNECTION_BYTES,
+                        client_account.as_ref(),
+                    ) {
+                        Ok(memory) => drop(tokio::task::spawn_local(this.clone().serve(
+                            stream,
+                            from,
+                            client_account,
+                            memory,
+                        ))),
                         Err(refused) => {
                             if let Some(rejecter) = rejecter {
-                                let rejection = Rejection::from(this.room.refusal(refused));
+                                let rejection = Rejection::from(this.memory_budget.refusal(refused));
                                 rejecter.reject(stream, Protocol::Http, rejection, false);
                             }
                         }
@@ -356,7 +364,7 @@
         self: Rc<Self>,
         stream: TcpStream,
         from: IpAddr,
-        guest: Option<ClientAccount>,
+        client_account: Option<ClientAccount>,
         memory: Charge,
     ) {
         let _ = stream.set_nodelay(true);
@@ -366,10 +374,10 @@
         self.server_state.connections.borrow_mut().insert(id, connection.clone());
         let (this, shared) = (self.clone(), connection.clone());
         let service = service_fn(move |request| {
-            let (this, connection, guest) = (this.clone(), shared.clone(), guest.clone());
+            let (this, connection, client_account) = (this.clone(), shared.clone(), client_account.clone());
             async move {
                 connection.set_state(ConnectionState::Processing);
-                let answer = this.handle(request, &connection, (from, guest)).await;
+                let answer = this.handle(request, &connection, (from, client_account)).await;
                 *connection.framing.borrow_mut() = RequestFraming::default();
                 connection
                     .set_state(ConnectionState::Idle { last_request_ok: !answer.status().is_client_error() });
@@ -412,17 +420,17 @@
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
-        (from, guest): (IpAddr, Option<ClientAccount>),
+        (from, client_account): (IpAddr, Option<ClientAccount>),
     ) -> Response<Full<Bytes>> {
         let mut answer = match (request.method(), request.uri().path()) {
             (&Method::GET, "/-/ready") => match self.server_state.ready.get() {
                 true => static_response(StatusCode::OK, "ready\n"),
                 false => static_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             },
-            (&Method::POST, _) => self.accept_message(request, connection, (from, guest)).await,
+            (&Method::POST, _) => self.accept_message(request, connection, (from, client_account)).await,
             (&Method::GET | &Method::HEAD, _) => static_response(StatusCode::NOT_FOUND, "no such page\n"),
             _ if matches!(self.routing, Routing::Routes(_)) => {
-                self.accept_message(request, connection, (from, guest)).await
+                self.accept_message(request, connection, (from, client_account)).await
             }
             _ => static_response(StatusCode::NOT_FOUND, "no such page\n"),
         };
@@ -436,10 +444,10 @@
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
-        (from, guest): (IpAddr, Option<ClientAccount>),
+        (from, client_account): (IpAddr, Option<ClientAccount>),
     ) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
-        let guest = self.proxied_guest(from, &parts.headers).or(guest);
+        let client_account = self.proxied_client_account(from, &parts.headers).or(client_account);
         let length = body.size_hint().exact();
         if let Some((status, why)) = connection.framing.borrow().error(length) {
             return closing_response(status, why);
@@ -450,8 +458,11 @@
         }
         // Concurrent large bodies must not exhaust the memory: together they have a fixed budget.
         let kept = if length > MAX_BODY_BYTES as u64 { 0 } else { length as usize };
-        let body_charge = match self.room.ledger.try_charge(Purpose::BodiesRead, kept as u64, guest.as_ref())
-        {
+        let body_charge = match self.memory_budget.ledger.try_charge(
+            Purpose::BodiesRead,
+            kept as u64,
+            client_account.as_ref(),
+        ) {
             Ok(charge) => charge,
             Err(_) if self.is_duplicate(&parts.headers).await => {
                 // The body of a repeated message is discarded, so it is answered even without memory.
@@ -460,7 +471,7 @@
                     _ => closing_response(StatusCode::BAD_REQUEST, "the body broke off\n"),
                 };
             }
-            Err(refused) => return reply_response(Reply::OutOfMemory(self.room.refusal(refused))),
+            Err(refused) => return reply_response(Reply::OutOfMemory(self.memory_budget.refusal(refused))),
         };
         // The body is read before the header fields are checked, so that the connection stays usable after an
         // error.
@@ -501,10 +512,10 @@
             reply,
             bounce: false,
             body_charge,
-            guest,
+            client_account,
         };
         let reply =
-            match timeout(ENQUEUE_TIMEOUT, self.news.send(DispatcherEvent::Submitted(submission))).await {
+            match timeout(ENQUEUE_TIMEOUT, self.events.send(DispatcherEvent::Submitted(submission))).await {
                 Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
                 _ => Reply::Unavailable,
             };
@@ -527,7 +538,7 @@
     }
 
     /// The client to account a proxied request to; `None` if the peer is not a trusted proxy.
-    fn proxied_guest(&self, from: IpAddr, headers: &HeaderMap) -> Option<ClientAccount> {
+    fn proxied_client_account(&self, from: IpAddr, headers: &HeaderMap) -> Option<ClientAccount> {
         let client = self.with_client_rules(|client_identification| {
             let header = client_identification
                 .header
@@ -538,14 +549,14 @@
                     .for_request(from, headers.get_all(header).iter().map(HeaderValue::as_bytes)),
             )
         })?;
-        Some(self.room.ledger.client_account(client))
+        Some(self.memory_budget.ledger.client_account(client))
     }
 
     /// Whether a request repeats an accepted message.
     async fn is_duplicate(&self, headers: &HeaderMap) -> bool {
         let Some(id) = MessageHeaders::read(headers).ok().and_then(|h| h.id) else { return false };
         let (reply, known) = oneshot::channel();
-        let asked = self.news.send(DispatcherEvent::QueryAccepted { id: id.to_owned(), reply });
+        let asked = self.events.send(DispatcherEvent::QueryAccepted { id: id.to_owned(), reply });
         matches!(timeout(ENQUEUE_TIMEOUT, asked).await, Ok(Ok(()))) && known.await.unwrap_or(false)
     }
 }
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -282,7 +282,7 @@
                 return self.with_machine(|machine, now| machine.offer_answered(token, answer, now));
             }
         };
-        let guest = Some(
+        let client_account = Some(
             self.memory_budget
                 .ledger
                 .client_account(self.active_config.get().1.client_identification.for_session(&owner)),
@@ -290,7 +290,7 @@
         // Concurrent large payloads must not exhaust the memory: together they have a fixed budget.
         let size = publish.payload.len() as u64;
         let body_charge =
-            match self.memory_budget.ledger.try_charge(Purpose::BodiesRead, size, guest.as_ref()) {
+            match self.memory_budget.ledger.try_charge(Purpose::BodiesRead, size, client_account.as_ref()) {
                 Ok(charge) => charge,
                 // A duplicate of an accepted message is acknowledged even without memory.
                 Err(_) if self.is_duplicate(&message.id).await => {
@@ -303,16 +303,16 @@
         let abandoned = Rc::new(Cell::new(false));
         self.pending_offers.borrow_mut().insert(token, abandoned.clone());
         let reply = ReplyTo::Ingress { ingress: self.clone(), token, abandoned };
-        let offer = Submission {
+        let submission = Submission {
             accepted: Rc::new(message),
             time_left,
             at: Instant::now(),
             reply,
             bounce,
             body_charge,
-            guest,
+            client_account,
         };
-        let _ = self.events.send(DispatcherEvent::Submitted(offer)).await;
+        let _ = self.events.send(DispatcherEvent::Submitted(submission)).await;
     }
 
     /// Whether a message with this id is already accepted.
@@ -335,11 +335,12 @@
             match listener.accept().await {
                 Ok((socket, from)) => {
                     let client = self.active_config.get().1.client_identification.for_connection(from.ip());
-                    let guest = client.map(|client| self.memory_budget.ledger.client_account(client));
+                    let client_account =
+                        client.map(|client| self.memory_budget.ledger.client_account(client));
                     let memory = self.memory_budget.ledger.try_charge(
                         Purpose::Clients,
                         CONNECTION_BYTES,
-                        guest.as_ref(),
+                        client_account.as_ref(),
                     );
                     // An address that has used up its share is rejected; others are still admitted.
                     match memory {
