--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -74,7 +74,7 @@
         upstream_sockets,
         memory_budget.clone(),
     );
-    // The decision module must know how long connections are kept alive here.
+    // The scheduler must know how long connections are kept alive here.
     config.settings.keepalive = endpoint_client.idle_timeout();
     config.settings.membership_lease_duration = Some(ENDPOINT_LIST_LEASE);
     let lists_are_pushed = !config.settings.subscription_required;
@@ -82,7 +82,7 @@
     let scheduler = scheduler.map_err(|e| StartupError::Invalid("LB_CONFIG", e))?;
     let (events, event_queue) = mpsc::channel(EVENT_QUEUE_LENGTH);
     if lists_are_pushed {
-        // Pushed lists are never requested by the decision module, so the watch opens at startup.
+        // Pushed lists are never requested by the scheduler, so the watch opens at startup.
         let _ = events.send(DispatcherEvent::StartWatch).await;
     }
     let server_state = Rc::new(ServerState::default());
--- a/crates/courier/src/bootstrap/platform_config.rs
+++ b/crates/courier/src/bootstrap/platform_config.rs
@@ -60,7 +60,7 @@
 }
 
 impl PlatformConfig {
-    /// Converts it to the setup of the owner of the decision module.
+    /// Converts it to the setup of the dispatcher.
     pub fn setup(self, memory_budget: MemoryBudget) -> Setup {
         let classes = self.classes.into_iter().zip(self.settings.classes.iter().cloned());
         Setup {
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -38,7 +38,7 @@
 
 /// Default size limit of the journal, bytes.
 const DEFAULT_JOURNAL_BYTES: u64 = 1_000_000_000;
-/// Minimum room reserved in each attempt record for the names of an endpoint, its pool and its zone, bytes.
+/// Minimum space reserved in each attempt record for the names of an endpoint, its pool and its zone, bytes.
 const MIN_NAMES_BYTES: u64 = 256;
 
 /// Time after SIGTERM in which the wills of MQTT clients are accepted.
@@ -82,7 +82,7 @@
     StartupError::Invalid(what, why.to_string())
 }
 
-/// Builds the setup of the owner of the decision module.
+/// Builds the setup of the dispatcher.
 fn setup(
     installation: &Arc<Installation>,
     active_config: &ActiveConfig,
@@ -91,7 +91,7 @@
 ) -> Setup {
     let names = installation.classes.iter().map(|c| c.name.clone());
     let classes = match installation.classes.is_empty() {
-        // The decision module needs at least one class, even before the first version arrives.
+        // The scheduler needs at least one class, even before the first version arrives.
         true => ClassTable::placeholder(),
         false => ClassTable::new(names.zip(installation.settings.classes.iter().cloned())),
     };
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher: the only owner of the decision module. It passes events to the module in batches, at most
-//! one per tick, and carries out the actions that the module returns. It makes no decision about a message
+//! The dispatcher: the only owner of the scheduler. It passes events to the scheduler in batches, at most
+//! one per tick, and carries out the actions that the scheduler returns. It makes no decision about a message
 //! itself. This file has the event loop; each submodule has a part of the state and the operations on it:
 //!
 //! ```text
@@ -57,9 +57,9 @@
     server_state: Rc<ServerState>,
     event_tx: Sender<DispatcherEvent>,
     clock_origin: Instant,
-    /// Events for the module's next batch.
+    /// Events for the scheduler's next batch.
     events: Vec<Event>,
-    /// The module's timer and its token; a later request replaces it.
+    /// The scheduler's timer and its token; a later request replaces it.
     wake: Option<(Instant, u64)>,
     acceptance: Acceptance,
     attempts: Attempts,
@@ -68,7 +68,7 @@
     notices: Notices,
     shutdown: Shutdown,
     memory: Memory,
-    /// The ingress whose clients are told the outcomes of their messages.
+    /// The ingress whose clients are notified of the outcomes of their messages.
     ingress: Option<Rc<dyn Ingress>>,
     ended_messages: ended_messages::EndedMessages,
     brokers: brokers::Brokers,
@@ -130,7 +130,7 @@
         dispatcher
     }
 
-    /// Sets the ingress whose clients are told the outcomes of their messages.
+    /// Sets the ingress whose clients are notified of the outcomes of their messages.
     pub fn set_ingress(&mut self, ingress: Rc<dyn Ingress>) {
         self.ingress = Some(ingress);
     }
@@ -142,7 +142,7 @@
 
     fn reconfigure(&mut self) {
         if let Err(why) = self.scheduler.reconfigure(self.setup.settings.clone()) {
-            // The settings were checked before; on an error the module keeps the previous ones.
+            // The settings were checked before; on an error the scheduler keeps the previous ones.
             eprintln!("configuration: {why}");
         }
     }
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Runs one batch: passes the pending events to the module and carries out its actions.
+    /// Runs one batch: passes the pending events to the scheduler and carries out its actions.
     fn run_batch(&mut self, now: Instant) {
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
             self.events.push(Event::TimerFired { token });
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -1,6 +1,6 @@
-//! Acceptance: submissions until the module has accepted or refused them and their clients have the reply.
+//! Acceptance: submissions until the scheduler has accepted or refused them and their clients have the reply.
 //! Owns the pending submissions, the ids of all held messages, and the next message number; `run_batch`
-//! passes in the module's refusals.
+//! passes in the scheduler's refusals.
 
 use super::held_message::{DeferredAction, HeldMessage};
 use super::memory::MessageMemory;
@@ -11,7 +11,7 @@
 use stairshed_journal::{AcceptedMessage, Refusal};
 use std::collections::{BTreeMap, HashMap};
 
-/// A submission that waits for the module's decision.
+/// A submission that waits for the scheduler's decision.
 pub(super) struct PendingSubmission {
     pub(super) class: usize,
     submission: Submission,
@@ -21,7 +21,7 @@
 
 #[derive(Default)]
 pub(super) struct Acceptance {
-    /// Submissions that wait for the module's decision, by message number.
+    /// Submissions that wait for the scheduler's decision, by message number.
     pub(super) pending: BTreeMap<u64, PendingSubmission>,
     /// Message numbers by the id that the client gave, until the message has ended.
     pub(super) ids: HashMap<String, u64>,
@@ -37,7 +37,7 @@
 }
 
 impl Dispatcher {
-    /// Takes in a submission: replies at once, or passes it to the module in the next batch.
+    /// Takes in a submission: replies at once, or passes it to the scheduler in the next batch.
     pub(super) fn submit(&mut self, mut submission: Submission) {
         let respond = |submission: Submission, reply| {
             // A client that has disconnected gets no reply, and its message was not accepted.
@@ -85,7 +85,7 @@
         held || self.ended_messages.contains(id)
     }
 
-    /// The refusal of a message that cannot be accepted whatever the module decides.
+    /// The refusal of a message that cannot be accepted whatever the scheduler decides.
     pub(super) fn early_refusal(&mut self, accepted: &AcceptedMessage) -> Option<Reply> {
         if self.records.disk_failed.is_some() {
             return Some(Reply::JournalRefused(Refusal::DiskUnreliable));
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Writes the new messages that the module did not refuse to the journal, then replies to their clients.
+    /// Writes the new messages that the scheduler did not refuse to the journal, then replies to their
+    /// clients.
     pub(super) fn accept_submissions(&mut self, refused: &mut HashMap<u64, Verdict>) {
         let mut accepted_messages = Vec::new();
         for (message, PendingSubmission { class, submission, memory }) in
@@ -223,8 +224,8 @@
         Some(self.setup.classes.for_recorded_message(&accepted.class, routed.effect, deadline))
     }
 
-    /// Passes new classes to the module: messages accepted under an earlier configuration version may have a
-    /// class that the current version lacks.
+    /// Passes new classes to the scheduler: messages accepted under an earlier configuration version may have
+    /// a class that the current version lacks.
     pub(super) fn update_classes(&mut self) {
         if self.setup.classes.len() != self.setup.settings.classes.len() {
             self.setup.settings.classes = self.setup.classes.classes();
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -28,14 +28,14 @@
 }
 
 impl Dispatcher {
-    /// Passes a requested wait to the module as the result of a probe, since it concerns the endpoint and no
-    /// message.
+    /// Passes a requested wait to the scheduler as the result of a probe, since it concerns the endpoint and
+    /// no message.
     pub(super) fn back_off_endpoint(&mut self, endpoint: EndpointId, until: Instant) {
         let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
         self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed: Duration::ZERO, report: None });
     }
 
-    /// Records the result of a call and passes it to the module.
+    /// Records the result of a call and passes it to the scheduler.
     pub(super) fn call_ended(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallResult) {
         // These outcomes prove that the message never ran; after any other it may have run.
         let never = matches!(
@@ -89,13 +89,13 @@
             is_final: end.after != AfterAttempt::RetryAllowed,
             report: end.report,
         }));
-        // The module drops a message with its last outcome, and so does the dispatcher.
+        // The scheduler drops a message with its last outcome, and so does the dispatcher.
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
             self.attempts.held.remove(&message);
         }
     }
 
-    /// Starts the calls that the module asked for, once their attempts are in the journal.
+    /// Starts the calls that the scheduler asked for, once their attempts are in the journal.
     pub(super) fn start_calls(&mut self, sends: Vec<(u64, EndpointId, Duration)>, now: Instant) {
         let late = self.shutdown.since.is_some_and(|t| now >= t + ATTEMPT_CUTOFF);
         let mut ready = Vec::new();
@@ -103,7 +103,7 @@
             let e = self.members.endpoints.get(&endpoint);
             let to = e.and_then(|e| Some((e, e.address?)));
             let Some((m, (e, address))) = self.attempts.held.get_mut(&message).zip(to) else {
-                // The message was withdrawn in this batch: the module is told that nothing was sent.
+                // The message was withdrawn in this batch: the scheduler is notified that nothing was sent.
                 self.events.push(not_sent(message, endpoint, Outcome::Moot));
                 continue;
             };
--- a/crates/courier/src/dispatcher/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -48,7 +48,7 @@
     /// Endpoints whose broker settings may have changed: checked before the next message, once nothing is in
     /// flight.
     stale: HashSet<EndpointId>,
-    /// Unresolved attempts of a previous process, by message. The module does not know these messages.
+    /// Unresolved attempts of a previous process, by message. The scheduler does not know these messages.
     open_attempts: BTreeMap<u64, OpenAttempt>,
     /// Hosts and packet ids of ended messages: the ids may still be in use in a broker's session.
     blocked_ids: Vec<(String, u16)>,
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Holds a message whose attempt by a previous process is unresolved, without passing it to the module.
-    /// Returns whether it is one.
+    /// Holds a message whose attempt by a previous process is unresolved, without passing it to the
+    /// scheduler. Returns whether it is one.
     pub(super) fn hold_open_attempt(&mut self, message: u64, live: &LiveMessage, class: usize) -> bool {
         if !self.brokers.open_attempts.contains_key(&message) {
             return false;
@@ -269,7 +269,7 @@
     }
 
     /// Handles the end of an attempt of a previous process, and returns whether it was one. Unless the
-    /// message has ended too, it is handed over to the module.
+    /// message has ended too, it is handed over to the scheduler.
     pub(super) fn open_attempt_ended(&mut self, message: u64, end: &CallResult) -> bool {
         if self.brokers.open_attempts.remove(&message).is_none() {
             return false;
@@ -283,7 +283,7 @@
         true
     }
 
-    /// Hands a message over to the module, with its earlier attempts.
+    /// Hands a message over to the scheduler, with its earlier attempts.
     fn hand_over_to_module(&mut self, message: u64) {
         let Some(live) = self.journal.get(message).cloned() else { return };
         let Some(held) = self.attempts.held.get_mut(&message) else { return };
@@ -328,7 +328,7 @@
     }
 
     /// Gives up unresolved attempts at endpoints that the configuration no longer has, since their sessions
-    /// are lost, and hands their messages over to the module.
+    /// are lost, and hands their messages over to the scheduler.
     pub(super) fn drop_lost_sessions(&mut self) {
         let Some(installation) = self.setup.installation.clone() else { return };
         if self.brokers.open_attempts.is_empty() && self.brokers.blocked_ids.is_empty() {
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -1,5 +1,5 @@
-//! Records of ended messages: they identify repeats, and let clients that subscribe to outcomes be told after
-//! any crash. The journal holds the records; this module holds the lookup tables.
+//! Records of ended messages: they identify repeats, and let clients that subscribe to outcomes be notified
+//! after any crash. The journal holds the records; this module holds the lookup tables.
 
 use super::Dispatcher;
 use super::held_message::DeferredAction;
@@ -58,9 +58,9 @@
     expiry: BTreeSet<(Duration, u64)>,
     /// All messages of which a record is kept.
     remembered: HashSet<u64>,
-    /// Messages whose client is being told the outcome by this process.
+    /// Messages whose client is being notified of the outcome by this process.
     notifying: HashSet<u64>,
-    /// Messages whose client has been told while the notice to the operator is not acknowledged yet.
+    /// Messages whose client has been notified while the notice to the operator is not acknowledged yet.
     notified: HashSet<u64>,
     /// For the platform, whose messages have no time for which their ids are remembered.
     recent_ids: RecentIds,
@@ -108,7 +108,7 @@
 }
 
 impl Dispatcher {
-    /// Loads the records that a previous process left, and tells the clients that have not been told.
+    /// Loads the records that a previous process left, and notifies the clients that have not been notified.
     pub(super) fn resume_ended(&mut self) {
         let all: Vec<(u64, EndedMessage)> =
             self.journal.ended_messages().map(|(n, k)| (n, EndedMessage::clone(k))).collect();
@@ -131,8 +131,8 @@
         leaves_record(accepted) && self.ended_messages.remembered.len() >= self.setup.max_remembered
     }
 
-    /// The reply to a message whose id is remembered: it is accepted already, and its client is told the
-    /// outcome again.
+    /// The reply to a message whose id is remembered: it is accepted already, and its client is notified of
+    /// the outcome again.
     pub(super) fn reply_to_duplicate(&mut self, accepted: &AcceptedMessage) -> Option<Reply> {
         if accepted.routed.is_none() && self.ended_messages.recent_ids.contains(&accepted.id) {
             message_trace::log_step(
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Tells the client at once that the module has ended its message undelivered.
+    /// Notifies the client at once that the scheduler has ended its message undelivered.
     pub(super) fn notify_owner_of_verdict(&mut self, message: u64, verdict: Verdict) {
         let Some(live) = self.journal.get(message) else { return };
         let accepted = live.accepted.clone();
@@ -229,7 +229,7 @@
         self.journal.record_end(message);
     }
 
-    /// Forgets messages that have expired; the record stays while a client is still to be told.
+    /// Forgets messages that have expired; the record stays while a client is still to be notified.
     pub(super) fn forget_expired(&mut self) {
         let now = unix_time();
         let mut any_expired = false;
@@ -299,7 +299,7 @@
     /// Tells the client of a message that was accepted and bounced at once, now that this is in the journal:
     /// first the acceptance, then the outcome.
     pub(super) fn confirm_bounce(&mut self, reply: ReplyTo, message: u64) {
-        // A client that has disconnected is told when it returns.
+        // A client that has disconnected is notified when it returns.
         let _ = reply.send(Reply::Accepted);
         if let Some(kept) = self.journal.ended_message(message).map(|k| EndedMessage::clone(k))
             && let Some(owner) = &kept.owner
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -1,4 +1,4 @@
-//! The lease on the endpoint list. The watch on discovery renews it and the decision module holds it; this
+//! The lease on the endpoint list. The watch on discovery renews it and the scheduler holds it; this
 //! module restores it after a restart, passes on renewals, and reports its expiry to the connections and the
 //! log.
 
@@ -20,7 +20,7 @@
 /// Longer than any lease on a list.
 const CLOCK_HEAD_START: Duration = Duration::from_secs(60);
 
-/// The zero of the decision module's clock. It lies before the process start, so that the clock can express
+/// The zero of the scheduler's clock. It lies before the process start, so that the clock can express
 /// the age of a list that a previous process received.
 pub(super) fn clock_origin() -> Instant {
     let now = Instant::now();
@@ -88,8 +88,8 @@
         self.limit_lease(ADDRESS_CHANGE_TERM);
     }
 
-    /// Tells the module when the list was current. This is a point in time, not an age, because the process
-    /// may be suspended before the next batch.
+    /// Notifies the scheduler when the list was current. This is a point in time, not an age, because the
+    /// process may be suspended before the next batch.
     fn list_current_as_of(&mut self, at: Instant) {
         // A time before the clock's zero means that the lease has expired.
         if let Some(as_of) = at.checked_duration_since(self.clock_origin) {
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -1,4 +1,4 @@
-//! Membership: the endpoints that the module knows, their zones and ids, the changes from configurations,
+//! Membership: the endpoints that the scheduler knows, their zones and ids, the changes from configurations,
 //! discovery and DNS lookups, and removed destinations.
 
 use super::Dispatcher;
@@ -17,7 +17,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Changed endpoints of a configuration that are passed to the module per batch, at least.
+/// Changed endpoints of a configuration that are passed to the scheduler per batch, at least.
 const MIN_ENDPOINTS_PER_BATCH: usize = 250;
 /// Batches over which the changes of a configuration are spread, at most: with batches 5 ms apart, a removed
 /// endpoint gets nothing new after 0.2 s.
@@ -26,7 +26,7 @@
 /// Minimum interval between log lines on the same fault.
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// An endpoint that the module knows.
+/// An endpoint that the scheduler knows.
 pub(super) struct Endpoint {
     pub(super) host: String,
     pub(super) address: Option<SocketAddr>,
@@ -43,7 +43,7 @@
 /// Endpoints and destinations, and the changes to them.
 #[derive(Default)]
 pub(super) struct Members {
-    /// Endpoints that the module knows, until it forgets them. Ids are never reused.
+    /// Endpoints that the scheduler knows, until it forgets them. Ids are never reused.
     pub(super) endpoints: HashMap<EndpointId, Endpoint>,
     next_id: u32,
     pub(super) ids_by_host: HashMap<String, EndpointId>,
@@ -56,7 +56,7 @@
     /// Whether the age of the initial list, and the discovery that it came from, are unknown.
     pub(super) list_age_unknown: bool,
     list_age_reported: Option<Instant>,
-    /// Changed endpoints of a configuration that have not been passed to the module yet.
+    /// Changed endpoints of a configuration that have not been passed to the scheduler yet.
     pub(super) pending_changes: VecDeque<ListedEndpoint>,
     /// How many of them are passed on per batch.
     pub(super) batch_size: usize,
@@ -64,7 +64,7 @@
     pub(super) applied: Option<oneshot::Sender<()>>,
     /// For an operator's courier: the endpoints that discovery lists.
     discovered: BTreeMap<String, ListedEndpoint>,
-    /// Those of them that were passed to the module.
+    /// Those of them that were passed to the scheduler.
     reported: BTreeMap<String, ListedEndpoint>,
     /// Destinations that a configuration has removed, and when the messages held for them end.
     pub(super) removed_destinations: BTreeMap<u64, Instant>,
@@ -142,7 +142,7 @@
         self.update_discovered_endpoints();
     }
 
-    /// Passes changes among the discovered endpoints to the module, for pools that use discovery.
+    /// Passes changes among the discovered endpoints to the scheduler, for pools that use discovery.
     pub(super) fn update_discovered_endpoints(&mut self) {
         let Some(installation) = &self.setup.installation else { return };
         let destinations: BTreeSet<u64> =
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Passes the next changed endpoints to the module. The changes are spread over batches, since thousands
-    /// at once would delay everything else.
+    /// Passes the next changed endpoints to the scheduler. The changes are spread over batches, since
+    /// thousands at once would delay everything else.
     pub(super) fn apply_pending_changes(&mut self) {
         if !self.members.pending_changes.is_empty() {
             let hosts = self
@@ -264,7 +264,7 @@
         id
     }
 
-    /// Applies a list, or changes to it, and passes them to the module.
+    /// Applies a list, or changes to it, and passes them to the scheduler.
     pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
         let mut entries = Vec::new();
         // A list of changes affects only the endpoints that it names.
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -40,8 +40,8 @@
 /// Bytes of a string beside its content: the overhead of a small allocation.
 const STRING_OVERHEAD_BYTES: usize = 16;
 
-/// Bytes of an accepted message beside its strings: the message, its rows in the journal, the module and the
-/// dispatcher's tables, and the charges for its memory.
+/// Bytes of an accepted message beside its strings: the message, its rows in the journal, the scheduler and
+/// the dispatcher's tables, and the charges for its memory.
 const MESSAGE_BYTES: u64 = memory_usage::MESSAGE_BYTES
     + STATE_ENTRY_BYTES
     + (size_of::<AcceptedMessage>()
@@ -221,7 +221,7 @@
             .headers
             .iter()
             .map(|(n, v)| n.len() + v.len() + 2 * STRING_OVERHEAD_BYTES + size_of::<(String, String)>());
-        // An order key is stored with the message and three times in the module.
+        // An order key is stored with the message and three times in the scheduler.
         let order = routed.order_key.as_ref().map_or(0, |o| 4 * (o.len() + STRING_OVERHEAD_BYTES) + 200);
         let owner = routed.owner.as_ref().map_or(0, String::len);
         let routed_bytes = routed.route.len()
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -93,8 +93,8 @@
         self.update_classes();
     }
 
-    /// The module's event for a message with earlier attempts: one of a previous process, or one that the
-    /// module does not know yet.
+    /// The scheduler's event for a message with earlier attempts: one of a previous process, or one that the
+    /// scheduler does not know yet.
     pub(super) fn resumed_message(&mut self, message: u64, live: &LiveMessage, class: usize) -> Accepted {
         // If the clock has jumped back, a message must not gain time: neither beyond what was left at the
         // latest time on record, nor beyond its class's deadline.
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -16,7 +16,7 @@
 
 /// The dispatcher's initial settings; it keeps them up to date as configurations change.
 pub struct Setup {
-    /// Settings of the decision module; their classes are those of `classes`.
+    /// Settings of the scheduler; their classes are those of `classes`.
     pub settings: Settings,
     pub classes: ClassTable,
     pub zones: Vec<String>,
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -105,8 +105,8 @@
     pub value: Option<bytes::Bytes>,
 }
 
-/// An ingress whose clients are told the outcomes of their messages, as the dispatcher uses it. Its methods
-/// neither block nor call back into the dispatcher.
+/// An ingress whose clients are notified of the outcomes of their messages, as the dispatcher uses it. Its
+/// methods neither block nor call back into the dispatcher.
 pub trait Ingress {
     /// The reply to a [`Submission`].
     fn on_reply(&self, token: u64, reply: Reply);
@@ -215,7 +215,7 @@
     Failed,
 }
 
-/// The retry delay sent to clients where the decision module gives none.
+/// The retry delay sent to clients where the scheduler gives none.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Why the journal cannot record something, in words for clients.
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,12 +1,12 @@
-//! The courier process: runs the decision module on real sockets. `dispatcher` owns the module; the other modules
-//! report to it through the events in `events`, on which all of them depend.
+//! The courier process: runs the scheduler on real sockets. `dispatcher` owns the scheduler; the other
+//! modules report to it through the events in `events`, on which all of them depend.
 //!
 //! ```text
 //!   bootstrap   configuration at startup, from the platform or from an operator's file
 //!   ingress     clients over HTTP and MQTT, and the admin pages
 //!   discovery   endpoints by discovery and by DNS, configuration from the control service
 //!   upstream    calls to endpoints and brokers, notices of outcomes
-//!   dispatcher  the decision module, its event loop, and the messages it holds
+//!   dispatcher  the scheduler, its event loop, and the messages it holds
 //! ```
 
 pub mod admin_client;
--- a/crates/courier/src/memory_budget.rs
+++ b/crates/courier/src/memory_budget.rs
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct MemoryBudget {
     pub ledger: Ledger,
-    /// Connections that were refused and wait to be told so.
+    /// Connections that were refused and wait to be notified.
     pub rejected_connections: Rc<RefCell<RejectedConnections>>,
     origin: Instant,
 }
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -371,7 +371,7 @@
     }
 }
 
-/// Maps the end of an MQTT delivery to an outcome of the decision module, by the table in docs/mqtt.md.
+/// Maps the end of an MQTT delivery to an outcome of the scheduler, by the table in docs/mqtt.md.
 fn call_end_of(end: AttemptResult) -> CallResult {
     let outcome = match end {
         AttemptResult::Delivered => Outcome::Delivered,
--- a/crates/courier/src/upstream/endpoint_client.rs
+++ b/crates/courier/src/upstream/endpoint_client.rs
@@ -46,7 +46,7 @@
     pub target: CallTarget,
     pub accepted: Rc<AcceptedMessage>,
     /// Nothing is written after this time. It counts from the decision to send, so neither a slow disk nor a
-    /// wait for a connection extends the time that the decision module allowed.
+    /// wait for a connection extends the time that the scheduler allowed.
     pub deadline: Instant,
     /// The message must not be sent again if it may have run.
     pub once: bool,
@@ -84,7 +84,7 @@
         EndpointClient { pool, draining, blocked_pools, list_valid_until, unleased }
     }
 
-    /// How long idle connections are kept; the decision module takes this into account.
+    /// How long idle connections are kept; the scheduler takes this into account.
     pub fn idle_timeout(&self) -> Duration {
         self.pool.idle_timeout()
     }
@@ -230,7 +230,7 @@
         if self.is_out_of_date(endpoint) {
             return Err(RequestError::Withheld("the list of endpoints may be out of date"));
         }
-        // The pool may have asked another call to wait. The decision module did not know that when it
+        // The pool may have asked another call to wait. The scheduler did not know that when it
         // released this call, and getting a connection may take a second.
         if pool
             .is_some_and(|p| self.blocked_pools.borrow().get(&p).is_some_and(|until| Instant::now() < *until))
