--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -312,7 +312,7 @@
         }
     }
 
-    /// Reports an effect of the state machine to the owner, or logs it.
+    /// Reports an effect of the state machine to the dispatcher, or logs it.
     async fn report(&self, effect: client::Effect, events: &Sender<DispatcherEvent>) {
         let endpoint = self.endpoint;
         let event = match effect {
