--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -38,7 +38,7 @@
 
 /// Default size limit of the journal, bytes.
 const DEFAULT_JOURNAL_BYTES: u64 = 1_000_000_000;
-/// Minimum room reserved in each attempt record for the names of an endpoint, its pool and its zone, bytes.
+/// Minimum space reserved in each attempt record for the names of an endpoint, its pool and its zone, bytes.
 const MIN_NAMES_BYTES: u64 = 256;
 
 /// Time after SIGTERM in which the wills of MQTT clients are accepted.
@@ -82,7 +82,7 @@
     StartupError::Invalid(what, why.to_string())
 }
 
-/// Builds the setup of the owner of the decision module.
+/// Builds the setup of the dispatcher.
 fn setup(
     installation: &Arc<Installation>,
     active_config: &ActiveConfig,
@@ -91,7 +91,7 @@
 ) -> Setup {
     let names = installation.classes.iter().map(|c| c.name.clone());
     let classes = match installation.classes.is_empty() {
-        // The decision module needs at least one class, even before the first version arrives.
+        // The scheduler needs at least one class, even before the first version arrives.
         true => ClassTable::placeholder(),
         false => ClassTable::new(names.zip(installation.settings.classes.iter().cloned())),
     };
@@ -209,9 +209,9 @@
     let http_server = Rc::new(HttpServer {
         routing: Routing::Routes(active_config.clone()),
         server_state: server_state.clone(),
-        news: events.clone(),
+        events: events.clone(),
         max_connections: client_sockets,
-        room: memory_budget.clone(),
+        memory_budget: memory_budget.clone(),
         rejecter: Some(rejecter.clone()),
     });
     let outcomes = &installation.file.outcomes;
@@ -273,12 +273,13 @@
         let listener = listen(admin).map_err(|e| invalid("listen.admin", format!("{admin}: {e}")))?;
         let at = listener.local_addr().map_err(|e| invalid("listen.admin", e))?;
         eprintln!("the operator's pages are at {at}");
-        let (view, server_state, room) = (config_updater.view(), server_state.clone(), memory_budget.clone());
-        let pages = AdminPages { view, server_state, room, watch: watch_status, connections };
+        let (view, server_state, memory_budget) =
+            (config_updater.view(), server_state.clone(), memory_budget.clone());
+        let pages = AdminPages { view, server_state, memory_budget, watch: watch_status, connections };
         tokio::task::spawn_local(admin::run(listener, pages));
     }
     if installation_mqtt.is_none() && topics {
-        eprintln!("configuration: [topics] are ignored, since listen.mqtt is not set");
+        eprintln!("configuration: there are [topics], and listen.mqtt is not set: none is taken");
     }
     let mut accepting = None;
     if let Some((mqtt_server, address)) = mqtt_server.clone().zip(installation_mqtt) {
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -40,8 +40,8 @@
 /// Bytes of a string beside its content: the overhead of a small allocation.
 const STRING_OVERHEAD_BYTES: usize = 16;
 
-/// Bytes of an accepted message beside its strings: the message, its rows in the journal, the module and the
-/// dispatcher's tables, and the charges for its memory.
+/// Bytes of an accepted message beside its strings: the message, its rows in the journal, the scheduler and
+/// the dispatcher's tables, and the charges for its memory.
 const MESSAGE_BYTES: u64 = memory_usage::MESSAGE_BYTES
     + STATE_ENTRY_BYTES
     + (size_of::<AcceptedMessage>()
@@ -124,7 +124,7 @@
         &self,
         accepted: &AcceptedMessage,
         body: Charge,
-        (guest, accepts_outcomes): (Option<&ClientAccount>, bool),
+        (client_account, accepts_outcomes): (Option<&ClientAccount>, bool),
     ) -> Result<MessageMemory, Refused> {
         let ledger = &self.budget.ledger;
         let body = body.transfer_to(Purpose::BodiesHeld).map_err(|(_, refused)| refused)?;
@@ -133,7 +133,7 @@
         ledger.check_room(Purpose::Journal, body.bytes() + needs.rows, None)?;
         Ok(MessageMemory {
             _body: body,
-            _rows: ledger.try_charge(Purpose::Messages, needs.rows, guest)?,
+            _rows: ledger.try_charge(Purpose::Messages, needs.rows, client_account)?,
             _attempts: ledger.reserve(Purpose::Messages, ATTEMPTS_BYTES)?,
             notice: ledger.reserve(Purpose::Notices, needs.notice)?,
             notice_charge: None,
@@ -221,7 +221,7 @@
             .headers
             .iter()
             .map(|(n, v)| n.len() + v.len() + 2 * STRING_OVERHEAD_BYTES + size_of::<(String, String)>());
-        // An order key is stored with the message and three times in the module.
+        // An order key is stored with the message and three times in the scheduler.
         let order = routed.order_key.as_ref().map_or(0, |o| 4 * (o.len() + STRING_OVERHEAD_BYTES) + 200);
         let owner = routed.owner.as_ref().map_or(0, String::len);
         let routed_bytes = routed.route.len()
@@ -280,8 +280,11 @@
         let body = std::mem::replace(&mut submission.body_charge, empty);
         let owner = submission.accepted.routed.as_ref().and_then(|r| r.owner.as_ref());
         let accepts_outcomes = owner.is_some_and(|owner| self.accepts_outcomes(owner));
-        let memory =
-            self.memory.reserve(&submission.accepted, body, (submission.guest.as_ref(), accepts_outcomes));
+        let memory = self.memory.reserve(
+            &submission.accepted,
+            body,
+            (submission.client_account.as_ref(), accepts_outcomes),
+        );
         memory.map_err(|refused| Reply::OutOfMemory(self.memory.budget.refusal(refused)))
     }
 
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -105,8 +105,8 @@
     pub value: Option<bytes::Bytes>,
 }
 
-/// An ingress whose clients are told the outcomes of their messages, as the dispatcher uses it. Its methods
-/// neither block nor call back into the dispatcher.
+/// An ingress whose clients are notified of the outcomes of their messages, as the dispatcher uses it. Its
+/// methods neither block nor call back into the dispatcher.
 pub trait Ingress {
     /// The reply to a [`Submission`].
     fn on_reply(&self, token: u64, reply: Reply);
@@ -171,7 +171,7 @@
     /// The memory charged for its body until it is accepted or refused.
     pub body_charge: Charge,
     /// The client whose share of memory it uses.
-    pub guest: Option<ClientAccount>,
+    pub client_account: Option<ClientAccount>,
 }
 
 /// What a configuration changes among endpoints and destinations.
@@ -215,7 +215,7 @@
     Failed,
 }
 
-/// The retry delay sent to clients where the decision module gives none.
+/// The retry delay sent to clients where the scheduler gives none.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Why the journal cannot record something, in words for clients.
