--- a/crates/courier/tests/crash.rs
+++ b/crates/courier/tests/crash.rs
@@ -1,8 +1,8 @@
-//! The courier under traffic, killed at random points while its journal is being compacted. A stand-in
-//! partner counts charges: none is doubled, none lost, and every message that was accepted ends.
+//! Kills the courier at random points under load while its journal is being compacted. A fake partner counts
+//! charges: none is duplicated, none is lost, and every accepted message ends.
 //!
-//! CI kills 40 times. `KILLS=1000 cargo test --release -p stairshed-courier --test crash -- --nocapture`
-//! does it for longer; `SEED=N` plays the dice of one run again.
+//! CI kills it 40 times. `KILLS=1000 cargo test --release -p stairshed-courier --test crash -- --nocapture`
+//! runs longer; `SEED=N` repeats the random choices of an earlier run.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use stairshed_rig::charge_ledger::ChargeLedger;
@@ -15,18 +15,24 @@
 use std::thread;
 use std::time::Duration;
 
-/// Little room and small segments: some are emptied in every life.
-const PROCESS: &str = "[journal]\nroom = \"900KB\"\nsegment = \"60KB\"\n";
-const MACHINE: &str = "[journal]\ndurability = \"machine\"\nroom = \"900KB\"\nsegment = \"60KB\"\n";
-const CLIENTS: u64 = 4;
-const BODY: usize = 1500;
+/// Limits the journal's size and uses small segments, so that each courier process compacts some of them.
+const PROCESS_DURABILITY: &str = "[journal]\nroom = \"900KB\"\nsegment = \"60KB\"\n";
+const MACHINE_DURABILITY: &str =
+    "[journal]\ndurability = \"machine\"\nroom = \"900KB\"\nsegment = \"60KB\"\n";
+const CLIENT_COUNT: u64 = 4;
+const BODY_BYTES: usize = 1500;
 
-/// What clients were told: ids that were taken on, with their class.
+/// Ids that the courier answered with 202, with their class.
 type Accepted = Arc<Mutex<BTreeMap<String, &'static str>>>;
 
-/// Hands in messages until it is told to stop, over connections that are kept as long as they last.
-fn client(at: Arc<Mutex<SocketAddr>>, ids: Arc<AtomicU64>, accepted: Accepted, stop: Arc<AtomicBool>) {
-    let body = "x".repeat(BODY);
+/// Submits messages over persistent connections until `stop` is set; reconnects when a connection fails.
+fn submit_until_stopped(
+    at: Arc<Mutex<SocketAddr>>,
+    ids: Arc<AtomicU64>,
+    accepted: Accepted,
+    stop: Arc<AtomicBool>,
+) {
+    let body = "x".repeat(BODY_BYTES);
     while !stop.load(Ordering::SeqCst) {
         let address = *at.lock().expect("the address");
         let Ok(stream) = TcpStream::connect(address) else {
@@ -53,7 +59,7 @@
     }
 }
 
-fn killed_many_times(kills: u64, settings: &str) {
+fn run_with_kills(kills: u64, settings: &str) {
     let seed = env_or("SEED", 1);
     println!("SEED={seed} KILLS={kills}");
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -71,10 +77,10 @@
     let (accepted, stop): (Accepted, _) = (Arc::default(), Arc::new(AtomicBool::new(false)));
     let mut courier = start();
     let (at, ids) = (Arc::new(Mutex::new(courier.address)), Arc::new(AtomicU64::new(0)));
-    let clients: Vec<_> = (0..CLIENTS)
+    let clients: Vec<_> = (0..CLIENT_COUNT)
         .map(|_| {
             let (at, ids, accepted, stop) = (at.clone(), ids.clone(), accepted.clone(), stop.clone());
-            thread::spawn(move || client(at, ids, accepted, stop))
+            thread::spawn(move || submit_until_stopped(at, ids, accepted, stop))
         })
         .collect();
     for kill in 0..kills {
@@ -89,7 +95,7 @@
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().expect("the client ends"));
     let accepted = accepted.lock().expect("accepted").clone();
-    // Delivered, or the platform was told otherwise.
+    // Results by message id, from the notices that the platform received.
     let results = |discovery: &Discovery| {
         let mut results = BTreeMap::<String, Vec<String>>::new();
         for n in discovery.notices.lock().expect("notices").iter() {
@@ -100,25 +106,25 @@
         results
     };
     wait_until("the end of every message", || {
-        let told = results(&discovery);
-        accepted.keys().all(|id| charges.get(id).answered || told.contains_key(id))
+        let notice_results = results(&discovery);
+        accepted.keys().all(|id| charges.get(id).answered || notice_results.contains_key(id))
     });
-    let told = results(&discovery);
+    let notice_results = results(&discovery);
     let payment = |id: &str| id[1..].parse::<u64>().is_ok_and(|n| n % 3 != 2);
     for (id, charge) in charges.all() {
         if payment(&id) {
             assert!(charge.times <= 1, "SEED={seed}: {id} was charged {} times", charge.times);
         }
     }
-    for (id, results) in &told {
-        // A notice may be repeated until it is acknowledged, and never says something else.
+    for (id, results) in &notice_results {
+        // A notice may be repeated until it is acknowledged, but its result must not change.
         assert!(results.iter().all(|r| *r == results[0]), "SEED={seed}: {id}: {results:?}");
-        // A payment that was refused ran nowhere: its client may hand it in again.
+        // A bounced payment must not have run anywhere, because its client may submit it again.
         let ran = payment(id) && charges.get(id).times > 0 && results[0] == "bounced";
         assert!(!ran, "SEED={seed}: {id} was charged and bounced");
     }
     let charged = accepted.keys().filter(|id| charges.get(id).times > 0).count();
-    println!("{} accepted, {charged} charged, {} told otherwise", accepted.len(), told.len());
+    println!("{} accepted, {charged} charged, {} with a notice", accepted.len(), notice_results.len());
     assert!(accepted.len() as u64 > kills && charged > 0);
     courier.kill();
     let folder = folder.0.join("state");
@@ -128,11 +134,11 @@
 }
 
 #[test]
-fn no_charge_is_doubled_or_lost_though_it_is_killed_again_and_again() {
-    killed_many_times(env_or("KILLS", 40), PROCESS);
+fn no_charge_is_duplicated_or_lost_when_the_courier_is_killed_repeatedly() {
+    run_with_kills(env_or("KILLS", 40), PROCESS_DURABILITY);
 }
 
 #[test]
-fn with_syncs_no_charge_is_doubled_or_lost_either() {
-    killed_many_times(env_or("KILLS", 40) / 4, MACHINE);
+fn no_charge_is_duplicated_or_lost_when_the_courier_is_killed_with_machine_durability() {
+    run_with_kills(env_or("KILLS", 40) / 4, MACHINE_DURABILITY);
 }
