--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -1,4 +1,5 @@
-//! The courier and its journal's disk: full, failing, damaged, shared, and of an older program.
+//! End-to-end tests of the courier's journal: a full disk, failing writes, damaged records, a folder in use by another
+//! process, and the format of an older version.
 
 use stairshed_rig::*;
 use std::path::{Path, PathBuf};
@@ -10,17 +11,17 @@
     folder.0.join("state")
 }
 
-/// `stairshed journal WHAT` on the courier's folder.
-fn tool(folder: &TestFolder, what: &str) -> Output {
-    Command::new(program()).arg("journal").arg(what).arg(state(folder)).output().expect("it runs")
+/// Runs `stairshed journal SUBCOMMAND` on the courier's state folder.
+fn run_journal_tool(folder: &TestFolder, subcommand: &str) -> Output {
+    Command::new(program()).arg("journal").arg(subcommand).arg(state(folder)).output().expect("it runs")
 }
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Flips a bit in the first place where `name` stands.
-fn spoil(segment: &Path, name: &[u8]) {
+/// Flips a bit in the first occurrence of `name` in the segment.
+fn flip_bit(segment: &Path, name: &[u8]) {
     let mut bytes = std::fs::read(segment).expect("the segment");
     let at = bytes.windows(name.len()).position(|w| w == name).expect("the name");
     bytes[at] ^= 0x20;
@@ -34,11 +35,11 @@
     all
 }
 
-/// An endpoint that hangs until it is opened, then answers; discovery that lists it.
-fn gate() -> (Arc<AtomicBool>, Endpoint, Discovery) {
+/// Starts an endpoint that answers 503 until the flag is set and 200 after that, and a discovery service that lists it.
+fn endpoint_behind_flag() -> (Arc<AtomicBool>, Endpoint, Discovery) {
     let open = Arc::new(AtomicBool::new(false));
     let own = open.clone();
-    // Turned away, so that nothing may have run.
+    // A plain 503 proves that the message did not run.
     const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     let endpoint =
         Endpoint::new(move |_| EndpointAction::Respond(if own.load(Ordering::SeqCst) { OK } else { BUSY }));
@@ -53,45 +54,46 @@
     Courier::spawn(&mut command)
 }
 
-/// Every message that was taken on has ended: answered 200 by the endpoint once it was open, or told.
-fn all_end(taken: &[String], endpoint: &Endpoint, discovery: &Discovery, opened: usize) {
-    wait_until("the end of all that was taken on", || {
+/// Waits until every accepted message has ended: it was sent to the endpoint after call number `opened`, or a notice
+/// reported its result. No message may be sent twice after that call.
+fn assert_all_end(accepted: &[String], endpoint: &Endpoint, discovery: &Discovery, opened: usize) {
+    wait_until("the end of all accepted messages", || {
         let delivered: Vec<String> = endpoint.calls()[opened..].iter().map(|c| c.id.clone()).collect();
-        taken.iter().all(|id| delivered.contains(id) || !discovery.results(id).is_empty())
+        accepted.iter().all(|id| delivered.contains(id) || !discovery.results(id).is_empty())
     });
     let delivered: Vec<String> = endpoint.calls()[opened..].iter().map(|c| c.id.clone()).collect();
-    for id in taken {
+    for id in accepted {
         let times = delivered.iter().filter(|d| *d == id).count();
         assert!(times <= 1, "{id} was delivered {times} times");
     }
 }
 
 #[test]
-fn a_full_journal_refuses_new_messages_with_its_reason_and_ends_the_old_ones() {
-    let (open, endpoint, discovery) = gate();
+fn a_full_journal_refuses_new_messages_with_a_reason_and_ends_accepted_ones() {
+    let (open, endpoint, discovery) = endpoint_behind_flag();
     let folder = TestFolder::new();
     let courier = courier(&folder, &discovery, "[journal]\nroom = \"250KB\"\n");
     let body = "x".repeat(3000);
-    let (mut taken, mut refused) = (Vec::new(), None);
+    let (mut accepted, mut refused) = (Vec::new(), None);
     for n in 0..100 {
         let id = format!("m{n}");
         let page = exchange(courier.address, message_with(&id, "payment", 7, 25_000, &body).as_bytes());
         let page = page.expect("an answer");
         match page.status() {
-            202 => taken.push(id),
+            202 => accepted.push(id),
             _ => refused = Some(page),
         }
     }
-    let refused = refused.expect("it fills");
+    let refused = refused.expect("the journal fills");
     assert_eq!(refused.status(), 503);
     assert!(text(&refused.body).contains("journal is full"), "{refused:?}");
     assert!(refused.header("retry-after").is_some_and(|v| v.parse::<f64>().is_ok_and(|s| s > 0.0)));
-    assert!(taken.len() > 10);
-    // Full as it is, all ends; then there is room again.
+    assert!(accepted.len() > 10);
+    // All accepted messages must end although the journal is full; after that it has room again.
     let opened = endpoint.calls().len();
     open.store(true, Ordering::SeqCst);
-    all_end(&taken, &endpoint, &discovery, opened);
-    wait_until("it serves again", || courier.submit("again", "payment", 7, 20_000).status() == 202);
+    assert_all_end(&accepted, &endpoint, &discovery, opened);
+    wait_until("it accepts again", || courier.submit("again", "payment", 7, 20_000).status() == 202);
     let used: u64 = segments(&state(&folder))
         .iter()
         .map(|p| p.metadata().map_or(0, |m| m.len().next_multiple_of(512)))
@@ -100,26 +102,26 @@
 }
 
 #[test]
-fn a_write_that_the_kernel_cuts_short_costs_nothing_that_was_taken_on() {
-    let (open, endpoint, discovery) = gate();
+fn no_accepted_message_is_lost_after_a_short_write() {
+    let (open, endpoint, discovery) = endpoint_behind_flag();
     let folder = TestFolder::new();
     let known = discovery.lines.lock().expect("lines")[0].clone();
-    let under = command(&folder, &discovery, &config(&discovery, known));
-    let courier = Courier::spawn(&mut ignoring_file_size_signal(&under));
-    let mut taken = Vec::new();
+    let courier_command = command(&folder, &discovery, &config(&discovery, known));
+    let courier = Courier::spawn(&mut ignoring_file_size_signal(&courier_command));
+    let mut accepted = Vec::new();
     for n in 0..10 {
         courier.submit_accepted(&format!("m{n}"), "payment", 7, 28_000);
-        taken.push(format!("m{n}"));
+        accepted.push(format!("m{n}"));
     }
-    // In the middle of the next record but one, or of what is written beside it.
+    // The limit falls within the second record from here, or within the data written along with it.
     let size = segments(&state(&folder)).last().expect("a segment").metadata().expect("its size").len();
     courier.set_file_size_limit(Some(size + 300));
     let mut refused = None;
-    wait_until("it is refused", || {
-        let id = format!("n{}", taken.len());
+    wait_until("a message is refused", || {
+        let id = format!("n{}", accepted.len());
         let page = courier.submit(&id, "payment", 7, 28_000);
         match page.status() {
-            202 => taken.push(id),
+            202 => accepted.push(id),
             _ => refused = Some(page),
         }
         refused.is_some()
@@ -134,16 +136,16 @@
     courier.wait_for_log("works again");
     let opened = endpoint.calls().len();
     open.store(true, Ordering::SeqCst);
-    all_end(&taken, &endpoint, &discovery, opened);
-    wait_until("it serves again", || courier.submit("again", "payment", 7, 20_000).status() == 202);
+    assert_all_end(&accepted, &endpoint, &discovery, opened);
+    wait_until("it accepts again", || courier.submit("again", "payment", 7, 20_000).status() == 202);
     let all = endpoint.ids();
-    assert!(taken.iter().all(|id| all.contains(id)), "all that was taken on was sent");
+    assert!(accepted.iter().all(|id| all.contains(id)), "an accepted message was not sent");
     courier.kill();
-    assert!(tool(&folder, "verify").status.success());
+    assert!(run_journal_tool(&folder, "verify").status.success());
 }
 
 #[test]
-fn a_payment_that_a_spoilt_record_may_hide_is_never_sent_again() {
+fn a_payment_whose_attempt_record_is_damaged_is_never_sent_again() {
     let endpoint = Endpoint::new(|n| if n < 2 { EndpointAction::Hang } else { EndpointAction::Respond(OK) });
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
     let folder = TestFolder::new();
@@ -151,21 +153,21 @@
     courier.submit_accepted("pay", "payment", 7, 25_000);
     courier.submit_accepted("state", "status", 7, 25_000);
     wait_until("both calls", || endpoint.calls().len() == 2);
-    // One more record behind those of the attempts, so that they are not at the end.
+    // Writes one more record after those of the attempts, so that they are not at the end of the journal.
     courier.submit_accepted("later", "status", 7, 25_000);
     wait_until("the third call", || endpoint.calls().len() == 3);
     courier.kill();
-    let before = text(&tool(&folder, "dump").stdout);
+    let before = text(&run_journal_tool(&folder, "dump").stdout);
     let attempts = before.lines().filter(|l| l.contains("\"kind\":\"attempt\"")).count();
     assert!(attempts >= 2, "{before}");
-    // The host's name in the payment's attempt.
+    // Damages the host's name in the record of the payment's attempt.
     let path = segments(&state(&folder)).pop().expect("a segment");
-    spoil(&path, b"s-1");
-    let verify = tool(&folder, "verify");
+    flip_bit(&path, b"s-1");
+    let verify = run_journal_tool(&folder, "verify");
     assert_eq!(verify.status.code(), Some(1));
-    let said = text(&verify.stdout);
+    let report = text(&verify.stdout);
     let name = path.file_name().and_then(|n| n.to_str()).expect("a name");
-    assert!(said.contains("DAMAGED") && said.contains(name) && said.contains("byte"), "{said}");
+    assert!(report.contains("DAMAGED") && report.contains(name) && report.contains("byte"), "{report}");
     let courier = self::courier(&folder, &discovery, "");
     assert!(
         courier.startup_log.iter().any(|l| l.contains("DAMAGED") && l.contains(name)),
@@ -173,16 +175,16 @@
         courier.startup_log
     );
     wait_until("its end", || discovery.results("pay") == ["dead"]);
-    wait_until("the repeat of what is harmless", || {
+    wait_until("the retry of the repeatable message", || {
         endpoint.ids().iter().filter(|id| *id == "state").count() == 2
     });
     assert_eq!(endpoint.ids().iter().filter(|id| *id == "pay").count(), 1);
     courier.kill();
-    assert!(tool(&folder, "verify").status.success(), "mended by the start");
+    assert!(run_journal_tool(&folder, "verify").status.success(), "the restart did not repair the journal");
 }
 
 #[test]
-fn a_key_that_a_spoilt_record_may_hide_is_sent_to_no_endpoint_without_a_zone() {
+fn a_keyed_message_whose_attempt_record_is_damaged_is_not_sent_to_an_endpoint_without_a_zone() {
     let endpoint = Endpoint::new(|n| if n < 2 { EndpointAction::Hang } else { EndpointAction::Respond(OK) });
     let folder = TestFolder::new();
     let file = format!(
@@ -194,12 +196,12 @@
     let courier = Courier::serve(&folder, &file);
     assert_eq!(courier.post("/fuel", "pay", "Idempotency-Key: k\r\n", "1").status(), 202);
     wait_until("the call", || endpoint.calls().len() == 1);
-    // One more record behind that of the attempt, so that it is not at the end.
+    // Writes one more record after that of the attempt, so that it is not at the end of the journal.
     assert_eq!(courier.post("/fuel", "later", "Idempotency-Key: l\r\n", "1").status(), 202);
     wait_until("the second call", || endpoint.calls().len() == 2);
     courier.kill();
     let path = segments(&state(&folder).join("journal")).pop().expect("a segment");
-    spoil(&path, format!("p/{}", endpoint.address).as_bytes());
+    flip_bit(&path, format!("p/{}", endpoint.address).as_bytes());
     let courier = Courier::serve(&folder, &file);
     assert!(courier.startup_log.iter().any(|l| l.contains("DAMAGED")), "{:?}", courier.startup_log);
     wait_until("its end", || outcomes(&folder).iter().any(|(id, result)| id == "pay" && result == "dead"));
@@ -207,60 +209,60 @@
 }
 
 #[test]
-fn the_tools_tell_what_is_there_and_keep_out_of_a_courier_s_way() {
-    let (open, endpoint, discovery) = gate();
+fn the_journal_tools_report_the_content_and_refuse_a_folder_in_use() {
+    let (open, endpoint, discovery) = endpoint_behind_flag();
     let folder = TestFolder::new();
     let courier = courier(&folder, &discovery, "");
     for n in 0..5 {
         courier.submit_accepted(&format!("m{n}"), "payment", 7, 25_000);
     }
-    for what in ["inspect", "verify", "dump", "compact"] {
-        let run = tool(&folder, what);
-        assert_eq!(run.status.code(), Some(1), "{what}");
-        assert!(text(&run.stderr).contains("another process"), "{what}: {}", text(&run.stderr));
+    for subcommand in ["inspect", "verify", "dump", "compact"] {
+        let run = run_journal_tool(&folder, subcommand);
+        assert_eq!(run.status.code(), Some(1), "{subcommand}");
+        assert!(text(&run.stderr).contains("another process"), "{subcommand}: {}", text(&run.stderr));
     }
     courier.kill();
     let files = |folder: &TestFolder| -> Vec<_> {
         segments(&state(folder)).iter().map(|p| (p.clone(), std::fs::read(p).expect("read"))).collect()
     };
     let before = files(&folder);
-    let inspect = text(&tool(&folder, "inspect").stdout);
+    let inspect = text(&run_journal_tool(&folder, "inspect").stdout);
     assert!(inspect.contains("messages: 5 live") && inspect.contains("m3"), "{inspect}");
-    assert!(text(&tool(&folder, "verify").stdout).contains("5 live messages"));
-    let dump = text(&tool(&folder, "dump").stdout);
+    assert!(text(&run_journal_tool(&folder, "verify").stdout).contains("5 live messages"));
+    let dump = text(&run_journal_tool(&folder, "dump").stdout);
     assert!(dump.lines().all(|l| serde_json::from_str::<serde_json::Value>(l).is_ok()), "{dump}");
-    assert!(files(&folder) == before, "they only look");
-    let compact = tool(&folder, "compact");
+    assert!(files(&folder) == before, "inspect, verify or dump changed a file");
+    let compact = run_journal_tool(&folder, "compact");
     assert!(compact.status.success(), "{}", text(&compact.stderr));
     assert!(files(&folder) != before);
-    assert!(text(&tool(&folder, "verify").stdout).contains("5 live messages"));
+    assert!(text(&run_journal_tool(&folder, "verify").stdout).contains("5 live messages"));
     let _courier = self::courier(&folder, &discovery, "");
     let opened = endpoint.calls().len();
     open.store(true, Ordering::SeqCst);
-    let taken: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
-    all_end(&taken, &endpoint, &discovery, opened);
+    let accepted: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
+    assert_all_end(&accepted, &endpoint, &discovery, opened);
 }
 
 #[test]
-fn with_syncs_a_message_is_answered_delivered_and_resumed_like_any_other() {
-    let (open, endpoint, discovery) = gate();
+fn messages_are_accepted_delivered_and_resumed_with_machine_durability() {
+    let (open, endpoint, discovery) = endpoint_behind_flag();
     let folder = TestFolder::new();
     let settings = "[journal]\ndurability = \"machine\"\nset_aside = true\nroom = \"8MB\"\n";
     let courier = courier(&folder, &discovery, settings);
-    let taken: Vec<String> = (0..20).map(|n| format!("m{n}")).collect();
-    taken.iter().for_each(|id| courier.submit_accepted(id, "payment", 7, 25_000));
+    let accepted: Vec<String> = (0..20).map(|n| format!("m{n}")).collect();
+    accepted.iter().for_each(|id| courier.submit_accepted(id, "payment", 7, 25_000));
     courier.kill();
     let courier = self::courier(&folder, &discovery, settings);
     courier.submit_accepted("late", "status", 7, 1500);
     wait_until("a notice", || !discovery.results("late").is_empty());
     let opened = endpoint.calls().len();
     open.store(true, Ordering::SeqCst);
-    all_end(&taken, &endpoint, &discovery, opened);
+    assert_all_end(&accepted, &endpoint, &discovery, opened);
 }
 
 #[test]
-fn bad_settings_and_a_folder_in_use_end_the_start_with_one_line() {
-    let (_open, _endpoint, discovery) = gate();
+fn a_start_with_bad_settings_or_a_folder_in_use_fails_with_an_error() {
+    let (_open, _endpoint, discovery) = endpoint_behind_flag();
     let folder = TestFolder::new();
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let config = config(&discovery, known);
@@ -277,16 +279,16 @@
     assert!(run("").contains("another process"));
 }
 
-/// Written by the courier before segments (commit 5ee524e), killed with six messages held: three payments and
-/// notices that an endpoint had hung on or turned away, and one that had run out of time.
-const OLD: &[u8] = include_bytes!("fixtures/old-format.journal");
+/// A journal written by a version without segments (commit 5ee524e) that was killed while it held six messages: three
+/// payments and notices that an endpoint had left unanswered or refused, and one whose deadline had passed.
+const OLD_FORMAT_JOURNAL: &[u8] = include_bytes!("fixtures/old-format.journal");
 
 #[test]
-fn a_folder_of_the_old_format_is_taken_over_with_every_message() {
-    let (open, endpoint, discovery) = gate();
+fn a_journal_of_the_old_format_is_migrated_with_every_message() {
+    let (open, endpoint, discovery) = endpoint_behind_flag();
     open.store(true, Ordering::SeqCst);
     let folder = TestFolder::new();
-    std::fs::write(state(&folder).join("journal"), OLD).expect("written");
+    std::fs::write(state(&folder).join("journal"), OLD_FORMAT_JOURNAL).expect("written");
     let courier = courier(&folder, &discovery, "");
     assert!(
         courier.startup_log.iter().any(|l| l.contains("taken over from the old format")),
@@ -294,15 +296,17 @@
         courier.startup_log
     );
     assert!(!state(&folder).join("journal").exists());
-    // Their time was up long ago, so each ends by a notice; what may have run is never said to be harmless.
-    wait_until("every end", || (0..6).all(|n| !discovery.results(&format!("m{n}")).is_empty()));
+    // All deadlines passed long ago, so each message ends with a notice. A payment that may have run must not be
+    // reported as bounced.
+    wait_until("all notices", || (0..6).all(|n| !discovery.results(&format!("m{n}")).is_empty()));
     courier.kill();
-    assert!(endpoint.calls().is_empty(), "nothing is sent whose time is up");
-    // Taken over once more by the tool: the courier may have compacted by now what has ended.
+    assert!(endpoint.calls().is_empty(), "a message was sent after its deadline");
+    // Migrates the same file with `stairshed journal compact`, because the courier may have compacted the ended
+    // messages by now.
     let folder = TestFolder::new();
-    std::fs::write(state(&folder).join("journal"), OLD).expect("written");
-    assert!(tool(&folder, "compact").status.success());
-    let dump = text(&tool(&folder, "dump").stdout);
+    std::fs::write(state(&folder).join("journal"), OLD_FORMAT_JOURNAL).expect("written");
+    assert!(run_journal_tool(&folder, "compact").status.success());
+    let dump = text(&run_journal_tool(&folder, "dump").stdout);
     for n in 0..6 {
         let line = dump.lines().find(|l| l.contains("snapshot") && l.contains(&format!("\"m{n}\"")));
         let line = line.unwrap_or_else(|| panic!("m{n} is not there: {dump}"));
@@ -314,14 +318,14 @@
 }
 
 #[test]
-fn a_clock_that_has_jumped_back_gives_no_message_more_time_than_its_class_has() {
+fn a_clock_set_back_extends_no_message_beyond_the_deadline_of_its_class() {
     let endpoint = Endpoint::new(|_| EndpointAction::Hang);
-    // Listed but draining: the message is held as long as it has time.
+    // The only endpoint is draining, so the message is held until its deadline.
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "draining")]));
     let folder = TestFolder::new();
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let mut config = config(&discovery, known);
-    // As if an hour had been turned back: its time is up an hour from now.
+    // Simulates a clock that was set back by an hour: the deadline on record is an hour from now.
     let courier = Courier::with(&folder, &discovery, &config);
     courier.submit_accepted("hour", "payment", 7, 3_600_000);
     courier.submit_accepted("usual", "payment", 7, 500);
