--- a/crates/courier/tests/second_copies.rs
+++ b/crates/courier/tests/second_copies.rs
@@ -1,5 +1,5 @@
-//! An answer of an earlier call is never taken for that of a later one on the same connection: couriers as processes on
-//! loopback, and endpoints that send some of their answers twice. `SEED=n` plays one seed of the random load again.
+//! The answer to an earlier call is never matched to a later call on the same connection. Courier processes on
+//! loopback, with endpoints that send some of their answers twice. `SEED=n` repeats the random load of one seed.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -13,80 +13,82 @@
 use std::thread;
 use std::time::Duration;
 
-/// Each with an endpoint in either zone.
+/// Number of destinations, each with an endpoint in both zones.
 const DESTINATIONS: u64 = 3;
-/// Calls that a courier has out at once: few, so that a connection is used again as soon as it has its answer.
-const SLOTS: usize = 6;
-/// Messages that one client hands in, one after the other.
-const MESSAGES: usize = 40;
-/// Between two of its messages.
+/// Calls that a courier may have in flight: few, so that a connection is reused as soon as its answer has arrived.
+const MAX_CALLS_IN_FLIGHT: usize = 6;
+/// Messages that each client submits, one after the other.
+const MESSAGES_PER_CLIENT: usize = 40;
+/// Pause of a client between two messages.
 const PAUSE: Duration = Duration::from_millis(80);
-/// Of each class.
-const CLIENTS: usize = 4;
-const TIME_MS: u64 = 5_000;
-/// A message that has not ended so long after its time is lost (protocol page: 300 ms, and 50 ms on sockets).
-const LATE: Duration = Duration::from_millis(350);
-/// Shares of the calls that are refused, and of the answers that are sent twice.
+/// Number of clients for each class.
+const CLIENTS_PER_CLASS: usize = 4;
+const DEADLINE_MS: u64 = 5_000;
+/// A message that has not ended this long after its deadline counts as lost (protocol page: 300 ms, plus 50 ms for
+/// sockets).
+const MAX_LATENESS: Duration = Duration::from_millis(350);
+/// Share of the calls that are refused.
 const REFUSED_SHARE: f64 = 0.1;
-const COPIED_SHARE: f64 = 0.3;
-/// Fewer calls show nothing.
+/// Share of the answers that are sent twice.
+const DUPLICATED_SHARE: f64 = 0.3;
+/// A run with fewer calls is too short to show a fault.
 const MIN_CALLS: usize = 200;
 
-/// When second copies come, after their answer.
+/// Range of the time between an answer and its copy.
 #[derive(Clone, Copy)]
-struct Copies {
+struct CopyDelay {
     earliest_ms: u64,
     latest_ms: u64,
 }
 
-/// As in the incident: once the next call is out.
-const AS_REPORTED: Copies = Copies { earliest_ms: 1, latest_ms: 15 };
-/// Later than any pause between two calls.
-const LATER: Copies = Copies { earliest_ms: 20, latest_ms: 400 };
+/// As in incident fde2a4: the copy arrives while the next call is in flight.
+const DURING_NEXT_CALL: CopyDelay = CopyDelay { earliest_ms: 1, latest_ms: 15 };
+/// The copy arrives later than any pause between two calls.
+const AFTER_NEXT_CALL: CopyDelay = CopyDelay { earliest_ms: 20, latest_ms: 400 };
 
-fn script(rng: &mut SmallRng, copies: Copies) -> Script {
-    let copied = rng.random_bool(COPIED_SHARE);
-    let after = rng.random_range(copies.earliest_ms..=copies.latest_ms);
+fn script(rng: &mut SmallRng, copy_delay: CopyDelay) -> Script {
+    let duplicated = rng.random_bool(DUPLICATED_SHARE);
+    let after = rng.random_range(copy_delay.earliest_ms..=copy_delay.latest_ms);
     Script {
         answer: Some(distinct_answer(rng, REFUSED_SHARE)),
         delay: Duration::from_millis(rng.random_range(10..=60)),
         reset_after: false,
-        copy_after: copied.then(|| Duration::from_millis(after)),
+        copy_after: duplicated.then(|| Duration::from_millis(after)),
     }
 }
 
-/// One courier between clients and two endpoints in different zones; all messages have ended when it returns.
-fn play(copies: Copies) -> RunRecord {
+/// Runs one courier under load with endpoints in two zones, and returns the record once all messages have ended.
+fn run_load(copy_delay: CopyDelay) -> RunRecord {
     let seed = env_or("SEED", 1);
     println!("seed {seed}");
     let log = CallLog::default();
-    let hosts = start_in_two_zones(DESTINATIONS, &log, seed, move |rng| script(rng, copies));
+    let hosts = start_in_two_zones(DESTINATIONS, &log, seed, move |rng| script(rng, copy_delay));
     let known = list(1, true, hosts);
     let discovery = Discovery::new(known.clone());
     let mut config = config(&discovery, known);
-    config["settings"]["family-info"]["slots"] = json!(SLOTS);
+    config["settings"]["family-info"]["slots"] = json!(MAX_CALLS_IN_FLIGHT);
     config["seed"] = json!(format!("{seed:x}"));
     let folder = TestFolder::new();
     let courier = Courier::spawn(command(&folder, &discovery, &config).args(["--follow", "1/1"]));
     let address = courier.address;
     let clients: Vec<_> = CLASSES
         .iter()
-        .flat_map(|class| (0..CLIENTS).map(move |client| (*class, client)))
-        .map(|(class, client)| thread::spawn(move || hand_in_all(address, class, client)))
+        .flat_map(|class| (0..CLIENTS_PER_CLASS).map(move |client| (*class, client)))
+        .map(|(class, client)| thread::spawn(move || submit_all(address, class, client)))
         .collect();
-    let taken: BTreeSet<_> = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
-    wait_for_ends(&taken, &log, &discovery, Duration::from_millis(TIME_MS) + LATE);
-    let played = RunRecord::new(taken, &log, &discovery, courier.unread_log());
-    println!("{}", played.summary());
-    assert!(played.calls.len() > MIN_CALLS, "too few calls to show a fault");
-    played
+    let accepted: BTreeSet<_> = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
+    wait_for_ends(&accepted, &log, &discovery, Duration::from_millis(DEADLINE_MS) + MAX_LATENESS);
+    let record = RunRecord::new(accepted, &log, &discovery, courier.unread_log());
+    println!("{}", record.summary());
+    assert!(record.calls.len() > MIN_CALLS, "too few calls to show a fault");
+    record
 }
 
-fn hand_in_all(courier: SocketAddr, class: &str, client: usize) -> Vec<String> {
-    let ids = (0..MESSAGES).map(|n| format!("{class}-{client}-{n}"));
+fn submit_all(courier: SocketAddr, class: &str, client: usize) -> Vec<String> {
+    let ids = (0..MESSAGES_PER_CLIENT).map(|n| format!("{class}-{client}-{n}"));
     let submit = |id: &String| {
         thread::sleep(PAUSE);
-        exchange(courier, message(id, class, destination_of(id), TIME_MS).as_bytes())
+        exchange(courier, message(id, class, destination_of(id), DEADLINE_MS).as_bytes())
     };
     ids.filter(|id| submit(id).is_some_and(|answer| answer.status() == 202)).collect()
 }
@@ -95,51 +97,51 @@
     id.bytes().map(u64::from).sum::<u64>() % DESTINATIONS
 }
 
-// Guards against a copy of a 503 that is taken for the answer to a payment which runs (incident fde2a4).
+// Guards against matching a copy of a 503 to a payment that is running (incident fde2a4).
 #[test]
 fn payment_runs_once_where_endpoints_send_an_answer_twice() {
-    for copies in [AS_REPORTED, LATER] {
-        let played = play(copies);
-        played.assert_payments_run_once();
+    for copy_delay in [DURING_NEXT_CALL, AFTER_NEXT_CALL] {
+        let record = run_load(copy_delay);
+        record.assert_payments_run_once();
     }
 }
 
-// Guards against a message that is sent again while its first attempt is still out (incident fde2a4).
+// Guards against resending a message while its first attempt is in flight (incident fde2a4).
 #[test]
 fn one_attempt_at_once_where_endpoints_send_an_answer_twice() {
-    for copies in [AS_REPORTED, LATER] {
-        let played = play(copies);
-        played.assert_one_attempt_at_once();
+    for copy_delay in [DURING_NEXT_CALL, AFTER_NEXT_CALL] {
+        let record = run_load(copy_delay);
+        record.assert_one_attempt_at_once();
     }
 }
 
-// Guards against a keyed message that runs in one zone and is sent to the other (incident fde2a4).
+// Guards against sending a keyed message to the other zone while it runs in the first (incident fde2a4).
 #[test]
 fn keyed_repeat_stays_in_its_zone_where_endpoints_send_an_answer_twice() {
-    for copies in [AS_REPORTED, LATER] {
-        let played = play(copies);
-        played.assert_keyed_repeats_stay_in_their_zone();
+    for copy_delay in [DURING_NEXT_CALL, AFTER_NEXT_CALL] {
+        let record = run_load(copy_delay);
+        record.assert_keyed_repeats_stay_in_their_zone();
     }
 }
 
-// Guards against a copy of a 200 that is taken for the delivery of a message which was refused (incident fde2a4).
+// Guards against matching a copy of a 200 to a message that was refused (incident fde2a4).
 #[test]
 fn no_message_is_lost_where_endpoints_send_an_answer_twice() {
-    for copies in [AS_REPORTED, LATER] {
-        let played = play(copies);
-        played.assert_none_lost();
+    for copy_delay in [DURING_NEXT_CALL, AFTER_NEXT_CALL] {
+        let record = run_load(copy_delay);
+        record.assert_none_lost();
     }
 }
 
-// Guards against a connection that is used again although a copy of its last answer could not be told from the next.
+// Guards against reusing a connection when a copy of its last answer could not be distinguished from the next answer.
 #[test]
-fn each_call_has_its_own_connection_where_answers_are_alike() {
+fn connection_is_not_reused_when_answers_are_identical() {
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
     let folder = TestFolder::new();
     let courier = Courier::start(&folder, &discovery);
     for n in 0..4 {
-        courier.submit_accepted(&format!("m{n}"), CLASSES[n % CLASSES.len()], 7, TIME_MS);
+        courier.submit_accepted(&format!("m{n}"), CLASSES[n % CLASSES.len()], 7, DEADLINE_MS);
         wait_until("the call", || endpoint.calls().len() == n + 1);
     }
     let connections: Vec<_> = endpoint.calls().iter().map(|c| c.connection).collect();
@@ -147,7 +149,7 @@
     assert!(discovery.notices.lock().expect("notices").is_empty());
 }
 
-// Guards against a copy of the 204 for one post of notices that is taken for the answer to the next.
+// Guards against matching a copy of the 204 for one POST of notices to the next POST.
 #[test]
 fn notice_is_posted_again_where_the_platform_sends_an_answer_twice() {
     let endpoint = Endpoint::new(|_| EndpointAction::CloseConnection);
@@ -155,13 +157,13 @@
     let folder = TestFolder::new();
     let courier = Courier::start(&folder, &discovery);
     discovery.post_scripts.lock().expect("scripts").extend(PostScript::DUPLICATED_THEN_REFUSED);
-    courier.submit_accepted("first", "payment", 7, TIME_MS);
+    courier.submit_accepted("first", "payment", 7, DEADLINE_MS);
     wait_until("the first notice", || discovery.results("first") == ["dead"]);
-    courier.submit_accepted("second", "payment", 7, TIME_MS);
+    courier.submit_accepted("second", "payment", 7, DEADLINE_MS);
     wait_until("the second notice", || discovery.results("second") == ["dead"]);
 }
 
-// Guards against a copy of the 204 for one answer to a version that is taken for the answer to the next.
+// Guards against matching a copy of the 204 for the answer to one configuration version to the answer to the next.
 #[test]
 fn answer_to_a_version_is_posted_again_where_the_service_sends_an_answer_twice() {
     let control = ControlService::new();
@@ -187,9 +189,9 @@
     )
 }
 
-// Guards against a wait that is not heeded because the answer that tells it equals an earlier one.
+// Guards against ignoring a requested wait because its answer equals an earlier one.
 #[test]
-fn wait_is_heeded_also_if_the_answer_that_tells_it_repeats_an_earlier_one() {
+fn requested_wait_is_respected_when_its_answer_repeats_an_earlier_one() {
     const WAIT: Duration = Duration::from_millis(800);
     let full = |left: &str| {
         format!(
@@ -198,7 +200,7 @@
             WAIT.as_millis()
         )
     };
-    // The second differs from the first, so its connection is kept; the third is the second once more.
+    // The second answer differs from the first, so its connection is reused; the third repeats the second.
     let [first, second] = ["0.1", "0.2"].map(|left| &*full(left).leak());
     let answers = [first, second, second];
     let endpoint = Endpoint::new(move |n| EndpointAction::Respond(answers.get(n).copied().unwrap_or(OK)));
