--- a/crates/courier/tests/stale_membership.rs
+++ b/crates/courier/tests/stale_membership.rs
@@ -1,5 +1,5 @@
-//! No request goes to an endpoint that drains once its courier counts as told, whatever keeps the courier from
-//! hearing of it: couriers as processes on loopback, with a fake discovery that fails in several ways.
+//! A courier sends no request to a draining endpoint after the propagation limit of the protocol page, even if it cannot
+//! learn of the drain. Courier processes on loopback, with a fake discovery service that fails in several ways.
 
 use serde_json::{Value, json};
 use stairshed_rig::*;
@@ -8,26 +8,26 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// A change counts as told this long after discovery had it, whether or not it arrived (protocol page).
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// After SIGHUP what the new discovery has counts as told after this time.
-const TOLD_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// The rule on drains, with the 50 ms that it has on sockets.
-const GRACE: Duration = Duration::from_millis(1050);
-/// Couriers played side by side, each with a seed of its own.
-const COURIERS: u64 = 12;
-/// Couriers that the settings tell of: calls to discovery are spread over nearly 8 s then.
-const FLEET: u64 = 300;
-const LARGE_SHARE: f64 = 100_000.0;
+/// A change counts as known to couriers this long after discovery has it, whether or not it arrived (protocol page).
+const MAX_PROPAGATION: Duration = Duration::from_secs(6);
+/// After SIGHUP, the new discovery's list counts as known after this time.
+const MAX_PROPAGATION_AFTER_RELOAD: Duration = Duration::from_secs(4);
+/// Grace period of the rule on drains (1 s), plus 50 ms for sockets.
+const DRAIN_GRACE: Duration = Duration::from_millis(1050);
+/// Couriers that run at the same time, each with a seed of its own.
+const COURIER_COUNT: u64 = 12;
+/// Number of couriers in the settings. With this many, calls to discovery are spread over nearly 8 s.
+const LARGE_FLEET_SIZE: u64 = 300;
+const UNRESTRICTIVE_SHARE: f64 = 100_000.0;
 
 fn endpoint_entry(name: &str, endpoint: &Endpoint, health: &str) -> Value {
     let mut entry = host(name, endpoint, 7, health);
-    // A limit that holds back no courier, however many share it.
-    entry["share"] = json!(LARGE_SHARE);
+    // A limit so large that it never restricts a courier, however many share it.
+    entry["share"] = json!(UNRESTRICTIVE_SHARE);
     entry
 }
 
-/// Couriers of one large fleet, and the two endpoints of their destination: `old` is replaced by `new`.
+/// Couriers that share one discovery service, and the two endpoints of their destination: `new` replaces `old`.
 struct Fleet {
     discovery: Discovery,
     old: Arc<Endpoint>,
@@ -58,7 +58,7 @@
         config
     }
 
-    /// Starts all on the list that they had first.
+    /// Starts all couriers with the initial list, in which only the old endpoint is ready.
     fn start_processes(&mut self, first_seed: u64) {
         println!("seeds {first_seed} to {}", first_seed + self.folders.len() as u64 - 1);
         let starts: Vec<_> = (first_seed..)
@@ -75,21 +75,21 @@
         self.couriers.drain(..).for_each(Courier::kill);
     }
 
-    /// Discovery has the replacement from now on.
-    fn replace(&self) -> Instant {
+    /// Publishes the list that replaces the old endpoint, and returns the time of the change.
+    fn replace_endpoint(&self) -> Instant {
         let entries =
             vec![endpoint_entry("s-old", &self.old, "draining"), endpoint_entry("s-new", &self.new, "ready")];
         self.discovery.tell(list(2, false, entries));
         Instant::now()
     }
 
-    /// Hands in messages until the time has come.
-    fn hand_in_until(&self, end: Instant) {
-        self.clients_until(end).into_iter().for_each(|client| client.join().expect("a client"));
+    /// Submits messages until `end`.
+    fn submit_until(&self, end: Instant) {
+        self.start_clients_until(end).into_iter().for_each(|client| client.join().expect("a client"));
     }
 
-    /// Clients that hand in a message at each courier every 100 ms, until the time has come.
-    fn clients_until(&self, end: Instant) -> Vec<JoinHandle<()>> {
+    /// Starts clients that submit a message to each courier every 100 ms until `end`.
+    fn start_clients_until(&self, end: Instant) -> Vec<JoinHandle<()>> {
         let addresses: Vec<_> = self.couriers.iter().map(|c| c.address).collect();
         let clients = addresses.into_iter().enumerate().map(|(n, to)| {
             thread::spawn(move || {
@@ -106,158 +106,158 @@
         clients.collect()
     }
 
-    /// Nothing may have gone to the old endpoint later than this.
-    fn assert_nothing_old_after(&self, latest: Instant) {
+    /// Asserts that the old endpoint had no call later than `latest`.
+    fn assert_no_call_to_old_after(&self, latest: Instant) {
         let late = self.old.calls().into_iter().filter(|call| call.at > latest);
         let late: Vec<_> = late.map(|call| (call.id, call.at - latest)).collect();
         assert!(late.is_empty(), "{} requests to a draining endpoint after the grace: {late:?}", late.len());
     }
 
     fn assert_new_is_used(&self) {
-        assert!(!self.new.calls().is_empty(), "the new endpoint serves once its couriers know it");
+        assert!(!self.new.calls().is_empty(), "the new endpoint was never called");
     }
 }
 
-// Guards against an endpoint list of unknown age after a restart: incident d5b7e4.
+// Guards against using an endpoint list of unknown age after a restart (incident d5b7e4).
 #[test]
 fn restarted_courier_sends_nothing_to_an_endpoint_that_began_to_drain_while_it_was_down() {
-    let mut fleet = Fleet::start(COURIERS, FLEET);
+    let mut fleet = Fleet::start(COURIER_COUNT, LARGE_FLEET_SIZE);
     fleet.kill();
-    let change = fleet.replace();
+    let change = fleet.replace_endpoint();
     thread::sleep(600 * MS);
     fleet.start_processes(100);
-    fleet.hand_in_until(change + TOLD_AFTER * 2);
-    fleet.assert_nothing_old_after(change + TOLD_AFTER + GRACE);
+    fleet.submit_until(change + MAX_PROPAGATION * 2);
+    fleet.assert_no_call_to_old_after(change + MAX_PROPAGATION + DRAIN_GRACE);
     fleet.assert_new_is_used();
 }
 
-// Guards against a silent watch that is noticed and opened anew too late.
+// Guards against detecting and reopening a watch without data too late.
 #[test]
-fn courier_whose_watch_fell_silent_sends_nothing_to_an_endpoint_that_drains() {
-    let fleet = Fleet::start(COURIERS, FLEET);
+fn courier_whose_watch_stops_sending_data_sends_nothing_to_a_draining_endpoint() {
+    let fleet = Fleet::start(COURIER_COUNT, LARGE_FLEET_SIZE);
     fleet.discovery.silence_watches();
-    let change = fleet.replace();
-    fleet.hand_in_until(change + TOLD_AFTER * 2);
-    fleet.assert_nothing_old_after(change + TOLD_AFTER + GRACE);
+    let change = fleet.replace_endpoint();
+    fleet.submit_until(change + MAX_PROPAGATION * 2);
+    fleet.assert_no_call_to_old_after(change + MAX_PROPAGATION + DRAIN_GRACE);
     fleet.assert_new_is_used();
 }
 
-// Guards against retries of a refused call to discovery that are spread too far.
+// Guards against retrying refused calls to discovery with too long a backoff.
 #[test]
-fn courier_that_a_crowded_discovery_turns_away_sends_nothing_to_an_endpoint_that_drains() {
-    turned_away(&Fleet::start(COURIERS, FLEET), Duration::from_secs(5));
+fn courier_refused_by_an_overloaded_discovery_sends_nothing_to_a_draining_endpoint() {
+    assert_no_call_when_refused(&Fleet::start(COURIER_COUNT, LARGE_FLEET_SIZE), Duration::from_secs(5));
 }
 
-// Guards against quick refusals in a row that pass for an outage.
+// Guards against taking a series of quick refusals for an outage of discovery.
 #[test]
-fn few_couriers_that_a_crowded_discovery_turns_away_send_nothing_to_an_endpoint_that_drains() {
-    turned_away(&Fleet::start(2, 1), Duration::from_secs(9));
+fn small_fleet_refused_by_an_overloaded_discovery_sends_nothing_to_a_draining_endpoint() {
+    assert_no_call_when_refused(&Fleet::start(2, 1), Duration::from_secs(9));
 }
 
-/// Watches end, and discovery turns each call away at once for a while; meanwhile an endpoint is replaced.
-fn turned_away(fleet: &Fleet, crowded: Duration) {
+/// Closes the watches, lets discovery refuse each call at once for `refusing_time`, and replaces the endpoint meanwhile.
+fn assert_no_call_when_refused(fleet: &Fleet, refusing_time: Duration) {
     fleet.discovery.answer_watches(WatchAnswer::RefuseAfter(Duration::ZERO));
     fleet.discovery.close_watches();
-    let change = fleet.replace();
+    let change = fleet.replace_endpoint();
     let discovery = fleet.discovery.clone();
     let recovery = thread::spawn(move || {
-        thread::sleep(crowded);
+        thread::sleep(refusing_time);
         discovery.answer_watches(WatchAnswer::Serve);
     });
-    fleet.hand_in_until(change + TOLD_AFTER * 3);
+    fleet.submit_until(change + MAX_PROPAGATION * 3);
     recovery.join().expect("it recovers");
-    fleet.assert_nothing_old_after(change + TOLD_AFTER + GRACE);
+    fleet.assert_no_call_to_old_after(change + MAX_PROPAGATION + DRAIN_GRACE);
     fleet.assert_new_is_used();
 }
 
-// Guards against a watch that sends bytes and never a line.
+// Guards against a watch that sends bytes but never a complete line.
 #[test]
-fn courier_whose_watch_never_sends_a_whole_line_sends_nothing_to_an_endpoint_that_drains() {
+fn courier_whose_watch_never_sends_a_complete_line_sends_nothing_to_a_draining_endpoint() {
     let fleet = Fleet::start(2, 1);
     fleet.discovery.answer_watches(WatchAnswer::NeverCompleteLine);
     fleet.discovery.close_watches();
-    let change = fleet.replace();
+    let change = fleet.replace_endpoint();
     let discovery = fleet.discovery.clone();
     let recovery = thread::spawn(move || {
         thread::sleep(500 * MS);
         discovery.answer_watches(WatchAnswer::Serve);
     });
-    fleet.hand_in_until(change + TOLD_AFTER * 2);
+    fleet.submit_until(change + MAX_PROPAGATION * 2);
     recovery.join().expect("it recovers");
-    fleet.assert_nothing_old_after(change + TOLD_AFTER + GRACE);
+    fleet.assert_no_call_to_old_after(change + MAX_PROPAGATION + DRAIN_GRACE);
     fleet.assert_new_is_used();
 }
 
-// Guards against a reload whose new discovery does not answer at first.
+// Guards against using the old list after a reload when the new discovery refuses calls at first.
 #[test]
 fn reloaded_courier_sends_nothing_to_an_endpoint_that_the_new_discovery_drains() {
-    let fleet = Fleet::start(COURIERS, FLEET);
-    let moved = Discovery::new(list(7, true, vec![endpoint_entry("s-new", &fleet.new, "ready")]));
-    moved.answer_watches(WatchAnswer::RefuseAfter(Duration::ZERO));
+    let fleet = Fleet::start(COURIER_COUNT, LARGE_FLEET_SIZE);
+    let new_discovery = Discovery::new(list(7, true, vec![endpoint_entry("s-new", &fleet.new, "ready")]));
+    new_discovery.answer_watches(WatchAnswer::RefuseAfter(Duration::ZERO));
     for (seed, (courier, folder)) in (200..).zip(fleet.couriers.iter().zip(&fleet.folders)) {
-        courier.reload(folder, &fleet.config(&moved, seed).to_string());
+        courier.reload(folder, &fleet.config(&new_discovery, seed).to_string());
     }
     let reload = Instant::now();
-    let recovering = moved.clone();
+    let recovering_discovery = new_discovery.clone();
     let recovery = thread::spawn(move || {
         thread::sleep(500 * MS);
-        recovering.answer_watches(WatchAnswer::Serve);
+        recovering_discovery.answer_watches(WatchAnswer::Serve);
     });
-    fleet.hand_in_until(reload + TOLD_AFTER * 2);
+    fleet.submit_until(reload + MAX_PROPAGATION * 2);
     recovery.join().expect("it recovers");
-    fleet.assert_nothing_old_after(reload + TOLD_AFTER_RELOAD + GRACE);
+    fleet.assert_no_call_to_old_after(reload + MAX_PROPAGATION_AFTER_RELOAD + DRAIN_GRACE);
     fleet.assert_new_is_used();
 }
 
-// Guards against the word of one discovery that counts for another after a restart.
+// Guards against applying the list of one discovery service to another after a restart.
 #[test]
-fn courier_restarted_after_a_reload_sends_nothing_on_the_word_of_the_former_discovery() {
+fn courier_restarted_after_a_reload_does_not_use_the_list_of_the_former_discovery() {
     let mut fleet = Fleet::start(2, 1);
-    let moved = Discovery::new(list(1, true, vec![endpoint_entry("s-new", &fleet.new, "ready")]));
-    moved.answer_watches(WatchAnswer::RefuseAfter(Duration::ZERO));
+    let new_discovery = Discovery::new(list(1, true, vec![endpoint_entry("s-new", &fleet.new, "ready")]));
+    new_discovery.answer_watches(WatchAnswer::RefuseAfter(Duration::ZERO));
     for (courier, folder) in fleet.couriers.iter().zip(&fleet.folders) {
-        courier.reload(folder, &fleet.config(&moved, 300).to_string());
+        courier.reload(folder, &fleet.config(&new_discovery, 300).to_string());
     }
     let reload = Instant::now();
     thread::sleep(300 * MS);
     fleet.kill();
     thread::sleep(600 * MS);
-    fleet.discovery = moved.clone();
+    fleet.discovery = new_discovery.clone();
     fleet.start_processes(300);
     let recovery = thread::spawn(move || {
         thread::sleep(Duration::from_secs(7));
-        moved.answer_watches(WatchAnswer::Serve);
+        new_discovery.answer_watches(WatchAnswer::Serve);
     });
-    fleet.hand_in_until(reload + TOLD_AFTER * 2);
+    fleet.submit_until(reload + MAX_PROPAGATION * 2);
     recovery.join().expect("it recovers");
-    fleet.assert_nothing_old_after(reload + TOLD_AFTER_RELOAD + GRACE);
+    fleet.assert_no_call_to_old_after(reload + MAX_PROPAGATION_AFTER_RELOAD + DRAIN_GRACE);
     fleet.assert_new_is_used();
     let asked = fleet.discovery.asked.lock().expect("asked").clone();
     assert!(
         asked.iter().all(|call| !call.contains("index=")),
-        "versions of the former mean nothing: {asked:?}"
+        "an index of the former discovery was used: {asked:?}"
     );
 }
 
-// Guards against the backlog of a stopped process that passes for fresh word of discovery.
+// Guards against treating data that queued up while the process was stopped as a fresh list.
 #[test]
 fn courier_that_was_stopped_for_seconds_sends_nothing_to_an_endpoint_that_began_to_drain_meanwhile() {
     let fleet = Fleet::start(2, 1);
     fleet.couriers.iter().for_each(|courier| courier.signal("-STOP"));
     thread::sleep(1500 * MS);
-    let change = fleet.replace();
-    let latest = change + TOLD_AFTER + GRACE;
-    let clients = fleet.clients_until(latest + Duration::from_secs(3));
+    let change = fleet.replace_endpoint();
+    let latest = change + MAX_PROPAGATION + DRAIN_GRACE;
+    let clients = fleet.start_clients_until(latest + Duration::from_secs(3));
     thread::sleep(latest + 50 * MS - Instant::now());
     fleet.couriers.iter().for_each(|courier| courier.signal("-CONT"));
     clients.into_iter().for_each(|client| client.join().expect("a client"));
-    fleet.assert_nothing_old_after(latest);
+    fleet.assert_no_call_to_old_after(latest);
     fleet.assert_new_is_used();
 }
 
-// Guards against a site that pushes its lists, where nobody asks for them.
+// Guards against not receiving lists on a site where they are pushed instead of requested.
 #[test]
-fn courier_whose_lists_are_pushed_hears_of_them_and_acts_on_none_before() {
+fn courier_with_pushed_lists_receives_them_and_does_not_use_an_older_one() {
     let (old, new) =
         (Endpoint::new(|_| EndpointAction::Respond(OK)), Endpoint::new(|_| EndpointAction::Respond(OK)));
     let discovery = Discovery::new(list(2, true, vec![endpoint_entry("s-new", &new, "ready")]));
@@ -267,12 +267,15 @@
     let courier = Courier::with(&folder, &discovery, &config);
     courier.submit_accepted("m1", "status", 7, 20_000);
     wait_until("the delivery", || !new.calls().is_empty());
-    assert!(old.calls().is_empty(), "what the agent had from the start counts as told");
+    assert!(
+        old.calls().is_empty(),
+        "the old endpoint was called although the agent had the new list from the start"
+    );
 }
 
-// Guards against a pool from discovery that is served on a list out of date, and one from the file that is held for it.
+// Guards against serving a discovered pool from an outdated list, and against holding a pool with static endpoints for it.
 #[test]
-fn operators_courier_holds_what_is_for_listed_endpoints_and_serves_its_own_without_a_word_of_discovery() {
+fn courier_without_discovery_holds_messages_for_discovered_pools_and_serves_static_pools() {
     let [old, new, own] = [(); 3].map(|()| Endpoint::new(|_| EndpointAction::Respond(OK)));
     let discovery = Discovery::new(list(1, true, vec![endpoint_entry("s-old", &old, "ready")]));
     let file = format!(
@@ -295,7 +298,7 @@
     let entries = vec![endpoint_entry("s-old", &old, "draining"), endpoint_entry("s-new", &new, "ready")];
     discovery.tell(list(2, false, entries));
     let change = Instant::now();
-    let latest = change + TOLD_AFTER + GRACE;
+    let latest = change + MAX_PROPAGATION + DRAIN_GRACE;
     for number in 0.. {
         if Instant::now() > latest + Duration::from_secs(2) {
             break;
@@ -306,7 +309,7 @@
     }
     let late = |endpoint: &Endpoint| endpoint.calls().iter().filter(|call| call.at > latest).count();
     assert_eq!(late(&old), 0, "requests to a draining endpoint after the grace");
-    assert!(late(&own) >= 15, "{} requests to the file's own endpoint in 2 s", late(&own));
+    assert!(late(&own) >= 15, "{} requests to the static endpoint in 2 s", late(&own));
     discovery.answer_watches(WatchAnswer::Serve);
     wait_until("the list", || {
         courier.post("/listed", "last", "", "x");
@@ -314,21 +317,21 @@
     });
 }
 
-/// The share of what was handed in that is delivered from the eighth second of an outage of discovery on, longer than
-/// a list is good without any word.
+/// Returns the share of submitted messages that is delivered from the eighth second of a discovery outage on, which is
+/// longer than a list stays valid without contact.
 fn share_served_in_outage(siblings: u64) -> f64 {
     let served = served_in_outage(siblings, Duration::from_secs(2));
-    // Four couriers, a message each 100 ms, 16 s.
+    // Four couriers with a message every 100 ms each, for 16 s.
     served[8..].iter().sum::<usize>() as f64 / (16.0 * 40.0)
 }
 
-/// Calls by second of an outage in which calls to discovery are refused after this time.
+/// Returns the number of calls in each second of an outage in which discovery refuses calls after `refused_after`.
 fn served_in_outage(siblings: u64, refused_after: Duration) -> Vec<usize> {
     let fleet = Fleet::start(4, siblings);
     fleet.discovery.answer_watches(WatchAnswer::RefuseAfter(refused_after));
     fleet.discovery.close_watches();
     let outage = Instant::now();
-    fleet.hand_in_until(outage + Duration::from_secs(24));
+    fleet.submit_until(outage + Duration::from_secs(24));
     let calls = fleet.old.calls();
     let in_second = |from: u64| {
         let second = outage + Duration::from_secs(from)..outage + Duration::from_secs(from + 1);
@@ -339,24 +342,24 @@
     served
 }
 
-// Guards against an outage that shows itself by quick refusals and would hold all messages for good.
+// Guards against holding all messages forever in an outage that appears as quick refusals.
 #[test]
-fn few_couriers_deliver_again_while_discovery_refuses_at_once_for_long() {
+fn small_fleet_delivers_again_while_discovery_refuses_every_call_at_once() {
     let served = served_in_outage(3, Duration::ZERO);
     let late = served[16..].iter().sum::<usize>() as f64 / (8.0 * 40.0);
-    assert!(late >= 0.8, "{late:.2} of what was handed in");
+    assert!(late >= 0.8, "{late:.2} of the submitted messages");
 }
 
-// Guards against an outage of discovery that stops the couriers.
+// Guards against an outage of discovery that stops deliveries.
 #[test]
-fn few_couriers_deliver_through_a_long_outage_of_discovery() {
+fn small_fleet_delivers_through_a_long_outage_of_discovery() {
     let share = share_served_in_outage(3);
-    assert!(share >= 0.8, "{share:.2} of what was handed in");
+    assert!(share >= 0.8, "{share:.2} of the submitted messages");
 }
 
-// Guards against the same where calls to discovery are spread over many couriers.
+// Guards against the same when calls to discovery are spread over many couriers.
 #[test]
 fn large_fleet_delivers_through_a_long_outage_of_discovery() {
-    let share = share_served_in_outage(FLEET);
-    assert!(share >= 0.5, "{share:.2} of what was handed in");
+    let share = share_served_in_outage(LARGE_FLEET_SIZE);
+    assert!(share >= 0.5, "{share:.2} of the submitted messages");
 }
