--- a/crates/courier/tests/soak.rs
+++ b/crates/courier/tests/soak.rs
@@ -1,8 +1,7 @@
-//! Seeded soaks of a courier as a process: endpoints that refuse, break connections, answer twice and hang, signals in
-//! series, clients that use their connections until the kill, messages that are over (410, whole or not), and in some seeds
-//! a crowd of idle connections and a machine with faults: system calls that fail, a folder that fails, a wall clock
-//! that is stepped.
-//! `SEED=n` plays from that seed on, `SEEDS=m` so many; the test that runs in CI plays two.
+//! Seeded soak test of a courier process: endpoints that refuse, break connections, answer twice and hang; repeated
+//! signals; clients that use their connections until the kill; messages ended by a 410, complete or not. Some seeds add
+//! many idle connections and machine faults: failing system calls, a failing state folder, a stepped wall clock.
+//! `SEED=n` sets the first seed and `SEEDS=m` the number of seeds; CI runs two.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -22,31 +21,35 @@
 use std::time::{Duration, Instant};
 
 const DEFAULT_SEEDS: u64 = 2;
-/// Seeds that are played side by side.
-const SIDE_BY_SIDE: u64 = 4;
+/// Seeds that run at the same time.
+const MAX_PARALLEL_SEEDS: u64 = 4;
 const DESTINATIONS: u64 = 3;
-const SLOTS: usize = 6;
-const TIME_MS: u64 = 6_000;
-/// A message that has not ended so long after its time is lost; restarts allow 1.5 s more (protocol page).
-const LATE: Duration = Duration::from_millis(1_850);
-/// Clients of each class, and their pause between two messages.
-const CLIENTS: usize = 3;
+const MAX_CALLS_IN_FLIGHT: usize = 6;
+const DEADLINE_MS: u64 = 6_000;
+/// A message that has not ended this long after its deadline counts as lost. Restarts add 1.5 s (protocol page).
+const MAX_LATENESS: Duration = Duration::from_millis(1_850);
+/// Number of clients for each class.
+const CLIENTS_PER_CLASS: usize = 3;
+/// Pause of a client between two messages.
 const PAUSE: Duration = Duration::from_millis(60);
-/// A client waits so long for its answer (protocol page).
-const ANSWER_TIME: Duration = Duration::from_millis(400);
-/// From SIGTERM to SIGKILL at the earliest, and from there to the next start (protocol page).
-const TERM_TO_KILL: Duration = Duration::from_millis(3_700);
-const DOWN: Duration = Duration::from_millis(600);
-/// Signals of one seed, and the time before each.
-const SIGNALS: usize = 2;
-const UP_MS: std::ops::Range<u64> = 300..2_000;
-/// How long the machine's fault lasts.
-const FAULTY_MS: std::ops::Range<u64> = 200..1_500;
-/// One seed in so many has a crowd of idle connections, of this size.
-const CROWD_EVERY: u64 = 3;
-const CROWD: usize = 200;
+/// Time that a client waits for its answer (protocol page).
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Minimum time from SIGTERM to SIGKILL (protocol page).
+const MIN_TERM_TO_KILL: Duration = Duration::from_millis(3_700);
+/// Minimum time from SIGKILL to the next start (protocol page).
+const MIN_DOWNTIME: Duration = Duration::from_millis(600);
+/// Number of restarts in one seed.
+const RESTARTS: usize = 2;
+/// Range of the time that the courier runs before a fault, and after it.
+const UPTIME_MS: std::ops::Range<u64> = 300..2_000;
+/// Range of the duration of a machine fault.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 200..1_500;
+/// One seed in this many has idle connections.
+const IDLE_CONNECTIONS_EVERY: u64 = 3;
+/// Number of idle connections in those seeds.
+const IDLE_CONNECTIONS: usize = 200;
 
-/// What is wrong with the machine in the middle of a life; one of these for each seed.
+/// Fault rules that apply while a courier process runs; each seed draws one of them.
 const MACHINE_FAULTS: [&str; 10] = [
     "clock 3600",
     "clock -3600",
@@ -60,10 +63,10 @@
     "write short 3\nsync EIO 2\nopen EIO 2",
 ];
 
-/// The begin of those under which no write to the state folder works.
-const FOLDER_FAILS: &str = "write ENOSPC 1";
+/// Prefix of the rules under which no write to the state folder succeeds.
+const FOLDER_FAILURE_PREFIX: &str = "write ENOSPC 1";
 
-/// How one seed's endpoints behave.
+/// Probabilities of the endpoints' faults in one seed.
 #[derive(Clone, Copy)]
 struct Faults {
     refused: f64,
@@ -76,7 +79,7 @@
 }
 
 impl Faults {
-    fn of(rng: &mut SmallRng) -> Self {
+    fn draw(rng: &mut SmallRng) -> Self {
         Faults {
             refused: rng.random_range(0.0..0.15),
             broken: rng.random_range(0.0..0.05),
@@ -105,16 +108,16 @@
     }
 }
 
-/// Where the courier serves, and what its clients know.
+/// State shared by the clients: the courier's current address and the ids it has accepted.
 struct Clients {
     courier: Mutex<SocketAddr>,
     stop: AtomicBool,
     next: AtomicUsize,
-    taken: Mutex<BTreeSet<String>>,
+    accepted: Mutex<BTreeSet<String>>,
 }
 
 impl Clients {
-    /// Hands messages in, one after the other, on one connection for as long as that stays open.
+    /// Submits messages one after the other, on one connection for as long as it stays open.
     fn run(&self, class: &str) {
         let mut open: Option<BufReader<TcpStream>> = None;
         while !self.stop.load(Ordering::SeqCst) {
@@ -122,13 +125,13 @@
             let n = self.next.fetch_add(1, Ordering::SeqCst);
             let id = format!("{class}-{n}");
             let Some(mut connection) = open.take().or_else(|| self.connect()) else { continue };
-            let text = message(&id, class, n as u64 % DESTINATIONS, TIME_MS);
+            let text = message(&id, class, n as u64 % DESTINATIONS, DEADLINE_MS);
             if connection.get_mut().write_all(text.as_bytes()).is_err() {
                 continue;
             }
             let Some(answer) = HttpMessage::read(&mut connection) else { continue };
             if answer.status() == 202 {
-                self.taken.lock().expect("taken").insert(id);
+                self.accepted.lock().expect("accepted").insert(id);
             }
             open = Some(connection).filter(|_| answer.header("connection") != Some("close"));
         }
@@ -136,7 +139,7 @@
 
     fn connect(&self) -> Option<BufReader<TcpStream>> {
         let stream = TcpStream::connect(*self.courier.lock().expect("the address")).ok()?;
-        stream.set_read_timeout(Some(ANSWER_TIME)).ok()?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(BufReader::new(stream))
     }
@@ -148,12 +151,12 @@
     (Courier::spawn(command.args(["--follow", "1/1"])), faults)
 }
 
-/// Ends the courier: told first and killed at the page's earliest, or killed at once.
-fn end(mut courier: Courier, told: bool) -> Vec<String> {
+/// Kills the courier, at once or after SIGTERM and the protocol page's minimum time. Panics if it has crashed.
+fn stop_courier(mut courier: Courier, sigterm_first: bool) -> Vec<String> {
     assert!(courier.is_running(), "it crashed: {:#?}", courier.unread_log());
-    if told {
+    if sigterm_first {
         courier.signal("-TERM");
-        thread::sleep(TERM_TO_KILL);
+        thread::sleep(MIN_TERM_TO_KILL);
     }
     let log = courier.unread_log();
     let panics: Vec<_> = log.iter().filter(|line| line.contains("panicked")).collect();
@@ -162,26 +165,26 @@
     log
 }
 
-fn play(seed: u64) -> RunRecord {
+fn run_seed(seed: u64) -> RunRecord {
     let mut rng = SmallRng::seed_from_u64(seed);
     let log = CallLog::default();
-    let faults = Faults::of(&mut rng);
+    let faults = Faults::draw(&mut rng);
     let hosts = start_in_two_zones(DESTINATIONS, &log, seed, move |rng| faults.script(rng));
     let known = list(1, true, hosts);
     let discovery = Discovery::new(known.clone());
     let mut config = config(&discovery, known);
-    config["settings"]["family-info"]["slots"] = json!(SLOTS);
+    config["settings"]["family-info"]["slots"] = json!(MAX_CALLS_IN_FLIGHT);
     let folder = TestFolder::new();
     let (mut courier, mut machine) = start(&folder, &discovery, &config);
-    let wrong = MACHINE_FAULTS[rng.random_range(0..MACHINE_FAULTS.len())];
+    let fault_rules = MACHINE_FAULTS[rng.random_range(0..MACHINE_FAULTS.len())];
     let mut kills = Vec::new();
     let clients = Arc::new(Clients {
         courier: Mutex::new(courier.address),
         stop: AtomicBool::new(false),
         next: AtomicUsize::new(0),
-        taken: Mutex::default(),
+        accepted: Mutex::default(),
     });
-    let running: Vec<_> = (0..CLIENTS)
+    let running: Vec<_> = (0..CLIENTS_PER_CLASS)
         .flat_map(|_| CLASSES)
         .map(|class| {
             let clients = clients.clone();
@@ -189,54 +192,54 @@
         })
         .collect();
     let mut lines = Vec::new();
-    for life in 1..=SIGNALS as u64 {
-        let crowd = if seed.is_multiple_of(CROWD_EVERY) { CROWD } else { 0 };
-        let idle: Vec<_> = (0..crowd).filter_map(|_| TcpStream::connect(courier.address).ok()).collect();
-        thread::sleep(Duration::from_millis(rng.random_range(UP_MS)));
-        let mut folder_failed_since = wrong.starts_with(FOLDER_FAILS).then(Instant::now);
-        machine.set(wrong);
-        thread::sleep(Duration::from_millis(rng.random_range(FAULTY_MS)));
-        // Some are killed with the fault on.
+    for restart in 1..=RESTARTS as u64 {
+        let idle_count = if seed.is_multiple_of(IDLE_CONNECTIONS_EVERY) { IDLE_CONNECTIONS } else { 0 };
+        let idle: Vec<_> = (0..idle_count).filter_map(|_| TcpStream::connect(courier.address).ok()).collect();
+        thread::sleep(Duration::from_millis(rng.random_range(UPTIME_MS)));
+        let mut folder_failed_since = fault_rules.starts_with(FOLDER_FAILURE_PREFIX).then(Instant::now);
+        machine.set(fault_rules);
+        thread::sleep(Duration::from_millis(rng.random_range(FAULT_DURATION_MS)));
+        // Half of the couriers are killed while the fault is active.
         if rng.random_bool(0.5) {
             machine.set("");
             folder_failed_since = None;
-            thread::sleep(Duration::from_millis(rng.random_range(UP_MS)));
+            thread::sleep(Duration::from_millis(rng.random_range(UPTIME_MS)));
         }
-        lines.extend(end(courier, rng.random_bool(0.5)));
+        lines.extend(stop_courier(courier, rng.random_bool(0.5)));
         kills.push(CourierKill { at: Instant::now(), folder_failed_since });
         drop(idle);
-        thread::sleep(DOWN);
-        config["seed"] = json!(format!("{:x}", seed * 10 + life));
+        thread::sleep(MIN_DOWNTIME);
+        config["seed"] = json!(format!("{:x}", seed * 10 + restart));
         (courier, machine) = start(&folder, &discovery, &config);
         *clients.courier.lock().expect("the address") = courier.address;
     }
-    thread::sleep(Duration::from_millis(rng.random_range(UP_MS)));
+    thread::sleep(Duration::from_millis(rng.random_range(UPTIME_MS)));
     clients.stop.store(true, Ordering::SeqCst);
     running.into_iter().for_each(|client| client.join().expect("a client"));
-    let taken = clients.taken.lock().expect("taken").clone();
-    wait_for_ends(&taken, &log, &discovery, Duration::from_millis(TIME_MS) + LATE);
+    let accepted = clients.accepted.lock().expect("accepted").clone();
+    wait_for_ends(&accepted, &log, &discovery, Duration::from_millis(DEADLINE_MS) + MAX_LATENESS);
     lines.extend(courier.unread_log());
-    println!("seed {seed}: machine {wrong:?}");
-    RunRecord { kills, ..RunRecord::new(taken, &log, &discovery, lines) }
+    println!("seed {seed}: machine {fault_rules:?}");
+    RunRecord { kills, ..RunRecord::new(accepted, &log, &discovery, lines) }
 }
 
-// Guards against broken rules on lost requests and duplicates where restarts and faults of endpoints meet.
+// Guards against lost and duplicate requests when restarts coincide with endpoint faults.
 #[test]
 fn rules_hold_over_restarts_with_endpoints_that_fail_and_answer_twice() {
     let (first, number) = (env_or("SEED", 1), env_or("SEEDS", DEFAULT_SEEDS));
     let next = Arc::new(Mutex::new(first..first + number));
-    let workers: Vec<_> = (0..SIDE_BY_SIDE.min(number))
+    let workers: Vec<_> = (0..MAX_PARALLEL_SEEDS.min(number))
         .map(|_| {
             let next = next.clone();
             thread::spawn(move || {
                 let seed = || next.lock().expect("the seeds").next();
                 while let Some(seed) = seed() {
-                    let played = play(seed);
-                    println!("seed {seed}: {}", played.summary());
-                    played.assert_rules();
+                    let record = run_seed(seed);
+                    println!("seed {seed}: {}", record.summary());
+                    record.assert_rules();
                 }
             })
         })
         .collect();
-    workers.into_iter().for_each(|worker| worker.join().expect("a seed failed: its account is above"));
+    workers.into_iter().for_each(|worker| worker.join().expect("a seed failed, its output is above"));
 }
