--- a/crates/courier/tests/farewell.rs
+++ b/crates/courier/tests/farewell.rs
@@ -1,5 +1,6 @@
-//! Connections that there is no room for, on real sockets: every client learns why and when to come back, whatever it
-//! sends and however, and a flood of them takes neither the courier's sockets nor other clients' service.
+//! Connections that are rejected because their memory share is used up, on real sockets: every client gets the reason and
+//! a time to retry, however it sends its request, and a flood of connections exhausts neither the courier's descriptors nor
+//! the service for other clients.
 
 use serde_json::Value;
 use stairshed_mqtt::packet::{Connect, Version, code};
@@ -22,7 +23,7 @@
     )
 }
 
-/// A courier of this memory, in a folder of its own, and the partner that it delivers to.
+/// Starts a courier with these memory settings in a folder of its own, and the endpoint that it delivers to.
 fn serve(memory: &str) -> (Endpoint, TestFolder, Courier) {
     let (endpoint, folder) = (Endpoint::new(|_| EndpointAction::Respond(OK)), TestFolder::new());
     let courier = Courier::serve(&folder, &file(&endpoint, memory));
@@ -39,12 +40,12 @@
     stream
 }
 
-/// What came: its answer, or how the connection ended without one.
+/// Reads an answer; `None` if the connection ended without one.
 fn answer(stream: &TcpStream) -> Option<HttpMessage> {
     HttpMessage::read(&mut BufReader::new(stream))
 }
 
-fn is_told(page: &HttpMessage, reason: &str) -> Duration {
+fn assert_rejected(page: &HttpMessage, reason: &str) -> Duration {
     let text = String::from_utf8_lossy(&page.body).into_owned();
     assert_eq!((page.status(), page.header("X-Reason")), (503, Some(reason)), "{text}");
     assert!(text.starts_with("not taken on: ") && text.ends_with('\n'), "{text}");
@@ -53,8 +54,8 @@
     Duration::from_secs_f64(wait)
 }
 
-/// Connections of 127.0.0.1 that have their share of a small memory; and one more is turned away.
-fn crowd(courier: &Courier) -> Vec<TcpStream> {
+/// Opens connections from 127.0.0.1 until its share of the memory is used up and one more is rejected.
+fn fill_share(courier: &Courier) -> Vec<TcpStream> {
     let mut all = Vec::new();
     loop {
         let mut stream = connect(courier.address);
@@ -63,13 +64,13 @@
             return all;
         }
         all.push(stream);
-        assert!(all.len() < 500, "never turned away");
+        assert!(all.len() < 500, "never rejected");
     }
 }
 
-const SMALL: &str = "clients = \"2MB\"\nclient_share = 0.5";
+const SMALL_MEMORY: &str = "clients = \"2MB\"\nclient_share = 0.5";
 
-fn away(courier: &Courier, reason: &str, how: &str) -> u64 {
+fn rejected_count(courier: &Courier, reason: &str, how: &str) -> u64 {
     courier.page("/-/memory")["turned_away"][reason][how].as_u64().unwrap_or_default()
 }
 
@@ -87,24 +88,24 @@
             let page = answer(stream).unwrap_or_else(|| panic!("round {round}: no answer on connection {n}"));
             if page.status() != 202 {
                 let reason = page.header("X-Reason").expect("a reason").to_owned();
-                is_told(&page, &reason);
+                assert_rejected(&page, &reason);
                 told += usize::from(reason == "share-clients");
             }
         }
     }
-    assert!(told > 0, "none was turned away: the test shows nothing");
+    assert!(told > 0, "none was rejected, so the test shows nothing");
     courier.wait_for_log("clients: connections turned away: share-clients (");
 }
 
 #[test]
-fn a_payment_that_was_turned_away_is_accepted_once_when_it_comes_again_and_runs_once() {
-    let (endpoint, _folder, courier) = serve(SMALL);
-    let crowd = crowd(&courier);
+fn a_rejected_payment_is_accepted_when_it_is_retried_and_runs_once() {
+    let (endpoint, _folder, courier) = serve(SMALL_MEMORY);
+    let share_holders = fill_share(&courier);
     let mut stream = connect(courier.address);
     stream.write_all(pay("p-1", "42 EUR").as_bytes()).expect("sent");
-    let wait = is_told(&answer(&stream).expect("an answer"), "share-clients");
-    assert_eq!(stream.read(&mut [0; 8]).ok(), Some(0), "then its end, no reset");
-    drop(crowd);
+    let wait = assert_rejected(&answer(&stream).expect("an answer"), "share-clients");
+    assert_eq!(stream.read(&mut [0; 8]).ok(), Some(0), "the connection ends without a reset");
+    drop(share_holders);
     thread::sleep(wait);
     wait_until("it is accepted", || {
         post(courier.address, "/pay", "p-1", "", "42 EUR").unwrap().status() == 202
@@ -117,40 +118,40 @@
 }
 
 #[test]
-fn whoever_is_turned_away_is_told_so_however_it_sends() {
-    let (_endpoint, _folder, courier) = serve(SMALL);
-    let crowd = crowd(&courier);
-    // All of a long body before it reads.
+fn a_rejected_client_gets_the_reason_however_it_sends() {
+    let (_endpoint, _folder, courier) = serve(SMALL_MEMORY);
+    let share_holders = fill_share(&courier);
+    // A client that sends a long body completely before it reads.
     let mut long = connect(courier.address);
     long.write_all(pay("long", &"x".repeat(600_000)).as_bytes()).expect("sent whole");
-    is_told(&answer(&long).expect("an answer"), "share-clients");
-    // It ends its sending first.
+    assert_rejected(&answer(&long).expect("an answer"), "share-clients");
+    // A client that shuts down its sending side before it reads.
     let mut half = connect(courier.address);
     half.write_all(pay("half", "x").as_bytes()).expect("sent");
     half.shutdown(Shutdown::Write).expect("half closed");
-    is_told(&answer(&half).expect("an answer"), "share-clients");
-    // Byte by byte, and another protocol.
+    assert_rejected(&answer(&half).expect("an answer"), "share-clients");
+    // A client that has sent only one byte, and one that speaks another protocol.
     let mut slow = connect(courier.address);
     slow.write_all(b"P").expect("sent");
-    is_told(&answer(&slow).expect("an answer"), "share-clients");
+    assert_rejected(&answer(&slow).expect("an answer"), "share-clients");
     let mut tls = connect(courier.address);
     tls.write_all(&[0x16, 3, 1, 2, 0, 1, 0, 1, 0xfc, 3, 3]).expect("sent");
-    is_told(&answer(&tls).expect("plain words"), "share-clients");
-    // One that says nothing hears nothing: an answer to nothing would be taken for one to its next request.
-    let before = away(&courier, "share-clients", "silent");
+    assert_rejected(&answer(&tls).expect("a plain-text answer"), "share-clients");
+    // A client that sends nothing gets no answer, because it would match the answer to its next request.
+    let before = rejected_count(&courier, "share-clients", "silent");
     let mut silent = connect(courier.address);
-    assert_eq!(silent.read(&mut [0; 8]).ok(), Some(0), "closed in its time");
-    wait_until("it is counted", || away(&courier, "share-clients", "silent") == before + 1);
-    assert_eq!(away(&courier, "share-clients", "untold"), 0);
-    drop(crowd);
-    wait_until("service again", || post(courier.address, "/pay", "again", "", "x").unwrap().status() == 202);
+    assert_eq!(silent.read(&mut [0; 8]).ok(), Some(0), "closed without an answer");
+    wait_until("it is counted", || rejected_count(&courier, "share-clients", "silent") == before + 1);
+    assert_eq!(rejected_count(&courier, "share-clients", "untold"), 0);
+    drop(share_holders);
+    wait_until("accepted again", || post(courier.address, "/pay", "again", "", "x").unwrap().status() == 202);
 }
 
 #[test]
-fn an_mqtt_client_is_told_in_its_own_version() {
-    let (_endpoint, _folder, courier) = serve(SMALL);
-    let crowd = crowd(&courier);
-    // Less than one of these was left: an MQTT connection takes less than one of HTTP.
+fn a_rejected_mqtt_client_gets_the_reason_in_its_protocol_version() {
+    let (_endpoint, _folder, courier) = serve(SMALL_MEMORY);
+    let share_holders = fill_share(&courier);
+    // An MQTT connection takes less memory than one of HTTP, so some may still be accepted before the share is used up.
     let mut vans = Vec::new();
     let five = loop {
         let client = format!("van-{}", vans.len());
@@ -159,7 +160,7 @@
             break connack;
         }
         vans.push(van);
-        assert!(vans.len() < 50, "never turned away");
+        assert!(vans.len() < 50, "never rejected");
     };
     assert_eq!(five.code, code::QUOTA_EXCEEDED);
     assert!(five.reason.as_deref().is_some_and(|r| r.contains("has its share")), "{five:?}");
@@ -169,14 +170,14 @@
     assert_eq!(three.code, 3, "server unavailable");
     let mut stray = connect(courier.mqtt());
     stray.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("sent");
-    assert_eq!(stray.read(&mut [0; 8]).unwrap_or(0), 0, "what speaks something else is closed");
-    drop(crowd);
+    assert_eq!(stray.read(&mut [0; 8]).unwrap_or(0), 0, "a client of another protocol is disconnected");
+    drop(share_holders);
 }
 
 #[test]
-fn a_connection_that_makes_room_is_told_so_where_its_request_was_on_its_way() {
+fn an_evicted_connection_with_an_incomplete_request_gets_the_reason() {
     let (_endpoint, _folder, courier) = serve("clients = \"250KB\"\nclient_share = 1.0");
-    // Heads half sent are of the least use but for idle connections: one that comes pushes them out.
+    // After idle connections, those with an incomplete request head are evicted first when a new one needs room.
     let begun = b"POST /pay HTTP/1.1\r\nHost: x\r\n";
     let half: Vec<TcpStream> = (0..40)
         .map(|_| {
@@ -186,12 +187,12 @@
         })
         .collect();
     let ends: Vec<Option<HttpMessage>> = half.iter().map(answer).collect();
-    let pushed: Vec<&HttpMessage> = ends.iter().flatten().collect();
-    assert!(!pushed.is_empty(), "none was pushed out: the test shows nothing");
-    for page in pushed {
-        is_told(page, "connections");
+    let evicted: Vec<&HttpMessage> = ends.iter().flatten().collect();
+    assert!(!evicted.is_empty(), "none was evicted, so the test shows nothing");
+    for page in evicted {
+        assert_rejected(page, "connections");
     }
-    assert!(away(&courier, "connections", "told") > 0);
+    assert!(rejected_count(&courier, "connections", "told") > 0);
     assert_eq!(post(courier.address, "/pay", "p", "", "x").expect("an answer").status(), 202);
 }
 
@@ -200,9 +201,9 @@
 }
 
 #[test]
-fn a_flood_that_reads_nothing_is_bounded_and_others_are_served_meanwhile() {
-    let (_endpoint, _folder, courier) = serve(SMALL);
-    let crowd = crowd(&courier);
+fn a_flood_of_clients_that_do_not_read_is_bounded_and_others_are_served() {
+    let (_endpoint, _folder, courier) = serve(SMALL_MEMORY);
+    let share_holders = fill_share(&courier);
     let before = open_files(&courier);
     let flood: Vec<TcpStream> = (0..600)
         .map(|n| {
@@ -211,17 +212,17 @@
             stream
         })
         .collect();
-    let most = open_files(&courier);
-    // The bound on those that are told, the listener's and the pages' own.
+    let peak = open_files(&courier);
+    // Allows the limit on connections that are being rejected, plus 10 for the listener and the admin pages.
     assert!(
-        most <= before + stairshed_memory::rejected_connections::MAX_CONCURRENT + 10,
-        "{before} descriptors, then {most}"
+        peak <= before + stairshed_memory::rejected_connections::MAX_CONCURRENT + 10,
+        "{before} descriptors, then {peak}"
     );
     let mut other = connect_from([127, 0, 0, 9], courier.address);
     other.write_all(pay("other", "x").as_bytes()).expect("sent");
     assert_eq!(answer(&other).expect("an answer").status(), 202, "another client is served");
     drop(flood);
-    drop(crowd);
+    drop(share_holders);
     wait_until("descriptors are back", || open_files(&courier) <= before);
     let page = courier.page("/-/memory");
     let counts = &page["turned_away"]["share-clients"];
@@ -231,15 +232,15 @@
 }
 
 #[test]
-fn the_operators_page_has_each_reason() {
+fn the_operators_page_lists_each_reason() {
     let page = include_str!("../../../docs/operating-memory.md");
     for reason in stairshed_memory::Reason::all() {
-        assert!(page.contains(&format!("`{reason}`")), "docs/operating-memory.md says nothing of {reason}");
+        assert!(page.contains(&format!("`{reason}`")), "docs/operating-memory.md does not mention {reason}");
     }
 }
 
 #[test]
-fn a_proxy_has_no_share_and_its_clients_have_theirs_by_the_header_that_only_it_may_send() {
+fn clients_behind_a_proxy_have_a_share_each_by_a_header_trusted_only_from_the_proxy() {
     let endpoint = Endpoint::new(|_| {
         EndpointAction::Respond(
             "HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 5000\r\nContent-Length: 0\r\n\r\n",
@@ -260,10 +261,10 @@
     };
     let (proxy, van) = ([127, 0, 0, 1], "X-Client: van-1\r\n");
     let taken = (0..100).take_while(|_| send(proxy, van).0 == 202).count();
-    assert_eq!(taken, 13, "up to where it gets tight");
+    assert_eq!(taken, 13, "accepted until the share is used up");
     let share = (503, "share-bodies_held".to_owned());
     assert_eq!(send(proxy, van), share);
-    // Another client, one without a name, one with two, and one that is no proxy: none is van-1.
+    // Another client, one without the header, one with two of them, and a peer that is no proxy: none counts as van-1.
     for (source, heads) in [
         (proxy, "X-Client: van-2\r\n"),
         (proxy, ""),
@@ -278,13 +279,13 @@
 }
 
 #[test]
-fn a_share_that_is_lowered_closes_no_connection_that_stands_and_turns_new_ones_away() {
+fn a_lowered_share_closes_no_open_connection_and_rejects_new_ones() {
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let folder = TestFolder::new();
     let free = free_address();
     let text = |share: &str| {
         let text = file(&endpoint, &format!("clients = \"2MB\"\nclient_share = {share}"));
-        // A port that is drawn again would be another address.
+        // The port is fixed, because port 0 would give a new address on reload.
         text.replacen("127.0.0.1:0", &free.to_string(), 1)
     };
     let courier = Courier::serve(&folder, &text("1.0"));
@@ -300,7 +301,7 @@
         let mut stream = connect(courier.address);
         ask(&mut stream) == Some(503)
     });
-    assert!(all.iter_mut().all(|stream| ask(stream) == Some(200)), "what stands is served");
+    assert!(all.iter_mut().all(|stream| ask(stream) == Some(200)), "open connections are served");
     let mut other = connect_from([127, 0, 0, 9], courier.address);
-    assert_eq!(ask(&mut other), Some(200), "another client gets in");
+    assert_eq!(ask(&mut other), Some(200), "another client is accepted");
 }
