--- a/crates/courier/tests/rough.rs
+++ b/crates/courier/tests/rough.rs
@@ -1,5 +1,5 @@
-//! Days that are not calm: configurations read again, bad clients, spoilt answers, endpoints replaced. The
-//! courier as a process, against fakes on loopback sockets.
+//! Courier processes under adverse conditions: configuration reloads, misbehaving clients, malformed answers, replaced
+//! endpoints and scarce connections, against fake endpoints on loopback.
 
 use serde_json::Value;
 use stairshed_rig::*;
@@ -9,32 +9,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// One endpoint of destination 7, and discovery that lists it.
-fn one(act: impl Fn(usize) -> EndpointAction + Send + Sync + 'static) -> (TestFolder, Endpoint, Discovery) {
+/// Starts one endpoint of destination 7 and a discovery service that lists it as ready.
+fn single_endpoint(
+    act: impl Fn(usize) -> EndpointAction + Send + Sync + 'static,
+) -> (TestFolder, Endpoint, Discovery) {
     let endpoint = Endpoint::new(act);
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
     (TestFolder::new(), endpoint, discovery)
 }
 
-// ---- configurations read again -----------------------------------------------------------------------
+// ---- configuration reloads -----------------------------------------------------------------------
 
 #[test]
-fn at_sighup_watch_and_notices_move_to_the_new_discovery() {
-    let (folder, _endpoint, old) = one(|_| EndpointAction::CloseConnection);
+fn reload_moves_the_watch_and_notices_to_the_new_discovery() {
+    let (folder, _endpoint, old) = single_endpoint(|_| EndpointAction::CloseConnection);
     old.refuse_posts.store(usize::MAX, Ordering::SeqCst);
     let courier = Courier::start(&folder, &old);
     wait_until("the first watch", || old.watches.load(Ordering::SeqCst) == 1);
     courier.submit_accepted("pay", "payment", 7, 20_000);
-    wait_until("a notice that is tried again", || old.posts.load(Ordering::SeqCst) >= 2);
+    wait_until("a retried notice", || old.posts.load(Ordering::SeqCst) >= 2);
 
     let other = Endpoint::new(|_| EndpointAction::Respond(OK));
     let new = Discovery::new(list(1, true, vec![host("s-2", &other, 9, "ready")]));
     courier.reload(&folder, &config(&new, Value::Null).to_string());
-    wait_until("the batch at the new address", || new.results("pay") == ["dead"]);
+    wait_until("the batch at the new discovery", || new.results("pay") == ["dead"]);
     wait_until("the new watch", || new.watches.load(Ordering::SeqCst) == 1);
     let asked = new.asked.lock().expect("asked").clone();
     assert!(!asked[0].contains("index="), "versions of the old one mean nothing here: {asked:?}");
-    // What only the new one lists can be reached, and what it does not list is gone.
+    // Endpoints that only the new discovery lists can be reached, and those that it does not list are removed.
     let mut n = 0;
     wait_until("its list", || {
         n += 1;
@@ -47,7 +49,9 @@
 #[test]
 fn a_configuration_that_cannot_be_read_keeps_the_old_settings() {
     let (folder, endpoint, old) =
-        one(|n| if n == 0 { EndpointAction::CloseConnection } else { EndpointAction::Respond(OK) });
+        single_endpoint(
+            |n| if n == 0 { EndpointAction::CloseConnection } else { EndpointAction::Respond(OK) },
+        );
     let courier = Courier::start(&folder, &old);
     wait_until("the first watch", || old.watches.load(Ordering::SeqCst) == 1);
     courier.reload(&folder, "{\"discovery\":");
@@ -65,9 +69,9 @@
 
 #[test]
 fn a_restart_after_a_reload_uses_the_address_in_the_file() {
-    let (folder, endpoint, old) = one(|_| EndpointAction::Respond(OK));
+    let (folder, endpoint, old) = single_endpoint(|_| EndpointAction::Respond(OK));
     let new = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
-    // The environment still names the old one.
+    // The environment still names the old discovery.
     let mut command = command(&folder, &old, &config(&new, Value::Null));
     let courier = Courier::spawn(&mut command);
     wait_until("the watch at the new one", || new.watches.load(Ordering::SeqCst) == 1);
@@ -75,23 +79,17 @@
     assert_eq!(old.watches.load(Ordering::SeqCst), 0);
 }
 
-// ---- spoilt answers ----------------------------------------------------------------------------------
+// ---- malformed answers ----------------------------------------------------------------------------------
 
-/// What an endpoint says to its first call; later ones are answered well, each with a body of its own.
-fn first(text: &'static str) -> (TestFolder, Endpoint, Discovery) {
-    one(
-        move |n| {
-            if n == 0 {
-                EndpointAction::Respond(text)
-            } else {
-                EndpointAction::RespondDistinct(Duration::ZERO)
-            }
-        },
-    )
+/// Starts an endpoint that answers its first call with `text`, and later calls with valid, distinct answers.
+fn endpoint_with_first_answer(text: &'static str) -> (TestFolder, Endpoint, Discovery) {
+    single_endpoint(move |n| {
+        if n == 0 { EndpointAction::Respond(text) } else { EndpointAction::RespondDistinct(Duration::ZERO) }
+    })
 }
 
 #[test]
-fn an_answer_that_begins_with_200_has_delivered_whatever_follows() {
+fn an_answer_that_begins_with_200_counts_as_delivered_whatever_follows() {
     let spoilt = [
         "HTTP/1.1 200 OK\r\nno head at all\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 5, 7\r\n\r\nabcde",
@@ -102,7 +100,7 @@
         "HTTP/1.1 200 OK\r\nX-Server-Load: \u{e9}\u{1f}= x0, x1=\r\nContent-Length: 0\r\n\r\n",
     ];
     let all = spoilt.map(|text| {
-        let (folder, endpoint, discovery) = first(text);
+        let (folder, endpoint, discovery) = endpoint_with_first_answer(text);
         let courier = Courier::start(&folder, &discovery);
         courier.submit_accepted("pay", "payment", 7, 3_000);
         wait_until("the call", || endpoint.calls().len() == 1);
@@ -110,7 +108,7 @@
         wait_until("the next call", || endpoint.calls().len() == 2);
         (folder, endpoint, discovery, courier)
     });
-    // Past the first one's time: what is not known as delivered has been told as dead by now.
+    // The first message's deadline has passed: if it did not count as delivered, a notice has reported it as dead.
     thread::sleep(4_000 * MS);
     for ((_, endpoint, discovery, _), text) in all.iter().zip(spoilt) {
         assert_eq!(endpoint.ids(), ["pay", "next"], "{text:?}");
@@ -120,7 +118,7 @@
 }
 
 #[test]
-fn any_other_spoilt_answer_may_have_run() {
+fn a_payment_may_have_run_after_any_other_malformed_answer() {
     for spoilt in [
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 50\r\n\r\nnot fifty",
         "HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 100\r\nno head\r\n\r\n",
@@ -128,7 +126,7 @@
         "\u{1}\u{2}noise and more of it\r\n\r\n",
         "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
     ] {
-        let (folder, endpoint, discovery) = first(spoilt);
+        let (folder, endpoint, discovery) = endpoint_with_first_answer(spoilt);
         let courier = Courier::start(&folder, &discovery);
         courier.submit_accepted("pay", "payment", 7, 20_000);
         wait_until("the notice", || discovery.results("pay") == ["dead"]);
@@ -139,9 +137,9 @@
     }
 }
 
-// Guards against what is left of a second copy, taken for the delivery of the message that is out.
+// Guards against matching the rest of a duplicated answer to the message that is in flight.
 #[test]
-fn answer_that_cannot_be_read_delivers_nothing_on_a_used_connection() {
+fn malformed_answer_on_a_used_connection_does_not_count_as_delivered() {
     for spoilt in [
         "HTTP/1.1 200 OK\r\nno head at all\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nnot fifty",
@@ -153,7 +151,7 @@
                 EndpointAction::RespondDistinct(Duration::ZERO)
             }
         };
-        let (folder, endpoint, discovery) = one(act);
+        let (folder, endpoint, discovery) = single_endpoint(act);
         let courier = Courier::start(&folder, &discovery);
         for n in 0..3 {
             courier.submit_accepted(&format!("p{n}"), "payment", 7, 20_000);
@@ -166,8 +164,8 @@
 }
 
 #[test]
-fn a_head_without_an_end_does_not_hold_its_slot_until_the_time_out() {
-    let (folder, endpoint, discovery) = first("HTTP/1.1 500 No\r\nX-One: a\r\n");
+fn an_endless_answer_head_does_not_hold_its_slot_until_the_timeout() {
+    let (folder, endpoint, discovery) = endpoint_with_first_answer("HTTP/1.1 500 No\r\nX-One: a\r\n");
     let courier = Courier::start(&folder, &discovery);
     let from = Instant::now();
     courier.submit_accepted("pay", "payment", 7, 50_000);
@@ -177,13 +175,13 @@
 }
 
 #[test]
-fn bytes_behind_a_good_answer_are_nobodys_answer() {
+fn bytes_after_a_complete_answer_are_not_matched_to_another_call() {
     for more in [
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nnoise",
     ] {
-        let (folder, endpoint, discovery) = first(more);
+        let (folder, endpoint, discovery) = endpoint_with_first_answer(more);
         let courier = Courier::start(&folder, &discovery);
         courier.submit_accepted("p0", "payment", 7, 20_000);
         wait_until("the call", || endpoint.calls().len() == 1);
@@ -198,8 +196,8 @@
 }
 
 #[test]
-fn answers_with_1xx_ahead_or_a_report_that_cannot_be_read_are_good() {
-    let (folder, endpoint, discovery) = one(|n| match n {
+fn answers_after_a_1xx_or_with_an_unreadable_load_report_are_valid() {
+    let (folder, endpoint, discovery) = single_endpoint(|n| match n {
         1 => EndpointAction::Respond(
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none",
         ),
@@ -218,7 +216,7 @@
     assert!(discovery.notices.lock().expect("notices").is_empty());
 }
 
-fn broken_when_used_again() -> (TestFolder, Endpoint, Discovery) {
+fn endpoint_that_breaks_reused_connections() -> (TestFolder, Endpoint, Discovery) {
     let used = std::sync::Mutex::new(std::collections::HashSet::new());
     let endpoint = Endpoint::by_connection(move |connection| {
         let first = used.lock().expect("connections").insert(connection);
@@ -229,9 +227,9 @@
 }
 
 #[test]
-fn an_unsafe_message_does_not_go_where_kept_connections_break() {
-    // Each connection serves one call well and breaks at the next.
-    let (folder, endpoint, discovery) = broken_when_used_again();
+fn a_payment_is_not_sent_on_a_reused_connection_to_an_endpoint_that_breaks_them() {
+    // Each connection serves one call and breaks at the next.
+    let (folder, endpoint, discovery) = endpoint_that_breaks_reused_connections();
     let courier = Courier::start(&folder, &discovery);
     for n in 0..4 {
         courier.submit_accepted(&format!("s{n}"), "status", 7, 20_000);
@@ -245,14 +243,17 @@
     }
     courier.submit_accepted("end", "status", 7, 20_000);
     wait_until("the end", || endpoint.ids().contains(&"end".to_owned()));
-    assert!(discovery.notices.lock().expect("notices").is_empty(), "none was lost to a kept connection");
+    assert!(
+        discovery.notices.lock().expect("notices").is_empty(),
+        "a message was lost on a reused connection"
+    );
 }
 
-// ---- endpoints replaced --------------------------------------------------------------------------------
+// ---- replaced endpoints --------------------------------------------------------------------------------
 
 #[test]
-fn a_new_endpoint_at_the_address_of_a_gone_one_does_not_inherit_its_connections() {
-    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
+fn a_new_endpoint_at_the_address_of_a_removed_one_does_not_inherit_its_connections() {
+    let (folder, endpoint, discovery) = single_endpoint(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     courier.submit_accepted("m0", "status", 7, 20_000);
     wait_until("the call", || endpoint.calls().len() == 1);
@@ -270,7 +271,7 @@
     assert_eq!(endpoint.calls()[1].connection, 1);
 }
 
-// ---- bad clients ---------------------------------------------------------------------------------------
+// ---- misbehaving clients ---------------------------------------------------------------------------------------
 
 fn open(courier: &Courier, bytes: &str) -> TcpStream {
     let mut stream = TcpStream::connect(courier.address).expect("a connection");
@@ -280,8 +281,8 @@
 }
 
 #[test]
-fn what_never_becomes_a_request_is_answered_or_closed_soon() {
-    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
+fn an_incomplete_or_invalid_request_is_answered_or_closed_soon() {
+    let (folder, endpoint, discovery) = single_endpoint(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     let good = message("m", "status", 7, 20_000);
     let from = Instant::now();
@@ -289,7 +290,7 @@
     let open = cases.map(|bytes| open(&courier, bytes));
     for (mut stream, case) in open.into_iter().zip(cases) {
         let mut answer = Vec::new();
-        // A reset is a close, too.
+        // A reset counts as a close.
         let _ = stream.read_to_end(&mut answer);
         assert!(answer.is_empty() || answer.starts_with(b"HTTP/1.1 4"), "{case:?}: {answer:?}");
     }
@@ -299,8 +300,8 @@
 }
 
 #[test]
-fn a_request_whose_end_or_name_is_in_doubt_is_refused_and_never_passed_on() {
-    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
+fn a_request_with_ambiguous_length_or_id_is_refused_and_never_forwarded() {
+    let (folder, endpoint, discovery) = single_endpoint(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     let good = message("bad", "status", 7, 20_000);
     let length = "Content-Length: 5\r\n";
@@ -330,27 +331,28 @@
 }
 
 #[test]
-fn hundreds_that_send_half_a_head_or_nothing_keep_no_usual_client_out() {
-    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
+fn hundreds_of_clients_with_incomplete_heads_do_not_block_a_regular_client() {
+    let (folder, endpoint, discovery) = single_endpoint(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
-    let mut usual = open(&courier, &message("m0", "status", 7, 20_000));
-    let mut answers = BufReader::new(usual.try_clone().expect("a handle"));
+    let mut regular_client = open(&courier, &message("m0", "status", 7, 20_000));
+    let mut answers = BufReader::new(regular_client.try_clone().expect("a handle"));
     assert_eq!(HttpMessage::read(&mut answers).expect("an answer").status(), 202);
     let from = Instant::now();
     let half = &message("half", "status", 7, 20_000)[..40];
-    let crowd: Vec<_> = (0..500).map(|n| open(&courier, if n % 2 == 0 { half } else { "" })).collect();
+    let incomplete_clients: Vec<_> =
+        (0..500).map(|n| open(&courier, if n % 2 == 0 { half } else { "" })).collect();
     courier.submit_accepted("m1", "status", 7, 20_000);
     assert!(from.elapsed() < 20_000 * MS, "{:?}", from.elapsed());
-    // The connection that has served before them is still there.
-    usual.write_all(message("m2", "status", 7, 20_000).as_bytes()).expect("sent");
+    // The connection that was used before is still open.
+    regular_client.write_all(message("m2", "status", 7, 20_000).as_bytes()).expect("sent");
     assert_eq!(HttpMessage::read(&mut answers).expect("it was kept open").status(), 202);
     wait_until("the calls", || endpoint.calls().len() == 3);
-    drop(crowd);
+    drop(incomplete_clients);
 }
 
 #[test]
-fn clients_that_ask_once_and_keep_their_connection_do_not_shut_out_others() {
-    let (folder, _endpoint, discovery) = one(|_| EndpointAction::Respond(OK));
+fn clients_with_idle_persistent_connections_do_not_block_others() {
+    let (folder, _endpoint, discovery) = single_endpoint(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     let from = Instant::now();
     let mut kept = Vec::new();
@@ -361,14 +363,14 @@
         assert!([202, 429].contains(&page.status()), "{page:?}");
         kept.push(answers);
     }
-    // With room made only by what has stood for 2 s, this takes 8 s.
+    // If only connections that have been idle for 2 s were evicted, this would take 8 s.
     assert!(from.elapsed() < 6_000 * MS, "{:?}", from.elapsed());
 }
 
-// ---- connections that are not to be had -----------------------------------------------------------------
+// ---- scarce connections -----------------------------------------------------------------
 
-/// An endpoint that holds so many connections and turns each further one away, at once and by itself.
-fn holds(connections: usize) -> (TestFolder, Endpoint, Discovery) {
+/// Starts an endpoint that holds this many connections and refuses each further one at once.
+fn endpoint_with_max_connections(connections: usize) -> (TestFolder, Endpoint, Discovery) {
     let full = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let endpoint = Endpoint::holding(connections, move |call| {
         if call.admitted {
@@ -382,38 +384,38 @@
 }
 
 #[test]
-fn where_no_more_connections_are_to_be_had_the_kept_ones_serve_on() {
+fn open_connections_keep_serving_when_no_more_can_be_opened() {
     const ALL: usize = 80;
-    let (folder, endpoint, discovery) = holds(1);
+    let (folder, endpoint, discovery) = endpoint_with_max_connections(1);
     let courier = Courier::start(&folder, &discovery);
     courier.submit_accepted("first", "status", 7, 20_000);
     wait_until("the first call", || endpoint.calls().len() == 1);
     for n in 0..ALL {
         courier.submit_accepted(&format!("m{n}"), "status", 7, 20_000);
     }
-    // Sent one behind the other on the one connection they take 2 s of their 20.
+    // Sent one after the other on the only connection, they take 2 s of their deadline of 20 s.
     let admitted = || endpoint.calls().into_iter().filter(|c| c.admitted);
     let served = || admitted().count();
     wait_until("all on one connection", || served() + discovery.notices.lock().expect("notices").len() > ALL);
     let ended = discovery.notices.lock().expect("notices").len();
     assert_eq!((served(), ended), (ALL + 1, 0), "all are served there");
-    // The first is closed: nothing is known yet of how the endpoint's answers differ.
+    // The first connection is closed, because it is not known yet whether the endpoint's answers are distinct.
     let connections: std::collections::BTreeSet<_> = admitted().map(|c| c.connection).collect();
     assert!(connections.len() <= 2, "the kept connection was given up: {connections:?}");
-    // What was tried beside it: the rush before the first was turned away, then ever more seldom.
+    // Further connections were attempted in a burst before the first refusal, and with growing backoff after it.
     let away = endpoint.calls().len() - served();
     assert!(away <= ALL / 2, "{away} calls were turned away");
 }
 
-// Guards against a payment that is turned away because its own courier holds the endpoint's last connection idle.
+// Guards against refusing a payment because its own courier holds the endpoint's last connection idle.
 #[test]
 fn payment_does_not_wait_for_a_connection_that_its_courier_holds_idle() {
-    let (folder, scarce, discovery) = holds(1);
+    let (folder, scarce, discovery) = endpoint_with_max_connections(1);
     let other = Endpoint::new(|_| EndpointAction::RespondDistinct(Duration::ZERO));
     let hosts = vec![host("s-1", &scarce, 7, "ready"), host("s-2", &other, 9, "ready")];
     discovery.lines.lock().expect("lines")[0] = list(1, true, hosts);
     let courier = Courier::start(&folder, &discovery);
-    // The other endpoint's answers differ, so that of the scarce one is presumed to.
+    // The other endpoint's answers are distinct, so those of the scarce endpoint are presumed to be.
     for n in 0..2 {
         courier.submit_accepted(&format!("other{n}"), "status", 9, 20_000);
         wait_until("a call", || other.calls().len() == n + 1);
@@ -426,16 +428,16 @@
     assert_eq!(admitted(), ["first", "pay"]);
 }
 
-// ---- more than a destination takes ----------------------------------------------------------------------
+// ---- destinations at their limit ----------------------------------------------------------------------
 
 #[test]
-fn what_the_pace_cannot_serve_in_time_is_refused_when_it_is_handed_in() {
+fn a_message_that_the_rate_limit_cannot_serve_in_time_is_refused_on_submission() {
     const SLOW: &str = "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT x0=0.5, x1=5\r\nContent-Length: 0\r\n\r\n";
-    let (folder, endpoint, discovery) = one(|_| EndpointAction::Respond(SLOW));
+    let (folder, endpoint, discovery) = single_endpoint(|_| EndpointAction::Respond(SLOW));
     let courier = Courier::start(&folder, &discovery);
     courier.submit_accepted("first", "status", 7, 20_000);
     wait_until("the first call", || endpoint.calls().len() == 1);
-    // Its answer tells of 5 calls a second; some have been taken before that was heard.
+    // Its answer allows 5 calls a second; some messages were accepted before it arrived.
     let mut page = HttpMessage::default();
     let mut taken = 0;
     while page.status() != 429 && taken < 80 {
@@ -448,7 +450,7 @@
 }
 
 #[test]
-fn the_last_slots_go_to_the_faster_endpoint_though_it_costs_a_fee() {
+fn the_last_slots_go_to_the_faster_endpoint_despite_its_fee() {
     let near = Endpoint::new(|_| EndpointAction::RespondAfter(300 * MS, OK));
     let far = Endpoint::new(|_| EndpointAction::Respond(OK));
     let other = Endpoint::new(|_| EndpointAction::RespondAfter(5_000 * MS, OK));
@@ -457,17 +459,17 @@
     let hosts = vec![host("s-1", &near, 7, "ready"), dear, host("s-3", &other, 9, "ready")];
     let (folder, discovery) = (TestFolder::new(), Discovery::new(list(1, true, hosts)));
     let courier = Courier::start(&folder, &discovery);
-    // While slots are free the fee decides.
+    // The fee decides while slots are free.
     for n in 0..3 {
         courier.submit_accepted(&format!("early{n}"), "status", 7, 20_000);
         wait_until("a call", || near.calls().len() + far.calls().len() == n + 1);
     }
     assert!(far.calls().is_empty());
-    // Of eight slots one destination may have six.
+    // One destination may use six of the eight slots.
     for n in 0..6 {
         courier.submit_accepted(&format!("long{n}"), "payment", 9, 20_000);
     }
-    wait_until("six calls that take long", || other.calls().len() == 6);
+    wait_until("six slow calls", || other.calls().len() == 6);
     for n in 0..6 {
         courier.submit_accepted(&format!("m{n}"), "status", 7, 20_000);
     }
