--- a/crates/courier/benches/flood.rs
+++ b/crates/courier/benches/flood.rs
@@ -1,6 +1,7 @@
-//! A client's wait for its answer beside a flood of connections that are turned away, and in the same run without it;
-//! what the flood takes of the courier's descriptors and memory, and whether that is back after.
-//! `cargo bench -p stairshed-courier --bench flood`; `STAIRSHED_FLOOD=10000` and as many descriptors make it large.
+//! Measures a client's response times during a flood of rejected connections and, in the same run, without it; also the
+//! descriptors and memory that the flood takes, and whether they are released afterwards.
+//! `cargo bench -p stairshed-courier --bench flood`; `STAIRSHED_FLOOD=10000` runs a larger flood and needs as many
+//! descriptors.
 
 use stairshed_rig::process_stats::{open_descriptors, resident_mb};
 use stairshed_rig::*;
@@ -11,24 +12,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From another address than the flood's.
-fn other(to: SocketAddr) -> TcpStream {
+/// Connects from another address than the flood's.
+fn connect_from_other_address(to: SocketAddr) -> TcpStream {
     let stream = connect_from([127, 0, 0, 2], to);
     stream.set_nodelay(true).expect("no delay");
     stream
 }
 
-/// Requests one after the other, each fourth on a new connection; how long each answer took, sorted, and how many
-/// were not taken on.
-fn ask(to: SocketAddr, name: &str, wait_until: impl Fn() -> bool) -> (Vec<Duration>, usize) {
-    let (mut times, mut refused, mut stream) = (Vec::new(), 0, other(to));
+/// Sends requests one after the other, each fourth on a new connection. Returns the sorted response times and the number
+/// of messages that were not accepted.
+fn send_requests(to: SocketAddr, name: &str, wait_until: impl Fn() -> bool) -> (Vec<Duration>, usize) {
+    let (mut times, mut refused, mut stream) = (Vec::new(), 0, connect_from_other_address(to));
     for n in 0.. {
         if wait_until() {
             break;
         }
         let at = Instant::now();
         if n % 4 == 0 {
-            stream = other(to);
+            stream = connect_from_other_address(to);
         }
         let text = request("/status", &format!("{name}{n}"), "", "x");
         let sent = stream.write_all(text.as_bytes());
@@ -40,10 +41,10 @@
     (times, refused)
 }
 
-fn show(what: &str, (times, refused): &(Vec<Duration>, usize)) {
+fn print_times(label: &str, (times, refused): &(Vec<Duration>, usize)) {
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize].as_secs_f64() * 1e3;
     println!(
-        "{what:<16} {:>6} answers, {refused} not taken on: p50 {:.2} ms, p99 {:.2} ms, longest {:.2} ms",
+        "{label:<16} {:>6} answers, {refused} not accepted: p50 {:.2} ms, p99 {:.2} ms, longest {:.2} ms",
         times.len(),
         at(0.5),
         at(0.99),
@@ -64,20 +65,20 @@
     let courier = Courier::serve(&folder, &text);
     let to = courier.address;
     let end = Instant::now() + Duration::from_secs(5);
-    let without = ask(to, "a", || Instant::now() > end);
+    let without = send_requests(to, "a", || Instant::now() > end);
     let (before, start) = (open_descriptors(courier.id()).unwrap_or_default(), resident_mb(courier.id()));
     let (count, over) = (env_or("STAIRSHED_FLOOD", 2000), Arc::new(AtomicBool::new(false)));
-    let most = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
+    let peak = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
     let flooding = {
         let over = over.clone();
         thread::spawn(move || {
             let begun = Instant::now();
-            // Half of them ask and never read, half say nothing.
-            let ask = b"POST /status HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx";
+            // Half of them send a request and never read the answer; the others send nothing.
+            let request_bytes = b"POST /status HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx";
             let all: Vec<_> = (0..count)
                 .filter_map(|n| {
                     let mut stream = TcpStream::connect(to).ok()?;
-                    let _ = if n % 2 == 0 { stream.write_all(ask) } else { Ok(()) };
+                    let _ = if n % 2 == 0 { stream.write_all(request_bytes) } else { Ok(()) };
                     Some(stream)
                 })
                 .collect();
@@ -87,27 +88,27 @@
             println!("{} connections in {:.2} s, held for 5 s, never read", all.len(), took.as_secs_f64());
         })
     };
-    let watching = {
-        let (id, over, most) = (courier.id(), over.clone(), most.clone());
+    let sampling = {
+        let (id, over, peak) = (courier.id(), over.clone(), peak.clone());
         thread::spawn(move || {
             while !over.load(Ordering::SeqCst) {
-                most.0.fetch_max(open_descriptors(id).unwrap_or_default() as u64, Ordering::SeqCst);
-                most.1.fetch_max((resident_mb(id) * 1e3) as u64, Ordering::SeqCst);
+                peak.0.fetch_max(open_descriptors(id).unwrap_or_default() as u64, Ordering::SeqCst);
+                peak.1.fetch_max((resident_mb(id) * 1e3) as u64, Ordering::SeqCst);
                 thread::sleep(Duration::from_millis(20));
             }
         })
     };
-    let with = ask(to, "b", || over.load(Ordering::SeqCst));
+    let with = send_requests(to, "b", || over.load(Ordering::SeqCst));
     flooding.join().expect("the flood");
-    watching.join().expect("the watch");
+    sampling.join().expect("the sampler");
     thread::sleep(Duration::from_secs(15));
-    show("without a flood", &without);
-    show("beside it", &with);
-    let (files, memory) = (most.0.load(Ordering::SeqCst), most.1.load(Ordering::SeqCst) as f64 / 1e3);
+    print_times("without a flood", &without);
+    print_times("with the flood", &with);
+    let (files, memory) = (peak.0.load(Ordering::SeqCst), peak.1.load(Ordering::SeqCst) as f64 / 1e3);
     println!(
         "descriptors {before}, at most {files}, after {}",
         open_descriptors(courier.id()).unwrap_or_default()
     );
     println!("resident {start:.1} MB, at most {memory:.1}, after {:.1}", resident_mb(courier.id()));
-    println!("turned away: {}", courier.page("/-/memory")["turned_away"]);
+    println!("rejected: {}", courier.page("/-/memory")["turned_away"]);
 }
--- a/crates/courier/benches/versions.rs
+++ b/crates/courier/benches/versions.rs
@@ -1,6 +1,6 @@
-//! A version with 1,000 pools and 10,000 endpoints: from its last byte to its acknowledgement, the longest
-//! pause of the serving loop meanwhile, and what pools and routes take of memory. Beside it the same pauses
-//! while nothing changes, and the raw time to write and sync as many bytes.
+//! Measures a configuration version with 1,000 pools and 10,000 endpoints: the time from its last byte to its
+//! acknowledgement, the longest pause of the serving loop meanwhile, and the memory of pools and routes. For comparison,
+//! it measures the same pauses while nothing changes, and the time to write and sync as many bytes.
 //! `cargo bench -p stairshed-courier --bench versions`
 
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
 
 const ROUNDS: u64 = 10;
 
-/// The endpoints of the first `changed` pools are others in each version.
+/// Builds a configuration in which the endpoints of the first `changed` pools differ in each version.
 fn config(version: u64, pools: usize, endpoints: usize, changed: usize) -> Value {
     let host = |pool: usize, n: usize| {
         let version = if pool < changed { version } else { 0 };
@@ -43,7 +43,7 @@
     line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-/// Asks a page that needs the serving thread, over and over on one connection; the answers' times.
+/// Requests a page that needs the serving thread repeatedly on one connection; returns the sorted response times.
 fn probe(to: SocketAddr, stop: &AtomicBool) -> Vec<Duration> {
     let stream = TcpStream::connect(to).expect("a connection");
     stream.set_nodelay(true).expect("no delay");
@@ -61,7 +61,7 @@
     times
 }
 
-fn probed(to: SocketAddr, work: impl FnOnce()) -> Vec<Duration> {
+fn probe_during(to: SocketAddr, work: impl FnOnce()) -> Vec<Duration> {
     let stop = Arc::new(AtomicBool::new(false));
     let flag = stop.clone();
     let prober = thread::spawn(move || probe(to, &flag));
@@ -70,10 +70,10 @@
     prober.join().expect("the prober")
 }
 
-fn show(what: &str, times: &[Duration]) {
+fn print_times(label: &str, times: &[Duration]) {
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize].as_secs_f64() * 1e3;
     println!(
-        "{what}: {} answers, p50 {:.2} ms, p99.9 {:.2} ms, longest {:.2} ms",
+        "{label}: {} answers, p50 {:.2} ms, p99.9 {:.2} ms, longest {:.2} ms",
         times.len(),
         at(0.5),
         at(0.999),
@@ -95,7 +95,7 @@
         let config = config(next, pools, endpoints, changed);
         let line = json!({"version": next, "config": config}).to_string() + "\n";
         assert!(control.send(&line));
-        // From its last byte on.
+        // The time starts at the last byte of the version.
         let began = Instant::now();
         assert!(control.answer(next).accepted);
         let answer = control.answer(next);
@@ -103,10 +103,10 @@
         (answer.at - began, line.len())
     };
     send(1, 1, 1);
-    show("nothing changes", &probed(courier.address, || thread::sleep(Duration::from_secs(2))));
+    print_times("nothing changes", &probe_during(courier.address, || thread::sleep(Duration::from_secs(2))));
     for (pools, endpoints, changed) in [(10, 10, 10), (1000, 10, 10), (1000, 10, 100), (1000, 10, 1000)] {
         let (mut times, mut bytes) = (Vec::new(), 0);
-        let pauses = probed(courier.address, || {
+        let pauses = probe_during(courier.address, || {
             for _ in 0..ROUNDS {
                 let (time, size) = send(pools, endpoints, changed);
                 (bytes, times) = (size, [times.as_slice(), &[time]].concat());
@@ -114,12 +114,12 @@
             }
         });
         times.sort();
-        let (middle, most) =
+        let (median_ms, max_ms) =
             (times[times.len() / 2].as_secs_f64() * 1e3, times[times.len() - 1].as_secs_f64() * 1e3);
         println!(
-            "{pools} pools with {endpoints} endpoints, those of {changed} changed, {bytes} bytes: acknowledged after {middle:.1} ms, {most:.1} at most"
+            "{pools} pools with {endpoints} endpoints, those of {changed} changed, {bytes} bytes: acknowledged after {median_ms:.1} ms, {max_ms:.1} at max_ms"
         );
-        show("  meanwhile", &pauses);
+        print_times("  meanwhile", &pauses);
         let raw = (0..5).map(|_| {
             let began = Instant::now();
             let mut file = fs::File::create(folder.0.join("raw")).expect("a file");
