--- a/crates/courier/tests/brokers.rs
+++ b/crates/courier/tests/brokers.rs
@@ -1,5 +1,5 @@
-//! MQTT on real sockets, delivering: the courier as a client of a stand-in broker with every vice. `MQTT_SEED=N` and
-//! `MQTT_DROPS=N` play another seed, or more.
+//! MQTT delivery on real sockets: the courier as a client of a fake broker that injects faults. `MQTT_SEED=N` sets the
+//! seed and `MQTT_DROPS=N` the number of dropped connections.
 
 use stairshed_mqtt::packet::{Qos, Version, code};
 use stairshed_rig::broker::{Acks, Broker, BrokerFaults};
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// An installation whose pool is one broker.
+/// Configuration of a courier whose pool is one broker.
 fn file(broker: &Broker, version: &str, more: &str) -> String {
     format!(
         "name = \"depot\"\n[listen]\nhttp = \"127.0.0.1:0\"\nmqtt = \"127.0.0.1:0\"\n\
@@ -24,7 +24,7 @@
     )
 }
 
-const BOTH: [&str; 2] = ["3.1.1", "5.0"];
+const BOTH_VERSIONS: [&str; 2] = ["3.1.1", "5.0"];
 
 fn effects(broker: &Broker, id: &str) -> u32 {
     broker.effects().get(id).copied().unwrap_or_default()
@@ -34,14 +34,14 @@
     outcomes(folder).into_iter().find(|(i, _)| i == id).map(|(_, result)| result)
 }
 
-/// Hands in a payment whose body is its id: 3.1.1 carries nothing else.
+/// Submits a payment whose body is its id, because MQTT 3.1.1 carries no other field for it.
 fn pay(courier: &Courier, id: &str) {
     assert_eq!(courier.post("/pay", id, "", id).status(), 202, "{id}");
 }
 
 #[test]
 fn http_in_and_mqtt_out_and_the_reverse() {
-    for version in BOTH {
+    for version in BOTH_VERSIONS {
         let broker = Broker::new(BrokerFaults::default());
         let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&broker, version, ""));
@@ -57,7 +57,7 @@
         assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
         wait_until("its effect", || effects(&broker, "s") == 1);
         assert_eq!(broker.received()[1].publish.qos, Qos::AtLeastOnce);
-        // MQTT in, MQTT out, and told.
+        // Accepted over MQTT, delivered over MQTT, and reported to the client.
         let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
         van.read_outcomes("van");
         assert_eq!(van.submit("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
@@ -66,18 +66,19 @@
     }
 }
 
-/// Brokers that are dropped from at once: after each drop the module leaves one alone for a while.
-const BROKERS: u64 = 12;
+/// Number of brokers whose connections are dropped in parallel, because the courier waits after each drop before it
+/// reconnects to the same broker.
+const BROKER_COUNT: u64 = 12;
 
-/// Payments through drops at random bytes, with restarts of the courier among them. Sessions may be lost at one in so
-/// many connections. How many took effect once, and how many ended as dead.
-fn through_drops(version: &str, seed: u64, drops: u32, lose_sessions_every: Option<u32>) -> (usize, usize) {
+/// Submits payments while connections are dropped at random bytes and the courier is restarted. One connection in
+/// `lose_sessions_every` may lose its session. Returns how many payments took effect once, and how many ended as dead.
+fn run_with_drops(version: &str, seed: u64, drops: u32, lose_sessions_every: Option<u32>) -> (usize, usize) {
     let vices = |n| BrokerFaults {
-        drop_after: Some((seed * BROKERS + n, 20..700)),
+        drop_after: Some((seed * BROKER_COUNT + n, 20..700)),
         lose_sessions_every,
         ..BrokerFaults::default()
     };
-    let brokers: Vec<Broker> = (0..BROKERS).map(|n| Broker::new(vices(n))).collect();
+    let brokers: Vec<Broker> = (0..BROKER_COUNT).map(|n| Broker::new(vices(n))).collect();
     let pool = |(n, broker): (usize, &Broker)| {
         format!(
             "[pools.p{n}]\nendpoints = [{{ name = \"b\", address = \"mqtt://{}/in\" }}]\nmqtt.version = \"{version}\"\n\
@@ -95,9 +96,9 @@
     let dropped = || brokers.iter().map(Broker::drops).sum::<u32>();
     let (mut ids, mut restart) = (Vec::new(), drops / 4);
     while dropped() < drops {
-        for n in 0..BROKERS {
+        for n in 0..BROKER_COUNT {
             let id = format!("{version}-{seed}-{}", ids.len());
-            // Held up to its bound: then it is refused, and counts for nothing.
+            // Beyond the limit on held messages a payment is refused and not counted.
             if courier.post(&format!("/pay/{n}"), &id, "", &id).status() == 202 {
                 ids.push(id);
             }
@@ -109,7 +110,7 @@
             courier = Courier::serve(&folder, &text);
         }
     }
-    // The network is calm from here on.
+    // No connection is dropped from here on.
     brokers.iter().for_each(|b| b.change(|v| *v = BrokerFaults::default()));
     let effects = || {
         let all = brokers.iter().flat_map(|b| b.effects());
@@ -139,9 +140,9 @@
 #[test]
 fn through_hundreds_of_drops_every_charge_lands_once_where_the_session_lasts() {
     let (seed, drops) = (env_or("MQTT_SEED", 1), env_or("MQTT_DROPS", 110) as u32);
-    for version in BOTH {
-        let (once, dead) = through_drops(version, seed, drops, None);
-        // Dead are those whose time was up in the midst of it, and those whose CONNACK was lost with the connection.
+    for version in BOTH_VERSIONS {
+        let (once, dead) = run_with_drops(version, seed, drops, None);
+        // Payments end as dead if their deadline passes meanwhile, or if the CONNACK was lost with the connection.
         assert!(once > 50 && dead < once, "{once} once, {dead} dead");
     }
 }
@@ -149,16 +150,16 @@
 #[test]
 fn where_sessions_are_lost_a_charge_is_dead_or_lands_once_and_is_never_sent_again() {
     let (seed, drops) = (env_or("MQTT_SEED", 1), env_or("MQTT_DROPS", 50) as u32);
-    for version in BOTH {
-        let (once, dead) = through_drops(version, seed + 100, drops, Some(3));
+    for version in BOTH_VERSIONS {
+        let (once, dead) = run_with_drops(version, seed + 100, drops, Some(3));
         assert!(once > 0 && dead > 0, "{once} once, {dead} dead");
     }
 }
 
 #[test]
 fn a_late_acknowledgement_is_that_of_the_one_attempt() {
-    for version in BOTH {
-        // Far later than the module's patience with what may be repeated.
+    for version in BOTH_VERSIONS {
+        // Far later than the timeout for messages that may be repeated.
         let broker = Broker::new(BrokerFaults { acks: Acks::Late(3000 * MS), ..BrokerFaults::default() });
         let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&broker, version, "[limits]\nremembered = 10\n"));
@@ -167,7 +168,7 @@
         let since = Instant::now();
         wait_until("both", || broker.received().len() >= 2);
         wait_until("their acknowledgement", || since.elapsed() > 4500 * MS);
-        // A connection on which nothing at all is heard is given up, and the same packet goes again with DUP.
+        // A connection without any incoming packet is closed, and the same packet is sent again with DUP.
         let got = broker.received();
         for id in ["s", "p"] {
             let of: Vec<_> = got.iter().filter(|g| g.id == id).collect();
@@ -188,7 +189,7 @@
             pay(&courier, &format!("p{n}"));
         }
         wait_until("all", || broker.received().len() >= 20);
-        // Nothing comes of the acknowledgements that are still on their way.
+        // Acknowledgements that are still in transit must have no effect.
         std::thread::sleep(500 * MS);
         assert!((0..20).all(|n| effects(&broker, &format!("p{n}")) == 1), "{acks:?}");
         assert!(outcomes(&folder).is_empty());
@@ -197,7 +198,7 @@
 
 #[test]
 fn killed_with_a_publish_out_the_next_life_resumes_it_under_its_id() {
-    for version in BOTH {
+    for version in BOTH_VERSIONS {
         let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
         let folder = TestFolder::new();
         let text = file(&broker, version, "");
@@ -210,7 +211,7 @@
         wait_until("the same again", || broker.received().len() == 2);
         let got = broker.received();
         assert!(got[1].publish.dup && got[1].publish.id == got[0].publish.id && !got[1].took_effect);
-        // It has ended, and its id is free: nothing more comes in another life.
+        // The message has ended and its packet id is free: nothing more is sent after another restart.
         pay(&courier, "q");
         wait_until("the next message", || effects(&broker, "q") == 1);
         courier.kill();
@@ -224,14 +225,14 @@
 
 #[test]
 fn killed_with_a_release_out_the_next_life_finishes_it_and_publishes_nothing() {
-    for version in BOTH {
+    for version in BOTH_VERSIONS {
         let broker = Broker::new(BrokerFaults::default());
         let folder = TestFolder::new();
         let text = file(&broker, version, "");
         let courier = Courier::serve(&folder, &text);
         pay(&courier, "first");
         wait_until("the connection", || effects(&broker, "first") == 1);
-        // PUBREC comes, and no PUBCOMP.
+        // The broker sends PUBREC but no PUBCOMP.
         broker.change(|v| v.acks = Acks::Late(300 * MS));
         pay(&courier, "p");
         wait_until("its PUBLISH", || effects(&broker, "p") == 1);
@@ -252,7 +253,7 @@
 
 #[test]
 fn a_lost_session_ends_a_payment_as_dead_and_repeats_what_is_harmless() {
-    for version in BOTH {
+    for version in BOTH_VERSIONS {
         let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
         let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&broker, version, ""));
@@ -314,7 +315,7 @@
         let bounced = ids.iter().filter(|id| result(&folder, id).as_deref() == Some("bounced"));
         assert_eq!(bounced.count(), 0, "{vice:?}: {:?}", outcomes(&folder));
     }
-    // A session that is there by its word only: the id is new to it, so it takes effect, and that once.
+    // The broker claims a session that it does not have: the packet id is new to it, so the payment takes effect, once.
     let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
     let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
@@ -368,7 +369,7 @@
     van.read_outcomes("van");
     assert_eq!(van.submit("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
     wait_until("its PUBLISH", || effects(&broker, "m") == 1);
-    // PUBREC comes now, and cannot be put on record.
+    // PUBREC arrives now and cannot be written to the journal.
     courier.set_file_size_limit(Some(1));
     wait_until("not ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 503));
     courier.set_file_size_limit(None);
