--- a/crates/courier/tests/mqtt.rs
+++ b/crates/courier/tests/mqtt.rs
@@ -1,5 +1,5 @@
-//! MQTT on real sockets, taking: clients that publish to the courier, with kills, repeats, bad manners, and a library of
-//! somebody else's.
+//! MQTT intake on real sockets: clients that publish to the courier, with kills, retransmissions, protocol violations, and
+//! a third-party client library.
 
 use stairshed_mqtt::packet::{
     Ack, Connect, Disconnect, Packet, Publish, Qos, Subscribe, Version, Will, code,
@@ -10,9 +10,9 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-const BOTH: [Version; 2] = [Version::V311, Version::V5];
+const BOTH_VERSIONS: [Version; 2] = [Version::V311, Version::V5];
 
-/// An installation with HTTP endpoints behind MQTT topics.
+/// Configuration of a courier that delivers messages from MQTT topics to an HTTP endpoint.
 fn file(endpoint: &Endpoint, more: &str) -> String {
     format!(
         "[listen]\nhttp = \"127.0.0.1:0\"\nmqtt = \"127.0.0.1:0\"\n\
@@ -33,7 +33,7 @@
     format!("{{\"id\": \"{id}\", \"amount\": 42}}")
 }
 
-/// The PUBACK that comes next.
+/// Reads the next PUBACK.
 fn puback(van: &mut MqttClient) -> Ack {
     match van.next_ack() {
         Some(Packet::Puback(ack)) => ack,
@@ -41,7 +41,7 @@
     }
 }
 
-/// How often the endpoint was sent a message.
+/// Number of calls for a message at the endpoint.
 fn times(endpoint: &Endpoint, id: &str) -> usize {
     endpoint.ids().iter().filter(|i| *i == id).count()
 }
@@ -51,7 +51,7 @@
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    for (n, version) in BOTH.into_iter().enumerate() {
+    for (n, version) in BOTH_VERSIONS.into_iter().enumerate() {
         let client = format!("van-{n}");
         let (mut van, connack) = MqttClient::connect(courier.mqtt(), Connect::new(version, &client));
         assert_eq!(connack.code, 0);
@@ -69,7 +69,7 @@
         van.send(Packet::Pubrel(Ack::new(2, 0)));
         assert_eq!(van.next_ack(), Some(Packet::Pubcomp(Ack::new(2, 0))));
         wait_until("its delivery", || times(&endpoint, &two) == 1);
-        // At QoS 0 the client may leave at once.
+        // At QoS 0 the client may disconnect at once.
         let none = format!("q0-{n}");
         van.publish("fuel/7/pay", Qos::AtMostOnce, None, &pay(&none), &[]);
         van.send(Packet::Disconnect(Disconnect::new(0)));
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_client_that_publishes_again_causes_no_second_charge_whatever_broke_between() {
-    for version in BOTH {
+    for version in BOTH_VERSIONS {
         let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
         let folder = TestFolder::new();
         let courier = Courier::serve(&folder, &file(&endpoint, ""));
@@ -87,7 +87,7 @@
         van.read_outcomes("van");
         van.publish("fuel/7/pay", Qos::AtLeastOnce, Some(1), &pay("p1"), &[]);
         wait_until("its delivery", || times(&endpoint, "p1") == 1);
-        // Its PUBACK may have been lost with the connection.
+        // The PUBACK may have been lost with the connection.
         van.cut();
         let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
         assert!(connack.session_present);
@@ -101,7 +101,7 @@
         assert!(connack.session_present, "the session outlasts the process");
         van.send(Packet::Publish(Box::new(Publish { dup: true, ..publish })));
         assert_eq!(van.next_ack(), Some(Packet::Puback(Ack::new(1, 0))));
-        // Another client, and HTTP: the identity is that of all.
+        // Another client and HTTP: the message's identity applies across all clients.
         let (mut other, _) = MqttClient::connect(courier.mqtt(), Connect::new(version, "other"));
         assert_eq!(other.submit("fuel/7/pay", 1, &pay("p1"), &[]), Some(0));
         assert_eq!(van.submit("fuel/7/pay", 2, &pay("p2"), &[]), Some(0));
@@ -112,7 +112,7 @@
 
 #[test]
 fn killed_between_publish_and_pubcomp_every_charge_lands_once() {
-    for version in BOTH {
+    for version in BOTH_VERSIONS {
         let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
         let folder = TestFolder::new();
         let mut ids = Vec::new();
@@ -122,7 +122,7 @@
             let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
             let publish = Publish::new("fuel/7/pay", Qos::ExactlyOnce, Some(10 + n), pay(&id).into());
             van.send(Packet::Publish(Box::new(publish.clone())));
-            // Killed at once, behind PUBREC, and behind PUBREL.
+            // Kills the courier at once, after PUBREC, and after PUBREL.
             if n % 3 > 0 {
                 assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(10 + n, 0))));
             }
@@ -134,7 +134,7 @@
             let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
             assert!(connack.session_present || n == 0, "{id}");
             if n % 3 < 2 {
-                // It has PUBREC or not; in either case the same packet may go again before PUBREL was sent.
+                // With or without PUBREC, the same packet may be sent again before PUBREL was sent.
                 van.send(Packet::Publish(Box::new(Publish { dup: true, ..publish })));
                 assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(10 + n, 0))), "{id}");
             }
@@ -145,7 +145,7 @@
             ids.push(id);
         }
         let _courier = Courier::serve(&folder, &file(&endpoint, ""));
-        // A call that was out when the process died may have run: that ends as dead, and nothing is sent again.
+        // A call in flight at the kill may have run: its message ends as dead and is not sent again.
         let dead = |id: &str| outcomes(&folder).iter().any(|(i, result)| i == id && result == "dead");
         wait_until("every end", || ids.iter().all(|id| times(&endpoint, id) == 1 || dead(id)));
         assert!(ids.iter().all(|id| times(&endpoint, id) <= 1), "{:?}", endpoint.ids());
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_refusal_says_when_to_come_again_or_is_a_bounce_on_record() {
-    // Nothing is answered, so what is held piles up to its bound.
+    // The endpoint answers nothing, so held messages grow to their limit.
     let endpoint = Endpoint::new(|_| EndpointAction::Hang);
     let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, "[limits]\nheld = 5\n"));
@@ -171,7 +171,7 @@
         assert!(name == "retry-after" && value.parse::<f64>().is_ok_and(|s| s > 0.0), "{ack:?}");
         assert!(ack.reason.is_some());
     }
-    // 3.1.1: a client that reads no outcomes is closed on, one that does has its message bounced.
+    // 3.1.1: a client that reads no outcomes is disconnected; one that reads them has its message bounced.
     let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V311, "b"));
     assert_eq!(van.submit("state/x", 1, "s", &[]), None);
     let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V311, "c"));
@@ -180,7 +180,7 @@
     let (id, result) = van.outcome();
     assert_eq!(result, "bounced");
     assert_eq!(times(&endpoint, &id), 0);
-    // What no route takes is told as such.
+    // A message that matches no route is reported as such.
     let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "d"));
     assert_eq!(van.submit("nowhere", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
     assert_eq!(van.submit("fuel/7/pay", 2, "no identity", &[]), Some(code::PAYLOAD_FORMAT_INVALID));
@@ -225,7 +225,7 @@
         password: user.map(|_| password.to_owned().into()),
         ..Connect::new(version, "c")
     };
-    for version in BOTH {
+    for version in BOTH_VERSIONS {
         let refused = if version == Version::V5 { code::BAD_USER_OR_PASSWORD } else { 4 };
         for (user, password, wanted) in [
             (None, "", refused),
@@ -256,7 +256,7 @@
     courier.kill();
     let courier = Courier::serve(&folder, &file(&endpoint, ""));
     wait_until("the will of the client that was there", || times(&endpoint, "w2") == 1);
-    // One that could be no message is refused with its connection.
+    // A will that could not become a message is refused together with its connection.
     let mut bad = connect("w3");
     bad.will.as_mut().expect("a will").topic = "nowhere".to_owned();
     let (_, connack) = MqttClient::connect(courier.mqtt(), bad);
@@ -274,7 +274,7 @@
     let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &file(&endpoint, "[mqtt]\nconnections = 50\n"));
     let connected = |version| MqttClient::connect(courier.mqtt(), Connect::new(version, "bad")).0;
-    for version in BOTH {
+    for version in BOTH_VERSIONS {
         for bytes in [
             &b"GET / HTTP/1.1\r\n\r\n"[..],
             b"\xc0\x00",
@@ -307,7 +307,7 @@
         let Some(Packet::Suback { codes, .. }) = bad.next_ack() else { panic!("no SUBACK") };
         assert!(codes[0] >= 0x80);
     }
-    // Hundreds that say nothing: whoever speaks is let in.
+    // Hundreds of connections that send nothing: a client that sends CONNECT is accepted.
     let silent: Vec<MqttClient> = (0..300).map(|_| MqttClient::open(courier.mqtt(), Version::V5)).collect();
     let (mut van, connack) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "good"));
     assert_eq!(connack.code, 0);
@@ -323,7 +323,7 @@
     let courier = Courier::serve(&folder, &file(&endpoint, "[limits]\nbodies = \"100KiB\"\n"));
     let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
     let body = "x".repeat(60 * 1024);
-    // In one write, so that they come within one turn.
+    // Sent in one write, so that they arrive within one iteration of the event loop.
     (1..=8u16).for_each(|id| van.publish("state/x", Qos::AtLeastOnce, Some(id), &body, &[]));
     let codes: Vec<u8> = (0..8).map(|_| puback(&mut van).code).collect();
     assert!(codes.contains(&0) && codes.contains(&code::QUOTA_EXCEEDED), "{codes:?}");
