--- a/crates/courier/tests/operator.rs
+++ b/crates/courier/tests/operator.rs
@@ -1,4 +1,5 @@
-//! An operator's courier from its file: routes, outcomes, names, reloads, versions out of the ordinary.
+//! Configuration as an operator uses it: routes, outcomes, name resolution, discovery, reloads, invalid or
+//! conflicting versions from the control service, and the command line.
 
 use serde_json::{Value, json};
 use stairshed_rig::control_service::ControlService;
@@ -13,32 +14,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const HEAD: &str = "name = \"c1\"\n[listen]\nhttp = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\n";
+const BASE_CONFIG: &str = "name = \"c1\"\n[listen]\nhttp = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\n";
 const CLASSES: &str = "[classes.payment]\neffect = \"once\"\ndeadline = \"20s\"\n\
     [classes.status]\neffect = \"repeatable\"\ndeadline = \"20s\"\n\
     [classes.notice]\neffect = \"keyed\"\nkey_window = \"10s\"\nkey_scope = \"pool\"\ndeadline = \"20s\"\n";
-const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+const SERVICE_UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-fn pool(name: &str, endpoints: &[&Endpoint]) -> String {
+fn pool_section(name: &str, endpoints: &[&Endpoint]) -> String {
     let all: Vec<String> = endpoints.iter().map(|e| format!("{{ address = \"{}\" }}", e.address)).collect();
     format!("[pools.{name}]\nendpoints = [{}]\n", all.join(", "))
 }
 
-fn route(name: &str, pool: &str, class: &str) -> String {
+fn route_section(name: &str, pool: &str, class: &str) -> String {
     format!("[routes.{name}]\nprefix = \"/{name}\"\npool = \"{pool}\"\nclass = \"{class}\"\n")
 }
 
-fn well() -> Endpoint {
+fn healthy_endpoint() -> Endpoint {
     Endpoint::new(|_| EndpointAction::Respond(OK))
 }
 
 #[test]
 fn a_message_is_delivered_as_its_route_says() {
-    let (endpoint, folder) = (well(), TestFolder::new());
+    let (endpoint, folder) = (healthy_endpoint(), TestFolder::new());
     let routes = "[routes.pay]\npath = \"/fuel/{station}/pay\"\nmethods = [\"POST\", \"PUT\"]\npool = \"p\"\n\
         class = \"payment\"\nrewrite.path = \"/v2/{station}/charge\"\nrewrite.pass = [\"X-Note\"]\n\
         rewrite.set = { X-From = \"depot\" }\n";
-    let file = [HEAD, CLASSES, &pool("p", &[&endpoint]), routes].concat();
+    let file = [BASE_CONFIG, CLASSES, &pool_section("p", &[&endpoint]), routes].concat();
     let courier = Courier::serve(&folder, &file);
     let heads = "X-Note: hello\r\nX-Other: no\r\nIdempotency-Key: k\r\n";
     let answer = courier.post("/fuel/7/pay?a=b", "m1", heads, "42 EUR");
@@ -53,12 +54,16 @@
 }
 
 #[test]
-fn what_cannot_be_taken_is_refused_with_its_reason() {
-    let (endpoint, folder) = (well(), TestFolder::new());
+fn an_invalid_request_is_refused_with_its_reason() {
+    let (endpoint, folder) = (healthy_endpoint(), TestFolder::new());
     let extra = "[classes.late]\norder_by = \"X-Vehicle\"\n";
-    let all =
-        [route("pay", "p", "payment"), route("note", "p", "notice"), route("late", "p", "late")].concat();
-    let file = [HEAD, CLASSES, extra, &pool("p", &[&endpoint]), &all].concat();
+    let all = [
+        route_section("pay", "p", "payment"),
+        route_section("note", "p", "notice"),
+        route_section("late", "p", "late"),
+    ]
+    .concat();
+    let file = [BASE_CONFIG, CLASSES, extra, &pool_section("p", &[&endpoint]), &all].concat();
     let courier = Courier::serve(&folder, &file);
     for (path, heads, status, why) in [
         ("/nothing", "", 404, "no route"),
@@ -87,19 +92,20 @@
 }
 
 #[test]
-fn messages_of_one_order_go_one_at_a_time_in_order_also_after_a_restart() {
+fn messages_with_one_order_key_are_delivered_one_at_a_time_in_order_also_after_a_restart() {
     let (open, folder) = (Arc::new(AtomicBool::new(false)), TestFolder::new());
     let gate = open.clone();
     let endpoint = Endpoint::new(move |_| match gate.load(Ordering::SeqCst) {
         true => EndpointAction::RespondAfter(5 * MS, OK),
-        false => EndpointAction::RespondAndClose(BUSY),
+        false => EndpointAction::RespondAndClose(SERVICE_UNAVAILABLE),
     });
     let class = "[classes.stop]\neffect = \"repeatable\"\norder_by = \"X-Vehicle\"\n";
-    let file = [HEAD, class, &pool("p", &[&endpoint]), &route("stop", "p", "stop")].concat();
+    let file =
+        [BASE_CONFIG, class, &pool_section("p", &[&endpoint]), &route_section("stop", "p", "stop")].concat();
     let courier = Courier::serve(&folder, &file);
     for n in 0..20 {
-        let car = n % 2;
-        let answer = courier.post("/stop", &format!("m{n:02}"), &format!("X-Vehicle: {car}\r\n"), "x");
+        let vehicle = n % 2;
+        let answer = courier.post("/stop", &format!("m{n:02}"), &format!("X-Vehicle: {vehicle}\r\n"), "x");
         assert_eq!(answer.status(), 202);
     }
     courier.kill();
@@ -107,16 +113,16 @@
     open.store(true, Ordering::SeqCst);
     let _courier = Courier::serve(&folder, &file);
     wait_until("all deliveries", || endpoint.calls().len() >= before + 20);
-    for car in 0..2 {
+    for vehicle in 0..2 {
         let ids: Vec<String> = endpoint.ids().split_off(before);
         let of: Vec<&String> =
-            ids.iter().filter(|id| id[1..].parse::<u64>().is_ok_and(|n| n % 2 == car)).collect();
-        assert!(of.is_sorted(), "car {car}: {of:?}");
+            ids.iter().filter(|id| id[1..].parse::<u64>().is_ok_and(|n| n % 2 == vehicle)).collect();
+        assert!(of.is_sorted(), "vehicle {vehicle}: {of:?}");
     }
 }
 
 #[test]
-fn outcomes_go_to_the_file_and_to_the_url_until_they_are_taken() {
+fn outcomes_are_written_to_the_file_and_posted_to_the_url_until_it_accepts_them() {
     let folder = TestFolder::new();
     let endpoint = Endpoint::new(|_| {
         EndpointAction::Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
@@ -124,16 +130,22 @@
     let refusals = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let seen = refusals.clone();
     let partner = Endpoint::new(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
-        0..3 => EndpointAction::Respond(BUSY),
+        0..3 => EndpointAction::Respond(SERVICE_UNAVAILABLE),
         _ => EndpointAction::Respond("HTTP/1.1 204 No Content\r\n\r\n"),
     });
     let outcomes_to =
         format!("[outcomes]\nurl = \"http://{}/ends\"\nfile = \"ends.ndjson\"\n", partner.address);
-    let file =
-        [HEAD, CLASSES, &pool("p", &[&endpoint]), &route("pay", "p", "payment"), &outcomes_to].concat();
+    let file = [
+        BASE_CONFIG,
+        CLASSES,
+        &pool_section("p", &[&endpoint]),
+        &route_section("pay", "p", "payment"),
+        &outcomes_to,
+    ]
+    .concat();
     let courier = Courier::serve(&folder, &file);
     assert_eq!(courier.post("/pay", "m1", "", "x").status(), 202);
-    wait_until("the notice is taken", || partner.calls().len() > 3);
+    wait_until("the outcome is accepted", || partner.calls().len() > 3);
     let line: Value = serde_json::from_slice(&partner.calls()[3].page.body).expect("a line");
     assert_eq!((line["ref"].as_str(), line["result"].as_str()), (Some("m1"), Some("dead")));
     let text = fs::read_to_string(folder.0.join("state/ends.ndjson")).expect("the file");
@@ -142,20 +154,25 @@
 }
 
 #[test]
-fn a_file_with_faults_ends_the_start_and_changes_nothing_at_a_reload() {
-    let (one, two, folder) = (well(), well(), TestFolder::new());
-    let good = [HEAD, CLASSES, &pool("p", &[&one]), &route("pay", "p", "payment")].concat();
+fn an_invalid_file_fails_the_start_and_changes_nothing_on_reload() {
+    let (one, two, folder) = (healthy_endpoint(), healthy_endpoint(), TestFolder::new());
+    let good =
+        [BASE_CONFIG, CLASSES, &pool_section("p", &[&one]), &route_section("pay", "p", "payment")].concat();
     let bad = good.replace("pool = \"p\"", "pool = \"q\"") + "[limits]\nheld = 0\n";
     let output = serve_command(&folder, &bad).stdout(Stdio::null()).output().expect("it runs");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1));
-    assert!(text.contains("routes.pay.pool") && text.contains("limits.held"), "both are told: {text}");
+    assert!(
+        text.contains("routes.pay.pool") && text.contains("limits.held"),
+        "both faults are reported: {text}"
+    );
     let courier = Courier::serve(&folder, &good);
     courier.replace_config_file(&folder, &bad);
     courier.wait_for_log("limits.held");
     assert_eq!(courier.post("/pay", "m1", "", "x").status(), 202);
     wait_until("the delivery", || one.ids() == ["m1"]);
-    let other = [HEAD, CLASSES, &pool("p", &[&two]), &route("pay", "p", "payment")].concat();
+    let other =
+        [BASE_CONFIG, CLASSES, &pool_section("p", &[&two]), &route_section("pay", "p", "payment")].concat();
     courier.replace_config_file(&folder, &other);
     courier.wait_for_log("in effect");
     assert_eq!(courier.post("/pay", "m2", "", "x").status(), 202);
@@ -164,43 +181,43 @@
 }
 
 #[test]
-fn an_endpoint_that_is_removed_and_returns_is_the_same_and_its_wait_is_kept() {
+fn an_endpoint_that_is_removed_and_added_again_keeps_its_wait() {
     let folder = TestFolder::new();
     const WAIT: &str = "HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 2500\r\nContent-Length: 0\r\n\r\n";
     let endpoint =
         Endpoint::new(|n| if n == 0 { EndpointAction::Respond(WAIT) } else { EndpointAction::Respond(OK) });
-    let file = |pools: &str| [HEAD, CLASSES, pools, &route("s", "p", "status")].concat();
-    let with = file(&pool("p", &[&endpoint]));
+    let file = |pools: &str| [BASE_CONFIG, CLASSES, pools, &route_section("s", "p", "status")].concat();
+    let with = file(&pool_section("p", &[&endpoint]));
     let courier = Courier::serve(&folder, &with);
     assert_eq!(courier.post("/s", "m1", "", "x").status(), 202);
     wait_until("the first call", || endpoint.calls().len() == 1);
-    courier.replace_config_file(&folder, &file(&pool("p", &[])));
+    courier.replace_config_file(&folder, &file(&pool_section("p", &[])));
     courier.wait_for_log("in effect");
     courier.replace_config_file(&folder, &with);
     courier.wait_for_log("in effect");
     wait_until("the second call", || endpoint.calls().len() == 2);
     let calls = endpoint.calls();
     let apart = calls[1].at - calls[0].at;
-    assert!(apart >= Duration::from_millis(2500), "{apart:?}: the wait was forgotten");
+    assert!(apart >= Duration::from_millis(2500), "{apart:?}: the wait was not kept");
     assert!(apart < Duration::from_secs(10), "{apart:?}");
 }
 
 #[test]
-fn messages_of_a_pool_that_is_gone_end_truthfully_and_those_of_one_that_returns_are_delivered() {
+fn messages_of_a_removed_pool_get_true_outcomes_and_those_of_a_restored_pool_are_delivered() {
     let folder = TestFolder::new();
     let open = Arc::new(AtomicBool::new(false));
     let gate = open.clone();
     let busy = Endpoint::new(move |_| match gate.load(Ordering::SeqCst) {
         true => EndpointAction::Respond(OK),
-        false => EndpointAction::Respond(BUSY),
+        false => EndpointAction::Respond(SERVICE_UNAVAILABLE),
     });
     let broken = Endpoint::by_call(|_| EndpointAction::CloseConnection);
     let limits = "[limits]\npool_wait = \"700ms\"\nheld = 6000\ncalls = 32\n";
     let file = |pools: &[String], routes: &[String]| {
-        [HEAD, CLASSES, limits, &pools.concat(), &routes.concat()].concat()
+        [BASE_CONFIG, CLASSES, limits, &pools.concat(), &routes.concat()].concat()
     };
-    let (p, q) = (pool("p", &[&busy]), pool("q", &[&broken]));
-    let (a, b) = (route("a", "p", "payment"), route("b", "q", "notice"));
+    let (p, q) = (pool_section("p", &[&busy]), pool_section("q", &[&broken]));
+    let (a, b) = (route_section("a", "p", "payment"), route_section("b", "q", "notice"));
     let all = file(&[p.clone(), q], &[a.clone(), b]);
     let courier = Courier::serve(&folder, &all);
     for n in 0..200 {
@@ -210,17 +227,17 @@
         let answer = courier.post("/b", &format!("b{n}"), "Idempotency-Key: k\r\n", "x");
         assert_eq!(answer.status(), 202);
     }
-    wait_until("some have been out", || !broken.calls().is_empty() && !busy.calls().is_empty());
-    // Gone for less than its wait: all that it holds stays.
+    wait_until("some calls were made", || !broken.calls().is_empty() && !busy.calls().is_empty());
+    // Removed for less than `pool_wait`: its messages stay held.
     courier.replace_config_file(&folder, &file(&[], &[]).replace("[limits]", "[pools.x]\n[limits]"));
     courier.wait_for_log("in effect");
     courier.replace_config_file(&folder, &all);
     courier.wait_for_log("in effect");
-    // What had come to its end by itself had its attempts; nothing ends for its pool's absence.
+    // Messages that have ended by now used up their attempts; none ended because the pool was absent.
     let ended = outcomes(&folder).len();
     courier.replace_config_file(&folder, &file(std::slice::from_ref(&p), std::slice::from_ref(&a)));
     courier.wait_for_log("in effect");
-    wait_until("the end of what q held", || {
+    wait_until("the outcomes of the messages of q", || {
         let ended = outcomes(&folder);
         (0..20).all(|n| ended.iter().any(|(id, _)| *id == format!("b{n}")))
     });
@@ -240,15 +257,16 @@
     });
 }
 
-/// Without a control service's own waits: it sends nothing between versions.
-fn controlled(control: &ControlService, own: &str) -> String {
+/// A configuration with a control service. The heartbeat is 60 s because the service sends nothing between
+/// versions.
+fn config_with_control(control: &ControlService, own: &str) -> String {
     format!(
-        "{HEAD}[control]\nurl = \"{}\"\nheartbeat = \"60s\"\nfirst_wait = \"300ms\"\nversion_most = \"256KiB\"\n{own}",
+        "{BASE_CONFIG}[control]\nurl = \"{}\"\nheartbeat = \"60s\"\nfirst_wait = \"300ms\"\nversion_most = \"256KiB\"\n{own}",
         control.url()
     )
 }
 
-fn version(endpoint: &Endpoint, effect: Value) -> Value {
+fn version_config(endpoint: &Endpoint, effect: Value) -> Value {
     json!({
         "classes": {"c": effect},
         "pools": {"p": {"endpoints": [{"address": endpoint.address.to_string()}]}},
@@ -256,39 +274,44 @@
     })
 }
 
-/// A courier with a control service that has sent version 1.
-fn first(folder: &TestFolder, control: &ControlService, endpoint: &Endpoint, effect: Value) -> Courier {
-    let own = [CLASSES, &pool("own", &[endpoint]), &route("own", "own", "payment")].concat();
-    let courier = Courier::serve(folder, &controlled(control, &own));
+/// Starts a courier and applies version 1 from the control service.
+fn serve_first_version(
+    folder: &TestFolder,
+    control: &ControlService,
+    endpoint: &Endpoint,
+    effect: Value,
+) -> Courier {
+    let own = [CLASSES, &pool_section("own", &[endpoint]), &route_section("own", "own", "payment")].concat();
+    let courier = Courier::serve(folder, &config_with_control(control, &own));
     wait_until("the stream", || control.is_open());
-    assert!(control.send_version(1, &version(endpoint, effect)));
+    assert!(control.send_version(1, &version_config(endpoint, effect)));
     assert!(control.answer(1).accepted);
     courier
 }
 
 #[test]
-fn without_a_service_it_comes_up_on_its_last_good_version_or_the_file_s_own_or_ends_with_a_clear_error() {
-    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
+fn without_a_control_service_it_starts_on_the_stored_version_or_the_file_or_fails_with_a_clear_error() {
+    let (endpoint, folder, control) = (healthy_endpoint(), TestFolder::new(), ControlService::new());
     let gone = {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("an address")
     };
     let dead = |own: &str| {
-        let file = controlled(&control, own);
+        let file = config_with_control(&control, own);
         file.replace(&control.address.to_string(), &gone.to_string())
     };
     let output = serve_command(&folder, &dead("")).stdout(Stdio::null()).output().expect("it runs");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1));
     assert!(text.contains("no version came, none is stored, and the file has no routes"), "{text}");
-    let own = [CLASSES, &pool("own", &[&endpoint]), &route("own", "own", "payment")].concat();
+    let own = [CLASSES, &pool_section("own", &[&endpoint]), &route_section("own", "own", "payment")].concat();
     let courier = Courier::serve(&folder, &dead(&own));
     assert_eq!(courier.post("/own", "m1", "", "x").status(), 202);
     assert_eq!(courier.page("/-/config")["source"], "file");
     drop(courier);
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "repeatable"}));
+    let courier = serve_first_version(&folder, &control, &endpoint, json!({"effect": "repeatable"}));
     assert_eq!(courier.post("/r", "m2", "", "x").status(), 202);
-    assert_eq!(courier.post("/own", "m3", "", "x").status(), 404, "the version stands in the file's place");
+    assert_eq!(courier.post("/own", "m3", "", "x").status(), 404, "the version replaces the file's routes");
     courier.kill();
     let courier = Courier::serve(&folder, &dead(""));
     let page = courier.page("/-/config");
@@ -297,7 +320,7 @@
 }
 
 #[test]
-fn a_class_that_becomes_unsafe_while_its_messages_are_out_is_unsafe_for_them() {
+fn a_class_that_becomes_unsafe_is_unsafe_for_its_messages_in_flight() {
     let (folder, control) = (TestFolder::new(), ControlService::new());
     let endpoint = Endpoint::new(|_| {
         EndpointAction::RespondAfter(
@@ -305,39 +328,40 @@
             "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         )
     });
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "repeatable", "deadline": "5s"}));
+    let courier =
+        serve_first_version(&folder, &control, &endpoint, json!({"effect": "repeatable", "deadline": "5s"}));
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202);
     wait_until("the call", || endpoint.calls().len() == 1);
-    control.send_version(2, &version(&endpoint, json!({"effect": "once", "deadline": "5s"})));
+    control.send_version(2, &version_config(&endpoint, json!({"effect": "once", "deadline": "5s"})));
     assert!(control.answer(2).accepted);
-    assert_eq!(endpoint.calls().len(), 1, "the call is still out");
-    wait_until("its end", || !outcomes(&folder).is_empty());
+    assert_eq!(endpoint.calls().len(), 1, "the call is still in flight");
+    wait_until("its outcome", || !outcomes(&folder).is_empty());
     assert_eq!(outcomes(&folder), [("m1".to_owned(), "dead".to_owned())]);
     assert_eq!(endpoint.calls().len(), 1, "sent again though it may have run");
 }
 
 #[test]
-fn a_class_that_becomes_safe_is_unsafe_for_what_was_taken_before_also_after_a_restart() {
+fn a_class_that_becomes_safe_stays_unsafe_for_messages_accepted_before_also_after_a_restart() {
     let (folder, control) = (TestFolder::new(), ControlService::new());
     let endpoint = Endpoint::new(|n| if n == 0 { EndpointAction::Hang } else { EndpointAction::Respond(OK) });
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
+    let courier = serve_first_version(&folder, &control, &endpoint, json!({"effect": "once"}));
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202);
     wait_until("the call", || endpoint.calls().len() == 1);
-    control.send_version(2, &version(&endpoint, json!({"effect": "repeatable"})));
+    control.send_version(2, &version_config(&endpoint, json!({"effect": "repeatable"})));
     assert!(control.answer(2).accepted);
     courier.kill();
-    let _courier = Courier::serve(&folder, &controlled(&control, ""));
-    wait_until("its end", || !outcomes(&folder).is_empty());
+    let _courier = Courier::serve(&folder, &config_with_control(&control, ""));
+    wait_until("its outcome", || !outcomes(&folder).is_empty());
     assert_eq!(outcomes(&folder), [("m1".to_owned(), "dead".to_owned())]);
     assert_eq!(endpoint.calls().len(), 1);
 }
 
 #[test]
 fn a_burst_of_versions_ends_on_the_last_with_an_answer_for_each() {
-    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
+    let (endpoint, folder, control) = (healthy_endpoint(), TestFolder::new(), ControlService::new());
+    let courier = serve_first_version(&folder, &control, &endpoint, json!({"effect": "once"}));
     for n in 2..=200 {
-        control.send_version(n, &version(&endpoint, json!({"effect": "once", "worth": n})));
+        control.send_version(n, &version_config(&endpoint, json!({"effect": "once", "worth": n})));
     }
     for n in 2..=200 {
         let answer = control.answer(n);
@@ -348,40 +372,40 @@
 }
 
 #[test]
-fn a_line_that_is_too_long_or_never_ends_changes_nothing_and_the_stream_is_opened_again() {
-    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
-    // 32 MB and more, if anybody read them.
+fn an_overlong_or_endless_line_changes_nothing_and_the_stream_is_reopened() {
+    let (endpoint, folder, control) = (healthy_endpoint(), TestFolder::new(), ControlService::new());
+    let courier = serve_first_version(&folder, &control, &endpoint, json!({"effect": "once"}));
+    // 32 MB in all, if the courier read every piece.
     let piece = "x".repeat(64 * 1024);
     let mut sent = 0;
     while sent < 512 && control.asked().len() == 1 && control.send(&piece) {
         sent += 1;
     }
-    wait_until("the stream is opened again", || control.asked().len() > 1 && control.is_open());
+    wait_until("the stream is reopened", || control.asked().len() > 1 && control.is_open());
     assert!(sent < 512, "all of it was read");
-    wait_until("it is told", || {
+    wait_until("the refusal is reported", || {
         control.answers().iter().any(|a| !a.accepted && a.reasons.contains("longer than"))
     });
-    assert!(control.asked()[1].contains("version=1"), "it says what it has: {:?}", control.asked());
-    control.send_version(2, &version(&endpoint, json!({"effect": "repeatable"})));
+    assert!(control.asked()[1].contains("version=1"), "it states its current version: {:?}", control.asked());
+    control.send_version(2, &version_config(&endpoint, json!({"effect": "repeatable"})));
     assert!(control.answer(2).accepted);
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202);
 }
 
 #[test]
-fn a_listener_moves_with_a_version_and_stays_where_the_new_address_is_taken() {
-    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "repeatable"}));
+fn a_version_moves_a_listener_unless_the_new_address_is_in_use() {
+    let (endpoint, folder, control) = (healthy_endpoint(), TestFolder::new(), ControlService::new());
+    let courier = serve_first_version(&folder, &control, &endpoint, json!({"effect": "repeatable"}));
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let to = |address: &str| {
-        let mut config = version(&endpoint, json!({"effect": "repeatable"}));
+        let mut config = version_config(&endpoint, json!({"effect": "repeatable"}));
         config["listen"] = json!({"http": address});
         config
     };
     control.send_version(2, &to(&taken.local_addr().expect("an address").to_string()));
     let answer = control.answer(2);
     assert!(!answer.accepted && answer.reasons.contains("listen.http"), "{answer:?}");
-    assert_eq!(courier.post("/r", "m1", "", "x").status(), 202, "the old one goes on");
+    assert_eq!(courier.post("/r", "m1", "", "x").status(), 202, "the old listener stays open");
     let free = {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("an address")
@@ -389,44 +413,44 @@
     control.send_version(3, &to(&free.to_string()));
     assert!(control.answer(3).accepted);
     assert_eq!(post(free, "/r", "m2", "", "x").map(|p| p.status()), Some(202));
-    wait_until("the old one is closed", || {
+    wait_until("the old listener is closed", || {
         exchange(courier.address, b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").is_none()
     });
 }
 
 #[test]
-fn a_version_that_cannot_be_stored_is_refused_and_the_next_is_taken_once_it_can_be() {
-    let (endpoint, folder, control) = (well(), TestFolder::new(), ControlService::new());
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
-    // Where it writes first there is a folder: as good as a disk that takes nothing.
+fn a_version_that_cannot_be_stored_is_refused_and_a_later_one_that_can_is_accepted() {
+    let (endpoint, folder, control) = (healthy_endpoint(), TestFolder::new(), ControlService::new());
+    let courier = serve_first_version(&folder, &control, &endpoint, json!({"effect": "once"}));
+    // A directory at the path of the temporary file makes the write fail, as a full disk would.
     let next = folder.0.join("state/version.next");
     fs::create_dir(&next).expect("a folder");
-    control.send_version(2, &version(&endpoint, json!({"effect": "repeatable"})));
+    control.send_version(2, &version_config(&endpoint, json!({"effect": "repeatable"})));
     let answer = control.answer(2);
     assert!(!answer.accepted && answer.reasons.contains("cannot be stored"), "{answer:?}");
     assert_eq!(courier.page("/-/config")["version"], 1);
     fs::remove_dir(&next).expect("gone");
-    control.send_version(3, &version(&endpoint, json!({"effect": "repeatable"})));
+    control.send_version(3, &version_config(&endpoint, json!({"effect": "repeatable"})));
     assert!(control.answer(3).accepted);
 }
 
 #[test]
-fn limits_below_what_is_in_use_turn_newcomers_away_and_lose_nothing() {
+fn limits_lowered_below_current_use_refuse_new_messages_and_lose_none() {
     let (folder, control) = (TestFolder::new(), ControlService::new());
     let endpoint = Endpoint::new(|_| EndpointAction::RespondAfter(Duration::from_millis(300), OK));
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "once"}));
+    let courier = serve_first_version(&folder, &control, &endpoint, json!({"effect": "once"}));
     for n in 0..30 {
         assert_eq!(courier.post("/r", &format!("m{n}"), "", "x").status(), 202);
     }
-    let mut config = version(&endpoint, json!({"effect": "once"}));
+    let mut config = version_config(&endpoint, json!({"effect": "once"}));
     config["limits"] = json!({"held": 5, "calls": 2});
     control.send_version(2, &config);
     assert!(control.answer(2).accepted);
-    wait_until("newcomers are turned away, or there is room again", || {
+    wait_until("new messages are refused, or there is room again", || {
         let full = courier.post("/r", "late", "", "x");
         full.status() == 429 || full.status() == 202
     });
-    wait_until("each has its end", || {
+    wait_until("each message ends", || {
         let told = outcomes(&folder);
         let seen = endpoint.ids();
         (0..30).all(|n| {
@@ -437,15 +461,17 @@
 }
 
 #[test]
-fn a_reload_in_the_middle_of_a_version_takes_its_turn() {
-    let (endpoint, other, folder, control) = (well(), well(), TestFolder::new(), ControlService::new());
-    let courier = first(&folder, &control, &endpoint, json!({"effect": "repeatable"}));
-    let line = json!({"version": 2, "config": version(&other, json!({"effect": "repeatable"}))}).to_string();
+fn a_reload_while_a_version_is_partly_received_leaves_the_version_intact() {
+    let (endpoint, other, folder, control) =
+        (healthy_endpoint(), healthy_endpoint(), TestFolder::new(), ControlService::new());
+    let courier = serve_first_version(&folder, &control, &endpoint, json!({"effect": "repeatable"}));
+    let line =
+        json!({"version": 2, "config": version_config(&other, json!({"effect": "repeatable"}))}).to_string();
     let (half, rest) = line.split_at(line.len() / 2);
     control.send(half);
-    courier.replace_config_file(&folder, &controlled(&control, "[outcomes]\nfile = \"o.ndjson\"\n"));
+    courier.replace_config_file(&folder, &config_with_control(&control, "[outcomes]\nfile = \"o.ndjson\"\n"));
     courier.wait_for_log("in effect");
-    assert_eq!(courier.page("/-/config")["version"], 1, "the version stays over the file");
+    assert_eq!(courier.page("/-/config")["version"], 1, "the version takes precedence over the file");
     control.send(&(rest.to_owned() + "\n"));
     assert!(control.answer(2).accepted);
     assert_eq!(courier.post("/r", "m1", "", "x").status(), 202);
@@ -453,16 +479,16 @@
 }
 
 #[test]
-fn names_are_looked_up_and_a_failed_look_up_keeps_the_last_good_answer() {
+fn names_are_resolved_and_a_failed_lookup_keeps_the_last_good_answer() {
     let (folder, server) = (TestFolder::new(), NameServer::new());
-    let endpoint = well();
+    let endpoint = healthy_endpoint();
     let home = Ipv4Addr::LOCALHOST;
     let port = endpoint.address.port();
     let file = |names: &[&str]| {
         let all: Vec<String> = names.iter().map(|n| format!("{{ address = \"{n}:{port}\" }}")).collect();
         let pools = format!("[pools.p]\nendpoints = [{}]\n", all.join(", "));
         let dns = format!("[dns]\nresolver = \"{}\"\n", server.address);
-        [HEAD, CLASSES, &pools, &route("s", "p", "status"), &dns].concat()
+        [BASE_CONFIG, CLASSES, &pools, &route_section("s", "p", "status"), &dns].concat()
     };
     for (name, zone) in [
         ("plain.example", DnsAnswer::Addresses(vec![home], 1)),
@@ -479,12 +505,12 @@
         assert_eq!(courier.post("/s", &id, "", "x").status(), 202, "{what}");
         wait_until(what, || endpoint.ids().contains(&id));
     };
-    deliver("by a name");
+    deliver("delivery to a resolved name");
     let asked = server.asked("plain.example");
-    wait_until("it is asked for again after its time to live", || server.asked("plain.example") > asked);
+    wait_until("it is resolved again after its TTL", || server.asked("plain.example") > asked);
     server.set("plain.example", DnsAnswer::ServerFailure);
     courier.wait_for_log("holds");
-    deliver("by the last good answer");
+    deliver("delivery with the last good answer");
     for name in ["long.example", "forged.example"] {
         courier.replace_config_file(&folder, &file(&[name]));
         courier.wait_for_log("in effect");
@@ -493,15 +519,16 @@
 }
 
 #[test]
-fn endpoints_come_from_discovery_beside_those_of_the_file_and_leave_with_it() {
-    let (own, found, other, folder) = (well(), well(), well(), TestFolder::new());
+fn discovered_endpoints_are_used_beside_those_of_the_file_until_they_are_no_longer_listed() {
+    let (own, found, other, folder) =
+        (healthy_endpoint(), healthy_endpoint(), healthy_endpoint(), TestFolder::new());
     let discovery =
         Discovery::new(list(1, true, vec![host("d-1", &found, 7, "ready"), host("d-2", &other, 8, "ready")]));
     let service = format!("[discovery]\naddress = \"{}\"\n", discovery.address);
-    let pools =
-        pool("p", &[&own]) + "[pools.q]\ndestination = 7\ndiscovery = true\n[pools.r]\ndestination = 8\n";
-    let routes: String = ["p", "q", "r"].map(|name| route(name, name, "status")).concat();
-    let file = [HEAD, CLASSES, &pools, &routes, &service].concat();
+    let pools = pool_section("p", &[&own])
+        + "[pools.q]\ndestination = 7\ndiscovery = true\n[pools.r]\ndestination = 8\n";
+    let routes: String = ["p", "q", "r"].map(|name| route_section(name, name, "status")).concat();
+    let file = [BASE_CONFIG, CLASSES, &pools, &routes, &service].concat();
     let courier = Courier::serve(&folder, &file);
     let mut n = 0;
     let mut deliver = |path: &str, to: &Endpoint| {
@@ -511,27 +538,28 @@
         wait_until("the delivery", || to.ids().contains(&id));
     };
     deliver("/q", &found);
-    // A whole list says nothing of the file's own endpoints.
+    // A complete list from discovery does not remove the endpoints of the file.
     deliver("/p", &own);
-    let moved = well();
+    let moved = healthy_endpoint();
     discovery.tell(list(2, true, vec![host("d-3", &moved, 7, "ready")]));
     thread::sleep(Duration::from_millis(1200));
     let before = found.calls().len();
     deliver("/q", &moved);
     deliver("/p", &own);
-    assert_eq!(found.calls().len(), before, "it is listed no more");
-    assert!(other.calls().is_empty(), "its pool takes none from discovery");
+    assert_eq!(found.calls().len(), before, "it is no longer listed");
+    assert!(other.calls().is_empty(), "its pool does not use discovery");
 }
 
 #[test]
-fn five_thousand_messages_of_a_pool_that_is_removed_end_once_and_truthfully() {
+fn five_thousand_messages_of_a_removed_pool_each_get_one_true_outcome() {
     const MESSAGES: usize = 5000;
     let folder = TestFolder::new();
     const NO: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
     let slow = Endpoint::new(|_| EndpointAction::RespondAfter(Duration::from_secs(12), NO));
     let class = "[classes.pay]\neffect = \"once\"\ndeadline = \"60s\"\naim = \"60s\"\n";
     let limits = "[limits]\npool_wait = \"500ms\"\nheld = 6000\ncalls = 32\n";
-    let all = [HEAD, class, limits, &pool("p", &[&slow]), &route("a", "p", "pay")].concat();
+    let all =
+        [BASE_CONFIG, class, limits, &pool_section("p", &[&slow]), &route_section("a", "p", "pay")].concat();
     let courier = Courier::serve(&folder, &all);
     let address = courier.address;
     let submit = |thread: usize| {
@@ -539,79 +567,81 @@
         of.filter(|id| post(address, "/a", id, "", "x").is_some_and(|p| p.status() == 202))
             .collect::<Vec<_>>()
     };
-    let taken: Vec<String> = thread::scope(|scope| {
+    let accepted: Vec<String> = thread::scope(|scope| {
         let all: Vec<_> = (0..8).map(|t| scope.spawn(move || submit(t))).collect();
         all.into_iter().flat_map(|t| t.join().expect("a client")).collect()
     });
-    assert!(taken.len() > MESSAGES * 9 / 10, "{} were taken on", taken.len());
-    courier.replace_config_file(&folder, &[HEAD, class, limits].concat());
+    assert!(accepted.len() > MESSAGES * 9 / 10, "{} were accepted", accepted.len());
+    courier.replace_config_file(&folder, &[BASE_CONFIG, class, limits].concat());
     courier.wait_for_log("in effect");
-    wait_until("every end", || outcomes(&folder).len() >= taken.len());
+    wait_until("every outcome", || outcomes(&folder).len() >= accepted.len());
     let ended = outcomes(&folder);
-    assert_eq!(ended.len(), taken.len(), "each ends once");
+    assert_eq!(ended.len(), accepted.len(), "each ends once");
     let seen = slow.ids();
-    assert!(!seen.is_empty(), "some were out");
+    assert!(!seen.is_empty(), "some were sent");
     let ended: std::collections::BTreeMap<String, String> = ended.into_iter().collect();
-    for id in &taken {
+    for id in &accepted {
         let right = if seen.contains(id) { "dead" } else { "bounced" };
         assert_eq!(ended.get(id).map(String::as_str), Some(right), "{id}");
     }
 }
 
 #[test]
-fn one_that_is_told_how_to_listen_twice_says_so() {
+fn a_listen_address_in_use_fails_the_start_with_a_clear_error() {
     let folder = TestFolder::new();
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address");
-    let file = [HEAD, CLASSES, "[pools.p]\n", &route("s", "p", "status")].concat();
+    let file = [BASE_CONFIG, CLASSES, "[pools.p]\n", &route_section("s", "p", "status")].concat();
     let file = file.replacen("127.0.0.1:0", &at.to_string(), 1);
     let output = serve_command(&folder, &file).stdout(Stdio::null()).output().expect("it runs");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(output.status.code() == Some(1) && text.contains("listen.http"), "{text}");
 }
 
-fn tool(args: &[&str]) -> (Option<i32>, String, String) {
+fn run_command(args: &[&str]) -> (Option<i32>, String, String) {
     let output = std::process::Command::new(program()).args(args).output().expect("it runs");
     let text = |b: &[u8]| String::from_utf8_lossy(b).into_owned();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
 }
 
 #[test]
-fn the_command_line_checks_explains_compares_and_shows() {
-    let (endpoint, folder) = (well(), TestFolder::new());
-    let good = [HEAD, CLASSES, &pool("p", &[&endpoint]), &route("pay", "p", "payment")].concat();
+fn the_command_line_checks_explains_compares_and_shows_configurations() {
+    let (endpoint, folder) = (healthy_endpoint(), TestFolder::new());
+    let good =
+        [BASE_CONFIG, CLASSES, &pool_section("p", &[&endpoint]), &route_section("pay", "p", "payment")]
+            .concat();
     let write = |name: &str, text: &str| {
         let path = folder.0.join(name);
         fs::File::create(&path).and_then(|mut f| f.write_all(text.as_bytes())).expect("written");
         path.display().to_string()
     };
     let (a, b) = (write("a.toml", &good), write("b.toml", &good.replace("20s", "25s")));
-    let (status, out, _) = tool(&["check", &a, "--explain", "POST /pay/7 Host: x"]);
+    let (status, out, _) = run_command(&["check", &a, "--explain", "POST /pay/7 Host: x"]);
     assert_eq!(status, Some(0));
     assert!(out.contains("routes.pay") && out.contains("class payment") && out.contains("pools.p"), "{out}");
-    let (status, out, _) = tool(&["check", &a, "--explain", "PUT /pay"]);
+    let (status, out, _) = run_command(&["check", &a, "--explain", "PUT /pay"]);
     assert!(status == Some(1) && out.contains("405"), "{out}");
     let bad = write("bad.toml", "[limits]\nheld = 0\ncals = 3\n");
-    let (status, _, err) = tool(&["check", &bad]);
+    let (status, _, err) = run_command(&["check", &bad]);
     assert_eq!(status, Some(1));
     assert!(err.contains("bad.toml:2:1: limits.held") && err.contains("bad.toml:3:1: limits.cals"), "{err}");
     assert!(err.contains("did you mean \"calls\""), "{err}");
-    let (status, out, _) = tool(&["config", "diff", &a, &b]);
+    let (status, out, _) = run_command(&["config", "diff", &a, &b]);
     assert!(status == Some(1) && out.contains("~ classes.payment.deadline = \"20s\" -> \"25s\""), "{out}");
-    assert_eq!(tool(&["config", "diff", &a, &a]).0, Some(0));
-    let (_, out, _) = tool(&["config", "schema"]);
+    assert_eq!(run_command(&["config", "diff", &a, &a]).0, Some(0));
+    let (_, out, _) = run_command(&["config", "schema"]);
     let schema: Value = serde_json::from_str(&out).expect("JSON");
     assert!(schema["$defs"]["Class"]["properties"]["key_window"]["description"].is_string(), "{out}");
-    assert!(tool(&["completions", "bash"]).1.contains("stairshed"));
+    assert!(run_command(&["completions", "bash"]).1.contains("stairshed"));
     let courier = Courier::serve(&folder, &good);
-    let (status, out, _) = tool(&["config", "show", "--admin", &courier.admin().to_string()]);
+    let (status, out, _) = run_command(&["config", "show", "--admin", &courier.admin().to_string()]);
     assert_eq!(status, Some(0));
     assert!(out.contains("classes.payment.effect = \"once\"  # file, line 6"), "{out}");
     assert!(out.contains("limits.held = 1000  # default"), "{out}");
 }
 
 #[test]
-fn the_sample_delivers_what_is_handed_in() {
+fn dev_mode_delivers_submitted_messages() {
     let free = {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("an address")
@@ -625,7 +655,7 @@
     let out = child.stdout.take().expect("its output");
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(out)).map_while(Result::ok);
     assert!(lines.any(|l| l.contains(&format!("curl -i -d 'hello' http://{free}/notice"))));
-    wait_until("it takes a message", || {
+    wait_until("it accepts a message", || {
         post(free, "/notice", "m1", "", "hello").is_some_and(|p| p.status() == 202)
     });
     let got = lines.find(|l| l.contains("the stand-in endpoint got")).expect("the delivery");
@@ -633,7 +663,7 @@
     let began = Instant::now();
     let id = child.id().to_string();
     std::process::Command::new("kill").args(["-TERM", &id]).status().expect("kill runs");
-    wait_until("its end", || child.try_wait().expect("a status").is_some());
+    wait_until("its exit", || child.try_wait().expect("a status").is_some());
     assert!(began.elapsed() < WAIT_TIMEOUT);
     thread::sleep(MS);
 }
