--- a/crates/courier/tests/mqtt.rs
+++ b/crates/courier/tests/mqtt.rs
@@ -13,7 +13,7 @@
 const BOTH_VERSIONS: [Version; 2] = [Version::V311, Version::V5];
 
 /// Configuration of a courier that delivers messages from MQTT topics to an HTTP endpoint.
-fn file(endpoint: &Endpoint, more: &str) -> String {
+fn config_text(endpoint: &Endpoint, more: &str) -> String {
     format!(
         "[listen]\nhttp = \"127.0.0.1:0\"\nmqtt = \"127.0.0.1:0\"\n\
          [classes.payment]\neffect = \"once\"\ndeadline = \"20s\"\n\
@@ -29,20 +29,20 @@
     )
 }
 
-fn pay(id: &str) -> String {
+fn payment_body(id: &str) -> String {
     format!("{{\"id\": \"{id}\", \"amount\": 42}}")
 }
 
 /// Reads the next PUBACK.
-fn puback(van: &mut MqttClient) -> Ack {
-    match van.next_ack() {
+fn puback(publisher: &mut MqttClient) -> Ack {
+    match publisher.next_ack() {
         Some(Packet::Puback(ack)) => ack,
         other => panic!("{other:?}"),
     }
 }
 
 /// Number of calls for a message at the endpoint.
-fn times(endpoint: &Endpoint, id: &str) -> usize {
+fn call_count(endpoint: &Endpoint, id: &str) -> usize {
     endpoint.ids().iter().filter(|i| *i == id).count()
 }
 
@@ -50,30 +50,30 @@
 fn what_is_published_is_taken_on_delivered_and_its_client_told() {
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&endpoint, ""));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
     for (n, version) in BOTH_VERSIONS.into_iter().enumerate() {
         let client = format!("van-{n}");
-        let (mut van, connack) = MqttClient::connect(courier.mqtt(), Connect::new(version, &client));
+        let (mut publisher, connack) = MqttClient::connect(courier.mqtt(), Connect::new(version, &client));
         assert_eq!(connack.code, 0);
-        van.read_outcomes(&client);
+        publisher.read_outcomes(&client);
         let one = format!("q1-{n}");
-        assert_eq!(van.submit("fuel/7/pay", 1, &pay(&one), &[]), Some(0));
-        assert_eq!(van.outcome(), (one.clone(), "delivered".to_owned()));
+        assert_eq!(publisher.submit("fuel/7/pay", 1, &payment_body(&one), &[]), Some(0));
+        assert_eq!(publisher.outcome(), (one.clone(), "delivered".to_owned()));
         let call = endpoint.calls().into_iter().find(|c| c.id == one).expect("a call").page;
         assert!(call.start_line.starts_with("POST /charge/7 "), "{}", call.start_line);
         assert_eq!(call.header("idempotency-key"), Some(one.as_str()));
-        assert_eq!(call.body, pay(&one).as_bytes());
+        assert_eq!(call.body, payment_body(&one).as_bytes());
         let two = format!("q2-{n}");
-        van.publish("fuel/7/pay", Qos::ExactlyOnce, Some(2), &pay(&two), &[]);
-        assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(2, 0))));
-        van.send(Packet::Pubrel(Ack::new(2, 0)));
-        assert_eq!(van.next_ack(), Some(Packet::Pubcomp(Ack::new(2, 0))));
-        wait_until("its delivery", || times(&endpoint, &two) == 1);
+        publisher.publish("fuel/7/pay", Qos::ExactlyOnce, Some(2), &payment_body(&two), &[]);
+        assert_eq!(publisher.next_ack(), Some(Packet::Pubrec(Ack::new(2, 0))));
+        publisher.send(Packet::Pubrel(Ack::new(2, 0)));
+        assert_eq!(publisher.next_ack(), Some(Packet::Pubcomp(Ack::new(2, 0))));
+        wait_until("the delivery", || call_count(&endpoint, &two) == 1);
         // At QoS 0 the client may disconnect at once.
         let none = format!("q0-{n}");
-        van.publish("fuel/7/pay", Qos::AtMostOnce, None, &pay(&none), &[]);
-        van.send(Packet::Disconnect(Disconnect::new(0)));
-        wait_until("its delivery", || times(&endpoint, &none) == 1);
+        publisher.publish("fuel/7/pay", Qos::AtMostOnce, None, &payment_body(&none), &[]);
+        publisher.send(Packet::Disconnect(Disconnect::new(0)));
+        wait_until("the delivery", || call_count(&endpoint, &none) == 1);
     }
 }
 
@@ -82,31 +82,41 @@
     for version in BOTH_VERSIONS {
         let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
         let folder = TestFolder::new();
-        let courier = Courier::serve(&folder, &file(&endpoint, ""));
-        let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
-        van.read_outcomes("van");
-        van.publish("fuel/7/pay", Qos::AtLeastOnce, Some(1), &pay("p1"), &[]);
-        wait_until("its delivery", || times(&endpoint, "p1") == 1);
+        let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+        let (mut publisher, _) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
+        publisher.read_outcomes("van");
+        publisher.publish("fuel/7/pay", Qos::AtLeastOnce, Some(1), &payment_body("p1"), &[]);
+        wait_until("the delivery", || call_count(&endpoint, "p1") == 1);
         // The PUBACK may have been lost with the connection.
-        van.cut();
-        let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
+        publisher.cut();
+        let (mut publisher, connack) =
+            MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
         assert!(connack.session_present);
-        let publish = Publish::new("fuel/7/pay", Qos::AtLeastOnce, Some(1), pay("p1").into());
-        van.send(Packet::Publish(Box::new(Publish { dup: true, ..publish.clone() })));
-        assert_eq!(van.next_ack(), Some(Packet::Puback(Ack::new(1, 0))), "with DUP and its id");
-        assert_eq!(van.submit("fuel/7/pay", 77, &pay("p1"), &[]), Some(0), "under another id, without DUP");
+        let publish = Publish::new("fuel/7/pay", Qos::AtLeastOnce, Some(1), payment_body("p1").into());
+        publisher.send(Packet::Publish(Box::new(Publish { dup: true, ..publish.clone() })));
+        assert_eq!(
+            publisher.next_ack(),
+            Some(Packet::Puback(Ack::new(1, 0))),
+            "with DUP and the same packet id"
+        );
+        assert_eq!(
+            publisher.submit("fuel/7/pay", 77, &payment_body("p1"), &[]),
+            Some(0),
+            "under another packet id, without DUP"
+        );
         courier.kill();
-        let courier = Courier::serve(&folder, &file(&endpoint, ""));
-        let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
-        assert!(connack.session_present, "the session outlasts the process");
-        van.send(Packet::Publish(Box::new(Publish { dup: true, ..publish })));
-        assert_eq!(van.next_ack(), Some(Packet::Puback(Ack::new(1, 0))));
+        let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+        let (mut publisher, connack) =
+            MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
+        assert!(connack.session_present, "the session is kept over a restart");
+        publisher.send(Packet::Publish(Box::new(Publish { dup: true, ..publish })));
+        assert_eq!(publisher.next_ack(), Some(Packet::Puback(Ack::new(1, 0))));
         // Another client and HTTP: the message's identity applies across all clients.
         let (mut other, _) = MqttClient::connect(courier.mqtt(), Connect::new(version, "other"));
-        assert_eq!(other.submit("fuel/7/pay", 1, &pay("p1"), &[]), Some(0));
-        assert_eq!(van.submit("fuel/7/pay", 2, &pay("p2"), &[]), Some(0));
-        wait_until("the other message", || times(&endpoint, "p2") == 1);
-        assert_eq!(times(&endpoint, "p1"), 1, "{version:?}");
+        assert_eq!(other.submit("fuel/7/pay", 1, &payment_body("p1"), &[]), Some(0));
+        assert_eq!(publisher.submit("fuel/7/pay", 2, &payment_body("p2"), &[]), Some(0));
+        wait_until("the other message", || call_count(&endpoint, "p2") == 1);
+        assert_eq!(call_count(&endpoint, "p1"), 1, "{version:?}");
     }
 }
 
@@ -118,37 +128,41 @@
         let mut ids = Vec::new();
         for n in 0..6u16 {
             let id = format!("{version:?}-{n}");
-            let courier = Courier::serve(&folder, &file(&endpoint, ""));
-            let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
-            let publish = Publish::new("fuel/7/pay", Qos::ExactlyOnce, Some(10 + n), pay(&id).into());
-            van.send(Packet::Publish(Box::new(publish.clone())));
+            let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+            let (mut publisher, _) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
+            let publish =
+                Publish::new("fuel/7/pay", Qos::ExactlyOnce, Some(10 + n), payment_body(&id).into());
+            publisher.send(Packet::Publish(Box::new(publish.clone())));
             // Kills the courier at once, after PUBREC, and after PUBREL.
             if n % 3 > 0 {
-                assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(10 + n, 0))));
+                assert_eq!(publisher.next_ack(), Some(Packet::Pubrec(Ack::new(10 + n, 0))));
             }
             if n % 3 > 1 {
-                van.send(Packet::Pubrel(Ack::new(10 + n, 0)));
+                publisher.send(Packet::Pubrel(Ack::new(10 + n, 0)));
             }
             courier.kill();
-            let courier = Courier::serve(&folder, &file(&endpoint, ""));
-            let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
+            let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+            let (mut publisher, connack) =
+                MqttClient::connect(courier.mqtt(), persistent_session(version, "van"));
             assert!(connack.session_present || n == 0, "{id}");
             if n % 3 < 2 {
                 // With or without PUBREC, the same packet may be sent again before PUBREL was sent.
-                van.send(Packet::Publish(Box::new(Publish { dup: true, ..publish })));
-                assert_eq!(van.next_ack(), Some(Packet::Pubrec(Ack::new(10 + n, 0))), "{id}");
+                publisher.send(Packet::Publish(Box::new(Publish { dup: true, ..publish })));
+                assert_eq!(publisher.next_ack(), Some(Packet::Pubrec(Ack::new(10 + n, 0))), "{id}");
             }
-            van.send(Packet::Pubrel(Ack::new(10 + n, 0)));
-            let Some(Packet::Pubcomp(ack)) = van.next_ack() else { panic!("{id}: no PUBCOMP") };
+            publisher.send(Packet::Pubrel(Ack::new(10 + n, 0)));
+            let Some(Packet::Pubcomp(ack)) = publisher.next_ack() else { panic!("{id}: no PUBCOMP") };
             assert!(ack.code == 0 || ack.code == code::PACKET_ID_NOT_FOUND, "{id}: {ack:?}");
             courier.kill();
             ids.push(id);
         }
-        let _courier = Courier::serve(&folder, &file(&endpoint, ""));
+        let _courier = Courier::serve(&folder, &config_text(&endpoint, ""));
         // A call in flight at the kill may have run: its message ends as dead and is not sent again.
         let dead = |id: &str| outcomes(&folder).iter().any(|(i, result)| i == id && result == "dead");
-        wait_until("every end", || ids.iter().all(|id| times(&endpoint, id) == 1 || dead(id)));
-        assert!(ids.iter().all(|id| times(&endpoint, id) <= 1), "{:?}", endpoint.ids());
+        wait_until("the outcome of every message", || {
+            ids.iter().all(|id| call_count(&endpoint, id) == 1 || dead(id))
+        });
+        assert!(ids.iter().all(|id| call_count(&endpoint, id) <= 1), "{:?}", endpoint.ids());
     }
 }
 
@@ -157,12 +171,12 @@
     // The endpoint answers nothing, so held messages grow to their limit.
     let endpoint = Endpoint::new(|_| EndpointAction::Hang);
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&endpoint, "[limits]\nheld = 5\n"));
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "a"));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, "[limits]\nheld = 5\n"));
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "a"));
     for id in 1..=8u16 {
-        van.publish("state/x", Qos::AtLeastOnce, Some(id), "s", &[]);
+        publisher.publish("state/x", Qos::AtLeastOnce, Some(id), "s", &[]);
     }
-    let acks: Vec<Ack> = (0..8).map(|_| puback(&mut van)).collect();
+    let acks: Vec<Ack> = (0..8).map(|_| puback(&mut publisher)).collect();
     let refused: Vec<&Ack> = acks.iter().filter(|a| a.code != 0).collect();
     assert!(!refused.is_empty() && refused.len() < 8, "{acks:?}");
     for ack in refused {
@@ -172,18 +186,18 @@
         assert!(ack.reason.is_some());
     }
     // 3.1.1: a client that reads no outcomes is disconnected; one that reads them has its message bounced.
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V311, "b"));
-    assert_eq!(van.submit("state/x", 1, "s", &[]), None);
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V311, "c"));
-    van.read_outcomes("c");
-    assert_eq!(van.submit("state/x", 1, "s", &[]), Some(0));
-    let (id, result) = van.outcome();
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V311, "b"));
+    assert_eq!(publisher.submit("state/x", 1, "s", &[]), None);
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V311, "c"));
+    publisher.read_outcomes("c");
+    assert_eq!(publisher.submit("state/x", 1, "s", &[]), Some(0));
+    let (id, result) = publisher.outcome();
     assert_eq!(result, "bounced");
-    assert_eq!(times(&endpoint, &id), 0);
+    assert_eq!(call_count(&endpoint, &id), 0);
     // A message that matches no route is reported as such.
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "d"));
-    assert_eq!(van.submit("nowhere", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
-    assert_eq!(van.submit("fuel/7/pay", 2, "no identity", &[]), Some(code::PAYLOAD_FORMAT_INVALID));
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "d"));
+    assert_eq!(publisher.submit("nowhere", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
+    assert_eq!(publisher.submit("fuel/7/pay", 2, "no identity", &[]), Some(code::PAYLOAD_FORMAT_INVALID));
 }
 
 // Of 3.1.1: MQTT-3.1.2-5
@@ -191,18 +205,19 @@
 fn a_client_hears_of_an_end_that_came_while_it_or_the_courier_was_away() {
     let endpoint = Endpoint::new(|_| EndpointAction::Hang);
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
-    van.read_outcomes("van");
-    assert_eq!(van.submit("short", 1, "s", &[]), Some(0));
-    van.cut();
-    wait_until("its end", || !outcomes(&folder).is_empty());
+    let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
+    publisher.read_outcomes("van");
+    assert_eq!(publisher.submit("short", 1, "s", &[]), Some(0));
+    publisher.cut();
+    wait_until("the outcome", || !outcomes(&folder).is_empty());
     courier.kill();
-    let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    let (mut van, connack) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+    let (mut publisher, connack) =
+        MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
     assert!(connack.session_present);
-    assert_eq!(van.outcome().1, "bounced");
-    assert!(van.receives_nothing_for(300 * MS), "once");
+    assert_eq!(publisher.outcome().1, "bounced");
+    assert!(publisher.receives_nothing_for(300 * MS), "the outcome is reported once");
 }
 
 // Of 5.0: MQTT-3.1.4-2
@@ -210,16 +225,16 @@
 fn only_users_of_the_file_may_connect() {
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let folder = TestFolder::new();
-    let mut tool = Command::new(program())
+    let mut password_command = Command::new(program())
         .args(["mqtt-password", "van"])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it runs");
-    tool.stdin.take().expect("its input").write_all(b"secret\n").expect("written");
-    let line = tool.wait_with_output().expect("it ends").stdout;
+        .expect("the command starts");
+    password_command.stdin.take().expect("the standard input").write_all(b"secret\n").expect("written");
+    let line = password_command.wait_with_output().expect("the command exits").stdout;
     std::fs::write(folder.0.join("users"), line).expect("written");
-    let courier = Courier::serve(&folder, &file(&endpoint, "[mqtt]\nusers = \"users\"\n"));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, "[mqtt]\nusers = \"users\"\n"));
     let with = |version, user: Option<&str>, password: &str| Connect {
         user: user.map(str::to_owned),
         password: user.map(|_| password.to_owned().into()),
@@ -243,19 +258,21 @@
 fn a_will_is_delivered_when_its_client_is_gone_also_over_a_kill() {
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&endpoint, ""));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
     let connect = |id: &str| {
-        let will = Will { qos: Qos::AtLeastOnce, ..Will::new("fuel/7/pay", pay(id).into()) };
+        let will = Will { qos: Qos::AtLeastOnce, ..Will::new("fuel/7/pay", payment_body(id).into()) };
         Connect { will: Some(will), ..Connect::new(Version::V311, id) }
     };
-    let (van, _) = MqttClient::connect(courier.mqtt(), connect("w1"));
-    van.cut();
-    wait_until("its will", || times(&endpoint, "w1") == 1);
-    let (_van, connack) = MqttClient::connect(courier.mqtt(), connect("w2"));
+    let (publisher, _) = MqttClient::connect(courier.mqtt(), connect("w1"));
+    publisher.cut();
+    wait_until("the delivery of the will", || call_count(&endpoint, "w1") == 1);
+    let (_publisher, connack) = MqttClient::connect(courier.mqtt(), connect("w2"));
     assert_eq!(connack.code, 0);
     courier.kill();
-    let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    wait_until("the will of the client that was there", || times(&endpoint, "w2") == 1);
+    let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+    wait_until("the delivery of the will of the client that was connected", || {
+        call_count(&endpoint, "w2") == 1
+    });
     // A will that could not become a message is refused together with its connection.
     let mut bad = connect("w3");
     bad.will.as_mut().expect("a will").topic = "nowhere".to_owned();
@@ -272,7 +289,7 @@
 fn bad_manners_cost_a_connection_and_nobody_else_anything() {
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&endpoint, "[mqtt]\nconnections = 50\n"));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, "[mqtt]\nconnections = 50\n"));
     let connected = |version| MqttClient::connect(courier.mqtt(), Connect::new(version, "bad")).0;
     for version in BOTH_VERSIONS {
         for bytes in [
@@ -309,36 +326,36 @@
     }
     // Hundreds of connections that send nothing: a client that sends CONNECT is accepted.
     let silent: Vec<MqttClient> = (0..300).map(|_| MqttClient::open(courier.mqtt(), Version::V5)).collect();
-    let (mut van, connack) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "good"));
+    let (mut publisher, connack) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "good"));
     assert_eq!(connack.code, 0);
-    assert_eq!(van.submit("fuel/7/pay", 1, &pay("good"), &[]), Some(0));
+    assert_eq!(publisher.submit("fuel/7/pay", 1, &payment_body("good"), &[]), Some(0));
     drop(silent);
-    wait_until("its delivery", || times(&endpoint, "good") == 1);
+    wait_until("the delivery", || call_count(&endpoint, "good") == 1);
 }
 
 #[test]
 fn payloads_that_are_being_judged_have_one_room_for_all() {
     let endpoint = Endpoint::new(|_| EndpointAction::Hang);
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&endpoint, "[limits]\nbodies = \"100KiB\"\n"));
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, "[limits]\nbodies = \"100KiB\"\n"));
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
     let body = "x".repeat(60 * 1024);
     // Sent in one write, so that they arrive within one iteration of the event loop.
-    (1..=8u16).for_each(|id| van.publish("state/x", Qos::AtLeastOnce, Some(id), &body, &[]));
-    let codes: Vec<u8> = (0..8).map(|_| puback(&mut van).code).collect();
+    (1..=8u16).for_each(|id| publisher.publish("state/x", Qos::AtLeastOnce, Some(id), &body, &[]));
+    let codes: Vec<u8> = (0..8).map(|_| puback(&mut publisher).code).collect();
     assert!(codes.contains(&0) && codes.contains(&code::QUOTA_EXCEEDED), "{codes:?}");
-    wait_until("room again", || van.submit("state/x", 9, &body, &[]) == Some(0));
+    wait_until("free space for payloads", || publisher.submit("state/x", 9, &body, &[]) == Some(0));
 }
 
 #[test]
 fn the_end_of_the_courier_is_told_and_what_was_taken_on_is_delivered_by_the_next() {
     let endpoint = Endpoint::new(|_| EndpointAction::Hang);
     let folder = TestFolder::new();
-    let mut courier = Courier::serve(&folder, &file(&endpoint, ""));
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
-    assert_eq!(van.submit("state/x", 1, "s", &[]), Some(0));
+    let mut courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
+    assert_eq!(publisher.submit("state/x", 1, "s", &[]), Some(0));
     courier.signal("-TERM");
-    match van.next_ack() {
+    match publisher.next_ack() {
         Some(Packet::Disconnect(d)) => assert_eq!(d.code, code::SERVER_SHUTTING_DOWN),
         other => panic!("{other:?}"),
     }
@@ -349,42 +366,42 @@
 fn topics_come_and_go_with_the_configuration() {
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&endpoint, ""));
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
-    assert_eq!(van.submit("new/x", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
-    let more = "[topics.new]\nfilter = \"new/#\"\npool = \"p\"\nclass = \"state\"\n";
-    courier.replace_config_file(&folder, &file(&endpoint, more));
-    wait_until("the new topic", || van.submit("new/x", 2, "s", &[]) == Some(0));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), Connect::new(Version::V5, "van"));
+    assert_eq!(publisher.submit("new/x", 1, "s", &[]), Some(code::TOPIC_NAME_INVALID));
+    let added_topic = "[topics.new]\nfilter = \"new/#\"\npool = \"p\"\nclass = \"state\"\n";
+    courier.replace_config_file(&folder, &config_text(&endpoint, added_topic));
+    wait_until("the new topic", || publisher.submit("new/x", 2, "s", &[]) == Some(0));
 }
 
 #[test]
 fn a_library_of_somebody_else_s_publishes_and_reads_its_outcomes_unmodified() {
     let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&endpoint, ""));
+    let courier = Courier::serve(&folder, &config_text(&endpoint, ""));
     let (host, port) = (courier.mqtt().ip().to_string(), courier.mqtt().port());
     // 3.1.1
     let mut options = rumqttc::MqttOptions::new("lib-3", host.clone(), port);
     options.set_keep_alive(Duration::from_secs(5)).set_clean_session(false);
     let (client, mut connection) = rumqttc::Client::new(options, 10);
-    client.subscribe("$stairshed/outcomes/lib-3", rumqttc::QoS::AtLeastOnce).expect("asked for");
+    client.subscribe("$stairshed/outcomes/lib-3", rumqttc::QoS::AtLeastOnce).expect("subscribed");
     for (n, qos) in [rumqttc::QoS::AtMostOnce, rumqttc::QoS::AtLeastOnce, rumqttc::QoS::ExactlyOnce]
         .into_iter()
         .enumerate()
     {
-        client.publish("fuel/7/pay", qos, false, pay(&format!("lib-3-{n}"))).expect("published");
+        client.publish("fuel/7/pay", qos, false, payment_body(&format!("lib-3-{n}"))).expect("published");
     }
-    let (mut told, mut completed) = (0, false);
+    let (mut outcome_count, mut completed) = (0, false);
     for event in connection.iter() {
         match event.expect("the connection holds") {
             rumqttc::Event::Incoming(rumqttc::Packet::Publish(publish)) => {
                 assert_eq!(publish.topic, "$stairshed/outcomes/lib-3");
-                told += 1;
+                outcome_count += 1;
             }
             rumqttc::Event::Incoming(rumqttc::Packet::PubComp(_)) => completed = true,
             _ => {}
         }
-        if told == 3 && completed {
+        if outcome_count == 3 && completed {
             break;
         }
     }
@@ -393,26 +410,26 @@
     options.set_keep_alive(Duration::from_secs(5));
     let (client, mut connection) = rumqttc::v5::Client::new(options, 10);
     use rumqttc::v5::mqttbytes::QoS as Qos5;
-    client.subscribe("$stairshed/outcomes/lib-5", Qos5::AtLeastOnce).expect("asked for");
+    client.subscribe("$stairshed/outcomes/lib-5", Qos5::AtLeastOnce).expect("subscribed");
     for (n, qos) in [Qos5::AtMostOnce, Qos5::AtLeastOnce, Qos5::ExactlyOnce].into_iter().enumerate() {
-        client.publish("fuel/7/pay", qos, false, pay(&format!("lib-5-{n}"))).expect("published");
+        client.publish("fuel/7/pay", qos, false, payment_body(&format!("lib-5-{n}"))).expect("published");
     }
-    let (mut told, mut completed) = (0, false);
+    let (mut outcome_count, mut completed) = (0, false);
     for event in connection.iter() {
         use rumqttc::v5::mqttbytes::v5::Packet;
         match event.expect("the connection holds") {
-            rumqttc::v5::Event::Incoming(Packet::Publish(_)) => told += 1,
+            rumqttc::v5::Event::Incoming(Packet::Publish(_)) => outcome_count += 1,
             rumqttc::v5::Event::Incoming(Packet::PubComp(_)) => completed = true,
             _ => {}
         }
-        if told == 3 && completed {
+        if outcome_count == 3 && completed {
             break;
         }
     }
     for version in [3, 5] {
         for n in 0..3 {
             let id = format!("lib-{version}-{n}");
-            wait_until("each delivery", || times(&endpoint, &id) == 1);
+            wait_until("each delivery", || call_count(&endpoint, &id) == 1);
         }
     }
 }
