--- a/crates/courier/tests/brokers.rs
+++ b/crates/courier/tests/brokers.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Configuration of a courier whose pool is one broker.
-fn file(broker: &Broker, version: &str, more: &str) -> String {
+fn config_text(broker: &Broker, version: &str, more: &str) -> String {
     format!(
         "name = \"depot\"\n[listen]\nhttp = \"127.0.0.1:0\"\nmqtt = \"127.0.0.1:0\"\n\
          [classes.payment]\neffect = \"once\"\ndeadline = \"20s\"\n\
@@ -35,7 +35,7 @@
 }
 
 /// Submits a payment whose body is its id, because MQTT 3.1.1 carries no other field for it.
-fn pay(courier: &Courier, id: &str) {
+fn submit_payment(courier: &Courier, id: &str) {
     assert_eq!(courier.post("/pay", id, "", id).status(), 202, "{id}");
 }
 
@@ -44,25 +44,29 @@
     for version in BOTH_VERSIONS {
         let broker = Broker::new(BrokerFaults::default());
         let folder = TestFolder::new();
-        let courier = Courier::serve(&folder, &file(&broker, version, ""));
-        pay(&courier, "a");
-        wait_until("its effect", || effects(&broker, "a") == 1);
-        let got = &broker.received()[0];
+        let courier = Courier::serve(&folder, &config_text(&broker, version, ""));
+        submit_payment(&courier, "a");
+        wait_until("the effect", || effects(&broker, "a") == 1);
+        let received = &broker.received()[0];
         assert_eq!(
-            (got.publish.topic.as_str(), got.publish.qos),
+            (received.publish.topic.as_str(), received.publish.qos),
             ("fuel/in", Qos::ExactlyOnce),
-            "once goes at QoS 2"
+            "effect `once` is published at QoS 2"
         );
-        assert_eq!(got.publish.expiry.is_some_and(|s| s <= 20), version == "5.0");
+        assert_eq!(received.publish.expiry.is_some_and(|s| s <= 20), version == "5.0");
         assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
-        wait_until("its effect", || effects(&broker, "s") == 1);
+        wait_until("the effect", || effects(&broker, "s") == 1);
         assert_eq!(broker.received()[1].publish.qos, Qos::AtLeastOnce);
         // Accepted over MQTT, delivered over MQTT, and reported to the client.
-        let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
-        van.read_outcomes("van");
-        assert_eq!(van.submit("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
-        assert_eq!(van.outcome(), ("m".to_owned(), "delivered".to_owned()));
-        assert_eq!(broker.connections(), if version == "5.0" { 1 } else { 2 }, "one carries them all");
+        let (mut publisher, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
+        publisher.read_outcomes("van");
+        assert_eq!(publisher.submit("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
+        assert_eq!(publisher.outcome(), ("m".to_owned(), "delivered".to_owned()));
+        assert_eq!(
+            broker.connections(),
+            if version == "5.0" { 1 } else { 2 },
+            "one connection carries all messages"
+        );
     }
 }
 
@@ -73,12 +77,12 @@
 /// Submits payments while connections are dropped at random bytes and the courier is restarted. One connection in
 /// `lose_sessions_every` may lose its session. Returns how many payments took effect once, and how many ended as dead.
 fn run_with_drops(version: &str, seed: u64, drops: u32, lose_sessions_every: Option<u32>) -> (usize, usize) {
-    let vices = |n| BrokerFaults {
+    let faults = |n| BrokerFaults {
         drop_after: Some((seed * BROKER_COUNT + n, 20..700)),
         lose_sessions_every,
         ..BrokerFaults::default()
     };
-    let brokers: Vec<Broker> = (0..BROKER_COUNT).map(|n| Broker::new(vices(n))).collect();
+    let brokers: Vec<Broker> = (0..BROKER_COUNT).map(|n| Broker::new(faults(n))).collect();
     let pool = |(n, broker): (usize, &Broker)| {
         format!(
             "[pools.p{n}]\nendpoints = [{{ name = \"b\", address = \"mqtt://{}/in\" }}]\nmqtt.version = \"{version}\"\n\
@@ -111,21 +115,21 @@
         }
     }
     // No connection is dropped from here on.
-    brokers.iter().for_each(|b| b.change(|v| *v = BrokerFaults::default()));
+    brokers.iter().for_each(|b| b.change(|faults| *faults = BrokerFaults::default()));
     let effects = || {
         let all = brokers.iter().flat_map(|b| b.effects());
         all.collect::<std::collections::BTreeMap<String, u32>>()
     };
-    wait_until("every end", || {
-        let told: BTreeSet<String> = outcomes(&folder).into_iter().map(|(id, _)| id).collect();
+    wait_until("the outcome of every payment", || {
+        let reported: BTreeSet<String> = outcomes(&folder).into_iter().map(|(id, _)| id).collect();
         let effects = effects();
-        ids.iter().all(|id| told.contains(id) || effects.contains_key(id))
+        ids.iter().all(|id| reported.contains(id) || effects.contains_key(id))
     });
     let effects = effects();
     let (mut once, mut dead) = (0, 0);
     for id in &ids {
         let (n, result) = (effects.get(id).copied().unwrap_or_default(), result(&folder, id));
-        assert!(n <= 1, "MQTT_SEED={seed}: {id} took effect {n} times, and ended as {result:?}");
+        assert!(n <= 1, "MQTT_SEED={seed}: {id} took effect {n} times, with outcome {result:?}");
         match result.as_deref() {
             None => once += 1,
             Some("dead") => dead += 1,
@@ -162,17 +166,20 @@
         // Far later than the timeout for messages that may be repeated.
         let broker = Broker::new(BrokerFaults { acks: Acks::Late(3000 * MS), ..BrokerFaults::default() });
         let folder = TestFolder::new();
-        let courier = Courier::serve(&folder, &file(&broker, version, "[limits]\nremembered = 10\n"));
+        let courier = Courier::serve(&folder, &config_text(&broker, version, "[limits]\nremembered = 10\n"));
         assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
-        pay(&courier, "p");
+        submit_payment(&courier, "p");
         let since = Instant::now();
-        wait_until("both", || broker.received().len() >= 2);
-        wait_until("their acknowledgement", || since.elapsed() > 4500 * MS);
+        wait_until("both messages", || broker.received().len() >= 2);
+        wait_until("the late acknowledgements", || since.elapsed() > 4500 * MS);
         // A connection without any incoming packet is closed, and the same packet is sent again with DUP.
-        let got = broker.received();
+        let received = broker.received();
         for id in ["s", "p"] {
-            let of: Vec<_> = got.iter().filter(|g| g.id == id).collect();
-            assert!(of.iter().skip(1).all(|g| g.publish.dup && g.publish.id == of[0].publish.id), "{of:?}");
+            let publishes: Vec<_> = received.iter().filter(|g| g.id == id).collect();
+            assert!(
+                publishes.iter().skip(1).all(|g| g.publish.dup && g.publish.id == publishes[0].publish.id),
+                "{publishes:?}"
+            );
         }
         assert_eq!(effects(&broker, "p"), 1);
         assert!(outcomes(&folder).is_empty(), "{:?}", outcomes(&folder));
@@ -184,11 +191,11 @@
     for acks in [Acks::Twice, Acks::Swapped] {
         let broker = Broker::new(BrokerFaults { acks, ..BrokerFaults::default() });
         let folder = TestFolder::new();
-        let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
+        let courier = Courier::serve(&folder, &config_text(&broker, "5.0", ""));
         for n in 0..20 {
-            pay(&courier, &format!("p{n}"));
+            submit_payment(&courier, &format!("p{n}"));
         }
-        wait_until("all", || broker.received().len() >= 20);
+        wait_until("all messages", || broker.received().len() >= 20);
         // Acknowledgements that are still in transit must have no effect.
         std::thread::sleep(500 * MS);
         assert!((0..20).all(|n| effects(&broker, &format!("p{n}")) == 1), "{acks:?}");
@@ -201,23 +208,27 @@
     for version in BOTH_VERSIONS {
         let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
         let folder = TestFolder::new();
-        let text = file(&broker, version, "");
+        let text = config_text(&broker, version, "");
         let courier = Courier::serve(&folder, &text);
-        pay(&courier, "p");
-        wait_until("its PUBLISH", || broker.received().len() == 1);
+        submit_payment(&courier, "p");
+        wait_until("the PUBLISH", || broker.received().len() == 1);
         courier.kill();
-        broker.change(|v| v.acks = Acks::AtOnce);
+        broker.change(|faults| faults.acks = Acks::AtOnce);
         let courier = Courier::serve(&folder, &text);
-        wait_until("the same again", || broker.received().len() == 2);
-        let got = broker.received();
-        assert!(got[1].publish.dup && got[1].publish.id == got[0].publish.id && !got[1].took_effect);
+        wait_until("the PUBLISH sent again", || broker.received().len() == 2);
+        let received = broker.received();
+        assert!(
+            received[1].publish.dup
+                && received[1].publish.id == received[0].publish.id
+                && !received[1].took_effect
+        );
         // The message has ended and its packet id is free: nothing more is sent after another restart.
-        pay(&courier, "q");
+        submit_payment(&courier, "q");
         wait_until("the next message", || effects(&broker, "q") == 1);
         courier.kill();
         let courier = Courier::serve(&folder, &text);
-        pay(&courier, "r");
-        wait_until("and the next", || effects(&broker, "r") == 1);
+        submit_payment(&courier, "r");
+        wait_until("the message after the second restart", || effects(&broker, "r") == 1);
         assert_eq!((effects(&broker, "p"), effects(&broker, "q")), (1, 1));
         assert!(outcomes(&folder).is_empty());
     }
@@ -228,25 +239,25 @@
     for version in BOTH_VERSIONS {
         let broker = Broker::new(BrokerFaults::default());
         let folder = TestFolder::new();
-        let text = file(&broker, version, "");
+        let text = config_text(&broker, version, "");
         let courier = Courier::serve(&folder, &text);
-        pay(&courier, "first");
+        submit_payment(&courier, "first");
         wait_until("the connection", || effects(&broker, "first") == 1);
         // The broker sends PUBREC but no PUBCOMP.
-        broker.change(|v| v.acks = Acks::Late(300 * MS));
-        pay(&courier, "p");
-        wait_until("its PUBLISH", || effects(&broker, "p") == 1);
-        broker.change(|v| v.acks = Acks::Never);
+        broker.change(|faults| faults.acks = Acks::Late(300 * MS));
+        submit_payment(&courier, "p");
+        wait_until("the PUBLISH", || effects(&broker, "p") == 1);
+        broker.change(|faults| faults.acks = Acks::Never);
         std::thread::sleep(600 * MS);
         courier.kill();
         let before = broker.received().len();
-        broker.change(|v| v.acks = Acks::AtOnce);
+        broker.change(|faults| faults.acks = Acks::AtOnce);
         let courier = Courier::serve(&folder, &text);
-        pay(&courier, "last");
-        wait_until("the last", || effects(&broker, "last") == 1);
-        let got = broker.received();
-        let again: Vec<_> = got[before..].iter().filter(|g| g.id == "p").collect();
-        assert!(again.is_empty(), "a PUBLISH behind its PUBREC: {again:?}");
+        submit_payment(&courier, "last");
+        wait_until("the last message", || effects(&broker, "last") == 1);
+        let received = broker.received();
+        let resent: Vec<_> = received[before..].iter().filter(|g| g.id == "p").collect();
+        assert!(resent.is_empty(), "PUBLISH sent again after its PUBREC: {resent:?}");
         assert_eq!((effects(&broker, "p"), result(&folder, "p")), (1, None));
     }
 }
@@ -256,15 +267,15 @@
     for version in BOTH_VERSIONS {
         let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
         let folder = TestFolder::new();
-        let courier = Courier::serve(&folder, &file(&broker, version, ""));
-        pay(&courier, "p");
+        let courier = Courier::serve(&folder, &config_text(&broker, version, ""));
+        submit_payment(&courier, "p");
         assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
-        wait_until("both", || broker.received().len() == 2);
-        broker.change(|v| v.acks = Acks::AtOnce);
+        wait_until("both messages", || broker.received().len() == 2);
+        broker.change(|faults| faults.acks = Acks::AtOnce);
         broker.forget();
         broker.cut();
-        wait_until("its end", || result(&folder, "p").as_deref() == Some("dead"));
-        wait_until("the repeat", || effects(&broker, "s") == 2);
+        wait_until("the outcome", || result(&folder, "p").as_deref() == Some("dead"));
+        wait_until("the repeated message", || effects(&broker, "s") == 2);
         assert_eq!(effects(&broker, "p"), 1);
     }
 }
@@ -273,22 +284,28 @@
 fn a_told_wait_is_heeded_and_what_is_on_its_way_is_let_go() {
     let broker = Broker::new(BrokerFaults::default());
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
-    pay(&courier, "first");
-    wait_until("the first", || effects(&broker, "first") == 1);
-    broker.change(|v| v.refuse.push_back((code::QUOTA_EXCEEDED, Some(1.5))));
-    let told = Instant::now();
-    pay(&courier, "refused");
-    pay(&courier, "next");
-    wait_until("both", || effects(&broker, "refused") == 1 && effects(&broker, "next") == 1);
-    let at = |id: &str| broker.received().iter().find(|g| g.id == id).map(|g| g.at).expect("it came");
-    assert!(at("refused") >= told + 1500 * MS, "{:?} after it was told to wait", at("refused") - told);
+    let courier = Courier::serve(&folder, &config_text(&broker, "5.0", ""));
+    submit_payment(&courier, "first");
+    wait_until("the first message", || effects(&broker, "first") == 1);
+    broker.change(|faults| faults.refuse.push_back((code::QUOTA_EXCEEDED, Some(1.5))));
+    let refused_at = Instant::now();
+    submit_payment(&courier, "refused");
+    submit_payment(&courier, "next");
+    wait_until("both messages", || effects(&broker, "refused") == 1 && effects(&broker, "next") == 1);
+    let at = |id: &str| {
+        broker.received().iter().find(|g| g.id == id).map(|g| g.at).expect("the message was received")
+    };
+    assert!(
+        at("refused") >= refused_at + 1500 * MS,
+        "{:?} after it was told to wait",
+        at("refused") - refused_at
+    );
     assert!(outcomes(&folder).is_empty());
 }
 
 #[test]
 fn a_broker_that_ends_the_connection_lies_garbles_or_redirects_costs_no_charge() {
-    for vice in [
+    for faults in [
         BrokerFaults {
             disconnect_with: Some((code::RECEIVE_MAXIMUM_EXCEEDED, Some(0.5))),
             ..BrokerFaults::default()
@@ -299,32 +316,32 @@
         BrokerFaults { connack_refusal: Some(code::SERVER_BUSY), ..BrokerFaults::default() },
         BrokerFaults { receive_maximum: Some(1), ..BrokerFaults::default() },
     ] {
-        let broker = Broker::new(vice.clone());
+        let broker = Broker::new(faults.clone());
         let folder = TestFolder::new();
-        let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
+        let courier = Courier::serve(&folder, &config_text(&broker, "5.0", ""));
         let ids: Vec<String> = (0..5).map(|n| format!("p{n}")).collect();
-        ids.iter().for_each(|id| pay(&courier, id));
-        if vice.connack_refusal.is_some() {
-            wait_until("it tried", || broker.connections() > 0);
-            broker.change(|v| v.connack_refusal = None);
+        ids.iter().for_each(|id| submit_payment(&courier, id));
+        if faults.connack_refusal.is_some() {
+            wait_until("a connection attempt", || broker.connections() > 0);
+            broker.change(|faults| faults.connack_refusal = None);
         }
-        wait_until("every end", || {
+        wait_until("the outcome of every payment", || {
             ids.iter().all(|id| effects(&broker, id) == 1 || result(&folder, id).is_some())
         });
-        assert!(ids.iter().all(|id| effects(&broker, id) <= 1), "{vice:?}");
+        assert!(ids.iter().all(|id| effects(&broker, id) <= 1), "{faults:?}");
         let bounced = ids.iter().filter(|id| result(&folder, id).as_deref() == Some("bounced"));
-        assert_eq!(bounced.count(), 0, "{vice:?}: {:?}", outcomes(&folder));
+        assert_eq!(bounced.count(), 0, "{faults:?}: {:?}", outcomes(&folder));
     }
     // The broker claims a session that it does not have: the packet id is new to it, so the payment takes effect, once.
     let broker = Broker::new(BrokerFaults { acks: Acks::Never, ..BrokerFaults::default() });
     let folder = TestFolder::new();
-    let courier = Courier::serve(&folder, &file(&broker, "5.0", ""));
+    let courier = Courier::serve(&folder, &config_text(&broker, "5.0", ""));
     assert_eq!(courier.post("/state", "s", "", "s").status(), 202);
-    wait_until("its PUBLISH", || broker.received().len() == 1);
-    broker.change(|v| *v = BrokerFaults { claim_session_present: true, ..BrokerFaults::default() });
+    wait_until("the PUBLISH", || broker.received().len() == 1);
+    broker.change(|faults| *faults = BrokerFaults { claim_session_present: true, ..BrokerFaults::default() });
     broker.forget();
     broker.cut();
-    wait_until("its end", || broker.received().len() == 2);
+    wait_until("the PUBLISH sent again", || broker.received().len() == 2);
     assert!(broker.received()[1].publish.dup);
     drop(courier);
 }
@@ -337,41 +354,46 @@
     );
     let folder = TestFolder::new();
     let with = |broker: &Broker, name: &str| {
-        file(broker, "5.0", "").replace("name = \"b\"", &format!("name = \"{name}\""))
+        config_text(broker, "5.0", "").replace("name = \"b\"", &format!("name = \"{name}\""))
     };
     let courier = Courier::serve(&folder, &with(&old, "old"));
-    pay(&courier, "out");
-    wait_until("its PUBLISH", || effects(&old, "out") == 1);
+    submit_payment(&courier, "out");
+    wait_until("the PUBLISH", || effects(&old, "out") == 1);
     courier.replace_config_file(&folder, &with(&new, "new"));
     let removed = Instant::now();
     let mut n = 0;
     while removed.elapsed() < 2500 * MS {
-        pay(&courier, &format!("p{n}"));
+        submit_payment(&courier, &format!("p{n}"));
         n += 1;
         std::thread::sleep(50 * MS);
     }
-    wait_until("all", || {
+    wait_until("all messages", || {
         (0..n).all(|n| effects(&old, &format!("p{n}")) + effects(&new, &format!("p{n}")) == 1)
     });
-    let late = old.received().into_iter().filter(|g| g.at > removed + 1000 * MS && g.id != "out").count();
-    assert_eq!(late, 0);
+    let sent_late =
+        old.received().into_iter().filter(|g| g.at > removed + 1000 * MS && g.id != "out").count();
+    assert_eq!(sent_late, 0);
     assert!(effects(&new, &format!("p{}", n - 1)) == 1);
-    assert_eq!((effects(&old, "out"), result(&folder, "out")), (1, None), "it was let finish");
+    assert_eq!((effects(&old, "out"), result(&folder, "out")), (1, None), "the message in flight completed");
 }
 
 #[test]
 fn a_receipt_that_a_failing_disk_keeps_waiting_is_released_once_it_works() {
     let broker = Broker::new(BrokerFaults { acks: Acks::Late(700 * MS), ..BrokerFaults::default() });
     let folder = TestFolder::new();
-    let courier =
-        Courier::spawn(&mut ignoring_file_size_signal(&serve_command(&folder, &file(&broker, "5.0", ""))));
-    let (mut van, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
-    van.read_outcomes("van");
-    assert_eq!(van.submit("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
-    wait_until("its PUBLISH", || effects(&broker, "m") == 1);
+    let courier = Courier::spawn(&mut ignoring_file_size_signal(&serve_command(
+        &folder,
+        &config_text(&broker, "5.0", ""),
+    )));
+    let (mut publisher, _) = MqttClient::connect(courier.mqtt(), persistent_session(Version::V5, "van"));
+    publisher.read_outcomes("van");
+    assert_eq!(publisher.submit("fuel/x", 1, "{\"id\": \"m\"}", &[]), Some(0));
+    wait_until("the PUBLISH", || effects(&broker, "m") == 1);
     // PUBREC arrives now and cannot be written to the journal.
     courier.set_file_size_limit(Some(1));
-    wait_until("not ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 503));
+    wait_until("the readiness check to fail", || {
+        courier.get("/-/ready").is_some_and(|page| page.status() == 503)
+    });
     courier.set_file_size_limit(None);
-    assert_eq!(van.outcome(), ("m".to_owned(), "delivered".to_owned()));
+    assert_eq!(publisher.outcome(), ("m".to_owned(), "delivered".to_owned()));
 }
