--- a/crates/courier/tests/rough.rs
+++ b/crates/courier/tests/rough.rs
@@ -35,10 +35,13 @@
     wait_until("the batch at the new discovery", || new.results("pay") == ["dead"]);
     wait_until("the new watch", || new.watches.load(Ordering::SeqCst) == 1);
     let asked = new.asked.lock().expect("asked").clone();
-    assert!(!asked[0].contains("index="), "versions of the old one mean nothing here: {asked:?}");
+    assert!(
+        !asked[0].contains("index="),
+        "the first watch must not carry the index of the old discovery: {asked:?}"
+    );
     // Endpoints that only the new discovery lists can be reached, and those that it does not list are removed.
     let mut n = 0;
-    wait_until("its list", || {
+    wait_until("the list of the new discovery", || {
         n += 1;
         courier.submit(&format!("m{n}"), "status", 9, 20_000).status() == 202
     });
@@ -64,7 +67,7 @@
     wait_until("the notice at the old address", || old.results("pay") == ["dead"]);
     courier.submit_accepted("m", "status", 7, 20_000);
     wait_until("the call", || endpoint.ids().contains(&"m".to_owned()));
-    assert_eq!(old.watches.load(Ordering::SeqCst), 1, "the watch was left alone");
+    assert_eq!(old.watches.load(Ordering::SeqCst), 1, "the watch must not be restarted");
 }
 
 #[test]
@@ -90,7 +93,7 @@
 
 #[test]
 fn an_answer_that_begins_with_200_counts_as_delivered_whatever_follows() {
-    let spoilt = [
+    let malformed = [
         "HTTP/1.1 200 OK\r\nno head at all\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 5, 7\r\n\r\nabcde",
         "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n",
@@ -99,7 +102,7 @@
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\u{1}\u{2}\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Server-Load: \u{e9}\u{1f}= x0, x1=\r\nContent-Length: 0\r\n\r\n",
     ];
-    let all = spoilt.map(|text| {
+    let all = malformed.map(|text| {
         let (folder, endpoint, discovery) = endpoint_with_first_answer(text);
         let courier = Courier::start(&folder, &discovery);
         courier.submit_accepted("pay", "payment", 7, 3_000);
@@ -110,43 +113,43 @@
     });
     // The first message's deadline has passed: if it did not count as delivered, a notice has reported it as dead.
     thread::sleep(4_000 * MS);
-    for ((_, endpoint, discovery, _), text) in all.iter().zip(spoilt) {
+    for ((_, endpoint, discovery, _), text) in all.iter().zip(malformed) {
         assert_eq!(endpoint.ids(), ["pay", "next"], "{text:?}");
         assert!(discovery.notices.lock().expect("notices").is_empty(), "{text:?}");
-        assert_ne!(endpoint.calls()[1].connection, 0, "{text:?}: its connection is of no use");
+        assert_ne!(endpoint.calls()[1].connection, 0, "{text:?}: its connection must not be reused");
     }
 }
 
 #[test]
 fn a_payment_may_have_run_after_any_other_malformed_answer() {
-    for spoilt in [
+    for malformed in [
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 50\r\n\r\nnot fifty",
         "HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 100\r\nno head\r\n\r\n",
         "HTTP/1.1 410 Gone\r\nContent-Length: 9\r\n\r\n",
         "\u{1}\u{2}noise and more of it\r\n\r\n",
         "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
     ] {
-        let (folder, endpoint, discovery) = endpoint_with_first_answer(spoilt);
+        let (folder, endpoint, discovery) = endpoint_with_first_answer(malformed);
         let courier = Courier::start(&folder, &discovery);
         courier.submit_accepted("pay", "payment", 7, 20_000);
         wait_until("the notice", || discovery.results("pay") == ["dead"]);
         courier.submit_accepted("next", "status", 7, 20_000);
         wait_until("the next call", || endpoint.calls().len() == 2);
-        assert_eq!(endpoint.ids(), ["pay", "next"], "{spoilt:?}");
-        assert_ne!(endpoint.calls()[1].connection, 0, "{spoilt:?}: its connection is of no use");
+        assert_eq!(endpoint.ids(), ["pay", "next"], "{malformed:?}");
+        assert_ne!(endpoint.calls()[1].connection, 0, "{malformed:?}: its connection must not be reused");
     }
 }
 
 // Guards against matching the rest of a duplicated answer to the message that is in flight.
 #[test]
 fn malformed_answer_on_a_used_connection_does_not_count_as_delivered() {
-    for spoilt in [
+    for malformed in [
         "HTTP/1.1 200 OK\r\nno head at all\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nnot fifty",
     ] {
         let act = move |n| {
             if n == 2 {
-                EndpointAction::Respond(spoilt)
+                EndpointAction::Respond(malformed)
             } else {
                 EndpointAction::RespondDistinct(Duration::ZERO)
             }
@@ -157,9 +160,9 @@
             courier.submit_accepted(&format!("p{n}"), "payment", 7, 20_000);
             wait_until("the call", || endpoint.calls().len() == n + 1);
         }
-        assert_eq!(endpoint.calls()[2].connection, endpoint.calls()[1].connection, "{spoilt:?}");
+        assert_eq!(endpoint.calls()[2].connection, endpoint.calls()[1].connection, "{malformed:?}");
         wait_until("the notice", || discovery.results("p2") == ["dead"]);
-        assert_eq!(endpoint.calls().len(), 3, "{spoilt:?}");
+        assert_eq!(endpoint.calls().len(), 3, "{malformed:?}");
     }
 }
 
@@ -167,10 +170,10 @@
 fn an_endless_answer_head_does_not_hold_its_slot_until_the_timeout() {
     let (folder, endpoint, discovery) = endpoint_with_first_answer("HTTP/1.1 500 No\r\nX-One: a\r\n");
     let courier = Courier::start(&folder, &discovery);
-    let from = Instant::now();
+    let start = Instant::now();
     courier.submit_accepted("pay", "payment", 7, 50_000);
     wait_until("the notice", || discovery.results("pay") == ["dead"]);
-    assert!(from.elapsed() < 25_000 * MS, "its message had 50 s");
+    assert!(start.elapsed() < 25_000 * MS, "the deadline was 50 s refused");
     assert_eq!(endpoint.calls().len(), 1);
 }
 
@@ -212,7 +215,7 @@
         wait_until("the call", || endpoint.calls().len() == n + 1);
     }
     let connections: Vec<_> = endpoint.calls().iter().map(|c| c.connection).collect();
-    assert_eq!(connections, [0, 1, 1, 1], "after either its connection is used again");
+    assert_eq!(connections, [0, 1, 1, 1], "the connection is reused after either answer");
     assert!(discovery.notices.lock().expect("notices").is_empty());
 }
 
@@ -242,7 +245,7 @@
         thread::sleep(70 * MS);
     }
     courier.submit_accepted("end", "status", 7, 20_000);
-    wait_until("the end", || endpoint.ids().contains(&"end".to_owned()));
+    wait_until("the last call", || endpoint.ids().contains(&"end".to_owned()));
     assert!(
         discovery.notices.lock().expect("notices").is_empty(),
         "a message was lost on a reused connection"
@@ -263,7 +266,7 @@
         vec![host("s-1", &endpoint, 7, "gone"), host("s-2", &endpoint, 8, "ready")],
     ));
     let mut n = 0;
-    wait_until("the new one's destination", || {
+    wait_until("the destination of the new endpoint", || {
         n += 1;
         courier.submit(&format!("n{n}"), "status", 8, 20_000).status() == 202
     });
@@ -285,7 +288,7 @@
     let (folder, endpoint, discovery) = single_endpoint(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
     let good = message("m", "status", 7, 20_000);
-    let from = Instant::now();
+    let start = Instant::now();
     let cases = ["", "POST /sta", &good[..60], &good[..good.len() - 3]];
     let open = cases.map(|bytes| open(&courier, bytes));
     for (mut stream, case) in open.into_iter().zip(cases) {
@@ -294,7 +297,7 @@
         let _ = stream.read_to_end(&mut answer);
         assert!(answer.is_empty() || answer.starts_with(b"HTTP/1.1 4"), "{case:?}: {answer:?}");
     }
-    assert!(from.elapsed() < 20_000 * MS, "{:?}", from.elapsed());
+    assert!(start.elapsed() < 20_000 * MS, "{:?}", start.elapsed());
     courier.submit_accepted("end", "status", 7, 20_000);
     wait_until("the call", || endpoint.ids() == ["end"]);
 }
@@ -337,15 +340,15 @@
     let mut regular_client = open(&courier, &message("m0", "status", 7, 20_000));
     let mut answers = BufReader::new(regular_client.try_clone().expect("a handle"));
     assert_eq!(HttpMessage::read(&mut answers).expect("an answer").status(), 202);
-    let from = Instant::now();
+    let start = Instant::now();
     let half = &message("half", "status", 7, 20_000)[..40];
     let incomplete_clients: Vec<_> =
         (0..500).map(|n| open(&courier, if n % 2 == 0 { half } else { "" })).collect();
     courier.submit_accepted("m1", "status", 7, 20_000);
-    assert!(from.elapsed() < 20_000 * MS, "{:?}", from.elapsed());
+    assert!(start.elapsed() < 20_000 * MS, "{:?}", start.elapsed());
     // The connection that was used before is still open.
     regular_client.write_all(message("m2", "status", 7, 20_000).as_bytes()).expect("sent");
-    assert_eq!(HttpMessage::read(&mut answers).expect("it was kept open").status(), 202);
+    assert_eq!(HttpMessage::read(&mut answers).expect("the connection was kept open").status(), 202);
     wait_until("the calls", || endpoint.calls().len() == 3);
     drop(incomplete_clients);
 }
@@ -354,7 +357,7 @@
 fn clients_with_idle_persistent_connections_do_not_block_others() {
     let (folder, _endpoint, discovery) = single_endpoint(|_| EndpointAction::Respond(OK));
     let courier = Courier::start(&folder, &discovery);
-    let from = Instant::now();
+    let start = Instant::now();
     let mut kept = Vec::new();
     for n in 0..700 {
         let stream = open(&courier, &message(&format!("m{n}"), "status", 7, 20_000));
@@ -364,7 +367,7 @@
         kept.push(answers);
     }
     // If only connections that have been idle for 2 s were evicted, this would take 8 s.
-    assert!(from.elapsed() < 6_000 * MS, "{:?}", from.elapsed());
+    assert!(start.elapsed() < 6_000 * MS, "{:?}", start.elapsed());
 }
 
 // ---- scarce connections -----------------------------------------------------------------
@@ -398,13 +401,13 @@
     let served = || admitted().count();
     wait_until("all on one connection", || served() + discovery.notices.lock().expect("notices").len() > ALL);
     let ended = discovery.notices.lock().expect("notices").len();
-    assert_eq!((served(), ended), (ALL + 1, 0), "all are served there");
+    assert_eq!((served(), ended), (ALL + 1, 0), "all are served on the first connections");
     // The first connection is closed, because it is not known yet whether the endpoint's answers are distinct.
     let connections: std::collections::BTreeSet<_> = admitted().map(|c| c.connection).collect();
-    assert!(connections.len() <= 2, "the kept connection was given up: {connections:?}");
+    assert!(connections.len() <= 2, "the open connection was closed: {connections:?}");
     // Further connections were attempted in a burst before the first refusal, and with growing backoff after it.
-    let away = endpoint.calls().len() - served();
-    assert!(away <= ALL / 2, "{away} calls were turned away");
+    let refused = endpoint.calls().len() - served();
+    assert!(refused <= ALL / 2, "{refused} calls were refused");
 }
 
 // Guards against refusing a payment because its own courier holds the endpoint's last connection idle.
@@ -424,7 +427,9 @@
     wait_until("the first call", || scarce.calls().len() == 1);
     courier.submit_accepted("pay", "payment", 7, 3_000);
     let admitted = || scarce.calls().into_iter().filter(|c| c.admitted).map(|c| c.id).collect::<Vec<_>>();
-    wait_until("its end", || admitted().len() == 2 || !discovery.results("pay").is_empty());
+    wait_until("the second call or a notice", || {
+        admitted().len() == 2 || !discovery.results("pay").is_empty()
+    });
     assert_eq!(admitted(), ["first", "pay"]);
 }
 
@@ -439,14 +444,14 @@
     wait_until("the first call", || endpoint.calls().len() == 1);
     // Its answer allows 5 calls a second; some messages were accepted before it arrived.
     let mut page = HttpMessage::default();
-    let mut taken = 0;
-    while page.status() != 429 && taken < 80 {
-        page = courier.submit(&format!("m{taken}"), "status", 7, 8_000);
-        taken += 1;
+    let mut accepted = 0;
+    while page.status() != 429 && accepted < 80 {
+        page = courier.submit(&format!("m{accepted}"), "status", 7, 8_000);
+        accepted += 1;
     }
-    assert_eq!(page.status(), 429, "{taken} were taken, and 48 can be served");
+    assert_eq!(page.status(), 429, "{accepted} were accepted, and 48 can be served");
     let wait = page.header("retry-after").and_then(|w| w.parse::<f64>().ok());
-    assert!(wait.is_some_and(|w| w > 0.0), "told when to come again: {wait:?}");
+    assert!(wait.is_some_and(|w| w > 0.0), "Retry-After is missing or invalid: {wait:?}");
 }
 
 #[test]
@@ -454,9 +459,9 @@
     let near = Endpoint::new(|_| EndpointAction::RespondAfter(300 * MS, OK));
     let far = Endpoint::new(|_| EndpointAction::Respond(OK));
     let other = Endpoint::new(|_| EndpointAction::RespondAfter(5_000 * MS, OK));
-    let mut dear = host("s-2", &far, 7, "ready");
-    dear["site"] = "b".into();
-    let hosts = vec![host("s-1", &near, 7, "ready"), dear, host("s-3", &other, 9, "ready")];
+    let mut costlier = host("s-2", &far, 7, "ready");
+    costlier["site"] = "b".into();
+    let hosts = vec![host("s-1", &near, 7, "ready"), costlier, host("s-3", &other, 9, "ready")];
     let (folder, discovery) = (TestFolder::new(), Discovery::new(list(1, true, hosts)));
     let courier = Courier::start(&folder, &discovery);
     // The fee decides while slots are free.
@@ -473,6 +478,6 @@
     for n in 0..6 {
         courier.submit_accepted(&format!("m{n}"), "status", 7, 20_000);
     }
-    wait_until("all", || near.calls().len() + far.calls().len() == 9);
-    assert!(!far.calls().is_empty(), "the slow one had all");
+    wait_until("all calls", || near.calls().len() + far.calls().len() == 9);
+    assert!(!far.calls().is_empty(), "the slow endpoint received every call");
 }
