--- /dev/null
+++ b/crates/courier/src/bootstrap.rs
@@ -0,0 +1,107 @@
+//! Startup from the platform's environment or from an operator's file, and what both share.
+
+mod dev;
+mod platform;
+mod platform_config;
+mod serve;
+pub mod settings;
+
+use crate::startup_error::StartupError;
+use platform_config::PlatformConfig;
+use settings::OperatorSettings;
+use stairshed_journal::{FileStorage, RecoveryReport};
+use std::future::Future;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+use tokio::runtime;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::LocalSet;
+use tokio::time::Instant;
+
+/// Capacity of the queue of events to the courier.
+const EVENT_QUEUE_LENGTH: usize = 1024;
+/// File descriptors reserved for uses other than connections of clients and to endpoints.
+const RESERVED_SOCKETS: usize = 32;
+/// How long startup waits for a state folder that is in use.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause between attempts to lock the state folder.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How long shutdown waits for a disk sync in progress.
+const SHUTDOWN_SYNC_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Runs a courier configured by the platform's environment until it is told to stop.
+///
+/// # Errors
+/// The reason why the courier cannot start.
+pub fn run_platform(settings: Option<&Path>) -> Result<(), StartupError> {
+    let config = PlatformConfig::read()?;
+    let settings =
+        OperatorSettings::read(settings).map_err(|e| StartupError::Invalid("--settings", e.to_string()))?;
+    block_on(platform::platform(config, settings))
+}
+
+/// Runs a courier from an operator's file until it is told to stop.
+///
+/// # Errors
+/// The reason why the courier cannot start.
+pub fn serve(file: PathBuf) -> Result<(), StartupError> {
+    block_on(serve::serve(file))
+}
+
+/// Runs a sample installation with a stand-in endpoint.
+///
+/// # Errors
+/// The reason why the courier cannot start.
+pub fn dev(listen: SocketAddr) -> Result<(), StartupError> {
+    block_on(dev::dev(listen))
+}
+
+fn block_on(work: impl Future<Output = Result<(), StartupError>>) -> Result<(), StartupError> {
+    let runtime = runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(|e| StartupError::Invalid("runtime", e.to_string()))?;
+    let done = LocalSet::new().block_on(&runtime, work);
+    // A sync that hangs in the device must not delay shutdown: nothing that depends on it has been reported.
+    runtime.shutdown_timeout(SHUTDOWN_SYNC_TIMEOUT);
+    done
+}
+
+fn signal_stream(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
+    signal(kind).map_err(|e| StartupError::Invalid(name, e.to_string()))
+}
+
+/// Locks the state folder. Retries for a while, since a tool may hold the lock briefly.
+async fn lock(folder: &Path) -> Result<FileStorage, stairshed_journal::Error> {
+    let deadline = Instant::now() + LOCK_TIMEOUT;
+    loop {
+        match FileStorage::lock(folder) {
+            Err(stairshed_journal::Error::Locked { .. }) if Instant::now() < deadline => {
+                tokio::time::sleep(LOCK_RETRY_INTERVAL).await;
+            }
+            done => return done,
+        }
+    }
+}
+
+/// Logs what the recovery of the journal found.
+fn log_recovery(report: &RecoveryReport) {
+    if let Some(messages) = report.migrated {
+        eprintln!("journal: {messages} messages taken over from the old format");
+    }
+    if report.truncated_bytes > 0 {
+        eprintln!(
+            "journal: a torn tail of {} bytes was cut off, as a crash leaves it",
+            report.truncated_bytes
+        );
+    }
+    for damage in &report.damages {
+        eprintln!("journal: DAMAGED: {damage}");
+    }
+    for message in &report.lost_messages {
+        eprintln!("journal: LOST: message {message} was accepted, and its id and body cannot be read");
+    }
+    if !report.presumed_sent.is_empty() {
+        let n = report.presumed_sent.len();
+        eprintln!("journal: {n} messages count as sent, since a lost record may say so");
+    }
+}
--- /dev/null
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -0,0 +1,125 @@
+//! A courier configured by the platform, through its environment and `LB_CONFIG`.
+
+use super::platform_config::{self, PlatformConfig};
+use super::settings::OperatorSettings;
+use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock, log_recovery, signal_stream};
+use crate::dispatcher::Dispatcher;
+use crate::events::DispatcherEvent;
+use crate::ingress::http::{HttpServer, Routing, ServerState};
+use crate::ingress::listener::listen;
+use crate::memory_budget::MemoryBudget;
+use crate::startup_error::StartupError;
+use crate::upstream::endpoint_client::EndpointClient;
+use crate::upstream::outcomes::OutcomeNotifier;
+use stairshed_decide::interface::ENDPOINT_LIST_LEASE;
+use stairshed_decide::scheduler::Scheduler;
+use stairshed_journal::Journal;
+use stairshed_memory::{ByPurpose, Caps, Purpose};
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::signal::unix::{Signal, SignalKind};
+use tokio::sync::mpsc;
+
+/// Reads the file again on each SIGHUP. An invalid file changes nothing.
+async fn reload(mut hangup: Signal, file: PathBuf, events: mpsc::Sender<DispatcherEvent>) {
+    while hangup.recv().await.is_some() {
+        match platform_config::reread_discovery(&file) {
+            Ok(Some(discovery)) => {
+                eprintln!("configuration read again: discovery is at {discovery}");
+                let _ = events.send(DispatcherEvent::DiscoveryAddressChanged(discovery)).await;
+            }
+            Ok(None) => eprintln!("configuration read again: it has no address of discovery"),
+            Err(error) => eprintln!("configuration not read again, the previous one stays: {error}"),
+        }
+    }
+}
+
+/// Memory limits from the platform's `memory_mb`, which is the total. Connections have no cap, since
+/// `sockets` limits them and closing an idle connection has a cost. If the total is too low for a courier,
+/// only bodies being read are capped, at an eighth of it. No client is limited to a share, since all clients
+/// connect from one address.
+fn memory_budget(config: &PlatformConfig) -> MemoryBudget {
+    let total = (config.limits.memory_mb * 1e6) as u64;
+    let mut caps = Caps::new(Some(total), &ByPurpose::default()).unwrap_or_else(|_| {
+        let mut caps = Caps::none();
+        caps.of[Purpose::BodiesRead] = total / 8;
+        caps
+    });
+    caps.of[Purpose::Clients] = u64::MAX;
+    caps.of[Purpose::Endpoints] = u64::MAX;
+    MemoryBudget::new(&caps, 1.0)
+}
+
+/// Runs the courier until it is told to stop.
+///
+/// # Errors
+/// The reason why the courier cannot start.
+pub async fn platform(mut config: PlatformConfig, settings: OperatorSettings) -> Result<(), StartupError> {
+    // Handlers are installed first: without one, either signal ends the process at once.
+    let mut terminate = signal_stream(SignalKind::terminate(), "SIGTERM")?;
+    let hangup = signal_stream(SignalKind::hangup(), "SIGHUP")?;
+    let disk_bytes = (config.limits.disk_mb * 1e6) as u64;
+    let options = settings.journal.options(disk_bytes, u64::from(config.settings.max_attempts));
+    let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
+    let (journal, report) = opened.map_err(|e| StartupError::Invalid("LB_STATE", e.to_string()))?;
+    log_recovery(&report);
+    let upstream_sockets = (config.limits.sockets / 3).max(16);
+    let client_sockets = config.limits.sockets.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(8);
+    let memory_budget = memory_budget(&config);
+    let endpoint_client = EndpointClient::new(
+        config.settings.connect_timeout,
+        config.settings.keepalive,
+        upstream_sockets,
+        memory_budget.clone(),
+    );
+    // The scheduler must know how long connections are kept alive here.
+    config.settings.keepalive = endpoint_client.idle_timeout();
+    config.settings.membership_lease_duration = Some(ENDPOINT_LIST_LEASE);
+    let lists_are_pushed = !config.settings.subscription_required;
+    let scheduler = Scheduler::new(config.settings.clone(), config.seed);
+    let scheduler = scheduler.map_err(|e| StartupError::Invalid("LB_CONFIG", e))?;
+    let (events, event_queue) = mpsc::channel(EVENT_QUEUE_LENGTH);
+    if lists_are_pushed {
+        // Pushed lists are never requested by the scheduler, so the watch opens at startup.
+        let _ = events.send(DispatcherEvent::StartWatch).await;
+    }
+    let server_state = Rc::new(ServerState::default());
+    let listener = listen(config.listen).map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
+    let at = listener.local_addr().map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
+    let (name, kept) = (config.name.clone(), journal.len());
+    let http_server = Rc::new(HttpServer {
+        routing: Routing::Platform { classes: config.classes.clone() },
+        server_state: server_state.clone(),
+        events: events.clone(),
+        max_connections: client_sockets,
+        memory_budget: memory_budget.clone(),
+        rejecter: None,
+    });
+    tokio::task::spawn_local(reload(hangup, config.file.clone(), events.clone()));
+    let outcomes = OutcomeNotifier::platform(config.discovery);
+    let setup = config.setup(memory_budget);
+    let dispatcher = Dispatcher::new(
+        setup,
+        scheduler,
+        journal,
+        endpoint_client,
+        outcomes,
+        server_state.clone(),
+        events.clone(),
+    );
+    server_state.ready.set(true);
+    let accepting = tokio::task::spawn_local(http_server.run(listener));
+    tokio::task::spawn_local(async move {
+        if terminate.recv().await.is_some() {
+            eprintln!("stopping");
+            let _ = events.send(DispatcherEvent::Stop).await;
+            tokio::time::sleep(Duration::from_millis(700)).await;
+            accepting.abort();
+        }
+    });
+    eprintln!("{name} serves {at}; {kept} messages resumed");
+    dispatcher.run(event_queue).await;
+    Ok(())
+}
--- /dev/null
+++ b/crates/courier/src/discovery/list_age.rs
@@ -0,0 +1,83 @@
+//! Age of the list of endpoints across restarts. The time of the last line from discovery is stored in the
+//! state folder, on the machine's boot time clock, which also runs while the courier does not and is not
+//! stepped with the time of day.
+
+use rustix::time::{ClockId, clock_gettime};
+use std::fs;
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// File in the state folder.
+const FILE_NAME: &str = "list-age";
+/// Temporary file that is renamed over the other.
+const NEXT_FILE_NAME: &str = "list-age.next";
+/// Id of the current boot. The boot time clock restarts with the machine, so a stored time is valid only
+/// within a boot.
+const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
+
+/// What is known at startup about the age of the list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListAge {
+    /// Time since the last line from discovery.
+    Known(Duration),
+    /// No earlier run has stored a time.
+    Unrecorded,
+    /// The stored time cannot be used: damaged, from another discovery address, or from before the last
+    /// reboot.
+    Unknown,
+}
+
+/// File that stores the time of the last line from discovery.
+pub struct ListAgeFile {
+    path: PathBuf,
+    next_path: PathBuf,
+    boot_id: Option<String>,
+}
+
+impl ListAgeFile {
+    /// Uses the file in the state folder `folder`.
+    pub fn new(folder: &Path) -> Self {
+        let boot_id = fs::read_to_string(BOOT_ID).ok().map(|id| id.trim().to_owned());
+        ListAgeFile { path: folder.join(FILE_NAME), next_path: folder.join(NEXT_FILE_NAME), boot_id }
+    }
+
+    /// Returns the time since the last line from the discovery at this address.
+    pub fn load(&self, discovery: SocketAddr) -> ListAge {
+        match fs::read_to_string(&self.path) {
+            Ok(text) => self.age(&text, discovery, boot_time()).map_or(ListAge::Unknown, ListAge::Known),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => ListAge::Unrecorded,
+            Err(_) => ListAge::Unknown,
+        }
+    }
+
+    fn age(&self, text: &str, discovery: SocketAddr, now: Duration) -> Option<Duration> {
+        let (boot_id, rest) = text.strip_suffix('\n')?.split_once(' ')?;
+        let (nanoseconds, stored_discovery) = rest.split_once(' ')?;
+        let applies = self.boot_id.as_deref() == Some(boot_id) && stored_discovery.parse() == Ok(discovery);
+        let last_line = Duration::from_nanos(nanoseconds.parse().ok().filter(|_| applies)?);
+        now.checked_sub(last_line)
+    }
+
+    /// Stores that a line from the discovery at this address has just been read. Writes a temporary file and
+    /// renames it, so that a crash leaves a complete file.
+    ///
+    /// # Errors
+    /// The file cannot be written; the older stored time is kept.
+    pub fn save(&self, discovery: SocketAddr) -> io::Result<()> {
+        let Some(boot_id) = &self.boot_id else { return Ok(()) };
+        fs::write(&self.next_path, format!("{boot_id} {} {discovery}\n", boot_time().as_nanos()))?;
+        fs::rename(&self.next_path, &self.path)
+    }
+}
+
+/// Time since boot, including suspend.
+fn boot_time() -> Duration {
+    let now = clock_gettime(ClockId::Boottime);
+    Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs() as u32)
+}
+
+#[cfg(test)]
+#[path = "list_age_test.rs"]
+mod tests;
--- /dev/null
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -0,0 +1,235 @@
+//! Acceptance: submissions until the scheduler has accepted or refused them and their clients have the reply.
+//! Owns the pending submissions, the ids of all held messages, and the next message number; `run_batch`
+//! passes in the scheduler's refusals.
+
+use super::held_message::{DeferredAction, HeldMessage};
+use super::memory::MessageMemory;
+use super::{Dispatcher, Verdict};
+use crate::events::{Reply, ReplyTo, Submission};
+use crate::message_trace;
+use stairshed_decide::interface::*;
+use stairshed_journal::{AcceptedMessage, Refusal};
+use std::collections::{BTreeMap, HashMap};
+
+/// A submission that waits for the scheduler's decision.
+pub(super) struct PendingSubmission {
+    pub(super) class: usize,
+    submission: Submission,
+    /// The memory reserved for it if it is accepted.
+    memory: MessageMemory,
+}
+
+#[derive(Default)]
+pub(super) struct Acceptance {
+    /// Submissions that wait for the scheduler's decision, by message number.
+    pub(super) pending: BTreeMap<u64, PendingSubmission>,
+    /// Message numbers by the id that the client gave, until the message has ended.
+    pub(super) ids: HashMap<String, u64>,
+    /// The next message number.
+    pub(super) next: u64,
+}
+
+impl Acceptance {
+    /// Numbers continue after the last one that a previous process used.
+    pub(super) fn after(last: u64) -> Self {
+        Acceptance { next: last + 1, ..Acceptance::default() }
+    }
+}
+
+impl Dispatcher {
+    /// Takes in a submission: replies at once, or passes it to the scheduler in the next batch.
+    pub(super) fn submit(&mut self, mut submission: Submission) {
+        let respond = |submission: Submission, reply| {
+            // A client that has disconnected gets no reply, and its message was not accepted.
+            let _ = submission.reply.send(reply);
+        };
+        // A second submission with the same id: the first one is accepted already, or not decided yet.
+        if let Some(message) = self.acceptance.ids.get(&submission.accepted.id) {
+            let is_accepted = !self.acceptance.pending.contains_key(message);
+            return respond(submission, if is_accepted { Reply::Accepted } else { Reply::Unavailable });
+        }
+        if let Some(reply) = self.reply_to_duplicate(&submission.accepted) {
+            return respond(submission, reply);
+        }
+        if let Some(reply) = self.early_refusal(&submission.accepted) {
+            return self.reject(submission, reply);
+        }
+        let Some(class) = self.classify(&submission.accepted) else {
+            return self.reject(submission, Reply::Failed);
+        };
+        let memory = match self.reserve_memory(&mut submission) {
+            Ok(memory) => memory,
+            Err(reply) => return self.reject(submission, reply),
+        };
+        self.update_classes();
+        let message = self.acceptance.next;
+        self.acceptance.next += 1;
+        self.acceptance.ids.insert(submission.accepted.id.clone(), message);
+        self.events.push(Event::Accepted(Accepted {
+            message: MessageId(message),
+            class,
+            tenant: 0,
+            destination: DestinationId(submission.accepted.destination),
+            key: submission.accepted.routed.as_ref().and_then(|r| r.order_key.clone()),
+            time_left: submission.time_left.saturating_sub(submission.at.elapsed()),
+            estimated_work: None,
+            history: Past::default(),
+        }));
+        self.acceptance.pending.insert(message, PendingSubmission { class, submission, memory });
+    }
+
+    /// Whether a message with this id is accepted.
+    pub(super) fn is_accepted(&self, id: &str) -> bool {
+        let held =
+            self.acceptance.ids.get(id).is_some_and(|message| !self.acceptance.pending.contains_key(message));
+        held || self.ended_messages.contains(id)
+    }
+
+    /// The refusal of a message that cannot be accepted whatever the scheduler decides.
+    pub(super) fn early_refusal(&mut self, accepted: &AcceptedMessage) -> Option<Reply> {
+        if self.records.disk_failed.is_some() {
+            return Some(Reply::JournalRefused(Refusal::DiskUnreliable));
+        }
+        if self.members.removed_destinations.contains_key(&accepted.destination) {
+            return Some(Reply::Unavailable);
+        }
+        if !self.members.destinations.contains(&accepted.destination) {
+            return Some(if self.members.discovery_answered {
+                Reply::UnknownDestination
+            } else {
+                Reply::Unavailable
+            });
+        }
+        if self.attempts.held.len() + self.acceptance.pending.len() >= self.setup.settings.max_messages {
+            return Some(Reply::Refused { wait: None });
+        }
+        if self.remembers_too_many(accepted) {
+            return Some(Reply::TooManyRemembered);
+        }
+        self.journal.can_accept(accepted).err().map(Reply::JournalRefused)
+    }
+
+    /// Drops submissions whose client gave up before it had a reply: such a client counts its message as not
+    /// accepted and may submit it elsewhere, so it must not be sent from here.
+    pub(super) fn drop_abandoned_submissions(&mut self) {
+        let abandoned: Vec<u64> = self
+            .acceptance
+            .pending
+            .iter()
+            .filter(|(_, o)| o.submission.reply.is_closed())
+            .map(|(n, _)| *n)
+            .collect();
+        for message in abandoned {
+            if let Some(PendingSubmission { submission, .. }) = self.acceptance.pending.remove(&message) {
+                self.acceptance.ids.remove(&submission.accepted.id);
+            }
+            let of = |e: &Event| matches!(e, Event::Accepted(t) if t.message.0 == message);
+            self.events.retain(|e| !of(e));
+        }
+    }
+
+    /// Writes the new messages that the scheduler did not refuse to the journal, then replies to their
+    /// clients.
+    pub(super) fn accept_submissions(&mut self, refused: &mut HashMap<u64, Verdict>) {
+        let mut accepted_messages = Vec::new();
+        for (message, PendingSubmission { class, submission, memory }) in
+            std::mem::take(&mut self.acceptance.pending)
+        {
+            if let Some(verdict) = refused.remove(&message) {
+                self.acceptance.ids.remove(&submission.accepted.id);
+                message_trace::log_step(
+                    &submission.accepted.id,
+                    format_args!("refused at once class={} verdict={verdict:?}", submission.accepted.class),
+                );
+                let reply = match verdict {
+                    Verdict::Bounced { wait } => Reply::Refused { wait },
+                    Verdict::Dead => Reply::Failed,
+                };
+                self.reject(submission, reply);
+                continue;
+            }
+            // Other messages of this batch may have used up the journal's space since this one was submitted.
+            if let Err(why) = self.journal.can_accept(&submission.accepted) {
+                self.acceptance.ids.remove(&submission.accepted.id);
+                self.events.push(Event::Withdrawn { message: MessageId(message) });
+                self.reject(submission, Reply::JournalRefused(why));
+                continue;
+            }
+            let Submission { accepted, reply, .. } = submission;
+            message_trace::log_step(
+                &accepted.id,
+                format_args!(
+                    "taken number={message} class={} destination={}",
+                    accepted.class, accepted.destination
+                ),
+            );
+            self.journal.accept(message, accepted.clone());
+            self.memory.add_message(message, memory);
+            self.attempts.held.insert(message, HeldMessage { accepted, class, attempts: 0, in_flight: None });
+            accepted_messages.push((message, reply));
+        }
+        if accepted_messages.is_empty() {
+            return;
+        }
+        let seq = self.journal.last_seq();
+        let recorded = self.flush_journal();
+        for (message, reply) in accepted_messages {
+            if !recorded {
+                // The message is not accepted, whether or not its client gets this reply.
+                let _ = reply.send(Reply::JournalRefused(Refusal::DiskUnreliable));
+                self.withdraw(message);
+            } else {
+                self.run_when_durable(seq, DeferredAction::ConfirmAcceptance { message, reply });
+            }
+        }
+    }
+
+    /// Tells a client that its message is accepted. A client that has disconnected counts it as not accepted,
+    /// so the message is withdrawn.
+    pub(super) fn confirm_acceptance(&mut self, message: u64, reply: ReplyTo) {
+        if reply.send(Reply::Accepted).is_err() {
+            if let Some(m) = self.attempts.held.get(&message) {
+                message_trace::log_step(
+                    &m.accepted.id,
+                    format_args!("withdrawn: the client disconnected before the reply"),
+                );
+            }
+            self.withdraw(message);
+        }
+    }
+
+    /// Drops a message for which nobody waits for a result.
+    pub(super) fn withdraw(&mut self, message: u64) {
+        self.end_message(message);
+        self.attempts.held.remove(&message);
+        self.events.push(Event::Withdrawn { message: MessageId(message) });
+    }
+
+    /// The class of a message: by its name and, for a message from a route, by the effect and deadline
+    /// recorded when it was accepted.
+    pub(super) fn classify(&mut self, accepted: &AcceptedMessage) -> Option<usize> {
+        let deadline = accepted.deadline.saturating_sub(accepted.accepted_at);
+        let Some(routed) = &accepted.routed else {
+            let classes = &mut self.setup.classes;
+            let class = classes.current(&accepted.class)?;
+            let keyed = classes.get(class).is_some_and(|c| matches!(c.effect, Effect::Keyed { .. }));
+            // Without a key no endpoint can tell a repeat from a new message.
+            let may_run_again = keyed && accepted.key.is_none();
+            return Some(if may_run_again {
+                classes.for_recorded_message(&accepted.class, Effect::Once, deadline)
+            } else {
+                class
+            });
+        };
+        Some(self.setup.classes.for_recorded_message(&accepted.class, routed.effect, deadline))
+    }
+
+    /// Passes new classes to the scheduler: messages accepted under an earlier configuration version may have
+    /// a class that the current version lacks.
+    pub(super) fn update_classes(&mut self) {
+        if self.setup.classes.len() != self.setup.settings.classes.len() {
+            self.setup.settings.classes = self.setup.classes.classes();
+            self.reconfigure();
+        }
+    }
+}
--- /dev/null
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -0,0 +1,230 @@
+//! The messages held, the attempts to deliver them, and how each attempt ended.
+
+use super::Dispatcher;
+use super::held_message::{DeferredAction, HeldMessage};
+use super::shutdown::ATTEMPT_CUTOFF;
+use crate::clock::unix_time;
+use crate::events::{AfterAttempt, CallResult};
+use crate::message_trace;
+use crate::upstream::endpoint_client::{Call, CallTarget, EndpointClient};
+use crate::upstream::exchange::ExchangeLog;
+use stairshed_decide::interface::*;
+use stairshed_journal::{Attempt, Verdict};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// Messages held, by number, and the calls to endpoints.
+pub(super) struct Attempts {
+    pub(super) held: BTreeMap<u64, HeldMessage>,
+    pub(super) calls: EndpointClient,
+}
+
+impl Attempts {
+    pub(super) fn new(calls: EndpointClient) -> Self {
+        Attempts { held: BTreeMap::new(), calls }
+    }
+}
+
+impl Dispatcher {
+    /// Passes a requested wait to the scheduler as the result of a probe, since it concerns the endpoint and
+    /// no message.
+    pub(super) fn back_off_endpoint(&mut self, endpoint: EndpointId, until: Instant) {
+        let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
+        self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed: Duration::ZERO, report: None });
+    }
+
+    /// Records the result of a call and passes it to the scheduler.
+    pub(super) fn call_ended(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallResult) {
+        // These outcomes prove that the message never ran; after any other it may have run.
+        let never = matches!(
+            end.outcome,
+            Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Crowded | Outcome::Moot
+        );
+        if never {
+            self.journal.record_never_ran(message, attempt);
+        }
+        match end.after {
+            AfterAttempt::RetryAllowed => {}
+            AfterAttempt::Settled => {
+                // The endpoint said that it has ended without a delivery: it never ran, and may be submitted
+                // again.
+                let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
+                self.finish_message(message, verdict);
+            }
+            AfterAttempt::FailWithoutRetry => self.record_verdict(message, Verdict::Dead),
+        }
+        if self.open_attempt_ended(message, &end) {
+            return;
+        }
+        if let Some(m) = self.attempts.held.get(&message) {
+            let ran = if never {
+                "never"
+            } else if end.outcome == Outcome::Delivered {
+                "yes"
+            } else {
+                "maybe"
+            };
+            message_trace::log_step(
+                &m.accepted.id,
+                format_args!(
+                    "attempt={attempt} ended outcome={:?} ran={ran} over={} proof={:?} {}",
+                    end.outcome,
+                    end.after != AfterAttempt::RetryAllowed,
+                    end.proof,
+                    ExchangeLog(end.exchange)
+                ),
+            );
+        }
+        // The endpoint may have been removed during the call, and the connection kept open after that.
+        self.close_unless_ready(endpoint);
+        let Some(m) = self.attempts.held.get_mut(&message) else { return };
+        let Some((sent, _)) = m.in_flight.take() else { return };
+        self.events.push(Event::AttemptEnded(AttemptEnded {
+            message: MessageId(message),
+            endpoint,
+            outcome: less_elapsed(end.outcome, end.at),
+            elapsed: end.at.saturating_duration_since(sent),
+            is_final: end.after != AfterAttempt::RetryAllowed,
+            report: end.report,
+        }));
+        // The scheduler drops a message with its last outcome, and so does the dispatcher.
+        if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
+            self.attempts.held.remove(&message);
+        }
+    }
+
+    /// Starts the calls that the scheduler asked for, once their attempts are in the journal.
+    pub(super) fn start_calls(&mut self, sends: Vec<(u64, EndpointId, Duration)>, now: Instant) {
+        let late = self.shutdown.since.is_some_and(|t| now >= t + ATTEMPT_CUTOFF);
+        let mut ready = Vec::new();
+        for (message, endpoint, timeout) in sends {
+            let e = self.members.endpoints.get(&endpoint);
+            let to = e.and_then(|e| Some((e, e.address?)));
+            let Some((m, (e, address))) = self.attempts.held.get_mut(&message).zip(to) else {
+                // The message was withdrawn in this batch: the scheduler is notified that nothing was sent.
+                self.events.push(not_sent(message, endpoint, Outcome::Moot));
+                continue;
+            };
+            let zone = self.setup.zones.get(e.zone).cloned().unwrap_or_default();
+            let attempt = Attempt { host: e.host.clone(), zone, sent_at: unix_time(), may_have_run: true };
+            let broker = e.topic.is_some();
+            m.in_flight = Some((now, None));
+            if late {
+                // The process ends before a response could arrive: the next process sends it, since no
+                // attempt is recorded.
+                continue;
+            }
+            let target = match broker {
+                false => Some(CallTarget::Http(address)),
+                true => self.reserve_packet_id(endpoint, message).map(CallTarget::Broker),
+            };
+            let Some(m) = self.attempts.held.get_mut(&message) else { continue };
+            let Some(target) = target else {
+                // The limit on messages in flight to the broker is reached.
+                m.in_flight = None;
+                self.events.push(not_sent(message, endpoint, Outcome::Full { wait: None }));
+                continue;
+            };
+            let Ok(number) = self.journal.record_attempt(message, attempt) else {
+                // The attempt's names are longer than the space reserved for them, and the journal has no
+                // more.
+                m.in_flight = None;
+                self.release_packet_id(&target, endpoint);
+                self.events.push(not_sent(message, endpoint, Outcome::Moot));
+                continue;
+            };
+            m.attempts += 1;
+            let list = &self.setup.watch_status;
+            let host = self.members.endpoints.get(&endpoint).map(|e| e.host.as_str());
+            message_trace::log_step(
+                &m.accepted.id,
+                format_args!(
+                    "attempt={number} decided endpoint={} host={} address={address} \
+                     for={timeout:?} list={} list_age={:?}",
+                    endpoint.0,
+                    host.unwrap_or_default(),
+                    list.version(),
+                    list.last_line_age()
+                ),
+            );
+            let accepted = m.accepted.clone();
+            let once = self.setup.classes.get(m.class).is_some_and(|c| c.effect == Effect::Once);
+            let (deadline, pool) = (now + timeout, self.scheduler.limit_group_id(endpoint));
+            ready.push(Call { message, attempt: number, endpoint, pool, target, accepted, deadline, once });
+        }
+        let seq = self.journal.last_seq();
+        // Attempts must be in the journal before their first byte is sent, and verdicts before their notice.
+        if !self.flush_journal() {
+            for call in ready {
+                self.journal.record_never_ran(call.message, call.attempt);
+                self.release_packet_id(&call.target, call.endpoint);
+                if let Some(m) = self.attempts.held.get_mut(&call.message) {
+                    m.in_flight = None;
+                }
+                self.events.push(not_sent(call.message, call.endpoint, Outcome::Moot));
+            }
+            return;
+        }
+        for call in ready {
+            let (cancel, cancelled) = oneshot::channel();
+            if let Some(m) = self.attempts.held.get_mut(&call.message) {
+                m.in_flight = Some((now, matches!(call.target, CallTarget::Http(_)).then_some(cancel)));
+            }
+            self.run_when_durable(seq, DeferredAction::StartCall { call, cancelled });
+        }
+    }
+
+    /// Frees the packet id of a message that was not sent after all.
+    pub(super) fn release_packet_id(&mut self, target: &CallTarget, endpoint: EndpointId) {
+        if let CallTarget::Broker(id) = target {
+            self.free_packet_id(endpoint, *id);
+        }
+    }
+
+    /// Starts one call in a task of its own, or publishes the message to its broker.
+    pub(super) fn start_call(&self, call: Call, cancelled: oneshot::Receiver<()>) {
+        match call.target {
+            CallTarget::Broker(id) => self.publish(call, id),
+            CallTarget::Http(address) => {
+                let call = self.attempts.calls.clone().call(call, address, cancelled, self.event_tx.clone());
+                tokio::task::spawn_local(call);
+            }
+        }
+    }
+
+    /// Probes an endpoint, for at most twice the connect timeout.
+    pub(super) fn probe(&mut self, endpoint: EndpointId) {
+        if let Some(address) = self.members.endpoints.get(&endpoint).and_then(|e| e.address) {
+            let timeout = self.setup.settings.connect_timeout * 2;
+            tokio::task::spawn_local(self.attempts.calls.clone().probe(
+                endpoint,
+                address,
+                timeout,
+                self.event_tx.clone(),
+            ));
+        }
+    }
+}
+
+/// Subtracts the time since `at` from a requested wait: a wait starts when its response arrives, not when the
+/// batch runs.
+pub(super) fn less_elapsed(outcome: Outcome, at: Instant) -> Outcome {
+    match outcome {
+        Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: Some(wait.saturating_sub(at.elapsed())) },
+        other => other,
+    }
+}
+
+/// The event for a call that was not started.
+fn not_sent(message: u64, endpoint: EndpointId, outcome: Outcome) -> Event {
+    Event::AttemptEnded(AttemptEnded {
+        message: MessageId(message),
+        endpoint,
+        outcome,
+        elapsed: Duration::ZERO,
+        is_final: false,
+        report: None,
+    })
+}
--- /dev/null
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -0,0 +1,76 @@
+//! Verdicts and their notices: recorded in the journal first, then posted in batches until acknowledged.
+
+use super::Dispatcher;
+use crate::clock::unix_time;
+use crate::message_trace;
+use crate::upstream::outcomes::{Notice, OutcomeNotifier};
+use stairshed_journal::Verdict;
+use std::collections::VecDeque;
+
+/// Limit on batches of notices in flight.
+const MAX_POSTS_IN_FLIGHT: usize = 4;
+/// Limit on notices in one batch.
+const MAX_NOTICES_PER_POST: usize = 200;
+
+/// Notices to be posted, and the client that posts them.
+pub(super) struct Notices {
+    /// Each with the sequence number of the record that must be durable before it is posted.
+    pub(super) queue: VecDeque<(u64, Notice)>,
+    /// Batches in flight.
+    pub(super) posts_in_flight: usize,
+    pub(super) outcomes: OutcomeNotifier,
+}
+
+impl Notices {
+    pub(super) fn new(outcomes: OutcomeNotifier) -> Self {
+        Notices { queue: VecDeque::new(), posts_in_flight: 0, outcomes }
+    }
+}
+
+impl Dispatcher {
+    /// Records the verdict on a message that ended undelivered, and queues its notice.
+    pub(super) fn record_verdict(&mut self, message: u64, verdict: Verdict) {
+        let Some(m) = self.attempts.held.get(&message) else { return };
+        if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
+            return;
+        }
+        let id = m.accepted.id.clone();
+        let left = m.accepted.deadline.saturating_sub(unix_time());
+        message_trace::log_step(
+            &id,
+            format_args!(
+                "ends verdict={verdict:?} attempts={} out={} left={left:?}",
+                m.attempts,
+                m.in_flight.is_some()
+            ),
+        );
+        if m.in_flight.is_none() {
+            self.attempts.held.remove(&message);
+        }
+        self.journal.record_verdict(message, verdict);
+        self.memory.add_notice(message);
+        self.notify_owner_of_verdict(message, verdict);
+        self.notices.queue.push_back((self.journal.last_seq(), Notice { message, id, verdict }));
+    }
+
+    /// Posts queued notices in batches, up to the limit on batches in flight.
+    pub(super) fn post_notices(&mut self) {
+        // A notice must not be posted before its verdict is durable.
+        let durable = self.journal.durable();
+        while self.notices.posts_in_flight < MAX_POSTS_IN_FLIGHT && self.records.disk_failed.is_none() {
+            let kept = self
+                .notices
+                .queue
+                .iter()
+                .take(MAX_NOTICES_PER_POST)
+                .take_while(|(seq, _)| *seq <= durable)
+                .count();
+            if kept == 0 {
+                return;
+            }
+            let batch: Vec<_> = self.notices.queue.drain(..kept).map(|(_, notice)| notice).collect();
+            self.notices.posts_in_flight += 1;
+            tokio::task::spawn_local(self.notices.outcomes.clone().deliver(batch, self.event_tx.clone()));
+        }
+    }
+}
--- /dev/null
+++ b/crates/courier/src/dispatcher/shutdown.rs
@@ -0,0 +1,93 @@
+//! Shutdown after SIGTERM: how long attempts are still started, and when everything is done that can be done.
+
+use super::Dispatcher;
+use std::fmt;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How long after SIGTERM new attempts are started.
+pub(super) const ATTEMPT_CUTOFF: Duration = Duration::from_millis(2200);
+/// When the courier exits after SIGTERM, whatever is still in flight. SIGKILL follows 3.7 s after SIGTERM at
+/// the earliest.
+const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3300);
+/// How long after SIGTERM new connections may still arrive.
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(700);
+/// Interval between checks whether everything is done.
+pub(super) const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// State of the shutdown.
+#[derive(Default)]
+pub(super) struct Shutdown {
+    /// When SIGTERM arrived; None while the courier runs.
+    pub(super) since: Option<Instant>,
+}
+
+/// The courier's remaining work, for the log.
+struct Workload {
+    held: usize,
+    /// Held messages with a call in flight.
+    in_flight: usize,
+    pending: usize,
+    /// Notices that wait to be posted.
+    notices: usize,
+    /// Posts in flight.
+    posts: usize,
+    /// Actions that wait for their record to be durable.
+    records: usize,
+    disk_fails: bool,
+}
+
+impl fmt::Display for Workload {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let Workload { held, in_flight, pending, notices, posts, records, disk_fails } = self;
+        write!(
+            f,
+            "{held} messages held, {in_flight} of them with a call in flight; {pending} submissions pending; \
+             {notices} notices to post, {posts} posts in flight; {records} actions wait for the journal"
+        )?;
+        f.write_str(if *disk_fails { ", which cannot write" } else { "" })
+    }
+}
+
+impl Dispatcher {
+    /// Begins the shutdown when SIGTERM arrives.
+    pub(super) fn begin_shutdown(&mut self) {
+        self.server_state.begin_shutdown();
+        if self.shutdown.since.is_none() {
+            self.shutdown.since = Some(Instant::now());
+            eprintln!("stopping: {}", self.workload());
+        }
+    }
+
+    fn workload(&self) -> Workload {
+        Workload {
+            held: self.attempts.held.len(),
+            in_flight: self.attempts.held.values().filter(|m| m.in_flight.is_some()).count(),
+            pending: self.acceptance.pending.len(),
+            notices: self.notices.queue.len(),
+            posts: self.notices.posts_in_flight,
+            records: self.records.waiting.len(),
+            disk_fails: self.records.disk_failed.is_some(),
+        }
+    }
+
+    /// Whether everything is done that can be done after SIGTERM, or the time is up.
+    pub(super) fn is_shutdown_complete(&mut self) -> bool {
+        let Some(since) = self.shutdown.since else { return false };
+        let since = since.elapsed();
+        let notices_done = self.notices.queue.is_empty()
+            && self.notices.posts_in_flight == 0
+            && self.records.waiting.is_empty();
+        let quiet = since >= MIN_ACCEPT_TIME
+            && self.server_state.connections.borrow().is_empty()
+            && self.acceptance.pending.is_empty();
+        let calls = self.attempts.held.values().any(|m| matches!(m.in_flight, Some((_, Some(_)))));
+        let idle = self.attempts.held.is_empty() || since >= ATTEMPT_CUTOFF;
+        let done = since >= SHUTDOWN_LIMIT || (quiet && notices_done && idle && !calls);
+        if done {
+            self.flush_journal();
+            eprintln!("stopped after {:.2} s: {}", since.as_secs_f64(), self.workload());
+        }
+        done
+    }
+}
--- /dev/null
+++ b/crates/courier/src/ingress.rs
@@ -0,0 +1,10 @@
+//! Servers for clients: HTTP and MQTT, rejection of connections over a limit, and the operators' admin pages.
+
+pub mod active_config;
+pub mod admin;
+pub mod http;
+pub mod listener;
+pub mod message_headers;
+pub mod mqtt;
+pub mod rejection;
+pub mod users;
--- /dev/null
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -0,0 +1,473 @@
+//! MQTT server for clients: the sockets of the state machine in `stairshed-mqtt`, which holds all connections
+//! and sessions. The active configuration routes each PUBLISH, and the courier accepts or refuses its
+//! message.
+
+use crate::clock::unix_time;
+use crate::events::{
+    DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+};
+use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
+use crate::ingress::users::Users;
+use crate::memory_budget::{MemoryBudget, MemoryRefusal};
+use crate::socket::is_transient;
+use crate::upstream::outcomes;
+use bytes::BytesMut;
+use stairshed_journal::{Refusal, Verdict};
+use stairshed_memory::{Charge, Purpose};
+use stairshed_mqtt::packet::code;
+use stairshed_mqtt::server::{self, Answer, Effect, Limits, Outcome, Server};
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, VecDeque};
+use std::io;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::Interest;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::Sender;
+use tokio::sync::{Notify, Semaphore, oneshot};
+use tokio::time::{Instant, sleep, sleep_until, timeout};
+
+/// Prefix of session keys in the journal: `session/USER/CLIENT`.
+pub const SESSION_KEY_PREFIX: &str = "session/";
+/// Size of the read buffer, which all connections share.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Limit of queued output; the connection to a client that lets more pile up unread is dropped.
+const MAX_WRITE_QUEUE_BYTES: usize = 256 * 1024;
+/// Time in which a client may read the remaining output while its connection is being closed.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit of concurrent password checks.
+const MAX_PASSWORD_CHECKS: usize = 2;
+/// Memory accounted for a connection beside its part of the state machine: its task and its output queue.
+const CONNECTION_BYTES: u64 = 1_500;
+/// A connection without a CONNECT is not evicted before this age: its CONNECT has usually arrived and been
+/// read by then.
+const MIN_EVICTION_AGE: Duration = Duration::from_millis(10);
+
+/// Output of one connection.
+struct ConnectionOutput {
+    write_queue: RefCell<VecDeque<BytesMut>>,
+    queued_bytes: Cell<usize>,
+    /// Close once all output is written.
+    closing: Cell<bool>,
+    wake: Notify,
+}
+
+/// Serves MQTT clients and hands their messages to the courier.
+pub struct MqttServer {
+    machine: RefCell<Server>,
+    origin: Instant,
+    outputs: RefCell<HashMap<u64, Rc<ConnectionOutput>>>,
+    /// By token, offers that await the courier's reply, with a flag that is set when their client has left.
+    pending_offers: RefCell<HashMap<u64, Rc<Cell<bool>>>>,
+    memory_budget: MemoryBudget,
+    /// Memory of the sessions as last measured, plus those admitted since.
+    session_memory: RefCell<Charge>,
+    buffer: RefCell<Vec<u8>>,
+    wake: Notify,
+    active_config: ActiveConfig,
+    users: Option<Arc<Users>>,
+    password_checks: Arc<Semaphore>,
+    events: Sender<DispatcherEvent>,
+    max_connections: usize,
+    /// Answers connections for which there is no capacity.
+    rejecter: Rc<ConnectionRejecter>,
+}
+
+impl Ingress for MqttServer {
+    fn on_reply(&self, token: u64, reply: Reply) {
+        self.remove_pending_offer(token);
+        let refused = |code, why: &str, wait| Answer::Refused { code, reason: why.to_owned(), wait };
+        let default_wait = Some(DEFAULT_RETRY_AFTER);
+        let answer = match reply {
+            Reply::Accepted => Answer::Accepted,
+            Reply::Refused { wait } => {
+                refused(code::QUOTA_EXCEEDED, "refused: come again later", wait.or(default_wait))
+            }
+            Reply::Unavailable => refused(code::QUOTA_EXCEEDED, "not now", default_wait),
+            Reply::OutOfMemory(MemoryRefusal { refused: refusal, wait }) => {
+                refused(code::QUOTA_EXCEEDED, &refusal.to_string(), Some(wait))
+            }
+            Reply::TooManyRemembered => refused(
+                code::QUOTA_EXCEEDED,
+                "as many messages that have ended are remembered as may be",
+                default_wait,
+            ),
+            Reply::JournalRefused(why @ Refusal::DiskUnreliable) => {
+                refused(code::IMPLEMENTATION_SPECIFIC, refusal_reason(why), default_wait)
+            }
+            Reply::JournalRefused(why) => refused(code::QUOTA_EXCEEDED, refusal_reason(why), default_wait),
+            Reply::UnknownDestination => {
+                refused(code::TOPIC_NAME_INVALID, "the topic's pool has no endpoints", None)
+            }
+            Reply::Failed => refused(code::UNSPECIFIED_ERROR, "failed", None),
+        };
+        self.with_machine(|machine, now| machine.offer_answered(token, answer, now));
+    }
+
+    fn on_stored(&self, token: u64, kept: Result<(), Refusal>) {
+        let kept = kept.map_err(|why| refusal_reason(why).to_owned());
+        self.with_machine(|machine, now| machine.record_stored(token, kept, now));
+    }
+
+    fn accepts_outcomes(&self, owner: &str) -> bool {
+        self.machine.borrow().accepts_outcomes(owner)
+    }
+
+    fn measure_memory(&self) {
+        let bytes = self.machine.borrow().estimated_bytes();
+        self.session_memory.borrow_mut().resize(bytes);
+    }
+
+    fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
+        let line = outcomes::outcome_line(id, verdict);
+        self.with_machine(|machine, _| machine.queue_outcome(owner, Outcome { message, line }));
+    }
+}
+
+impl MqttServer {
+    /// `records` are the sessions that a previous run stored in the journal.
+    pub fn new(
+        limits: Limits,
+        (max_connections, memory_budget, rejecter): (usize, MemoryBudget, Rc<ConnectionRejecter>),
+        (active_config, users): (ActiveConfig, Option<Users>),
+        events: Sender<DispatcherEvent>,
+        records: Vec<(String, bytes::Bytes)>,
+    ) -> Rc<MqttServer> {
+        let mut machine = Server::new(limits, unix_time(), rand::random());
+        for (owner, record) in records {
+            let text = std::str::from_utf8(&record).unwrap_or_default();
+            if !machine.restore(&owner, text, Duration::ZERO) {
+                eprintln!("mqtt: the session of {owner} cannot be read, and is given up");
+            }
+        }
+        Rc::new(MqttServer {
+            machine: RefCell::new(machine),
+            origin: Instant::now(),
+            outputs: RefCell::default(),
+            pending_offers: RefCell::default(),
+            session_memory: RefCell::new(memory_budget.ledger.force_charge(Purpose::Sessions, 0)),
+            memory_budget,
+            buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
+            wake: Notify::new(),
+            active_config,
+            users: users.map(Arc::new),
+            password_checks: Arc::new(Semaphore::new(MAX_PASSWORD_CHECKS)),
+            events,
+            max_connections,
+            rejecter,
+        })
+    }
+
+    fn with_machine<T>(&self, act: impl FnOnce(&mut Server, Duration) -> T) -> T {
+        let result = act(&mut self.machine.borrow_mut(), self.origin.elapsed());
+        self.wake.notify_one();
+        result
+    }
+
+    fn remove_pending_offer(&self, token: u64) -> Option<Rc<Cell<bool>>> {
+        self.pending_offers.borrow_mut().remove(&token)
+    }
+
+    /// Disconnects all clients because the courier stops; their wills are submitted.
+    pub fn shutdown(&self) {
+        self.with_machine(|machine, now| machine.shutdown(now));
+    }
+
+    /// Applies the effects of the state machine until the task is dropped.
+    pub async fn run(self: Rc<Self>) {
+        loop {
+            loop {
+                let Some(effect) = self.machine.borrow_mut().poll() else { break };
+                self.clone().apply_effect(effect).await;
+            }
+            let due = self.machine.borrow().timeout();
+            let timer = async {
+                match due {
+                    Some(at) => sleep_until(self.origin + at).await,
+                    None => std::future::pending().await,
+                }
+            };
+            tokio::select! {
+                () = self.wake.notified() => {}
+                () = timer => self.with_machine(|machine, now| machine.handle_timeout(now)),
+            }
+        }
+    }
+
+    async fn apply_effect(self: Rc<Self>, effect: Effect) {
+        match effect {
+            Effect::Write { connection, bytes } => {
+                let Some(output) = self.outputs.borrow().get(&connection).cloned() else { return };
+                output.queued_bytes.set(output.queued_bytes.get() + bytes.len());
+                output.write_queue.borrow_mut().push_back(bytes);
+                output.wake.notify_one();
+            }
+            Effect::Close { connection } => {
+                let Some(output) = self.outputs.borrow_mut().remove(&connection) else { return };
+                output.closing.set(true);
+                output.wake.notify_one();
+            }
+            Effect::ResumeReading { connection } => {
+                if let Some(output) = self.outputs.borrow().get(&connection) {
+                    output.wake.notify_one();
+                }
+            }
+            Effect::Authorize { connection, user, password, owner, will } => {
+                let admissible = will.as_ref().map_or(Ok(()), |will| {
+                    let publish = server::will_message(will);
+                    self.active_config.message_from_publish(&publish, &owner).map(|_| ())
+                });
+                let admissible = admissible.map_err(|error| (error.code, format!("its will: {}", error.why)));
+                let admissible = admissible.and_then(|()| self.reserve_session_memory(&owner));
+                if admissible.is_err() {
+                    return self.with_machine(|machine, now| machine.authorized(connection, admissible, now));
+                }
+                self.check_password(connection, user, password);
+            }
+            Effect::Offer(offer) => self.submit_offer(*offer).await,
+            Effect::AbandonOffer { token } => {
+                if let Some(left) = self.remove_pending_offer(token) {
+                    left.set(true);
+                }
+            }
+            Effect::StoreSession { token, owner, record } => {
+                let key = format!("{SESSION_KEY_PREFIX}{owner}");
+                let store = StateUpdate { token, key, value: record.map(bytes::Bytes::from) };
+                let _ = self.events.send(DispatcherEvent::StoreState(store)).await;
+            }
+            Effect::OutcomeDelivered { message } | Effect::OutcomeDropped { message } => {
+                let _ = self.events.send(DispatcherEvent::OutcomeNotified { message }).await;
+            }
+            Effect::Log(text) => eprintln!("mqtt: {text}"),
+        }
+    }
+
+    /// Reserves memory for a client's session. A client that already has a session needs none.
+    fn reserve_session_memory(&self, owner: &str) -> Result<(), (u8, String)> {
+        if self.machine.borrow().has_session(owner) {
+            return Ok(());
+        }
+        // An estimate that counts until the sessions are measured again.
+        let fits = self.session_memory.borrow_mut().grow(server::SESSION_BYTES);
+        fits.map_err(|refused| (code::QUOTA_EXCEEDED, refused.to_string()))
+    }
+
+    /// Checks a password off the serving thread, then admits or refuses the connection.
+    fn check_password(self: Rc<Self>, connection: u64, user: Option<String>, password: Option<bytes::Bytes>) {
+        let Some(users) = self.users.clone() else {
+            return self.with_machine(|machine, now| machine.authorized(connection, Ok(()), now));
+        };
+        tokio::task::spawn_local(async move {
+            let verified = match (user, password, self.password_checks.clone().acquire_owned().await) {
+                (Some(user), Some(password), Ok(_permit)) => {
+                    let checked = tokio::task::spawn_blocking(move || users.verify(&user, &password));
+                    checked.await.unwrap_or(false)
+                }
+                _ => false,
+            };
+            let why = (code::BAD_USER_OR_PASSWORD, "no such user, or another password".to_owned());
+            let verdict = if verified { Ok(()) } else { Err(why) };
+            self.with_machine(|machine, now| machine.authorized(connection, verdict, now));
+        });
+    }
+
+    async fn submit_offer(self: Rc<Self>, offer: server::Offer) {
+        let server::Offer { token, owner, publish, bounce, .. } = offer;
+        let (message, time_left) = match self.active_config.message_from_publish(&publish, &owner) {
+            Ok(read) => read,
+            Err(error) => {
+                let answer = Answer::Refused { code: error.code, reason: error.why, wait: None };
+                return self.with_machine(|machine, now| machine.offer_answered(token, answer, now));
+            }
+        };
+        let client_account = Some(
+            self.memory_budget
+                .ledger
+                .client_account(self.active_config.get().1.client_identification.for_session(&owner)),
+        );
+        // Concurrent large payloads must not exhaust the memory: together they have a fixed budget.
+        let size = publish.payload.len() as u64;
+        let body_charge =
+            match self.memory_budget.ledger.try_charge(Purpose::BodiesRead, size, client_account.as_ref()) {
+                Ok(charge) => charge,
+                // A duplicate of an accepted message is acknowledged even without memory.
+                Err(_) if self.is_duplicate(&message.id).await => {
+                    return self.on_reply(token, Reply::Accepted);
+                }
+                Err(refused) => {
+                    return self.on_reply(token, Reply::OutOfMemory(self.memory_budget.refusal(refused)));
+                }
+            };
+        let abandoned = Rc::new(Cell::new(false));
+        self.pending_offers.borrow_mut().insert(token, abandoned.clone());
+        let reply = ReplyTo::Ingress { ingress: self.clone(), token, abandoned };
+        let submission = Submission {
+            accepted: Rc::new(message),
+            time_left,
+            at: Instant::now(),
+            reply,
+            bounce,
+            body_charge,
+            client_account,
+        };
+        let _ = self.events.send(DispatcherEvent::Submitted(submission)).await;
+    }
+
+    /// Whether a message with this id is already accepted.
+    async fn is_duplicate(&self, id: &str) -> bool {
+        let (reply, known) = oneshot::channel();
+        let asked = self.events.send(DispatcherEvent::QueryAccepted { id: id.to_owned(), reply }).await;
+        asked.is_ok() && known.await.unwrap_or(false)
+    }
+
+    /// Accepts connections until the task is dropped.
+    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
+        let mut next = 0;
+        loop {
+            let full = self.outputs.borrow().len() >= self.max_connections
+                || self.memory_budget.ledger.room(Purpose::Clients) < CONNECTION_BYTES;
+            if full && !self.evict() {
+                sleep(Duration::from_millis(5)).await;
+                continue;
+            }
+            match listener.accept().await {
+                Ok((socket, from)) => {
+                    let client = self.active_config.get().1.client_identification.for_connection(from.ip());
+                    let client_account =
+                        client.map(|client| self.memory_budget.ledger.client_account(client));
+                    let memory = self.memory_budget.ledger.try_charge(
+                        Purpose::Clients,
+                        CONNECTION_BYTES,
+                        client_account.as_ref(),
+                    );
+                    // An address that has used up its share is rejected; others are still admitted.
+                    match memory {
+                        Ok(memory) => {
+                            next += 1;
+                            tokio::task::spawn_local(self.clone().serve(next, socket, memory));
+                        }
+                        Err(refused) => {
+                            let rejection = Rejection::from(self.memory_budget.refusal(refused));
+                            self.rejecter.reject(socket, Protocol::Mqtt, rejection, false);
+                        }
+                    }
+                    tokio::task::yield_now().await;
+                }
+                Err(e) => {
+                    eprintln!("mqtt: cannot accept a connection: {e}");
+                    sleep(Duration::from_millis(50)).await;
+                }
+            }
+        }
+    }
+
+    /// Evicts the connection that has waited longest without a CONNECT. Returns false if there is none.
+    fn evict(&self) -> bool {
+        let silent = self.machine.borrow().oldest_without_connect();
+        let old = silent.filter(|(_, since)| self.origin.elapsed() > *since + MIN_EVICTION_AGE);
+        if let Some((connection, _)) = old {
+            self.with_machine(|machine, now| machine.shed(connection, now));
+            // Frees its slot at once; the state machine's close effect then finds no output and does nothing.
+            if let Some(output) = self.outputs.borrow_mut().remove(&connection) {
+                output.closing.set(true);
+                output.wake.notify_one();
+            }
+        }
+        old.is_some()
+    }
+
+    async fn serve(self: Rc<Self>, connection: u64, socket: TcpStream, memory: Charge) {
+        let _ = socket.set_nodelay(true);
+        let output = Rc::new(ConnectionOutput {
+            write_queue: RefCell::default(),
+            queued_bytes: Cell::new(0),
+            closing: Cell::new(false),
+            wake: Notify::new(),
+        });
+        self.outputs.borrow_mut().insert(connection, output.clone());
+        self.with_machine(|machine, now| machine.connection_accepted(connection, now));
+        let result = self.run_io(connection, &socket, &output).await;
+        if result.is_err() {
+            self.outputs.borrow_mut().remove(&connection);
+            self.with_machine(|machine, now| machine.connection_lost(connection, now));
+        }
+        drop(memory);
+        // Writes the remaining output, if the client reads it in time.
+        let _ = timeout(CLOSE_TIMEOUT, async {
+            while !output.write_queue.borrow().is_empty() {
+                socket.writable().await?;
+                flush_output(&socket, &output)?;
+            }
+            Ok::<_, io::Error>(())
+        })
+        .await;
+    }
+
+    /// Reads and writes until the connection fails or is to be closed.
+    async fn run_io(&self, connection: u64, socket: &TcpStream, output: &ConnectionOutput) -> io::Result<()> {
+        while !output.closing.get() {
+            if output.queued_bytes.get() > MAX_WRITE_QUEUE_BYTES {
+                eprintln!("mqtt: a client that does not read is left");
+                return Err(io::ErrorKind::WriteZero.into());
+            }
+            let reads = self.machine.borrow_mut().wants_input(connection);
+            let writes = !output.write_queue.borrow().is_empty();
+            let wanted = match (reads, writes) {
+                (true, true) => Interest::READABLE | Interest::WRITABLE,
+                (true, false) => Interest::READABLE,
+                (false, true) => Interest::WRITABLE,
+                (false, false) => {
+                    // Waits for a password check or for replies to offers, which notify it.
+                    output.wake.notified().await;
+                    continue;
+                }
+            };
+            tokio::select! {
+                () = output.wake.notified() => {}
+                ready = socket.ready(wanted) => {
+                    let ready = ready?;
+                    if ready.is_writable() {
+                        flush_output(socket, output)?;
+                    }
+                    if reads && (ready.is_readable() || ready.is_read_closed()) {
+                        let mut buffer = self.buffer.borrow_mut();
+                        match socket.try_read(&mut buffer) {
+                            Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
+                            Ok(n) => self.with_machine(|m, now| m.received(connection, &buffer[..n], now)),
+                            Err(e) if is_transient(&e) => {}
+                            Err(e) => return Err(e),
+                        }
+                    }
+                }
+            }
+        }
+        Ok(())
+    }
+}
+
+/// Writes queued output without blocking, as far as the socket accepts it.
+fn flush_output(socket: &TcpStream, output: &ConnectionOutput) -> io::Result<()> {
+    let mut write_queue = output.write_queue.borrow_mut();
+    let slices: Vec<io::IoSlice> = write_queue.iter().take(64).map(|b| io::IoSlice::new(b)).collect();
+    if slices.is_empty() {
+        return Ok(());
+    }
+    let mut written = match socket.try_write_vectored(&slices) {
+        Ok(n) => n,
+        Err(e) if is_transient(&e) => return Ok(()),
+        Err(e) => return Err(e),
+    };
+    output.queued_bytes.set(output.queued_bytes.get() - written);
+    while let Some(first) = write_queue.front_mut() {
+        let part = written.min(first.len());
+        bytes::Buf::advance(first, part);
+        written -= part;
+        if !first.is_empty() {
+            break;
+        }
+        write_queue.pop_front();
+    }
+    Ok(())
+}
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -1,30 +1,30 @@
-//! The real courier: the decision module on real sockets. Each room has one job; `owner` owns the module, and the
-//! others tell it what happened, by `news`, which lies below them all.
+//! The courier process: runs the scheduler on real sockets. `dispatcher` owns the scheduler; the other
+//! modules report to it through the events in `events`, on which all of them depend.
 //!
 //! ```text
-//!   start   what it is told at its start: by the platform, by an operator's file
-//!   front   clients: HTTP, MQTT, and the operator's pages
-//!   place   where things are: discovery, names, the control service
-//!   out     calls to endpoints and brokers, notices of outcomes
-//!   owner   the decision module, its turn, and what is held
+//!   bootstrap   configuration at startup, from the platform or from an operator's file
+//!   ingress     clients over HTTP and MQTT, and the admin pages
+//!   discovery   endpoints by discovery and by DNS, configuration from the control service
+//!   upstream    calls to endpoints and brokers, notices of outcomes
+//!   dispatcher  the scheduler, its event loop, and the messages it holds
 //! ```
 
-pub mod client;
+pub mod admin_client;
+mod bootstrap;
 mod clock;
-mod fault;
-pub mod follow;
-mod front;
-mod news;
-mod out;
-mod owner;
-mod place;
-mod room;
+mod discovery;
+mod dispatcher;
+mod events;
+mod ingress;
+mod memory_budget;
+pub mod message_trace;
+mod process_memory;
 mod socket;
-mod start;
-mod system;
+mod startup_error;
+mod upstream;
 
-pub use fault::Fault;
-pub use front::effective::host_name;
-pub use front::users;
-pub use place::file;
-pub use start::{dev, run, serve, settings};
+pub use bootstrap::{dev, run_platform, serve, settings};
+pub use discovery::config_file;
+pub use ingress::active_config::host_name;
+pub use ingress::users;
+pub use startup_error::StartupError;
--- a/crates/courier/src/out/answer_head_test.rs
+++ b/crates/courier/src/upstream/response_head_test.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_first_line_tells_the_status_also_of_what_cannot_be_read() {
+fn status_is_known_from_the_status_line_even_if_the_rest_is_malformed() {
     for (text, status) in [
         ("HTTP/1.1 200 OK\r\n", Some(200)),
         ("HTTP/1.1 200 O", Some(200)),
@@ -16,39 +16,41 @@
         ("\x7fjunk 200 OK and more\r\nHTTP/1.1 200 OK\r\n", None),
     ] {
         for size in [1, 3, 1000] {
-            let mut first = AnswerHead::default();
-            text.as_bytes().chunks(size).for_each(|piece| first.hear(piece));
+            let mut first = ResponseHead::default();
+            text.as_bytes().chunks(size).for_each(|piece| first.feed(piece));
             assert_eq!(first.status, status, "{text:?} in pieces of {size}");
         }
     }
-    let mut first = AnswerHead::default();
-    first.hear(b"HTTP/1.1 100 Continue\r\n\r\n");
-    assert!(first.begun.is_none(), "the answer itself may still take its time");
+    let mut first = ResponseHead::default();
+    first.feed(b"HTTP/1.1 100 Continue\r\n\r\n");
+    assert!(first.started_at.is_none(), "the time limit of the final response has not started");
 }
 
 #[test]
-fn a_first_line_that_ends_with_its_status_tells_it_apart_from_one_that_is_whole() {
-    for (text, unended, status) in [
+fn status_at_the_end_of_a_partial_status_line_is_only_provisional() {
+    for (text, provisional, status) in [
         ("HTTP/1.1 410", Some(410), None),
         ("HTTP/1.1 410 ", None, Some(410)),
         ("HTTP/1.1 41", None, None),
         ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 410", Some(410), None),
         ("noise of 410", None, None),
     ] {
-        let mut head = AnswerHead::default();
-        head.hear(text.as_bytes());
-        assert_eq!((head.unended_status(), head.status()), (unended, status), "{text:?}");
+        let mut head = ResponseHead::default();
+        head.feed(text.as_bytes());
+        assert_eq!((head.provisional_status(), head.status()), (provisional, status), "{text:?}");
     }
 }
 
 #[test]
-fn a_wait_is_heard_as_soon_as_its_field_is_here_whatever_follows() {
+fn wait_is_known_as_soon_as_its_field_is_complete_whatever_follows() {
     let wait = |text: &str, size| {
-        let mut head = AnswerHead::default();
-        text.as_bytes().chunks(size).for_each(|piece| head.hear(piece));
-        head.blocked_until().zip(head.begun()).map(|(until, begun)| (until - begun).as_millis())
+        let mut head = ResponseHead::default();
+        text.as_bytes().chunks(size).for_each(|piece| head.feed(piece));
+        head.blocked_until()
+            .zip(head.started_at())
+            .map(|(until, started_at)| (until - started_at).as_millis())
     };
-    for (text, told) in [
+    for (text, expected) in [
         ("HTTP/1.1 429 Too Many Requests\r\nWait-Ms: 900\r\n", Some(900)),
         ("HTTP/1.1 429\r\nwait-ms:900\nno head", Some(900)),
         ("HTTP/1.1 429 No\r\nWait-Ms: 7.5\r\nWait-Ms: 900\r\nWait-Ms: x\r\n\r\n", Some(900)),
@@ -59,7 +61,7 @@
         ("HTTP/1.1 503 No\r\nWait-Ms: 900\r\n", None),
     ] {
         for size in [1, 3, 1000] {
-            assert_eq!(wait(text, size), told, "{text:?} in pieces of {size}");
+            assert_eq!(wait(text, size), expected, "{text:?} in pieces of {size}");
         }
     }
 }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,13 +1,14 @@
-//! The settings as the platform writes them: in the first message of the bench's line protocol, and in
-//! a real courier's configuration. Parsed here once, for both.
+//! Wire format of the settings, as used by the first message of the simulator's line protocol and by the
+//! platform's configuration of a courier.
 
 use crate::interface::*;
 use serde::Deserialize;
 use std::time::Duration;
 
+/// The settings as written outside.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Conf {
+pub struct SettingsDocument {
     #[serde(default)]
     costs: Costs,
     #[serde(default)]
@@ -96,26 +97,30 @@
     order_pause_ns: i64,
 }
 
-fn span(ns: i64, name: &str) -> Result<Duration, String> {
+fn non_negative_duration(ns: i64, name: &str) -> Result<Duration, String> {
     u64::try_from(ns).map(Duration::from_nanos).map_err(|_| format!("{name} is negative"))
 }
 
-impl Conf {
-    /// The names of the classes, in the order of their numbers.
+impl SettingsDocument {
+    /// Names of the classes, by class number.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.lanes.iter().map(|l| l.name.as_str())
     }
 
-    /// The names of the zones and of the kinds of destination, in the order of their numbers.
+    /// Names of the zones, by zone number.
     pub fn zone_names(&self) -> &[String] {
         &self.dcs
     }
 
+    /// Names of the kinds of destination, by kind number.
     pub fn kind_names(&self) -> &[String] {
         &self.skus
     }
 
-    /// The settings in the terms of the module. An error names what cannot be worked with.
+    /// Converts to [`Settings`].
+    ///
+    /// # Errors
+    /// Names the setting that is not valid.
     pub fn settings(&self) -> Result<Settings, String> {
         let conf = self;
         let mut classes = Vec::new();
@@ -128,59 +133,63 @@
                         "zone" => KeyScope::Zone,
                         _ => KeyScope::Endpoint,
                     },
-                    window: span(lane.key_ttl_ns, "key-ttl-ns")?,
+                    window: non_negative_duration(lane.key_ttl_ns, "key-ttl-ns")?,
                 },
                 "once" => Effect::Once,
                 other => return Err(format!("unknown effect {other}")),
             };
             classes.push(Class {
-                aim: span(lane.aim_ns, "aim-ns")?,
-                deadline: span(lane.deadline_ns, "deadline-ns")?,
+                aim: non_negative_duration(lane.aim_ns, "aim-ns")?,
+                deadline: non_negative_duration(lane.deadline_ns, "deadline-ns")?,
                 worth: lane.credit,
                 late_share: lane.late_share,
                 effect,
                 ordered: lane.by_arrival,
                 aim_stretch: lane.aim_stretch,
-                attempts: None,
+                max_attempts: None,
             });
         }
         let (family, limits, rules) = (&conf.family_info, &conf.limits, &conf.rules);
         let count = conf.skus.len().max(family.bundle_max.len()).max(family.separate_routes.len()).max(1);
-        let kind = |k| Kind {
+        let kind = |k| DestinationKind {
             separate_routes: family.separate_routes.get(k).copied().unwrap_or(false),
-            bundle_max: family.bundle_max.get(k).copied().unwrap_or(1),
+            max_bundle_size: family.bundle_max.get(k).copied().unwrap_or(1),
         };
         Ok(Settings {
-            couriers: conf.siblings,
+            courier_count: conf.siblings,
             classes,
             kinds: (0..count).map(kind).collect(),
-            tenants: conf.customers.len(),
-            slots: family.slots,
-            max_held: limits.max_open,
-            attempt_cap: limits.send_cap,
-            worth_loss: if family.loses_worth == "halves" { WorthLoss::Halves } else { WorthLoss::Line },
+            tenant_count: conf.customers.len(),
+            max_calls_in_flight: family.slots,
+            max_messages: limits.max_open,
+            max_attempts: limits.send_cap,
+            worth_decay: if family.loses_worth == "halves" {
+                WorthDecay::Halving
+            } else {
+                WorthDecay::Linear
+            },
             handshake_cost: conf.costs.handshake,
             zone_fees: (0..conf.dcs.len().max(family.fee_by_zone.len()))
                 .map(|z| family.fee_by_zone.get(z).copied().unwrap_or(0.0))
                 .collect(),
-            weights: match conf.weight_kind.as_str() {
+            weight_kind: match conf.weight_kind.as_str() {
                 "nominal" => WeightKind::Nominal,
-                "rough" => WeightKind::Rough,
+                "rough" => WeightKind::Approximate,
                 _ => WeightKind::None,
             },
-            connect_timeout: span(limits.connect_timeout_ns, "connect-timeout-ns")?,
-            keepalive: span(limits.keepalive_ns, "keepalive-ns")?,
-            may_probe: limits.probing,
-            may_cancel: limits.cancel,
-            must_subscribe: conf.membership_mode == "subscribe",
-            membership_term: None,
-            tick: span(conf.tick_ns, "tick-ns")?,
-            drain_grace: span(rules.drain_grace_ns, "drain-grace-ns")?,
-            cold_from: rules.cold_from,
-            cold_span: span(rules.cold_ns, "cold-ns")?,
-            fall_multiple: rules.fall_multiple,
-            fall_span: span(rules.fall_ns, "fall-ns")?,
-            order_pause: span(rules.order_pause_ns, "order-pause-ns")?,
+            connect_timeout: non_negative_duration(limits.connect_timeout_ns, "connect-timeout-ns")?,
+            keepalive: non_negative_duration(limits.keepalive_ns, "keepalive-ns")?,
+            probing_enabled: limits.probing,
+            cancellation_enabled: limits.cancel,
+            subscription_required: conf.membership_mode == "subscribe",
+            membership_lease_duration: None,
+            tick: non_negative_duration(conf.tick_ns, "tick-ns")?,
+            drain_grace: non_negative_duration(rules.drain_grace_ns, "drain-grace-ns")?,
+            slow_start_min_share: rules.cold_from,
+            slow_start_duration: non_negative_duration(rules.cold_ns, "cold-ns")?,
+            overload_multiple: rules.fall_multiple,
+            overload_duration: non_negative_duration(rules.fall_ns, "fall-ns")?,
+            order_pause: non_negative_duration(rules.order_pause_ns, "order-pause-ns")?,
         })
     }
 }
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, with the file it went wrong in and what to do.
+//! Errors of the journal. Messages name the file concerned and what the operator can do.
 
 use std::io;
 
@@ -7,22 +7,22 @@
 pub enum Error {
     #[error("{file}: {call}: {source}")]
     Io { file: String, call: &'static str, source: io::Error },
-    #[error("{folder}: another process holds the lock of this folder; stop it, or name another folder")]
-    InUse { folder: String },
-    #[error("{folder}: is not a folder; name one that exists and can be written")]
-    NoFolder { folder: String },
+    #[error("{folder}: another process holds the lock on this directory; stop it, or use another directory")]
+    Locked { folder: String },
+    #[error("{folder}: not a directory; name an existing directory that is writable")]
+    NotADirectory { folder: String },
     #[error(
-        "{file}: format version {found}, and this program knows {known} at most; nothing was changed. Start \
-         the newer program on this folder"
+        "{file}: format version {found} is newer than version {known}, the newest that this program reads; \
+         nothing was changed. Start the newer program on this directory"
     )]
     NewerFormat { file: String, found: u16, known: u16 },
     #[error(
-        "journal: a file of the old format stands beside segments that it was not taken over into; nothing \
-         was changed. Move away the one that is out of date"
+        "journal: a file of the old format exists beside segments that were not migrated from it; nothing was \
+         changed. Move away the one that is out of date"
     )]
-    BothFormats,
-    #[error("journal: room of {room} bytes is too small; at least {least} are needed")]
-    RoomTooSmall { room: u64, least: u64 },
+    ConflictingFormats,
+    #[error("journal: room = {capacity} bytes is too small; at least {required} bytes are required")]
+    CapacityTooSmall { capacity: u64, required: u64 },
     #[error("{0}; nothing was changed (on_damage = \"stop\")")]
     Damaged(Damage),
     #[error(
@@ -44,27 +44,28 @@
     }
 }
 
-/// A part of the journal that cannot be read although it had been written: not the torn tail that a crash
-/// leaves. What it hid is told; messages that it may have been about count as sent.
+/// A part of the journal that had been written completely but can no longer be read, as opposed to the torn
+/// tail that a crash leaves. Messages that a lost record may concern are presumed sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}: byte {offset}: {why}; records {first_lost} to {last_lost} are lost")]
 pub struct Damage {
     pub file: String,
-    /// Where in the file, or 0 if it is missing.
+    /// Byte offset in the file; 0 if the file is missing.
     pub offset: u64,
     pub why: &'static str,
-    /// Sequence numbers of the records that it hid. None are lost if the second is the smaller.
+    /// Sequence numbers of the first and last lost record. No record is lost if `last_lost` is below
+    /// `first_lost`.
     pub first_lost: u64,
     pub last_lost: u64,
 }
 
-/// Why a new message is not taken on just now. What was accepted before is not touched by it.
+/// Why a new message is refused for now. Messages accepted earlier are not affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    #[error("the journal's room is taken up by messages that have not ended")]
+    #[error("the journal is full of messages that have not ended")]
     Full,
-    #[error("the disk has no room for what the message may still need on record")]
+    #[error("the disk has no space for the records that the message may still need")]
     DiskFull,
-    #[error("the disk does not keep what is written to it")]
-    DiskFails,
+    #[error("a sync failed, and the disk is not trusted until its data is rewritten")]
+    DiskUnreliable,
 }
--- a/crates/journal/src/legacy_test.rs
+++ b/crates/journal/src/legacy_test.rs
@@ -1,4 +1,4 @@
-//! The old format's reader against files as the old courier wrote them.
+//! Tests of the old format's reader with files as the old version wrote them.
 
 use super::*;
 use bytes::BufMut;
@@ -14,15 +14,15 @@
     to.put_slice(text);
 }
 
-fn accepted(message: u64, letter: &Letter) -> Vec<u8> {
+fn accepted_record(message: u64, accepted: &AcceptedMessage) -> Vec<u8> {
     let mut to = head(ACCEPTED, message);
-    to.put_u64_le(letter.until.as_micros() as u64);
-    to.put_u64_le(letter.destination);
-    put_text(&mut to, letter.id.as_bytes());
-    put_text(&mut to, letter.class.as_bytes());
-    to.put_u8(u8::from(letter.key.is_some()));
-    put_text(&mut to, letter.key.as_deref().unwrap_or_default().as_bytes());
-    put_text(&mut to, &letter.body);
+    to.put_u64_le(accepted.deadline.as_micros() as u64);
+    to.put_u64_le(accepted.destination);
+    put_text(&mut to, accepted.id.as_bytes());
+    put_text(&mut to, accepted.class.as_bytes());
+    to.put_u8(u8::from(accepted.key.is_some()));
+    put_text(&mut to, accepted.key.as_deref().unwrap_or_default().as_bytes());
+    put_text(&mut to, &accepted.body);
     to
 }
 
@@ -47,28 +47,28 @@
     to
 }
 
-fn letter(id: &str, body: &'static [u8]) -> Letter {
-    Letter {
+fn sample_message(id: &str, body: &'static [u8]) -> AcceptedMessage {
+    AcceptedMessage {
         id: id.to_owned(),
         class: "notice".to_owned(),
         destination: 7,
         key: (!body.is_empty()).then(|| format!("k-{id}")),
         routed: None,
-        taken: Duration::ZERO,
-        until: Duration::from_micros(1_790_000_000_000_001),
+        accepted_at: Duration::ZERO,
+        deadline: Duration::from_micros(1_790_000_000_000_001),
         body: Bytes::from_static(body),
     }
 }
 
-/// A file with each kind of record, and the length behind each.
-fn written() -> (Vec<u8>, Vec<usize>) {
+/// A file with a record of each kind, and the offset after each record.
+fn file_with_all_records() -> (Vec<u8>, Vec<usize>) {
     let records = [
-        accepted(1, &letter("a", b"bo\0dy")),
-        accepted(2, &letter("b", b"")),
+        accepted_record(1, &sample_message("a", b"bo\0dy")),
+        accepted_record(2, &sample_message("b", b"")),
         attempted(1, "s-1"),
         never_ran(1, 0),
         attempted(1, "s-2"),
-        accepted(3, &letter("c", b"x")),
+        accepted_record(3, &sample_message("c", b"x")),
         judged(2, true, 250_000),
         judged(1, false, 0),
         head(ENDED, 3),
@@ -85,11 +85,11 @@
 
 #[test]
 fn every_record_of_the_old_format_is_read() {
-    let (file, _) = written();
-    let (live, last, sound) = replay(&file);
-    assert_eq!((live.len(), last, sound), (2, 3, file.len()));
+    let (file, _) = file_with_all_records();
+    let (live, last, valid_len) = replay(&file);
+    assert_eq!((live.len(), last, valid_len), (2, 3, file.len()));
     let one = &live[&1];
-    assert_eq!(*one.letter, letter("a", b"bo\0dy"));
+    assert_eq!(*one.accepted, sample_message("a", b"bo\0dy"));
     let attempts: Vec<_> = one.attempts.iter().map(|a| (a.host.as_str(), a.may_have_run)).collect();
     assert_eq!(attempts, [("s-1", false), ("s-2", true)]);
     assert_eq!(one.verdict, Some(Verdict::Dead));
@@ -98,25 +98,25 @@
 
 #[test]
 fn a_torn_tail_of_the_old_format_hides_nothing_before_it() {
-    let (file, ends) = written();
+    let (file, ends) = file_with_all_records();
     for cut in 0..=file.len() {
-        let (live, _, sound) = replay(&file[..cut]);
+        let (live, _, valid_len) = replay(&file[..cut]);
         let end = ends.iter().rev().find(|end| **end <= cut).expect("the start");
-        assert_eq!(sound, *end, "cut at {cut}");
+        assert_eq!(valid_len, *end, "cut at {cut}");
         assert_eq!(live, replay(&file[..*end]).0, "cut at {cut}");
     }
 }
 
-mod take_over {
+mod migration {
     use super::*;
     use crate::journal::Journal;
     use crate::options::{Durability, Options};
     use crate::storage::Storage;
-    use crate::storage::faulty::{Faulty, Replay, Step};
+    use crate::storage::faulty::{FaultyStorage, Replay, Step};
     use std::collections::BTreeMap;
     use std::sync::Arc;
 
-    fn state(journal: &Journal) -> BTreeMap<u64, Live> {
+    fn state(journal: &Journal) -> BTreeMap<u64, LiveMessage> {
         journal.live().map(|(n, m)| (n, m.clone())).collect()
     }
 
@@ -125,26 +125,29 @@
     }
 
     #[test]
-    fn every_message_is_taken_over_and_the_old_file_goes() {
-        let (file, _) = written();
-        let folder = Faulty::over(BTreeMap::from([(NAME.to_owned(), file.clone())]));
+    fn migration_keeps_every_message_and_removes_the_old_file() {
+        let (file, _) = file_with_all_records();
+        let folder = FaultyStorage::from_image(BTreeMap::from([(FILE_NAME.to_owned(), file.clone())]));
         let (journal, report) =
             Journal::open(Arc::new(folder.clone()), options(Durability::Process)).expect("opens");
-        assert_eq!(report.taken_over, Some(2));
+        assert_eq!(report.migrated, Some(2));
         assert_eq!(state(&journal), replay(&file).0);
-        assert!(!folder.list().expect("names").iter().any(|n| n == NAME));
+        assert!(!folder.list().expect("names").iter().any(|n| n == FILE_NAME));
     }
 
     #[test]
-    fn a_take_over_that_is_cut_short_at_any_byte_loses_nothing() {
+    fn a_migration_interrupted_at_any_byte_loses_nothing() {
         for durability in [Durability::Process, Durability::Machine] {
-            let (file, _) = written();
-            let before = BTreeMap::from([(NAME.to_owned(), file.clone()), (NEXT.to_owned(), vec![1, 2])]);
-            let folder = Faulty::over(before.clone());
+            let (file, _) = file_with_all_records();
+            let before = BTreeMap::from([
+                (FILE_NAME.to_owned(), file.clone()),
+                (TEMP_FILE_NAME.to_owned(), vec![1, 2]),
+            ]);
+            let folder = FaultyStorage::from_image(before.clone());
             Journal::open(Arc::new(folder.clone()), options(durability)).expect("opens");
-            let mut replayed = Replay::over(&before);
+            let mut replayed = Replay::from_image(&before);
             let check = |image: BTreeMap<String, Vec<u8>>, at: usize| {
-                let again = Faulty::over(image);
+                let again = FaultyStorage::from_image(image);
                 let (journal, _) = Journal::open(Arc::new(again), options(durability))
                     .unwrap_or_else(|e| panic!("cut at step {at}: {e}"));
                 assert_eq!(state(&journal), replay(&file).0, "cut at step {at}");
@@ -157,14 +160,14 @@
                         let mut torn = replayed.clone();
                         let bytes = bytes[..cut].to_vec();
                         torn.apply(&Step::Write { file: *file, at: *place, bytes });
-                        check(torn.killed(), at);
+                        check(torn.after_kill(), at);
                     }
                 }
                 replayed.apply(step);
-                check(replayed.killed(), at);
+                check(replayed.after_kill(), at);
                 if durability == Durability::Machine {
                     for _ in 0..20 {
-                        check(replayed.power_cut(&mut rng), at);
+                        check(replayed.after_power_cut(&mut rng), at);
                     }
                 }
             }
--- a/crates/journal/src/storage/files.rs
+++ b/crates/journal/src/storage/files.rs
@@ -1,5 +1,5 @@
-//! Real files in one folder, which is locked: two processes on it would each take the other's records for
-//! a fault.
+//! Real files in a locked directory. Without the lock, two processes would take each other's records for
+//! damage.
 
 use super::{Storage, StoredFile};
 use crate::error::Error;
@@ -9,57 +9,58 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Holds the lock; its content means nothing.
+/// Name of the lock file; its content is not used.
 pub(crate) const LOCK: &str = "lock";
 
-/// A folder of files. The lock lasts as long as this value.
-pub struct Files {
+/// A directory of files. The lock is held until this value is dropped.
+pub struct FileStorage {
     folder: PathBuf,
     _lock: Option<File>,
 }
 
-impl Files {
-    /// Takes the folder for this process alone.
+impl FileStorage {
+    /// Locks the directory exclusively.
     ///
     /// # Errors
-    /// [`Error::InUse`] if another process has it, [`Error::NoFolder`] if there is none.
+    /// [`Error::Locked`] if another process holds the lock, [`Error::NotADirectory`] if there is no such
+    /// directory.
     pub fn lock(folder: &Path) -> Result<Self, Error> {
         Self::check(folder)?;
         let shown = folder.join(LOCK).display().to_string();
         let lock = OpenOptions::new().write(true).create(true).truncate(false).open(folder.join(LOCK));
         let lock = lock.map_err(|e| Error::io(&shown, "open", e))?;
         Self::hold(lock.try_lock(), folder)?;
-        Ok(Files { folder: folder.to_owned(), _lock: Some(lock) })
+        Ok(FileStorage { folder: folder.to_owned(), _lock: Some(lock) })
     }
 
-    /// Opens the folder to read only, if no process has it: nothing is made in it, not even a lock.
+    /// Opens the directory for reading if no process has locked it. Creates nothing, not even a lock file.
     ///
     /// # Errors
-    /// As [`Files::lock`].
+    /// As [`FileStorage::lock`].
     pub fn read_only(folder: &Path) -> Result<Self, Error> {
         Self::check(folder)?;
         let lock = match File::open(folder.join(LOCK)) {
             Ok(lock) => {
-                // Several may look at once.
+                // Several processes may read at the same time.
                 Self::hold(lock.try_lock_shared(), folder)?;
                 Some(lock)
             }
             Err(e) if e.kind() == io::ErrorKind::NotFound => None,
             Err(e) => return Err(Error::io(&folder.join(LOCK).display().to_string(), "open", e)),
         };
-        Ok(Files { folder: folder.to_owned(), _lock: lock })
+        Ok(FileStorage { folder: folder.to_owned(), _lock: lock })
     }
 
     fn check(folder: &Path) -> Result<(), Error> {
         match folder.is_dir() {
             true => Ok(()),
-            false => Err(Error::NoFolder { folder: folder.display().to_string() }),
+            false => Err(Error::NotADirectory { folder: folder.display().to_string() }),
         }
     }
 
     fn hold(tried: Result<(), TryLockError>, folder: &Path) -> Result<(), Error> {
         tried.map_err(|e| match e {
-            TryLockError::WouldBlock => Error::InUse { folder: folder.display().to_string() },
+            TryLockError::WouldBlock => Error::Locked { folder: folder.display().to_string() },
             TryLockError::Error(e) => Error::io(&folder.join(LOCK).display().to_string(), "lock", e),
         })
     }
@@ -69,7 +70,7 @@
     }
 }
 
-impl Storage for Files {
+impl Storage for FileStorage {
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
@@ -88,7 +89,7 @@
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn StoredFile>> {
         let open = OpenOptions::new().read(true).write(true).open(self.path(name));
-        // A folder that is only inspected may be one that this user cannot write.
+        // A user who only inspects a directory may lack permission to write.
         let open = open.or_else(|e| match e.kind() {
             io::ErrorKind::PermissionDenied | io::ErrorKind::ReadOnlyFilesystem => {
                 File::open(self.path(name))
@@ -110,7 +111,7 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    fn set_aside(&self, name: &str, bytes: u64) -> io::Result<()> {
+    fn preallocate(&self, name: &str, bytes: u64) -> io::Result<()> {
         use rustix::fs::{FallocateFlags, fallocate};
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(self.path(name))?;
         let before = file.metadata()?.len();
--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -1,14 +1,15 @@
-//! The courier as a client of one broker: many messages over one connection. What comes from the socket, from the
-//! courier and from the clock goes in; [`Client::poll`] gives what is to be done, [`Client::output`] what is to be
-//! written, [`Client::timeout`] when to call [`Client::elapsed`] next.
+//! MQTT client for one broker: many messages over one connection, as a sans-I/O state machine.
+//! [`Client::poll`] returns the effects to carry out, [`Client::output`] the bytes to write, and
+//! [`Client::timeout`] when to call [`Client::handle_timeout`] next.
 //!
-//! An attempt begins when the last byte of its PUBLISH is handed over, and its fate stays open until the broker has
-//! acknowledged it, or has lost the session. Whatever happens in between is the same attempt: after a reconnect with
-//! the session present the same packet goes again under its id with DUP. What has not begun can be taken back; what
-//! has begun cannot, and never ends as cancelled. `docs/mqtt.md` has the table of ends.
+//! An attempt starts when the last byte of its PUBLISH has been written, and its result is unknown until the
+//! broker has acknowledged it or has lost the session. Anything in between belongs to the same attempt: after
+//! a reconnect with the session present, the same packet is retransmitted under its packet id with DUP. An
+//! attempt that has not started can be withdrawn; one that has started cannot, and never ends as cancelled.
+//! `docs/mqtt.md` has the table of results.
 
 use crate::Time;
-use crate::fault::Fault;
+use crate::error::ConnectionError;
 use crate::frame::{Reader, encode};
 use crate::packet::{Ack, Connack, Connect, Disconnect, Packet, Publish, Qos, Version, code, property};
 use bytes::{Buf, Bytes, BytesMut};
@@ -16,574 +17,605 @@
 use std::io::IoSlice;
 use std::time::Duration;
 
-/// A packet of a broker may be no longer: it sends acknowledgements only.
-const PACKET_MOST: usize = 64 * 1024;
-/// Pauses between connections that fail: first, and most.
-const BACKOFF_FIRST: Time = Duration::from_millis(50);
-const BACKOFF_MOST: Time = Duration::from_secs(2);
-/// A broker that answers no PING within this time is gone.
-const PING_TIME: Time = Duration::from_secs(5);
-/// Chunks that are handed over with one call.
-const SLICES_MOST: usize = 64;
-/// Longest wait that a broker may tell, s: a slip must not shut an endpoint for good.
-const WAIT_MOST: f64 = 86_400.0;
-
+/// Maximum length in bytes of a packet from the broker, which sends only acknowledgements.
+const MAX_PACKET_BYTES: usize = 64 * 1024;
+/// Delay before reconnecting after the first failed connection; doubled on each further failure.
+const INITIAL_BACKOFF: Time = Duration::from_millis(50);
+/// Maximum delay before reconnecting.
+const MAX_BACKOFF: Time = Duration::from_secs(2);
+/// A broker that does not answer a PINGREQ within this time is considered gone.
+const PING_TIMEOUT: Time = Duration::from_secs(5);
+/// Maximum number of chunks written with one vectored write.
+const MAX_OUTPUT_SLICES: usize = 64;
+/// Longest `retry-after` accepted from a broker. Without a bound, a wrong value could disable an endpoint
+/// indefinitely.
+const MAX_RETRY_AFTER_SECONDS: f64 = 86_400.0;
+
+/// Settings of a client.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub version: Version,
-    /// The same at each start: the session on the broker has this name.
+    /// Client identifier. It must be the same at each start, because it names the session on the broker.
     pub client: String,
     pub user: Option<String>,
     pub password: Option<Bytes>,
     pub topic: String,
-    /// Seconds.
+    /// Keep alive in seconds.
     pub keep_alive: u16,
-    /// Seconds that the broker is asked to keep the session for.
+    /// Requested Session Expiry Interval in seconds.
     pub expiry: u32,
-    /// A connection that is not up within this time has failed.
-    pub connect_time: Time,
-    /// Messages on their way at once, whatever the broker allows.
+    /// Time limit for establishing a connection, up to its CONNACK.
+    pub connect_timeout: Time,
+    /// Maximum number of messages in flight, even if the broker allows more.
     pub in_flight: usize,
 }
 
-/// A message on its way to the broker.
+/// A message to publish.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub number: u64,
-    /// At QoS 1 or 2; its topic and its id are put in here. At QoS 1 a broker may take what goes again for another
-    /// message: what must not be repeated goes at QoS 2.
+    /// The PUBLISH, at QoS 1 or 2; the client fills in the topic and the packet id. At QoS 1 a broker may
+    /// treat a retransmission as a new message, so messages that must not be repeated use QoS 2.
     pub publish: Publish,
-    /// With nothing at all heard for so long the connection is given up.
-    pub patience: Time,
-    /// When its time is up.
+    /// The connection is closed if nothing is received for this long while an acknowledgement is outstanding.
+    pub response_timeout: Time,
+    /// Deadline of the message.
     pub until: Time,
-    /// Until then it may go again at QoS 1.
-    pub repeat_until: Time,
+    /// Retransmission at QoS 1 is allowed until then.
+    pub retransmit_until: Time,
 }
 
+/// Something that the caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// [`Client::opened`] or [`Client::lost`] is owed.
+    /// Open a connection; answer with [`Client::connection_opened`] or [`Client::connection_lost`].
     Open,
-    /// The connection is of no more use: to be closed behind these bytes, if there are any. What is told of it
-    /// later is not to be told here.
-    Close { farewell: BytesMut },
-    /// A session with open fates is about to be resumed, which must be on record until [`Effect::Resumed`]:
-    /// [`Client::resuming`] is owed. A process that finds such a record must not resume: see [`Client::opened`].
-    Resuming,
-    /// What became of the session is known.
-    Resumed,
-    /// The broker has this message and waits for its release, which goes out once this is on record:
-    /// [`Client::recorded`] is owed.
-    Record { id: u16, message: u64 },
-    /// The packet id is free: nothing about it needs to be on record.
-    Free { id: u16, message: u64 },
-    /// How the attempt ended.
-    Ended { id: u16, message: u64, end: End },
-    /// A line for the operators' log.
+    /// Close the connection after writing these bytes, if there are any. Events of this connection must not
+    /// be reported any more.
+    Close { final_bytes: BytesMut },
+    /// Record that a session with unresolved attempts is being resumed, until [`Effect::ClearResuming`];
+    /// answer with [`Client::resuming_recorded`]. A process that finds such a record must not resume the
+    /// session: see [`Client::connection_opened`].
+    RecordResuming,
+    /// Delete the record of the resumption: the state of the session is known.
+    ClearResuming,
+    /// Record that the broker has received this message (PUBREC). PUBREL is sent once this is stored; answer
+    /// with [`Client::pubrec_recorded`].
+    RecordPubrec { id: u16, message: u64 },
+    /// The packet id is free; its record can be deleted.
+    FreePacketId { id: u16, message: u64 },
+    /// The attempt has ended with this result.
+    Ended { id: u16, message: u64, end: AttemptResult },
+    /// Write a line to the log.
     Log(String),
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptResult {
     Delivered,
-    /// Refused in a way that may have come after it ran.
+    /// Rejected with an error that may have been raised after the message was processed.
     Error,
-    /// Refused before it could run.
-    Never,
-    /// Turned away for now, unseen.
-    Full {
+    /// Rejected before the message could take effect.
+    Rejected,
+    /// Not accepted for now; the broker has not processed the message.
+    Busy {
         wait: Option<Duration>,
     },
-    /// It never left.
+    /// The PUBLISH was not sent completely.
     Unsent,
-    /// The session is lost with the acknowledgement: it may have run.
+    /// The session was lost before the acknowledgement: the message may have taken effect.
     Lost,
-    /// Its time is up with its fate open: it may have run.
+    /// The deadline passed without an acknowledgement: the message may have taken effect.
     TimedOut,
 }
 
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing of it is written.
+    /// Waits for a connection or for the Receive Maximum.
     Queued,
-    /// Some or all of it waits to be handed over.
+    /// Encoded; not yet written completely.
     Writing,
-    /// All of it is handed over; no acknowledgement yet.
+    /// Written completely; no acknowledgement yet.
     Sent,
-    /// PUBREC has come, and is being put on record.
+    /// PUBREC has been received and is being recorded.
     Releasing,
-    /// PUBREL is sent, or is to be.
+    /// PUBREL has been sent or is due.
     Released,
 }
 
+/// A message with a packet id.
 #[derive(Debug)]
-struct Flight {
+struct Attempt {
     message: u64,
-    /// What goes again after a reconnect; None once PUBREC has come.
+    /// PUBLISH to retransmit after a reconnect; `None` once PUBREC has been received.
     publish: Option<Publish>,
     qos: Qos,
     stage: Stage,
-    /// In this order they are sent, and sent again [MQTT-4.6.0-1].
+    /// Messages are sent and retransmitted in this order [MQTT-4.6.0-1].
     order: u64,
-    queued: Time,
-    /// Since when its acknowledgement is owed on this connection.
-    sent: Time,
-    patience: Time,
+    queued_at: Time,
+    /// Since when an acknowledgement is outstanding on this connection.
+    awaiting_since: Time,
+    response_timeout: Time,
     until: Time,
-    repeat_until: Time,
-    /// Its end has been told; only its packet id is still in use.
+    retransmit_until: Time,
+    /// The result has been reported; only the packet id is still in use.
     abandoned: bool,
 }
 
-/// What waits to be handed over.
+/// Bytes that wait to be written.
 struct Chunk {
     bytes: BytesMut,
-    /// Some of it is handed over.
-    begun: bool,
-    /// The PUBLISH that it is.
+    /// Whether some of the bytes have been written.
+    started: bool,
+    /// Packet id of the PUBLISH that these bytes encode.
     publish: Option<u16>,
 }
 
+/// State of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Link {
-    /// None, and none is wanted.
+enum ConnectionState {
+    /// No connection, and none is needed.
     None,
-    Opening {
+    Connecting {
         since: Time,
     },
-    /// There, and waits for [`Client::resuming`].
-    Recording {
+    /// Connected; waits for [`Client::resuming_recorded`].
+    RecordingResuming {
         since: Time,
     },
-    /// CONNECT is sent.
-    Greeting {
+    /// CONNECT has been sent.
+    AwaitingConnack {
         since: Time,
         clean: bool,
     },
-    Up,
-    /// After a failure, until then.
-    Pause {
+    Connected,
+    /// Waits until then before reconnecting after a failure.
+    Backoff {
         until: Time,
     },
 }
 
+/// Client state machine.
 pub struct Client {
     options: Options,
-    link: Link,
+    state: ConnectionState,
     reader: Reader,
-    flights: BTreeMap<u16, Flight>,
+    attempts: BTreeMap<u16, Attempt>,
     chunks: VecDeque<Chunk>,
     next_id: u16,
     next_order: u64,
     backoff: Time,
-    /// As the broker allows on this connection.
+    /// Receive Maximum of the broker on this connection.
     receive_maximum: usize,
-    packet_most: Option<u32>,
+    max_packet_size: Option<u32>,
     keep_alive: u16,
-    heard: Time,
-    wrote: Time,
-    pinged: Option<Time>,
-    /// The broker has told to wait.
+    last_received: Time,
+    last_write: Time,
+    ping_sent_at: Option<Time>,
+    /// No new messages are sent before this time (`retry-after` of the broker).
     wait_until: Time,
-    /// The session on the broker is one that was begun in this life.
-    clear: bool,
-    /// That a session is being resumed is on record.
-    attested: bool,
-    /// Nothing new goes out from then on.
-    parted: Option<Time>,
+    /// Whether the session on the broker was started by this process.
+    session_known: bool,
+    /// Whether a record says that a session is being resumed.
+    resuming_on_record: bool,
+    /// No new messages are sent from this time on.
+    drain_at: Option<Time>,
     effects: VecDeque<Effect>,
 }
 
 impl Client {
+    /// Creates a client without a connection.
     pub fn new(options: Options) -> Self {
-        let reader = Reader::client(options.version, PACKET_MOST);
+        let reader = Reader::client(options.version, MAX_PACKET_BYTES);
         let keep_alive = options.keep_alive;
         Client {
             options,
-            link: Link::None,
+            state: ConnectionState::None,
             reader,
-            flights: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             chunks: VecDeque::new(),
             next_id: 1,
             next_order: 0,
-            backoff: BACKOFF_FIRST,
+            backoff: INITIAL_BACKOFF,
             receive_maximum: usize::from(u16::MAX),
-            packet_most: None,
+            max_packet_size: None,
             keep_alive,
-            heard: Time::ZERO,
-            wrote: Time::ZERO,
-            pinged: None,
+            last_received: Time::ZERO,
+            last_write: Time::ZERO,
+            ping_sent_at: None,
             wait_until: Time::ZERO,
-            clear: false,
-            attested: false,
-            parted: None,
+            session_known: false,
+            resuming_on_record: false,
+            drain_at: None,
             effects: VecDeque::new(),
         }
     }
 
-    /// What is to be done next.
+    /// Next effect to carry out.
     pub fn poll(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// Packet ids in use.
+    /// Number of packet ids in use.
     pub fn in_use(&self) -> usize {
-        self.flights.len()
+        self.attempts.len()
     }
 
-    /// The id under which the next message would go; None if as many are on their way as may be. It is taken with
-    /// [`Client::publish`]. Ids go round, so that one is used again as late as can be: an acknowledgement that
-    /// comes twice must not be taken for that of another message.
+    /// Reserves the packet id of the next message; `None` if as many messages are in flight as allowed. Pass
+    /// it to [`Client::publish`]. Ids are reused as late as possible, because a duplicate acknowledgement
+    /// must not be attributed to another message.
     pub fn reserve(&mut self) -> Option<u16> {
-        if self.flights.len() >= self.options.in_flight.min(usize::from(u16::MAX)) {
+        if self.attempts.len() >= self.options.in_flight.min(usize::from(u16::MAX)) {
             return None;
         }
         let mut id = self.next_id;
-        while self.flights.contains_key(&id) {
+        while self.attempts.contains_key(&id) {
             id = id.checked_add(1).unwrap_or(1);
         }
         self.next_id = id.checked_add(1).unwrap_or(1);
         Some(id)
     }
 
-    /// Sends a message under a reserved id.
+    /// Publishes a message under a reserved packet id.
     pub fn publish(&mut self, id: u16, message: Message, now: Time) {
         self.insert(id, message, Stage::Queued, now);
-        self.carry_on(now);
+        self.advance(now);
     }
 
-    /// Takes in an attempt of an earlier life whose fate is open; `released` if its PUBREC has come.
+    /// Restores an unresolved attempt of an earlier process; `released` if its PUBREC had been received.
     pub fn resume(&mut self, id: u16, message: Message, released: bool, now: Time) {
         self.insert(id, message, if released { Stage::Released } else { Stage::Sent }, now);
-        // What comes next must not meet late acknowledgements of those before.
+        // New messages must not receive late acknowledgements for the restored ones.
         self.next_id = self.next_id.max(id).checked_add(1).unwrap_or(1);
-        self.carry_on(now);
+        self.advance(now);
     }
 
-    /// Keeps an id from being used as long as the session lasts: it is that of a message that has ended.
-    pub fn block(&mut self, id: u16, now: Time) {
+    /// Blocks the packet id of a message that has ended for as long as the session lasts.
+    pub fn block_packet_id(&mut self, id: u16, now: Time) {
         let publish = Publish::new("", Qos::ExactlyOnce, None, Bytes::new());
-        let (patience, until, repeat_until) = (Time::MAX, Time::MAX, Time::ZERO);
-        self.insert(id, Message { number: 0, publish, patience, until, repeat_until }, Stage::Sent, now);
-        if let Some(flight) = self.flights.get_mut(&id) {
-            flight.abandoned = true;
+        let (response_timeout, until, retransmit_until) = (Time::MAX, Time::MAX, Time::ZERO);
+        self.insert(
+            id,
+            Message { number: 0, publish, response_timeout, until, retransmit_until },
+            Stage::Sent,
+            now,
+        );
+        if let Some(attempt) = self.attempts.get_mut(&id) {
+            attempt.abandoned = true;
         }
     }
 
     fn insert(&mut self, id: u16, message: Message, stage: Stage, now: Time) {
-        let Message { number, publish, patience, until, repeat_until } = message;
+        let Message { number, publish, response_timeout, until, retransmit_until } = message;
         let qos = publish.qos;
         let topic = self.options.topic.clone();
         let publish = Publish { topic, id: Some(id), dup: false, retain: false, alias: None, ..publish };
-        let flight = Flight {
+        let attempt = Attempt {
             message: number,
             publish: (stage != Stage::Released).then_some(publish),
             qos,
             stage,
             order: self.next_order,
-            queued: now,
-            sent: now,
-            patience,
+            queued_at: now,
+            awaiting_since: now,
+            response_timeout,
             until,
-            repeat_until,
+            retransmit_until,
             abandoned: false,
         };
         self.next_order += 1;
-        self.flights.insert(id, flight);
+        self.attempts.insert(id, attempt);
     }
 
-    /// Calls a message off, which can be done only as long as nothing of it is written. One that is on its way goes
-    /// on, and its end is told when it comes.
+    /// Cancels a message if none of its bytes have been written. Otherwise the attempt continues and its
+    /// result is reported when it is known.
     pub fn cancel(&mut self, message: u64) {
-        let of = self.flights.iter().find(|(_, f)| f.message == message && !f.abandoned).map(|(id, _)| *id);
-        if let Some(id) = of.filter(|id| self.untouched(*id)) {
-            self.take_back(id, End::Never);
+        let of = self.attempts.iter().find(|(_, f)| f.message == message && !f.abandoned).map(|(id, _)| *id);
+        if let Some(id) = of.filter(|id| self.is_unsent(*id)) {
+            self.withdraw(id, AttemptResult::Rejected);
         }
     }
 
-    /// Whether nothing of it is handed over.
-    fn untouched(&self, id: u16) -> bool {
-        match self.flights.get(&id).map(|f| f.stage) {
+    /// Whether none of its bytes have been written.
+    fn is_unsent(&self, id: u16) -> bool {
+        match self.attempts.get(&id).map(|f| f.stage) {
             Some(Stage::Queued) => true,
-            Some(Stage::Writing) => self.chunks.iter().any(|c| c.publish == Some(id) && !c.begun),
+            Some(Stage::Writing) => self.chunks.iter().any(|c| c.publish == Some(id) && !c.started),
             _ => false,
         }
     }
 
-    fn take_back(&mut self, id: u16, end: End) {
+    fn withdraw(&mut self, id: u16, end: AttemptResult) {
         self.chunks.retain(|c| c.publish != Some(id));
         self.ended(id, end);
     }
 
-    fn take_all_back(&mut self, end: End) {
-        let all: Vec<u16> = self.flights.keys().copied().filter(|id| self.untouched(*id)).collect();
+    fn withdraw_all_unsent(&mut self, end: AttemptResult) {
+        let all: Vec<u16> = self.attempts.keys().copied().filter(|id| self.is_unsent(*id)).collect();
         for id in all {
-            self.take_back(id, end);
+            self.withdraw(id, end);
         }
     }
 
-    /// The attempt has ended, and its packet id is free.
-    fn ended(&mut self, id: u16, end: End) {
-        let Some(flight) = self.flights.remove(&id) else { return };
-        self.effects.push_back(Effect::Free { id, message: flight.message });
-        if !flight.abandoned {
-            self.effects.push_back(Effect::Ended { id, message: flight.message, end });
+    /// Ends an attempt and frees its packet id.
+    fn ended(&mut self, id: u16, end: AttemptResult) {
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        self.effects.push_back(Effect::FreePacketId { id, message: attempt.message });
+        if !attempt.abandoned {
+            self.effects.push_back(Effect::Ended { id, message: attempt.message, end });
         }
     }
 
-    /// Nothing new goes to the broker from `at` on: it drains, or is gone. What is on its way is let finish.
-    pub fn part(&mut self, at: Time, now: Time) {
-        self.parted.get_or_insert(at);
-        self.carry_on(now);
+    /// Stops sending new messages at `at`, because the endpoint drains or is gone. Messages in flight are
+    /// completed.
+    pub fn drain_from(&mut self, at: Time, now: Time) {
+        self.drain_at.get_or_insert(at);
+        self.advance(now);
     }
 
-    /// It takes messages again.
-    pub fn join(&mut self) {
-        self.parted = None;
+    /// Allows new messages again.
+    pub fn cancel_drain(&mut self) {
+        self.drain_at = None;
     }
 
-    // ---- the connection ------------------------------------------------------------------------------------
+    // ---- connection
+    // ------------------------------------------------------------------------------------------
 
-    /// What is to be handed over next, as many chunks as fit one call.
+    /// Bytes to write next, limited to as many chunks as one vectored write takes.
     pub fn output<'a>(&'a self, into: &mut Vec<IoSlice<'a>>) {
-        into.extend(self.chunks.iter().take(SLICES_MOST).map(|c| IoSlice::new(&c.bytes)));
+        into.extend(self.chunks.iter().take(MAX_OUTPUT_SLICES).map(|c| IoSlice::new(&c.bytes)));
     }
 
+    /// Whether there are bytes to write.
     pub fn has_output(&self) -> bool {
         !self.chunks.is_empty()
     }
 
-    /// So many bytes of it are handed over.
-    pub fn wrote(&mut self, mut bytes: usize, now: Time) {
-        self.wrote = now;
+    /// Reports that `bytes` bytes of the output have been written.
+    pub fn bytes_written(&mut self, mut bytes: usize, now: Time) {
+        self.last_write = now;
         while bytes > 0 {
             let Some(chunk) = self.chunks.front_mut() else { return };
             let part = bytes.min(chunk.bytes.len());
             chunk.bytes.advance(part);
-            chunk.begun = true;
+            chunk.started = true;
             bytes -= part;
             if !chunk.bytes.is_empty() {
                 return;
             }
-            let whole = self.chunks.pop_front().and_then(|c| c.publish);
-            if let Some(flight) = whole.and_then(|id| self.flights.get_mut(&id)) {
-                flight.stage = Stage::Sent;
-                flight.sent = now;
+            let completed = self.chunks.pop_front().and_then(|c| c.publish);
+            if let Some(attempt) = completed.and_then(|id| self.attempts.get_mut(&id)) {
+                attempt.stage = Stage::Sent;
+                attempt.awaiting_since = now;
             }
         }
     }
 
-    /// The connection that was asked for is there.
+    /// Reports that the requested connection is open.
     ///
-    /// A CONNECT that resumes makes a broker that has lost the session begin another. If its CONNACK is lost, too, the
-    /// next one says that a session is present, and it is not ours: what goes again there would take effect twice. So
-    /// once such a CONNECT has left, no CONNACK means that the session counts as lost, also over a restart.
-    pub fn opened(&mut self, now: Time) {
-        let Link::Opening { since } = self.link else { return };
-        // With no fate open the session has nothing for us; whatever it may still hold from an earlier life would
-        // take a new message under an old id for a repeat.
-        let nothing_open = !self.flights.values().any(|f| is_open(f) && !f.abandoned);
-        let unknown = !self.clear || self.flights.values().any(|f| f.abandoned);
+    /// A CONNECT that resumes a session makes a broker that has lost the session start a new one. If that
+    /// CONNACK is lost too, the next CONNACK reports a session that is present but is not the one with the
+    /// unresolved attempts: retransmitting there would take effect twice. So once such a CONNECT has been
+    /// sent, a missing CONNACK means that the session is treated as lost, also across a restart.
+    pub fn connection_opened(&mut self, now: Time) {
+        let ConnectionState::Connecting { since } = self.state else { return };
+        // Without unresolved attempts the session is not needed. If it still holds packet ids from an earlier
+        // process, the broker would treat a new message under such an id as a retransmission.
+        let none_unresolved = !self.attempts.values().any(|f| may_have_reached_broker(f) && !f.abandoned);
+        let may_hold_old_ids = !self.session_known || self.attempts.values().any(|f| f.abandoned);
         let clean = match self.options.version {
-            Version::V5 => nothing_open,
-            // A clean session of 3.1.1 ends with its connection, and nothing could be resumed: it is only begun to
-            // end the old one.
-            Version::V311 => nothing_open && unknown,
+            Version::V5 => none_unresolved,
+            // A clean session of 3.1.1 ends with its connection and cannot be resumed; one is started only to
+            // discard the old session.
+            Version::V311 => none_unresolved && may_hold_old_ids,
         };
-        if nothing_open {
-            return self.greet(since, clean, now);
+        if none_unresolved {
+            return self.send_connect(since, clean, now);
         }
-        self.link = Link::Recording { since };
-        self.attested = true;
-        self.effects.push_back(Effect::Resuming);
+        self.state = ConnectionState::RecordingResuming { since };
+        self.resuming_on_record = true;
+        self.effects.push_back(Effect::RecordResuming);
     }
 
-    /// That the session is being resumed is on record.
-    pub fn resuming(&mut self, now: Time) {
-        if let Link::Recording { since } = self.link {
-            self.greet(since, false, now);
+    /// Reports that the resumption of the session has been recorded.
+    pub fn resuming_recorded(&mut self, now: Time) {
+        if let ConnectionState::RecordingResuming { since } = self.state {
+            self.send_connect(since, false, now);
         }
     }
 
-    fn greet(&mut self, since: Time, clean: bool, now: Time) {
-        let o = &self.options;
+    fn send_connect(&mut self, since: Time, clean: bool, now: Time) {
+        let options = &self.options;
         let connect = Connect {
             clean,
-            keep_alive: o.keep_alive,
-            expiry: o.expiry,
-            user: o.user.clone(),
-            password: o.password.clone(),
-            packet_most: Some(PACKET_MOST as u32),
-            ..Connect::new(o.version, &o.client)
+            keep_alive: options.keep_alive,
+            expiry: options.expiry,
+            user: options.user.clone(),
+            password: options.password.clone(),
+            max_packet_size: Some(MAX_PACKET_BYTES as u32),
+            ..Connect::new(options.version, &options.client)
         };
-        self.reader = Reader::client(o.version, PACKET_MOST);
-        self.link = Link::Greeting { since, clean };
-        (self.heard, self.wrote, self.pinged) = (now, now, None);
+        self.reader = Reader::client(options.version, MAX_PACKET_BYTES);
+        self.state = ConnectionState::AwaitingConnack { since, clean };
+        (self.last_received, self.last_write, self.ping_sent_at) = (now, now, None);
         self.write(Packet::Connect(Box::new(connect)), None);
     }
 
-    /// The connection has ended, or could not be had.
-    pub fn lost(&mut self, now: Time) {
-        if !matches!(self.link, Link::None | Link::Pause { .. }) {
-            self.unlink(now);
+    /// Reports that the connection has ended or could not be opened.
+    pub fn connection_lost(&mut self, now: Time) {
+        if !matches!(self.state, ConnectionState::None | ConnectionState::Backoff { .. }) {
+            self.connection_ended(now);
         }
     }
 
-    /// What became of the session is known.
-    fn attest_no_more(&mut self) {
-        if std::mem::take(&mut self.attested) {
-            self.effects.push_back(Effect::Resumed);
+    /// Deletes the record of the resumption, if there is one.
+    fn clear_resuming_record(&mut self) {
+        if std::mem::take(&mut self.resuming_on_record) {
+            self.effects.push_back(Effect::ClearResuming);
         }
     }
 
-    /// After a connection's end: what was not handed over whole never ran.
-    fn unlink(&mut self, now: Time) {
-        let greeting = matches!(self.link, Link::Greeting { .. });
-        if self.attested && greeting && self.chunks.front().is_none_or(|c| c.begun) {
+    /// Handles the end of a connection. Messages that were not written completely have not taken effect.
+    fn connection_ended(&mut self, now: Time) {
+        let awaiting_connack = matches!(self.state, ConnectionState::AwaitingConnack { .. });
+        if self.resuming_on_record && awaiting_connack && self.chunks.front().is_none_or(|c| c.started) {
             self.effects.push_back(Effect::Log(
-                "no CONNACK while a session was resumed: it counts as lost".to_owned(),
+                "connection ended before the CONNACK of a resumed session; treating the session as lost"
+                    .to_owned(),
             ));
             self.lose_session();
-            self.clear = false;
+            self.session_known = false;
         }
-        self.attest_no_more();
+        self.clear_resuming_record();
         self.chunks.clear();
-        let cut: Vec<u16> =
-            self.flights.iter().filter(|(_, f)| f.stage == Stage::Writing).map(|(id, _)| *id).collect();
-        for id in cut {
-            self.ended(id, End::Unsent);
+        let unsent_ids: Vec<u16> =
+            self.attempts.iter().filter(|(_, f)| f.stage == Stage::Writing).map(|(id, _)| *id).collect();
+        for id in unsent_ids {
+            self.ended(id, AttemptResult::Unsent);
         }
-        self.link = Link::Pause { until: (now + self.backoff).max(self.wait_until) };
-        self.backoff = (self.backoff * 2).min(BACKOFF_MOST);
-        self.carry_on(now);
+        self.state = ConnectionState::Backoff { until: (now + self.backoff).max(self.wait_until) };
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+        self.advance(now);
     }
 
-    fn drop_link(&mut self, now: Time) {
+    fn drop_connection(&mut self, now: Time) {
         self.close(None);
-        self.unlink(now);
+        self.connection_ended(now);
     }
 
-    /// Closes the connection, with a DISCONNECT where that makes sense and nothing is half handed over.
+    /// Closes the connection; sends a DISCONNECT if `code` is given and no packet is partly written.
     fn close(&mut self, code: Option<u8>) {
-        let between = self.chunks.front().is_none_or(|c| !c.begun);
-        let packet = code.filter(|_| between).map(|code| Packet::Disconnect(Disconnect::new(code)));
-        let farewell = packet.and_then(|p| encode(self.options.version, p, self.packet_most).ok());
-        self.effects.push_back(Effect::Close { farewell: farewell.unwrap_or_default() });
+        let at_packet_boundary = self.chunks.front().is_none_or(|c| !c.started);
+        let packet =
+            code.filter(|_| at_packet_boundary).map(|code| Packet::Disconnect(Disconnect::new(code)));
+        let final_bytes = packet.and_then(|p| encode(self.options.version, p, self.max_packet_size).ok());
+        self.effects.push_back(Effect::Close { final_bytes: final_bytes.unwrap_or_default() });
     }
 
     fn write(&mut self, packet: Packet, publish: Option<u16>) -> bool {
-        match encode(self.options.version, packet, self.packet_most) {
+        match encode(self.options.version, packet, self.max_packet_size) {
             Ok(bytes) => {
-                self.chunks.push_back(Chunk { bytes, begun: false, publish });
+                self.chunks.push_back(Chunk { bytes, started: false, publish });
                 true
             }
             Err(_) => false,
         }
     }
 
-    /// What has come from the broker.
+    /// Processes bytes received from the broker.
     pub fn received(&mut self, bytes: &[u8], now: Time) {
-        if !matches!(self.link, Link::Greeting { .. } | Link::Up) {
+        if !matches!(self.state, ConnectionState::AwaitingConnack { .. } | ConnectionState::Connected) {
             return;
         }
         self.reader.push(bytes);
         loop {
-            let done = match self.reader.packet() {
+            let result = match self.reader.packet() {
                 Ok(None) => break,
                 Ok(Some(packet)) => {
-                    self.heard = now;
-                    self.pinged = None;
-                    self.packet(packet, now)
+                    self.last_received = now;
+                    self.ping_sent_at = None;
+                    self.handle_packet(packet, now)
                 }
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
-            if let Err(fault) = done {
-                let text = format!("the broker is at fault: {fault}");
+            if let Err(error) = result {
+                let text = format!("the broker is at fault: {error}");
                 self.effects.push_back(Effect::Log(text));
-                let up = self.link == Link::Up && self.options.version == Version::V5;
-                self.close(up.then_some(fault.code));
-                return self.unlink(now);
+                let up = self.state == ConnectionState::Connected && self.options.version == Version::V5;
+                self.close(up.then_some(error.code));
+                return self.connection_ended(now);
             }
-            if !matches!(self.link, Link::Greeting { .. } | Link::Up) {
+            if !matches!(self.state, ConnectionState::AwaitingConnack { .. } | ConnectionState::Connected) {
                 return;
             }
         }
-        self.carry_on(now);
+        self.advance(now);
     }
 
-    fn packet(&mut self, packet: Packet, now: Time) -> Result<(), Fault> {
-        match (self.link, packet) {
-            (Link::Greeting { clean, .. }, Packet::Connack(connack)) => self.greeted(clean, &connack, now),
-            (Link::Greeting { .. }, _) => Err(Fault::protocol("something before the CONNACK")),
-            (_, Packet::Puback(ack)) => self.acked(&ack, now),
-            (_, Packet::Pubrec(ack)) => self.pubrec(&ack, now),
-            (_, Packet::Pubcomp(ack)) => self.pubcomp(&ack),
+    fn handle_packet(&mut self, packet: Packet, now: Time) -> Result<(), ConnectionError> {
+        match (self.state, packet) {
+            (ConnectionState::AwaitingConnack { clean, .. }, Packet::Connack(connack)) => {
+                self.handle_connack(clean, &connack, now)
+            }
+            (ConnectionState::AwaitingConnack { .. }, _) => {
+                Err(ConnectionError::protocol("packet received before the CONNACK"))
+            }
+            (_, Packet::Puback(ack)) => self.handle_puback(&ack, now),
+            (_, Packet::Pubrec(ack)) => self.handle_pubrec(&ack, now),
+            (_, Packet::Pubcomp(ack)) => self.handle_pubcomp(&ack),
             (_, Packet::Pingresp) => Ok(()),
             (_, Packet::Disconnect(disconnect)) if self.options.version == Version::V5 => {
-                self.disconnected(&disconnect, now);
+                self.handle_disconnect(&disconnect, now);
                 Ok(())
             }
-            // Of an earlier subscription of somebody's under this name: nothing here reads it.
+            // Left over from a subscription made by another client under this client id; ignored.
             (_, Packet::Publish(publish)) if publish.qos == Qos::AtMostOnce => Ok(()),
-            _ => Err(Fault::protocol("a packet that no broker sends here")),
+            _ => Err(ConnectionError::protocol("unexpected packet type")),
         }
     }
 
-    fn greeted(&mut self, clean: bool, connack: &Connack, now: Time) -> Result<(), Fault> {
-        // Also a refusal says so: it begins no session.
-        self.attest_no_more();
+    fn handle_connack(&mut self, clean: bool, connack: &Connack, now: Time) -> Result<(), ConnectionError> {
+        // A refusal resolves this as well: it does not start a session.
+        self.clear_resuming_record();
         if connack.code != code::SUCCESS {
-            self.turned_away(connack, now);
+            self.connection_refused(connack, now);
             return Ok(());
         }
         if clean && connack.session_present {
-            return Err(Fault::protocol("a session for a clean start [MQTT-3.2.2-4]"));
+            return Err(ConnectionError::protocol("session present after a clean start [MQTT-3.2.2-4]"));
         }
-        self.link = Link::Up;
-        self.backoff = BACKOFF_FIRST;
+        self.state = ConnectionState::Connected;
+        self.backoff = INITIAL_BACKOFF;
         self.receive_maximum = usize::from(connack.receive_maximum);
-        self.packet_most = connack.packet_most;
+        self.max_packet_size = connack.max_packet_size;
         self.keep_alive = connack.keep_alive.unwrap_or(self.options.keep_alive);
-        let too_high = |f: &Flight| f.stage == Stage::Queued && f.qos > connack.qos_most;
-        let refused: Vec<u16> = self.flights.iter().filter(|(_, f)| too_high(f)).map(|(id, _)| *id).collect();
+        let too_high = |f: &Attempt| f.stage == Stage::Queued && f.qos > connack.max_qos;
+        let refused: Vec<u16> =
+            self.attempts.iter().filter(|(_, f)| too_high(f)).map(|(id, _)| *id).collect();
         for id in refused {
             let text = format!(
                 "the broker takes QoS {} at most, which is less than a message needs",
-                connack.qos_most.value()
+                connack.max_qos.value()
             );
             self.effects.push_back(Effect::Log(text));
-            self.take_back(id, End::Never);
+            self.withdraw(id, AttemptResult::Rejected);
         }
         if !connack.session_present {
             self.lose_session();
-            self.clear = true;
+            self.session_known = true;
             if clean && self.options.version == Version::V311 {
                 self.close(Some(code::SUCCESS));
-                self.link = Link::Pause { until: now };
+                self.state = ConnectionState::Backoff { until: now };
             }
             return Ok(());
         }
-        let mut again: Vec<(u64, u16)> =
-            self.flights.iter().filter(|(_, f)| is_open(f)).map(|(id, f)| (f.order, *id)).collect();
-        again.sort_unstable();
-        for (_, id) in again {
-            let Some(flight) = self.flights.get_mut(&id) else { continue };
-            flight.sent = now;
-            match (flight.stage, &flight.publish) {
+        let mut retransmissions: Vec<(u64, u16)> = self
+            .attempts
+            .iter()
+            .filter(|(_, f)| may_have_reached_broker(f))
+            .map(|(id, f)| (f.order, *id))
+            .collect();
+        retransmissions.sort_unstable();
+        for (_, id) in retransmissions {
+            let Some(attempt) = self.attempts.get_mut(&id) else { continue };
+            attempt.awaiting_since = now;
+            match (attempt.stage, &attempt.publish) {
                 (Stage::Released, _) => drop(self.write(Packet::Pubrel(Ack::new(id, code::SUCCESS)), None)),
-                // Its message has ended, and nothing more is sent for that. The id stays in use.
-                (Stage::Sent, _) if flight.abandoned => {}
-                // The receivers behind the broker know its key no more.
-                (Stage::Sent, _) if flight.qos == Qos::AtLeastOnce && now >= flight.repeat_until => {
-                    flight.abandoned = true;
-                    let message = flight.message;
-                    self.effects.push_back(Effect::Ended { id, message, end: End::Lost });
+                // The message has ended and is not retransmitted. The packet id stays in use.
+                (Stage::Sent, _) if attempt.abandoned => {}
+                // The receivers behind the broker no longer remember the key of the message.
+                (Stage::Sent, _) if attempt.qos == Qos::AtLeastOnce && now >= attempt.retransmit_until => {
+                    attempt.abandoned = true;
+                    let message = attempt.message;
+                    self.effects.push_back(Effect::Ended { id, message, end: AttemptResult::Lost });
                 }
                 (Stage::Sent, Some(publish)) => {
                     let publish = Publish { dup: true, ..publish.clone() };
-                    // It went once, so it fits; and it is no new attempt, so it cannot be taken back.
+                    // It was sent before, so it does not exceed the maximum packet size. It belongs to the
+                    // same attempt and cannot be withdrawn.
                     self.write(Packet::Publish(Box::new(publish)), None);
                 }
                 _ => {}
@@ -592,22 +624,24 @@
         Ok(())
     }
 
-    /// Whatever the broker had not acknowledged may have run. Nothing is sent again from here: the class decides.
+    /// Ends all attempts that may have taken effect. Nothing is retransmitted from here; the class decides
+    /// about a retry.
     fn lose_session(&mut self) {
-        let open: Vec<u16> = self.flights.iter().filter(|(_, f)| is_open(f)).map(|(id, _)| *id).collect();
+        let open: Vec<u16> =
+            self.attempts.iter().filter(|(_, f)| may_have_reached_broker(f)).map(|(id, _)| *id).collect();
         for id in open {
-            self.ended(id, End::Lost);
+            self.ended(id, AttemptResult::Lost);
         }
     }
 
-    /// The broker takes no connection now, or none of ours.
-    fn turned_away(&mut self, connack: &Connack, now: Time) {
+    /// Handles a CONNACK that refuses the connection.
+    fn connection_refused(&mut self, connack: &Connack, now: Time) {
         let code = connack.code;
         let busy = match self.options.version {
             Version::V311 => code == 3,
             Version::V5 => matches!(code, code::SERVER_BUSY | code::QUOTA_EXCEEDED | 0x9F),
         };
-        let reason = connack.reason.as_deref().unwrap_or("no reason told");
+        let reason = connack.reason.as_deref().unwrap_or("no reason given");
         let text = match &connack.reference {
             Some(other) => format!(
                 "the broker sends its clients to {other:?} (0x{code:02X}), which is not followed: {reason}"
@@ -615,30 +649,30 @@
             None => format!("the broker takes no connection (0x{code:02X}): {reason}"),
         };
         self.effects.push_back(Effect::Log(text));
-        let wait = told_wait(&connack.properties);
-        self.wait(wait, now);
-        self.take_all_back(if busy { End::Full { wait } } else { End::Unsent });
-        self.drop_link(now);
+        let wait = retry_after(&connack.properties);
+        self.delay_new_attempts(wait, now);
+        self.withdraw_all_unsent(if busy { AttemptResult::Busy { wait } } else { AttemptResult::Unsent });
+        self.drop_connection(now);
     }
 
-    fn disconnected(&mut self, disconnect: &Disconnect, now: Time) {
+    fn handle_disconnect(&mut self, disconnect: &Disconnect, now: Time) {
         let code = disconnect.code;
-        let reason = disconnect.reason.as_deref().unwrap_or("no reason told");
+        let reason = disconnect.reason.as_deref().unwrap_or("no reason given");
         let other =
             disconnect.reference.as_ref().map(|r| format!(", and names {r:?}, which is not followed"));
         let other = other.unwrap_or_default();
         self.effects.push_back(Effect::Log(format!(
             "the broker ends the connection (0x{code:02X}){other}: {reason}"
         )));
-        let wait = told_wait(&disconnect.properties);
-        self.wait(wait, now);
+        let wait = retry_after(&disconnect.properties);
+        self.delay_new_attempts(wait, now);
         if matches!(code, code::RECEIVE_MAXIMUM_EXCEEDED | code::QUOTA_EXCEEDED | code::SERVER_BUSY | 0x96) {
-            self.take_all_back(End::Full { wait });
+            self.withdraw_all_unsent(AttemptResult::Busy { wait });
         }
-        self.drop_link(now);
+        self.drop_connection(now);
     }
 
-    fn wait(&mut self, wait: Option<Duration>, now: Time) {
+    fn delay_new_attempts(&mut self, wait: Option<Duration>, now: Time) {
         if let Some(wait) = wait {
             self.wait_until = self.wait_until.max(now + wait);
         }
@@ -646,254 +680,279 @@
 
     // ---- acknowledgements ------------------------------------------------------------------------------------
 
-    fn acked(&mut self, ack: &Ack, now: Time) -> Result<(), Fault> {
-        let Some(flight) = self.flights.get(&ack.id) else {
-            // Of one that has ended: a repeat, which says nothing new.
+    fn handle_puback(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
+        let Some(attempt) = self.attempts.get(&ack.id) else {
+            // Duplicate acknowledgement of an attempt that has ended.
             return Ok(());
         };
-        match flight.stage {
-            Stage::Sent if flight.qos == Qos::AtLeastOnce => {
-                self.judged(ack, now);
+        match attempt.stage {
+            Stage::Sent if attempt.qos == Qos::AtLeastOnce => {
+                self.publish_answered(ack, now);
                 Ok(())
             }
-            Stage::Queued | Stage::Writing => Err(Fault::protocol("an acknowledgement of what was not sent")),
-            _ => Err(Fault::protocol("a PUBACK for a PUBLISH at QoS 2")),
+            Stage::Queued | Stage::Writing => {
+                Err(ConnectionError::protocol("acknowledgement of a PUBLISH that was not sent"))
+            }
+            _ => Err(ConnectionError::protocol("PUBACK for a PUBLISH at QoS 2")),
         }
     }
 
-    fn pubrec(&mut self, ack: &Ack, now: Time) -> Result<(), Fault> {
-        let Some(flight) = self.flights.get_mut(&ack.id) else {
+    fn handle_pubrec(&mut self, ack: &Ack, now: Time) -> Result<(), ConnectionError> {
+        let Some(attempt) = self.attempts.get_mut(&ack.id) else {
             let code =
                 if self.options.version == Version::V5 { code::PACKET_ID_NOT_FOUND } else { code::SUCCESS };
             self.write(Packet::Pubrel(Ack::new(ack.id, code)), None);
             return Ok(());
         };
-        match flight.stage {
-            Stage::Sent if flight.qos == Qos::ExactlyOnce && ack.code >= 0x80 => self.judged(ack, now),
-            Stage::Sent if flight.qos == Qos::ExactlyOnce => {
-                // The PUBLISH must not go again from now on [MQTT-4.3.3-6], and PUBREL is owed: on record first.
-                (flight.stage, flight.publish) = (Stage::Releasing, None);
-                self.effects.push_back(Effect::Record { id: ack.id, message: flight.message });
+        match attempt.stage {
+            Stage::Sent if attempt.qos == Qos::ExactlyOnce && ack.code >= 0x80 => {
+                self.publish_answered(ack, now)
+            }
+            Stage::Sent if attempt.qos == Qos::ExactlyOnce => {
+                // From now on the PUBLISH must not be retransmitted [MQTT-4.3.3-6]. PUBREL is due once this
+                // is recorded.
+                (attempt.stage, attempt.publish) = (Stage::Releasing, None);
+                self.effects.push_back(Effect::RecordPubrec { id: ack.id, message: attempt.message });
             }
             Stage::Releasing => {}
             Stage::Released => drop(self.write(Packet::Pubrel(Ack::new(ack.id, code::SUCCESS)), None)),
-            Stage::Sent => return Err(Fault::protocol("a PUBREC for a PUBLISH at QoS 1")),
+            Stage::Sent => return Err(ConnectionError::protocol("PUBREC for a PUBLISH at QoS 1")),
             Stage::Queued | Stage::Writing => {
-                return Err(Fault::protocol("an acknowledgement of what was not sent"));
+                return Err(ConnectionError::protocol("acknowledgement of a PUBLISH that was not sent"));
             }
         }
         Ok(())
     }
 
-    /// PUBREC is on record: its release goes out.
-    pub fn recorded(&mut self, id: u16, now: Time) {
-        let Some(flight) = self.flights.get_mut(&id).filter(|f| f.stage == Stage::Releasing) else { return };
-        (flight.stage, flight.sent) = (Stage::Released, now);
-        if self.link == Link::Up {
+    /// Reports that the PUBREC has been recorded; sends PUBREL.
+    pub fn pubrec_recorded(&mut self, id: u16, now: Time) {
+        let Some(attempt) = self.attempts.get_mut(&id).filter(|f| f.stage == Stage::Releasing) else {
+            return;
+        };
+        (attempt.stage, attempt.awaiting_since) = (Stage::Released, now);
+        if self.state == ConnectionState::Connected {
             self.write(Packet::Pubrel(Ack::new(id, code::SUCCESS)), None);
         }
     }
 
-    fn pubcomp(&mut self, ack: &Ack) -> Result<(), Fault> {
-        match self.flights.get(&ack.id).map(|f| f.stage) {
-            // Also with "packet identifier not found": it had the release before, and its PUBCOMP was lost.
-            Some(Stage::Released) => self.ended(ack.id, End::Delivered),
+    fn handle_pubcomp(&mut self, ack: &Ack) -> Result<(), ConnectionError> {
+        match self.attempts.get(&ack.id).map(|f| f.stage) {
+            // This includes "packet identifier not found": the broker received the PUBREL earlier, and its
+            // PUBCOMP was lost.
+            Some(Stage::Released) => self.ended(ack.id, AttemptResult::Delivered),
             None => {}
-            Some(_) => return Err(Fault::protocol("a PUBCOMP without a PUBREL")),
+            Some(_) => return Err(ConnectionError::protocol("PUBCOMP without a PUBREL")),
         }
         Ok(())
     }
 
-    /// The broker's word on a PUBLISH.
-    fn judged(&mut self, ack: &Ack, now: Time) {
-        let wait = told_wait(&ack.properties);
+    /// Ends an attempt according to the reason code of its PUBACK or PUBREC.
+    fn publish_answered(&mut self, ack: &Ack, now: Time) {
+        let wait = retry_after(&ack.properties);
         let end = match ack.code {
-            0..0x80 => End::Delivered,
-            code::QUOTA_EXCEEDED => End::Full { wait },
-            code::NOT_AUTHORIZED | code::TOPIC_NAME_INVALID | code::PAYLOAD_FORMAT_INVALID => End::Never,
-            _ => End::Error,
+            0..0x80 => AttemptResult::Delivered,
+            code::QUOTA_EXCEEDED => AttemptResult::Busy { wait },
+            code::NOT_AUTHORIZED | code::TOPIC_NAME_INVALID | code::PAYLOAD_FORMAT_INVALID => {
+                AttemptResult::Rejected
+            }
+            _ => AttemptResult::Error,
         };
         if ack.code >= 0x80 && ack.code != code::QUOTA_EXCEEDED {
-            let reason = ack.reason.as_deref().unwrap_or("no reason told");
+            let reason = ack.reason.as_deref().unwrap_or("no reason given");
             self.effects.push_back(Effect::Log(format!(
                 "the broker refuses a message (0x{:02X}): {reason}",
                 ack.code
             )));
         }
         self.ended(ack.id, end);
-        if let Some(told) = wait.filter(|_| matches!(end, End::Full { .. })) {
-            // Those that are on their way are let go, and nothing after them.
-            self.wait(wait, now);
-            self.take_all_back(End::Full { wait: Some(told) });
+        if let Some(delay) = wait.filter(|_| matches!(end, AttemptResult::Busy { .. })) {
+            // Messages in flight continue; nothing new is sent.
+            self.delay_new_attempts(wait, now);
+            self.withdraw_all_unsent(AttemptResult::Busy { wait: Some(delay) });
         }
     }
 
-    // ---- going on --------------------------------------------------------------------------------------------
+    // ---- timers and sending
+    // ------------------------------------------------------------------------------------
 
-    /// Does what is due by now.
-    pub fn elapsed(&mut self, now: Time) {
-        self.carry_on(now);
+    /// Handles all timeouts that are due.
+    pub fn handle_timeout(&mut self, now: Time) {
+        self.advance(now);
     }
 
-    fn carry_on(&mut self, now: Time) {
-        self.give_up(now);
-        let parted = self.parted.is_some_and(|at| at <= now);
-        if parted {
-            self.take_all_back(End::Unsent);
+    fn advance(&mut self, now: Time) {
+        self.expire_attempts(now);
+        let draining = self.drain_at.is_some_and(|at| at <= now);
+        if draining {
+            self.withdraw_all_unsent(AttemptResult::Unsent);
         }
         if self.wait_until > now {
             let wait = Some(self.wait_until - now);
-            self.take_all_back(End::Full { wait });
+            self.withdraw_all_unsent(AttemptResult::Busy { wait });
         }
-        let wanted = self.wanted();
-        match self.link {
-            Link::None if wanted => self.open(now),
-            Link::Pause { until } if until <= now => match wanted {
+        let has_work = self.has_work();
+        match self.state {
+            ConnectionState::None if has_work => self.open(now),
+            ConnectionState::Backoff { until } if until <= now => match has_work {
                 true => self.open(now),
-                false => self.link = Link::None,
+                false => self.state = ConnectionState::None,
             },
-            Link::Opening { since } | Link::Recording { since } | Link::Greeting { since, .. }
-                if now >= since + self.options.connect_time =>
+            ConnectionState::Connecting { since }
+            | ConnectionState::RecordingResuming { since }
+            | ConnectionState::AwaitingConnack { since, .. }
+                if now >= since + self.options.connect_timeout =>
             {
-                self.drop_link(now);
+                self.drop_connection(now);
             }
-            Link::Up if !wanted && parted => self.hang_up(),
-            Link::Up => self.serve(now),
+            ConnectionState::Connected if !has_work && draining => self.close_if_idle(),
+            ConnectionState::Connected => self.service_connection(now),
             _ => {}
         }
     }
 
-    /// Whether anything is still to be done at the broker: not for messages that have ended and whose PUBLISH has no
-    /// acknowledgement, since nothing more is sent for those.
-    fn wanted(&self) -> bool {
-        self.flights.values().any(|f| !f.abandoned || matches!(f.stage, Stage::Releasing | Stage::Released))
+    /// Whether a connection is needed. Messages that have ended and whose PUBLISH was not acknowledged do not
+    /// need one, because nothing more is sent for them.
+    fn has_work(&self) -> bool {
+        self.attempts.values().any(|f| !f.abandoned || matches!(f.stage, Stage::Releasing | Stage::Released))
     }
 
     fn open(&mut self, now: Time) {
-        self.link = Link::Opening { since: now };
+        self.state = ConnectionState::Connecting { since: now };
         self.effects.push_back(Effect::Open);
     }
 
-    /// Ends a connection that nobody needs; the session stays with the broker as long as it was asked to keep it.
-    pub fn hang_up(&mut self) {
-        if self.link == Link::Up && !self.wanted() {
+    /// Closes an idle connection. The broker keeps the session for its expiry interval.
+    pub fn close_if_idle(&mut self) {
+        if self.state == ConnectionState::Connected && !self.has_work() {
             self.close(Some(code::SUCCESS));
             self.chunks.clear();
-            self.link = Link::None;
+            self.state = ConnectionState::None;
         }
     }
 
-    /// What has waited too long: for a connection, or for its acknowledgement.
-    fn give_up(&mut self, now: Time) {
-        let late = |f: &Flight| now >= f.until && !f.abandoned;
-        let unsent = |f: &Flight| now >= f.until.min(f.queued + self.options.connect_time);
-        let over: Vec<u16> =
-            self.flights.iter().filter(|(_, f)| late(f) || unsent(f)).map(|(id, _)| *id).collect();
-        for id in over {
-            let Some(flight) = self.flights.get(&id) else { continue };
-            match flight.stage {
-                // Up and within the broker's bounds, or not up: either way it has no place in time.
-                Stage::Queued => self.take_back(
+    /// Ends attempts that have waited too long for a connection or for an acknowledgement.
+    fn expire_attempts(&mut self, now: Time) {
+        let past_deadline = |f: &Attempt| now >= f.until && !f.abandoned;
+        let unsent = |f: &Attempt| now >= f.until.min(f.queued_at + self.options.connect_timeout);
+        let expired: Vec<u16> =
+            self.attempts.iter().filter(|(_, f)| past_deadline(f) || unsent(f)).map(|(id, _)| *id).collect();
+        for id in expired {
+            let Some(attempt) = self.attempts.get(&id) else { continue };
+            match attempt.stage {
+                // It waited for the Receive Maximum if connected, else for a connection.
+                Stage::Queued => self.withdraw(
                     id,
-                    if self.link == Link::Up { End::Full { wait: None } } else { End::Unsent },
+                    if self.state == ConnectionState::Connected {
+                        AttemptResult::Busy { wait: None }
+                    } else {
+                        AttemptResult::Unsent
+                    },
                 ),
-                Stage::Writing if self.untouched(id) && now >= flight.until => {
-                    self.take_back(id, End::Unsent)
+                Stage::Writing if self.is_unsent(id) && now >= attempt.until => {
+                    self.withdraw(id, AttemptResult::Unsent)
                 }
-                _ if flight.abandoned || now < flight.until => {}
+                _ if attempt.abandoned || now < attempt.until => {}
                 _ => {
-                    let message = flight.message;
-                    if let Some(flight) = self.flights.get_mut(&id) {
-                        flight.abandoned = true;
+                    let message = attempt.message;
+                    if let Some(attempt) = self.attempts.get_mut(&id) {
+                        attempt.abandoned = true;
                     }
-                    self.effects.push_back(Effect::Ended { id, message, end: End::TimedOut });
+                    self.effects.push_back(Effect::Ended { id, message, end: AttemptResult::TimedOut });
                 }
             }
         }
     }
 
-    fn serve(&mut self, now: Time) {
-        // A connection on which nothing comes while something is owed is given up; its session is resumed.
-        let owed =
-            self.flights.values().filter(|f| is_open(f) && !f.abandoned && f.stage != Stage::Releasing);
-        let mute = owed.map(|f| f.sent.max(self.heard) + f.patience).min().is_some_and(|at| at <= now);
-        let unheard = self.pinged.is_some_and(|at| now >= at + PING_TIME);
-        if mute || unheard {
+    fn service_connection(&mut self, now: Time) {
+        // A connection on which nothing is received while an acknowledgement is outstanding is closed; the
+        // session is resumed on the next one.
+        let awaiting_response = self
+            .attempts
+            .values()
+            .filter(|f| may_have_reached_broker(f) && !f.abandoned && f.stage != Stage::Releasing);
+        let response_overdue = awaiting_response
+            .map(|f| f.awaiting_since.max(self.last_received) + f.response_timeout)
+            .min()
+            .is_some_and(|at| at <= now);
+        let ping_overdue = self.ping_sent_at.is_some_and(|at| now >= at + PING_TIMEOUT);
+        if response_overdue || ping_overdue {
             self.effects.push_back(Effect::Log(
                 "the broker has fallen silent: the connection is given up".to_owned(),
             ));
-            return self.drop_link(now);
+            return self.drop_connection(now);
         }
         if self.keep_alive > 0
-            && self.pinged.is_none()
-            && now >= self.wrote + Duration::from_secs(u64::from(self.keep_alive))
+            && self.ping_sent_at.is_none()
+            && now >= self.last_write + Duration::from_secs(u64::from(self.keep_alive))
         {
             self.write(Packet::Pingreq, None);
-            (self.pinged, self.wrote) = (Some(now), now);
+            (self.ping_sent_at, self.last_write) = (Some(now), now);
         }
-        // All that has a PUBLISH on the way or unacknowledged counts [MQTT-3.3.4-7].
-        let mut out = self.flights.values().filter(|f| f.stage != Stage::Queued).count();
-        let mut queued: Vec<(u64, u16)> = self
-            .flights
+        // Every PUBLISH that is sent and not completed counts towards the Receive Maximum [MQTT-3.3.4-7].
+        let mut in_flight = self.attempts.values().filter(|f| f.stage != Stage::Queued).count();
+        let mut queued_messages: Vec<(u64, u16)> = self
+            .attempts
             .iter()
             .filter(|(_, f)| f.stage == Stage::Queued)
             .map(|(id, f)| (f.order, *id))
             .collect();
-        queued.sort_unstable();
-        for (_, id) in queued {
-            if out >= self.receive_maximum {
+        queued_messages.sort_unstable();
+        for (_, id) in queued_messages {
+            if in_flight >= self.receive_maximum {
                 break;
             }
-            let Some(flight) = self.flights.get_mut(&id) else { continue };
-            let Some(publish) = flight.publish.clone() else { continue };
-            flight.stage = Stage::Writing;
+            let Some(attempt) = self.attempts.get_mut(&id) else { continue };
+            let Some(publish) = attempt.publish.clone() else { continue };
+            attempt.stage = Stage::Writing;
             if self.write(Packet::Publish(Box::new(publish)), Some(id)) {
-                out += 1;
+                in_flight += 1;
             } else {
-                self.effects.push_back(Effect::Log("a message is longer than the broker takes".to_owned()));
-                self.ended(id, End::Never);
+                self.effects
+                    .push_back(Effect::Log("message exceeds the broker's Maximum Packet Size".to_owned()));
+                self.ended(id, AttemptResult::Rejected);
             }
         }
     }
 
-    /// When [`Client::elapsed`] is to be called.
+    /// When to call [`Client::handle_timeout`] next.
     pub fn timeout(&self) -> Option<Time> {
-        let connect = self.options.connect_time;
-        let link = match self.link {
-            Link::Opening { since } | Link::Recording { since } | Link::Greeting { since, .. } => {
-                Some(since + connect)
-            }
-            Link::Pause { until } => Some(until),
-            Link::Up => {
-                let ping = self.wrote + Duration::from_secs(u64::from(self.keep_alive));
+        let connect = self.options.connect_timeout;
+        let state = match self.state {
+            ConnectionState::Connecting { since }
+            | ConnectionState::RecordingResuming { since }
+            | ConnectionState::AwaitingConnack { since, .. } => Some(since + connect),
+            ConnectionState::Backoff { until } => Some(until),
+            ConnectionState::Connected => {
+                let ping = self.last_write + Duration::from_secs(u64::from(self.keep_alive));
                 let ping = (self.keep_alive > 0).then_some(ping);
-                self.pinged.map(|at| at + PING_TIME).or(ping)
+                self.ping_sent_at.map(|at| at + PING_TIMEOUT).or(ping)
             }
-            Link::None => None,
+            ConnectionState::None => None,
         };
-        let flight = |f: &Flight| match f.stage {
+        let attempt = |f: &Attempt| match f.stage {
             _ if f.abandoned => None,
-            Stage::Queued => Some(f.until.min(f.queued + connect)),
-            Stage::Sent | Stage::Released if self.link == Link::Up => {
-                Some(f.until.min(f.sent.max(self.heard).saturating_add(f.patience)))
+            Stage::Queued => Some(f.until.min(f.queued_at + connect)),
+            Stage::Sent | Stage::Released if self.state == ConnectionState::Connected => {
+                Some(f.until.min(f.awaiting_since.max(self.last_received).saturating_add(f.response_timeout)))
             }
             _ => Some(f.until),
         };
-        let parted = self.parted.filter(|_| self.flights.keys().any(|id| self.untouched(*id)));
-        let parted = parted.or(self.parted.filter(|_| self.link == Link::Up && !self.wanted()));
-        self.flights.values().filter_map(flight).chain(link).chain(parted).min()
+        let drain_at = self.drain_at.filter(|_| self.attempts.keys().any(|id| self.is_unsent(*id)));
+        let drain_at = drain_at
+            .or(self.drain_at.filter(|_| self.state == ConnectionState::Connected && !self.has_work()));
+        self.attempts.values().filter_map(attempt).chain(state).chain(drain_at).min()
     }
 }
 
-/// Whether the broker may have it.
-fn is_open(f: &Flight) -> bool {
+/// Whether the broker may have received the PUBLISH.
+fn may_have_reached_broker(f: &Attempt) -> bool {
     matches!(f.stage, Stage::Sent | Stage::Releasing | Stage::Released)
 }
 
-/// `retry-after`, in seconds, as this courier tells it, too.
-fn told_wait(properties: &crate::packet::Properties) -> Option<Duration> {
+/// Value of the user property `retry-after` in seconds. This courier sends the same property.
+fn retry_after(properties: &crate::packet::Properties) -> Option<Duration> {
     let seconds: f64 = property(properties, "retry-after")?.trim().parse().ok()?;
-    (seconds > 0.0 && seconds <= WAIT_MOST).then(|| Duration::from_secs_f64(seconds))
+    (seconds > 0.0 && seconds <= MAX_RETRY_AFTER_SECONDS).then(|| Duration::from_secs_f64(seconds))
 }
 
 #[cfg(test)]
--- a/crates/rig/src/control.rs
+++ b/crates/rig/src/control_service.rs
@@ -1,6 +1,6 @@
-//! A stand-in control service: sends what a test tells it, also half of it, and keeps every answer.
+//! A fake control service that streams configuration versions, also incomplete ones, and records each answer.
 
-use crate::{Page, PostScript};
+use crate::{HttpMessage, PostScript};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::io::{BufReader, Write};
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Instant;
 
-/// An answer to a version.
+/// The courier's answer to a configuration version.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct VersionAnswer {
     pub version: Option<u64>,
     pub accepted: bool,
     pub reasons: String,
@@ -21,30 +21,32 @@
 #[derive(Default)]
 struct Inner {
     stream: Option<TcpStream>,
-    /// What each stream asked for.
+    /// Request lines of all streams.
     asked: Vec<String>,
-    answers: Vec<Answer>,
-    /// For the next answers, one each.
+    answers: Vec<VersionAnswer>,
+    /// Scripts for the next POSTs of answers, one each.
     scripts: VecDeque<PostScript>,
 }
 
+/// The fake control service. Clones share its state.
 #[derive(Clone)]
-pub struct Control {
+pub struct ControlService {
     pub address: SocketAddr,
     inner: Arc<Mutex<Inner>>,
 }
 
-impl Default for Control {
+impl Default for ControlService {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Control {
+impl ControlService {
+    /// Starts the service.
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let this = Control { address, inner: Arc::default() };
+        let this = ControlService { address, inner: Arc::default() };
         let own = this.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -55,6 +57,7 @@
         this
     }
 
+    /// Returns the URL for the setting `control.url`.
     pub fn url(&self) -> String {
         format!("http://{}/v1/config", self.address)
     }
@@ -62,20 +65,20 @@
     fn serve(&self, stream: TcpStream) {
         let mut out = stream.try_clone().expect("a handle");
         let mut from = BufReader::new(stream);
-        while let Some(page) = Page::read(&mut from) {
-            if page.first.starts_with("GET /v1/config?") {
+        while let Some(page) = HttpMessage::read(&mut from) {
+            if page.start_line.starts_with("GET /v1/config?") {
                 let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 if out.write_all(head).is_ok() {
                     let mut inner = self.inner.lock().expect("the service");
-                    inner.asked.push(page.first);
+                    inner.asked.push(page.start_line);
                     inner.stream = Some(out);
                 }
                 return;
             }
-            assert!(page.first.starts_with("POST /v1/config/answers "), "{}", page.first);
+            assert!(page.start_line.starts_with("POST /v1/config/answers "), "{}", page.start_line);
             let script = self.inner.lock().expect("the service").scripts.pop_front();
-            if script.is_none_or(|script| script.takes()) {
-                self.note(&page);
+            if script.is_none_or(|script| script.accepts()) {
+                self.record_answer(&page);
             }
             let answered = match script {
                 Some(script) => script.answer(&out),
@@ -87,10 +90,10 @@
         }
     }
 
-    /// Takes an answer.
-    fn note(&self, page: &Page) {
+    /// Records an answer.
+    fn record_answer(&self, page: &HttpMessage) {
         let answer: Value = serde_json::from_slice(&page.body).expect("an answer");
-        self.inner.lock().expect("the service").answers.push(Answer {
+        self.inner.lock().expect("the service").answers.push(VersionAnswer {
             version: answer["version"].as_u64(),
             accepted: answer["accepted"].as_bool().expect("a verdict"),
             reasons: answer["reasons"].to_string(),
@@ -98,17 +101,17 @@
         });
     }
 
-    /// What the next posts of answers meet, one script each.
+    /// Sets how the next POSTs of answers are handled, one script each.
     pub fn script_answers(&self, scripts: impl IntoIterator<Item = PostScript>) {
         self.inner.lock().expect("the service").scripts.extend(scripts);
     }
 
-    /// Whether a courier listens.
+    /// Whether a courier has the stream open.
     pub fn is_open(&self) -> bool {
         self.inner.lock().expect("the service").stream.is_some()
     }
 
-    /// Sends bytes as they are. False if nobody listens.
+    /// Sends text unchanged. Returns false if no stream is open.
     pub fn send(&self, text: &str) -> bool {
         let mut inner = self.inner.lock().expect("the service");
         let Some(stream) = &mut inner.stream else { return false };
@@ -119,36 +122,39 @@
         sent
     }
 
-    /// Sends a whole version.
-    pub fn whole(&self, version: u64, config: &Value) -> bool {
+    /// Sends a version with a complete configuration. Returns false if no stream is open.
+    pub fn send_version(&self, version: u64, config: &Value) -> bool {
         self.send(&(json!({"version": version, "config": config}).to_string() + "\n"))
     }
 
+    /// Sends a version as a patch of the version `base`. Returns false if no stream is open.
     pub fn patch(&self, version: u64, base: u64, patch: &Value) -> bool {
         self.send(&(json!({"version": version, "base": base, "patch": patch}).to_string() + "\n"))
     }
 
-    /// Breaks the stream off.
+    /// Closes the stream.
     pub fn cut(&self) {
         if let Some(stream) = self.inner.lock().expect("the service").stream.take() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    pub fn answers(&self) -> Vec<Answer> {
+    /// Returns all recorded answers.
+    pub fn answers(&self) -> Vec<VersionAnswer> {
         self.inner.lock().expect("the service").answers.clone()
     }
 
-    /// The first answer to a version, once it is there.
-    pub fn answer(&self, version: u64) -> Answer {
+    /// Waits for the first answer to a version.
+    pub fn answer(&self, version: u64) -> VersionAnswer {
         let mut found = None;
-        crate::until(&format!("an answer to version {version}"), || {
+        crate::wait_until(&format!("an answer to version {version}"), || {
             found = self.answers().into_iter().find(|a| a.version == Some(version));
             found.is_some()
         });
         found.expect("waited for")
     }
 
+    /// Returns the request lines of all streams.
     pub fn asked(&self) -> Vec<String> {
         self.inner.lock().expect("the service").asked.clone()
     }
