--- a/crates/courier/src/discovery/list_age.rs
+++ b/crates/courier/src/discovery/list_age.rs
@@ -60,14 +60,15 @@
         now.checked_sub(last_line)
     }
 
-    /// Stores that a line from the discovery at this address has just been read. Writes a temporary file and
-    /// renames it, so that a crash leaves a complete file.
+    /// Stores that the last line from the discovery at this address arrived `age` ago. Writes a temporary file
+    /// and renames it, so that a crash leaves a complete file.
     ///
     /// # Errors
     /// The file cannot be written; the older stored time is kept.
-    pub fn save(&self, discovery: SocketAddr) -> io::Result<()> {
+    pub fn save(&self, discovery: SocketAddr, age: Duration) -> io::Result<()> {
         let Some(boot_id) = &self.boot_id else { return Ok(()) };
-        fs::write(&self.next_path, format!("{boot_id} {} {discovery}\n", boot_time().as_nanos()))?;
+        let arrived = boot_time().saturating_sub(age);
+        fs::write(&self.next_path, format!("{boot_id} {} {discovery}\n", arrived.as_nanos()))?;
         fs::rename(&self.next_path, &self.path)
     }
 }
--- a/crates/courier/src/discovery/list_age_test.rs
+++ b/crates/courier/src/discovery/list_age_test.rs
@@ -14,18 +14,29 @@
     let folder = folder("restart");
     let file = ListAgeFile::new(&folder);
     assert_eq!(file.load(DISCOVERY), ListAge::Unrecorded);
-    file.save(DISCOVERY).expect("saved");
+    file.save(DISCOVERY, Duration::ZERO).expect("saved");
     std::thread::sleep(Duration::from_millis(20));
     let ListAge::Known(age) = ListAgeFile::new(&folder).load(DISCOVERY) else { panic!("no age") };
     assert!(age >= Duration::from_millis(20) && age < Duration::from_secs(20), "{age:?}");
     fs::remove_dir_all(folder).expect("removed");
 }
 
+#[test]
+fn the_age_of_the_list_counts_from_the_arrival_of_the_line() {
+    let folder = folder("arrival");
+    let file = ListAgeFile::new(&folder);
+    let age_when_read = Duration::from_secs(3);
+    file.save(DISCOVERY, age_when_read).expect("saved");
+    let ListAge::Known(age) = file.load(DISCOVERY) else { panic!("no age") };
+    assert!(age >= age_when_read, "{age:?}");
+    fs::remove_dir_all(folder).expect("removed");
+}
+
 #[test]
 fn a_time_that_is_damaged_or_of_another_boot_or_discovery_gives_no_age() {
     let folder = folder("damaged");
     let file = ListAgeFile::new(&folder);
-    file.save(DISCOVERY).expect("saved");
+    file.save(DISCOVERY, Duration::ZERO).expect("saved");
     let complete = fs::read_to_string(&file.path).expect("a file");
     let future = format!("{} {} {DISCOVERY}\n", file.boot_id.clone().unwrap_or_default(), u64::MAX);
     let truncated = (0..complete.len()).map(|length| complete[..length].to_owned());
@@ -48,10 +59,10 @@
 fn a_failed_write_keeps_the_older_time() {
     let folder = folder("failing");
     let file = ListAgeFile::new(&folder);
-    file.save(DISCOVERY).expect("saved");
+    file.save(DISCOVERY, Duration::ZERO).expect("saved");
     // A folder at the path of the temporary file makes each write fail.
     fs::create_dir(&file.next_path).expect("a folder");
-    assert!(file.save(DISCOVERY).is_err());
+    assert!(file.save(DISCOVERY, Duration::ZERO).is_err());
     assert!(matches!(file.load(DISCOVERY), ListAge::Known(_)));
     fs::remove_dir_all(folder).expect("removed");
 }
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! Watch on discovery's list of endpoints: a streaming HTTP response that is requested again, with backoff,
 //! whenever its connection ends or falls silent.
 
-use super::outage_detector::{CallFailure, OutageDetector};
+use super::outage_detector::{CallFailure, OutageDetector, measure_wait};
 use super::watch_status::WatchStatus;
 use crate::events::{DispatcherEvent, EndpointList};
 use crate::upstream::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
@@ -69,7 +69,7 @@
     /// Classifies the failure for the outage detector.
     fn failure(&self) -> CallFailure {
         match self {
-            WatchEnd::Connect(ConnectError::TimedOut(_)) => CallFailure::NoConnection,
+            WatchEnd::Connect(ConnectError::TimedOut(_)) => CallFailure::ConnectTimedOut,
             WatchEnd::Connect(ConnectError::Io(e)) => match e.kind() {
                 ErrorKind::ConnectionRefused
                 | ErrorKind::ConnectionReset
@@ -97,6 +97,14 @@
     }
 }
 
+/// How far a watch has got.
+#[derive(Default)]
+struct WatchProgress {
+    lines_read: u64,
+    /// Time spent waiting for the response head.
+    waited: Duration,
+}
+
 /// A watch on discovery that is reopened whenever it ends.
 pub struct DiscoveryWatch {
     pub address: SocketAddr,
@@ -120,8 +128,9 @@
         let mut outage = OutageDetector::default();
         while !events.is_closed() {
             let since = Instant::now();
-            let mut lines_read = 0;
-            let Err(end) = self.watch_once(&events, &mut lines_read).await;
+            let mut progress = WatchProgress::default();
+            let Err(end) = self.watch_once(&events, &mut progress).await;
+            let lines_read = progress.lines_read;
             if lines_read > 0 && since.elapsed() > SILENCE_TIMEOUT {
                 backoff = INITIAL_BACKOFF_SECONDS;
             }
@@ -131,13 +140,14 @@
                 if events.send(DispatcherEvent::WatchEnded { discovery: self.address }).await.is_err() {
                     return;
                 }
-            } else if outage.call_failed(end.failure(), since) {
+            } else if outage.call_failed(end.failure(), progress.waited) {
                 pause = pause.min(MAX_OUTAGE_PAUSE.mul_f64(rng.random_range(0.25..1.0)));
                 let unreachable = DispatcherEvent::DiscoveryUnreachable { discovery: self.address, since };
                 if events.send(unreachable).await.is_err() {
                     return;
                 }
             }
+            outage.paused(pause);
             self.report_end(&end, since.elapsed(), lines_read, pause);
             sleep(pause).await;
             backoff = (backoff * 2.0).min(MAX_BACKOFF_SECONDS);
@@ -157,10 +167,12 @@
     async fn watch_once(
         &mut self,
         events: &Sender<DispatcherEvent>,
-        lines_read: &mut u64,
+        progress: &mut WatchProgress,
     ) -> Result<Infallible, WatchEnd> {
         let started = Instant::now();
-        let (mut connection, response) = self.open().await?;
+        let (opened, waited) = measure_wait(self.open()).await;
+        progress.waited = waited;
+        let (mut connection, response) = opened?;
         let (mut body, mut lines) = (response.into_body(), LineBuffer::new(MAX_LINE_BYTES));
         let mut line_started: Option<Instant> = None;
         loop {
@@ -174,11 +186,11 @@
                 return Err(WatchEnd::LineTooLong);
             }
             for line in lines.by_ref() {
-                let list = self.parse_line(&line, *lines_read == 0)?;
+                let list = self.parse_line(&line, progress.lines_read == 0)?;
                 self.status.line_read(self.version);
-                *lines_read += 1;
+                progress.lines_read += 1;
                 line_started = None;
-                if *lines_read == 1 {
+                if progress.lines_read == 1 {
                     let after = started.elapsed().as_secs_f64();
                     eprintln!(
                         "discovery: the watch is open at version {}, {after:.2} s after its call",
@@ -191,8 +203,9 @@
                         .await
                         .map_err(|_| WatchEnd::Closing)?;
                 }
-                let heard =
-                    DispatcherEvent::DiscoveryLineRead { discovery: self.address, at: Instant::now() };
+                // A line that was read late, because the process did not run, tells of the time when it arrived.
+                let at = connection.last_data_received();
+                let heard = DispatcherEvent::DiscoveryLineRead { discovery: self.address, at };
                 events.send(heard).await.map_err(|_| WatchEnd::Closing)?;
             }
             line_started = lines.has_buffered_bytes().then(|| line_started.unwrap_or_else(Instant::now));
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -56,7 +56,8 @@
             return;
         }
         self.list_current_as_of(at);
-        if let Some(Err(e)) = self.setup.list_age.as_ref().map(|file| file.save(discovery)) {
+        let saved = self.setup.list_age.as_ref().map(|file| file.save(discovery, at.elapsed()));
+        if let Some(Err(e)) = saved {
             // The next start will assume an older list than it is.
             self.members.report_list_age_error(&e);
         }
--- a/crates/courier/src/socket.rs
+++ b/crates/courier/src/socket.rs
@@ -3,7 +3,10 @@
 //! an event that never comes.
 
 use std::io;
+use std::mem::MaybeUninit;
+use std::os::fd::AsRawFd;
 use std::task::{Context, Poll, ready};
+use std::time::Duration;
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
@@ -47,3 +50,27 @@
         }
     }
 }
+
+/// Time since the kernel received the latest data on a connection, to a few milliseconds. None if the kernel
+/// does not tell.
+pub fn last_data_age(stream: &TcpStream) -> Option<Duration> {
+    let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
+    let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
+    // SAFETY: the descriptor is open, and `info` has the length that is passed.
+    let result = unsafe {
+        libc::getsockopt(
+            stream.as_raw_fd(),
+            libc::IPPROTO_TCP,
+            libc::TCP_INFO,
+            info.as_mut_ptr().cast(),
+            &raw mut length,
+        )
+    };
+    // SAFETY: `tcp_info` consists of integers, for which zero is valid where the kernel wrote nothing.
+    let info = unsafe { info.assume_init() };
+    (result == 0).then(|| Duration::from_millis(info.tcpi_last_data_recv.into()))
+}
+
+#[cfg(test)]
+#[path = "socket_test.rs"]
+mod tests;
--- a/crates/courier/src/upstream/http_connection.rs
+++ b/crates/courier/src/upstream/http_connection.rs
@@ -375,6 +375,13 @@
         self.responses.len()
     }
 
+    /// When the latest data arrived on this connection, whether or not it was read at once.
+    pub fn last_data_received(&self) -> Instant {
+        let now = Instant::now();
+        let age = socket::last_data_age(&self.transport.stream).unwrap_or_default();
+        now.checked_sub(age).unwrap_or(now)
+    }
+
     /// A handle on the progress of the latest exchange, usable while the exchange runs.
     pub fn progress_handle(&self) -> ProgressHandle {
         ProgressHandle(self.transport.received.clone())
--- a/crates/courier/tests/stale_membership.rs
+++ b/crates/courier/tests/stale_membership.rs
@@ -65,8 +65,9 @@
             .zip(&self.folders)
             .map(|(seed, folder)| command(folder, &self.discovery, &self.config(&self.discovery, seed)))
             .collect();
-        let starting =
-            starts.into_iter().map(|mut command| thread::spawn(move || Courier::spawn(&mut command)));
+        let starting = starts
+            .into_iter()
+            .map(|mut command| thread::spawn(move || Courier::spawn(command.args(["--follow", "1/1"]))));
         let starting: Vec<_> = starting.collect();
         self.couriers = starting.into_iter().map(|start| start.join().expect("it starts")).collect();
     }
@@ -110,9 +111,26 @@
     fn assert_no_call_to_old_after(&self, latest: Instant) {
         let late = self.old.calls().into_iter().filter(|call| call.at > latest);
         let late: Vec<_> = late.map(|call| (call.id, call.at - latest)).collect();
+        self.print_log_of(late.iter().map(|(id, _)| id.as_str()));
         assert!(late.is_empty(), "{} requests to a draining endpoint after the grace: {late:?}", late.len());
     }
 
+    /// Prints what the couriers logged of discovery and of these messages, if there are any.
+    fn print_log_of<'a>(&self, ids: impl Iterator<Item = &'a str>) {
+        let ids: Vec<_> = ids.collect();
+        if ids.is_empty() {
+            return;
+        }
+        let tells = |line: &String| line.starts_with("discovery:") || ids.iter().any(|id| line.contains(id));
+        for (number, courier) in self.couriers.iter().enumerate() {
+            courier
+                .unread_log()
+                .iter()
+                .filter(|line| tells(line))
+                .for_each(|line| println!("courier {number}: {line}"));
+        }
+    }
+
     fn assert_new_is_used(&self) {
         assert!(!self.new.calls().is_empty(), "the new endpoint was never called");
     }
@@ -255,6 +273,59 @@
     fleet.assert_new_is_used();
 }
 
+/// Time after the change at which couriers are stopped, and for how long. The lease that a courier would then take has
+/// to end after the grace.
+const STOP_AFTER_CHANGE: Duration = Duration::from_millis(1200);
+const STOP_TIME: Duration = Duration::from_millis(1500);
+
+// Guards against taking the time in which the process was stopped for a wait for discovery, which would be an outage.
+#[test]
+fn courier_stopped_during_a_refused_call_sends_nothing_to_a_draining_endpoint() {
+    let fleet = Fleet::start(2, 1);
+    fleet.discovery.answer_watches(WatchAnswer::RefuseAfter(300 * MS));
+    fleet.discovery.close_watches();
+    let change = fleet.replace_endpoint();
+    let latest = change + MAX_PROPAGATION + DRAIN_GRACE;
+    let clients = fleet.start_clients_until(latest + Duration::from_secs(3));
+    thread::sleep(STOP_AFTER_CHANGE);
+    for courier in &fleet.couriers {
+        let calls = || fleet.discovery.asked.lock().expect("asked").len();
+        let before = calls();
+        wait_until("a call", || calls() > before);
+        courier.signal("-STOP");
+    }
+    thread::sleep(STOP_TIME);
+    fleet.couriers.iter().for_each(|courier| courier.signal("-CONT"));
+    thread::sleep(latest - Instant::now());
+    fleet.discovery.answer_watches(WatchAnswer::Serve);
+    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    fleet.assert_no_call_to_old_after(latest);
+    fleet.assert_new_is_used();
+}
+
+// Guards against counting a line from discovery as new when it is read, long after it arrived.
+#[test]
+fn courier_that_reads_the_last_line_of_its_watch_late_sends_nothing_to_a_draining_endpoint() {
+    let fleet = Fleet::start(2, 1);
+    fleet.couriers.iter().for_each(|courier| courier.signal("-STOP"));
+    // Longer than the interval of discovery's empty lines.
+    thread::sleep(STOP_TIME);
+    fleet.discovery.answer_watches(WatchAnswer::RefuseAfter(Duration::ZERO));
+    fleet.discovery.close_watches();
+    // The watches notice within 5 ms that they are closed.
+    thread::sleep(50 * MS);
+    let change = fleet.replace_endpoint();
+    let latest = change + MAX_PROPAGATION + DRAIN_GRACE;
+    let clients = fleet.start_clients_until(latest + Duration::from_secs(3));
+    thread::sleep(STOP_TIME);
+    fleet.couriers.iter().for_each(|courier| courier.signal("-CONT"));
+    thread::sleep(latest - Instant::now());
+    fleet.discovery.answer_watches(WatchAnswer::Serve);
+    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    fleet.assert_no_call_to_old_after(latest);
+    fleet.assert_new_is_used();
+}
+
 // Guards against not receiving lists on a site where they are pushed instead of requested.
 #[test]
 fn courier_with_pushed_lists_receives_them_and_does_not_use_an_older_one() {
