--- a/crates/preload/src/calls.rs
+++ b/crates/preload/src/calls.rs
@@ -28,16 +28,28 @@
     (length / 2).max(length.min(1))
 }
 
-/// Whether a descriptor refers to a file in the folder whose files are subject to faults.
-fn in_folder(descriptor: c_int) -> bool {
-    let Some(folder) = folder() else { return false };
+/// Maximum length of the target of a descriptor's link, bytes; longer ones are cut off.
+const MAX_LINK_BYTES: usize = 512;
+
+/// Whether what a descriptor refers to, as its link in `/proc` names it, starts with `prefix`.
+fn refers_to(descriptor: c_int, prefix: &str) -> bool {
     let link = format!("/proc/self/fd/{descriptor}\0");
-    let mut path = [0u8; 512];
+    let mut target = [0u8; MAX_LINK_BYTES];
     // SAFETY: the link is NUL-terminated, and the buffer has the length that is passed.
     let length = unsafe {
-        libc::syscall(libc::SYS_readlinkat, libc::AT_FDCWD, link.as_ptr(), path.as_mut_ptr(), path.len())
+        libc::syscall(libc::SYS_readlinkat, libc::AT_FDCWD, link.as_ptr(), target.as_mut_ptr(), target.len())
     };
-    usize::try_from(length).is_ok_and(|length| path[..length].starts_with(folder.as_bytes()))
+    usize::try_from(length).is_ok_and(|length| target[..length].starts_with(prefix.as_bytes()))
+}
+
+/// Whether a descriptor refers to a file in the folder whose files are subject to faults.
+fn in_folder(descriptor: c_int) -> bool {
+    folder().is_some_and(|folder| refers_to(descriptor, folder))
+}
+
+/// Whether a descriptor is a signal descriptor.
+fn is_signal(descriptor: c_int) -> bool {
+    refers_to(descriptor, "anon_inode:[signalfd]")
 }
 
 /// Whether a descriptor is a Unix socket.
@@ -74,6 +86,19 @@
     unsafe { real_function!("recv" as Recv)(socket, buffer, length, flags) }
 }
 
+type Read = unsafe extern "C" fn(c_int, *mut c_void, size_t) -> ssize_t;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
+    if is_signal(descriptor)
+        && let Some(Fault::Errno(errno)) = fault(Call::ReadSignal)
+    {
+        return fail_with(errno);
+    }
+    // SAFETY: the caller's arguments.
+    unsafe { real_function!("read" as Read)(descriptor, buffer, length) }
+}
+
 type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
 
 #[unsafe(no_mangle)]
--- a/crates/preload/src/lib.rs
+++ b/crates/preload/src/lib.rs
@@ -12,8 +12,8 @@
 //! clock -3600         the wall clock is one hour behind from now on
 //! ```
 //!
-//! Calls: `recv` (for Unix sockets: `recv-local`), `send` (also `writev`), `connect`, `accept`, `write`,
-//! `sync`, `rename`, `open`.
+//! Calls: `recv` (for Unix sockets: `recv-local`), `read-signal` (`read` on a signal descriptor), `send` (also
+//! `writev`), `connect`, `accept`, `write`, `sync`, `rename`, `open`.
 
 mod calls;
 mod rules;
--- a/crates/preload/src/rules.rs
+++ b/crates/preload/src/rules.rs
@@ -16,6 +16,8 @@
     Recv,
     /// `recv` on a Unix socket, such as a socket pair within one program.
     RecvLocal,
+    /// `read` on a signal descriptor (`signalfd`).
+    ReadSignal,
     Send,
     Connect,
     Accept,
@@ -30,6 +32,7 @@
         Some(match name {
             "recv" => Call::Recv,
             "recv-local" => Call::RecvLocal,
+            "read-signal" => Call::ReadSignal,
             "send" => Call::Send,
             "connect" => Call::Connect,
             "accept" => Call::Accept,
