--- a/crates/courier/src/bootstrap.rs
+++ b/crates/courier/src/bootstrap.rs
@@ -6,6 +6,7 @@
 mod serve;
 pub mod settings;
 
+use crate::signals::{Signal, SignalStream};
 use crate::startup_error::StartupError;
 use platform_config::PlatformConfig;
 use settings::OperatorSettings;
@@ -15,7 +16,6 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::runtime;
-use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
@@ -66,8 +66,8 @@
     done
 }
 
-fn signal_stream(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
-    signal(kind).map_err(|e| StartupError::Invalid(name, e.to_string()))
+fn signal_stream(signals: &[Signal]) -> Result<SignalStream, StartupError> {
+    SignalStream::open(signals).map_err(|e| StartupError::Invalid("signals", e.to_string()))
 }
 
 /// Locks the state folder. Retries for a while, since a tool may hold the lock briefly.
--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -8,6 +8,7 @@
 use crate::ingress::http::{HttpServer, Routing, ServerState};
 use crate::ingress::listener::listen;
 use crate::memory_budget::MemoryBudget;
+use crate::signals::{Signal, SignalStream};
 use crate::startup_error::StartupError;
 use crate::upstream::endpoint_client::EndpointClient;
 use crate::upstream::outcomes::OutcomeNotifier;
@@ -19,12 +20,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::signal::unix::{Signal, SignalKind};
 use tokio::sync::mpsc;
 
 /// Reads the file again on each SIGHUP. An invalid file changes nothing.
-async fn reload(mut hangup: Signal, file: PathBuf, events: mpsc::Sender<DispatcherEvent>) {
-    while hangup.recv().await.is_some() {
+async fn reload(mut hangup: SignalStream, file: PathBuf, events: mpsc::Sender<DispatcherEvent>) {
+    loop {
+        hangup.recv().await;
         match platform_config::reread_discovery(&file) {
             Ok(Some(discovery)) => {
                 eprintln!("configuration read again: discovery is at {discovery}");
@@ -57,9 +58,9 @@
 /// # Errors
 /// The reason why the courier cannot start.
 pub async fn platform(mut config: PlatformConfig, settings: OperatorSettings) -> Result<(), StartupError> {
-    // Handlers are installed first: without one, either signal ends the process at once.
-    let mut terminate = signal_stream(SignalKind::terminate(), "SIGTERM")?;
-    let hangup = signal_stream(SignalKind::hangup(), "SIGHUP")?;
+    // Opened first: without its stream, either signal ends the process at once.
+    let mut terminate = signal_stream(&[Signal::Terminate])?;
+    let hangup = signal_stream(&[Signal::Hangup])?;
     let disk_bytes = (config.limits.disk_mb * 1e6) as u64;
     let options = settings.journal.options(disk_bytes, u64::from(config.settings.max_attempts));
     let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
@@ -112,12 +113,11 @@
     server_state.ready.set(true);
     let accepting = tokio::task::spawn_local(http_server.run(listener));
     tokio::task::spawn_local(async move {
-        if terminate.recv().await.is_some() {
-            eprintln!("stopping");
-            let _ = events.send(DispatcherEvent::Stop).await;
-            tokio::time::sleep(Duration::from_millis(700)).await;
-            accepting.abort();
-        }
+        terminate.recv().await;
+        eprintln!("stopping");
+        let _ = events.send(DispatcherEvent::Stop).await;
+        tokio::time::sleep(Duration::from_millis(700)).await;
+        accepting.abort();
     });
     eprintln!("{name} serves {at}; {kept} messages resumed");
     dispatcher.run(event_queue).await;
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -17,6 +17,7 @@
 use crate::ingress::rejection::ConnectionRejecter;
 use crate::ingress::users::Users;
 use crate::memory_budget::{self, MemoryBudget};
+use crate::signals::Signal;
 use crate::startup_error::StartupError;
 use crate::upstream::endpoint_client::EndpointClient;
 use crate::upstream::outcomes::OutcomeNotifier;
@@ -33,7 +34,6 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::signal::unix::SignalKind;
 use tokio::sync::mpsc;
 
 /// Default size limit of the journal, bytes.
@@ -152,9 +152,8 @@
 /// # Errors
 /// The reason why the courier cannot start.
 pub async fn serve(file: PathBuf) -> Result<(), StartupError> {
-    let mut terminate = signal_stream(SignalKind::terminate(), "SIGTERM")?;
-    let mut interrupt = signal_stream(SignalKind::interrupt(), "SIGINT")?;
-    let hangup = signal_stream(SignalKind::hangup(), "SIGHUP")?;
+    let mut stop = signal_stream(&[Signal::Terminate, Signal::Interrupt])?;
+    let hangup = signal_stream(&[Signal::Hangup])?;
     let document =
         config_file::read_document(&file).map_err(|e| StartupError::Problems(vec![e.to_string()]))?;
     let file_installation = document.installation(None);
@@ -295,10 +294,7 @@
     let configuring = tokio::task::spawn_local(config_updater.run(hangup));
     let stopper = server_state.clone();
     tokio::task::spawn_local(async move {
-        tokio::select! {
-            _ = terminate.recv() => {}
-            _ = interrupt.recv() => {}
-        }
+        stop.recv().await;
         eprintln!("stopping");
         configuring.abort();
         if let Some(accepting) = accepting {
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -11,6 +11,7 @@
 use crate::ingress::http::HttpServer;
 use crate::ingress::listener::listen;
 use crate::memory_budget::{self, MemoryBudget};
+use crate::signals::SignalStream;
 use crate::startup_error::StartupError;
 use crate::upstream::http_connection::HttpConnection;
 use bytes::Bytes;
@@ -32,7 +33,6 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
-use tokio::signal::unix::Signal;
 use tokio::sync::mpsc::{self, Receiver, Sender};
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -303,15 +303,15 @@
     }
 
     /// Handles events until no more can arrive; a SIGHUP reloads the file.
-    pub async fn run(mut self, mut hangup: Signal) {
+    pub async fn run(mut self, mut hangup: SignalStream) {
         while self.handle_one(Some(&mut hangup)).await {}
     }
 
     /// Handles one event. Returns false if no more can arrive.
-    async fn handle_one(&mut self, hangup: Option<&mut Signal>) -> bool {
+    async fn handle_one(&mut self, hangup: Option<&mut SignalStream>) -> bool {
         let next_hangup = async {
             match hangup {
-                Some(signal) => signal.recv().await,
+                Some(hangup) => hangup.recv().await,
                 None => std::future::pending().await,
             }
         };
@@ -353,12 +353,7 @@
                 }
                 None => return false,
             },
-            signal = next_hangup => {
-                if signal.is_none() {
-                    return false;
-                }
-                self.reload_pending = true;
-            }
+            () = next_hangup => self.reload_pending = true,
         }
         self.start_next_change();
         true
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -19,6 +19,7 @@
 mod memory_budget;
 pub mod message_trace;
 mod process_memory;
+mod signals;
 mod socket;
 mod startup_error;
 mod upstream;
--- a/crates/courier/tests/machine_faults.rs
+++ b/crates/courier/tests/machine_faults.rs
@@ -1,6 +1,7 @@
 //! The delivery rules hold while system calls fail in the ways that Linux documents. Courier processes on loopback, with
 //! the library `stairshed-preload` loaded to inject the failures.
 
+use serde_json::Value;
 use stairshed_mqtt::packet::{Connect, Version};
 use stairshed_rig::broker::{Broker, BrokerFaults};
 use stairshed_rig::delivery_rules::CLASSES;
@@ -29,7 +30,7 @@
     discovery: Discovery,
     courier: Courier,
     faults: MachineFaults,
-    _folder: TestFolder,
+    folder: TestFolder,
 }
 
 impl TestSetup {
@@ -41,7 +42,7 @@
         let mut command = command(&folder, &discovery, &config(&discovery, known));
         let faults = MachineFaults::load(&mut command, &folder, "");
         let courier = Courier::spawn(&mut command);
-        TestSetup { endpoint, discovery, courier, faults, _folder: folder }
+        TestSetup { endpoint, discovery, courier, faults, folder }
     }
 
     /// Runs clients that submit messages one after the other under the fault `rules`. Returns the ids without an answer
@@ -187,3 +188,38 @@
     setup.courier.signal("-TERM");
     assert_eq!(setup.courier.exit(), 0, "{:?}", setup.courier.unread_log());
 }
+
+/// Temporary failures of the reads by which a signal can reach a courier.
+const SIGNAL_READ_FAULTS: [&str; 3] = ["recv-local EINTR 2", "read-signal EINTR 2", "read-signal EIO 2"];
+
+// Guards against a reload or stop that is lost, or a courier that crashes, when the read of a signal fails.
+#[test]
+fn courier_reloads_and_stops_though_reads_of_signals_fail_temporarily() {
+    for rules in SIGNAL_READ_FAULTS {
+        let mut setup = TestSetup::start();
+        setup.faults.set(rules);
+        for _ in 0..2 {
+            let discovery = Discovery::new(list(1, true, vec![]));
+            setup.courier.reload(&setup.folder, &config(&discovery, Value::Null).to_string());
+            wait_until("a watch at the new address", || discovery.watches.load(Ordering::SeqCst) > 0);
+        }
+        setup.courier.signal("-TERM");
+        assert_eq!(setup.courier.exit(), 0, "under {rules:?}: {:?}", setup.courier.unread_log());
+    }
+}
+
+// Guards against the same with an operator's file, whose reloads take another path.
+#[test]
+fn an_operators_courier_reloads_and_stops_though_reads_of_signals_fail_temporarily() {
+    for rules in SIGNAL_READ_FAULTS {
+        let (broker, folder) = (Broker::new(BrokerFaults::default()), TestFolder::new());
+        let file = mqtt_file(&broker);
+        let mut command = serve_command(&folder, &file);
+        let _faults = MachineFaults::load(&mut command, &folder, rules);
+        let mut courier = Courier::spawn(&mut command);
+        courier.replace_config_file(&folder, &file.replace("20s", "21s"));
+        courier.wait_for_log("in effect");
+        courier.signal("-INT");
+        assert_eq!(courier.exit(), 0, "under {rules:?}: {:?}", courier.unread_log());
+    }
+}
