--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,12 +1,53 @@
 //! Errors of the journal. Messages name the file concerned and what the operator can do.
 
+use std::fmt;
 use std::io;
 
+/// A call on the directory of the journal or on one of its files.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FileCall {
+    List,
+    Lock,
+    Open,
+    Create,
+    Size,
+    Read,
+    Write,
+    Truncate,
+    /// Allocates blocks of the file that reserves disk space.
+    Allocate,
+    /// Frees blocks of that file.
+    Shrink,
+    Sync,
+    Rename,
+    Remove,
+}
+
+impl fmt::Display for FileCall {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            FileCall::List => "list",
+            FileCall::Lock => "lock",
+            FileCall::Open => "open",
+            FileCall::Create => "create",
+            FileCall::Size => "size",
+            FileCall::Read => "read",
+            FileCall::Write => "write",
+            FileCall::Truncate => "truncate",
+            FileCall::Allocate => "allocate",
+            FileCall::Shrink => "shrink",
+            FileCall::Sync => "sync",
+            FileCall::Rename => "rename",
+            FileCall::Remove => "remove",
+        })
+    }
+}
+
 /// Why the journal cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("{file}: {call}: {source}")]
-    Io { file: String, call: &'static str, source: io::Error },
+    Io { file: String, call: FileCall, source: io::Error },
     #[error("{folder}: another process holds the lock on this directory; stop it, or use another directory")]
     Locked { folder: String },
     #[error("{folder}: not a directory; name an existing directory that is writable")]
@@ -32,7 +73,7 @@
 }
 
 impl Error {
-    pub(crate) fn io(file: &str, call: &'static str, source: io::Error) -> Self {
+    pub(crate) fn io(file: &str, call: FileCall, source: io::Error) -> Self {
         Error::Io { file: file.to_owned(), call, source }
     }
 
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,7 +1,7 @@
 //! The journal: appends records, writes them to the storage, reserves space for records that accepted
 //! messages still need, and compacts old segments in bounded steps.
 
-use crate::error::{Damage, Error, Refusal};
+use crate::error::{Damage, Error, FileCall, Refusal};
 use crate::frame;
 use crate::legacy;
 use crate::log::{FRAME_OVERHEAD_BYTES, Log, LogConfig, Op};
@@ -12,6 +12,7 @@
 use crate::storage::{Storage, StoredFile, read_into};
 use crate::sync::{DiskTrust, SyncJob, SyncOutcome};
 use std::collections::{BTreeMap, BTreeSet};
+use std::io::ErrorKind;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,6 +32,8 @@
 /// File that is synced after a failed sync to test whether the device works again. A new segment for each
 /// test would fill the capacity.
 const PROBE_FILE: &str = "probe";
+/// Limit of the errors that are kept until the caller takes them.
+const MAX_TOLERATED_ERRORS: usize = 16;
 /// Number of consecutive failed syncs that is reported as an error.
 const REPORTED_SYNC_FAILURES: u32 = 3;
 
@@ -83,6 +86,12 @@
     dirty: BTreeSet<u64>,
     names_dirty: bool,
     sync_in_flight: bool,
+    /// Segments that the sync in flight covers.
+    syncing: BTreeSet<u64>,
+    /// Segment whose creation failed last. Its file may exist all the same.
+    failed_creation: Option<u64>,
+    /// Errors that the journal handled without reporting them to its caller.
+    tolerated_errors: Vec<Error>,
     /// Whether the last flush failed.
     flush_failed: bool,
     disk_trust: DiskTrust,
@@ -105,7 +114,7 @@
     /// [`OnDamage::Stop`].
     pub fn open(storage: Arc<dyn Storage>, options: Options) -> Result<(Self, RecoveryReport), Error> {
         options.check()?;
-        let names = storage.list().map_err(|e| Error::io("journal", "list", e))?;
+        let names = storage.list().map_err(|e| Error::io("journal", FileCall::List, e))?;
         let is_legacy = names.iter().any(|n| n == legacy::FILE_NAME);
         let mut found = recover(&*storage, &options, None)?;
         if options.on_damage == OnDamage::Stop
@@ -113,7 +122,7 @@
         {
             return Err(Error::Damaged(damage.clone()));
         }
-        let remove = |name: &str| storage.remove(name).map_err(|e| Error::io(name, "remove", e));
+        let remove = |name: &str| storage.remove(name).map_err(|e| Error::io(name, FileCall::Remove, e));
         if is_legacy {
             if !found.migration {
                 return Err(Error::ConflictingFormats);
@@ -170,17 +179,18 @@
         let mut files = BTreeMap::new();
         for number in found.segments.keys() {
             let name = frame::segment_name(*number);
-            files.insert(*number, storage.open(&name).map_err(|e| Error::io(&name, "open", e))?);
+            files.insert(*number, storage.open(&name).map_err(|e| Error::io(&name, FileCall::Open, e))?);
         }
         if let Some((number, size)) = found.truncate_at
             && let Some(file) = files.get(&number)
         {
-            file.set_size(size).map_err(|e| Error::io(&frame::segment_name(number), "truncate", e))?;
+            file.set_size(size)
+                .map_err(|e| Error::io(&frame::segment_name(number), FileCall::Truncate, e))?;
         }
         let mut damaged_bytes = 0;
         for name in names.iter().filter(|n| n.ends_with(DAMAGED_SUFFIX)) {
             let size = storage.open(name).and_then(|f| f.size());
-            damaged_bytes += size.map_err(|e| Error::io(name, "size", e))?.next_multiple_of(512);
+            damaged_bytes += size.map_err(|e| Error::io(name, FileCall::Size, e))?.next_multiple_of(512);
         }
         let config = LogConfig {
             segment_bytes: options.effective_segment_bytes(),
@@ -202,6 +212,9 @@
             dirty,
             names_dirty: true,
             sync_in_flight: false,
+            syncing: BTreeSet::new(),
+            failed_creation: None,
+            tolerated_errors: Vec::new(),
             flush_failed: false,
             disk_trust: DiskTrust::Trusted,
             sync_failures: 0,
@@ -217,10 +230,12 @@
     /// Copies the messages of the old format's file, then removes the file. Until then the old file is
     /// authoritative.
     fn migrate_legacy(&mut self, report: &mut RecoveryReport) -> Result<usize, Error> {
-        let file =
-            self.storage.open(legacy::FILE_NAME).map_err(|e| Error::io(legacy::FILE_NAME, "open", e))?;
+        let file = self
+            .storage
+            .open(legacy::FILE_NAME)
+            .map_err(|e| Error::io(legacy::FILE_NAME, FileCall::Open, e))?;
         let mut bytes = Vec::new();
-        read_into(&*file, &mut bytes).map_err(|e| Error::io(legacy::FILE_NAME, "read", e))?;
+        read_into(&*file, &mut bytes).map_err(|e| Error::io(legacy::FILE_NAME, FileCall::Read, e))?;
         let (live, _, valid_len) = legacy::replay(&bytes);
         report.truncated_bytes += (bytes.len() - valid_len) as u64;
         let messages = live.len();
@@ -231,10 +246,12 @@
         if self.options.durability == Durability::Machine {
             self.sync_now()?;
         }
-        self.storage.remove(legacy::FILE_NAME).map_err(|e| Error::io(legacy::FILE_NAME, "remove", e))?;
+        self.storage
+            .remove(legacy::FILE_NAME)
+            .map_err(|e| Error::io(legacy::FILE_NAME, FileCall::Remove, e))?;
         if self.options.durability == Durability::Machine {
             // A power failure must not restore the old file beside newer records.
-            self.storage.sync_names().map_err(|e| Error::io("journal", "sync", e))?;
+            self.storage.sync_names().map_err(|e| Error::io("journal", FileCall::Sync, e))?;
         }
         // Later records must not count as part of the migration, in case the old program runs here again.
         self.log.end_migration();
@@ -358,7 +375,10 @@
         let wanted = self.wanted_reserve_file_bytes(more);
         if wanted > self.reserve_file_bytes {
             let to = wanted + RESERVE_STEP_BYTES;
-            self.storage.preallocate(RESERVE_FILE, to).map_err(|_| Refusal::DiskFull)?;
+            if let Err(e) = self.storage.preallocate(RESERVE_FILE, to) {
+                self.tolerate(Error::io(RESERVE_FILE, FileCall::Allocate, e));
+                return Err(Refusal::DiskFull);
+            }
             self.names_dirty = true;
             self.reserve_file_bytes = to;
         }
@@ -580,12 +600,25 @@
             && self.reserve_file_bytes > self.wanted_reserve_file_bytes(0) + 4 * RESERVE_STEP_BYTES
         {
             let to = self.wanted_reserve_file_bytes(0) + RESERVE_STEP_BYTES;
-            if self.storage.preallocate(RESERVE_FILE, to).is_ok() {
-                self.reserve_file_bytes = to;
+            match self.storage.preallocate(RESERVE_FILE, to) {
+                Ok(()) => self.reserve_file_bytes = to,
+                Err(e) => self.tolerate(Error::io(RESERVE_FILE, FileCall::Shrink, e)),
             }
         }
     }
 
+    /// Keeps an error for [`Journal::take_tolerated_errors`].
+    fn tolerate(&mut self, error: Error) {
+        if self.tolerated_errors.len() < MAX_TOLERATED_ERRORS {
+            self.tolerated_errors.push(error);
+        }
+    }
+
+    /// Errors of calls since the last time that the journal handled by itself, without reporting them.
+    pub fn take_tolerated_errors(&mut self) -> Vec<Error> {
+        std::mem::take(&mut self.tolerated_errors)
+    }
+
     /// Copies all live records to new segments and removes the others in one call. For a journal that is not
     /// in service.
     ///
@@ -613,18 +646,13 @@
     /// [`Error::Io`] with the file and the call.
     pub fn flush(&mut self) -> Result<(), Error> {
         while let Some(op) = self.log.queue.pop_front() {
-            let mut done = self.execute(&op);
-            while self.reserve_file_bytes > 0 && done.as_ref().is_err_and(Error::is_full) {
-                // The disk is full: use the preallocated space.
-                let to = self.reserve_file_bytes.saturating_sub(RESERVE_STEP_BYTES);
-                let name = RESERVE_FILE;
-                self.storage.preallocate(name, to).map_err(|e| Error::io(name, "shrink", e))?;
-                self.reserve_file_bytes = to;
-                done = self.execute(&op);
-            }
-            if let Err(e) = done {
-                self.log.queue.push_front(op);
+            if let Err(e) = self.execute_using_reserve(&op) {
                 self.flush_failed = true;
+                match op {
+                    // Repeated, it could succeed without having written what this one lost.
+                    Op::Sync => self.distrust_disk(),
+                    op => self.log.queue.push_front(op),
+                }
                 return Err(e);
             }
             self.log.finish_op(op);
@@ -634,14 +662,40 @@
         Ok(())
     }
 
+    /// Executes an operation. If the disk is full, uses the preallocated space.
+    fn execute_using_reserve(&mut self, op: &Op) -> Result<(), Error> {
+        let mut done = self.execute(op);
+        while self.reserve_file_bytes > 0 && done.as_ref().is_err_and(Error::is_full) {
+            let to = self.reserve_file_bytes.saturating_sub(RESERVE_STEP_BYTES);
+            let shrunk = self.storage.preallocate(RESERVE_FILE, to);
+            shrunk.map_err(|e| Error::io(RESERVE_FILE, FileCall::Shrink, e))?;
+            self.reserve_file_bytes = to;
+            done = self.execute(op);
+        }
+        done
+    }
+
+    /// Creates the file of a segment. After a failed creation it may exist, without content.
+    fn create_segment(&mut self, number: u64) -> Result<(), Error> {
+        let name = frame::segment_name(number);
+        let file = match self.storage.create(&name) {
+            Err(e) if e.kind() == ErrorKind::AlreadyExists && self.failed_creation == Some(number) => {
+                self.storage.open(&name).map_err(|e| Error::io(&name, FileCall::Open, e))?
+            }
+            created => created.map_err(|e| {
+                self.failed_creation = Some(number);
+                Error::io(&name, FileCall::Create, e)
+            })?,
+        };
+        self.failed_creation = None;
+        self.names_dirty = true;
+        self.files.insert(number, file);
+        Ok(())
+    }
+
     fn execute(&mut self, op: &Op) -> Result<(), Error> {
         match op {
-            Op::Create { number } => {
-                let name = frame::segment_name(*number);
-                let file = self.storage.create(&name).map_err(|e| Error::io(&name, "create", e))?;
-                self.names_dirty = true;
-                self.files.insert(*number, file);
-            }
+            Op::Create { number } => self.create_segment(*number)?,
             Op::Write { number, at, bytes } => {
                 // A segment that has been removed needs no seal.
                 let Some(file) = self.files.get(number) else { return Ok(()) };
@@ -649,19 +703,22 @@
                 while done < bytes.len() {
                     match file.write_at(at + done as u64, &bytes[done..]) {
                         Ok(n) => done += n,
-                        Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
+                        Err(e) if e.kind() == ErrorKind::Interrupted => {}
                         Err(e) => {
                             // After a crash a partial write could restore a message whose client was refused,
                             // so it is truncated. If that fails too, the next attempt still overwrites it.
-                            let _ = file.set_size(*at);
-                            return Err(Error::io(&frame::segment_name(*number), "write", e));
+                            let name = frame::segment_name(*number);
+                            if let Err(e) = file.set_size(*at) {
+                                self.tolerate(Error::io(&name, FileCall::Truncate, e));
+                            }
+                            return Err(Error::io(&name, FileCall::Write, e));
                         }
                     }
                 }
                 self.dirty.insert(*number);
             }
             Op::Sync => self.sync_files()?,
-            Op::Remove { number } => {
+            Op::Remove { number, .. } => {
                 self.retire_file(*number, self.damaged.contains(number))?;
                 self.files.remove(number);
                 self.dirty.remove(number);
@@ -671,30 +728,50 @@
     }
 
     /// Removes a segment's file, or renames it for the operator if it is damaged and the capacity is large
-    /// enough.
+    /// enough. A call that failed earlier may have had its effect, so a missing file is no error.
     fn retire_file(&mut self, number: u64, damaged: bool) -> Result<(), Error> {
         let name = frame::segment_name(number);
+        self.names_dirty = true;
         if damaged && self.options.capacity_bytes >= MIN_CAPACITY_TO_KEEP_DAMAGED_BYTES {
-            let size = self.storage.open(&name).and_then(|f| f.size());
-            let size = size.map_err(|e| Error::io(&name, "size", e))?;
-            let kept = format!("{name}{DAMAGED_SUFFIX}");
-            self.storage.rename(&name, &kept).map_err(|e| Error::io(&name, "rename", e))?;
-            self.damaged_bytes += size.next_multiple_of(512);
-        } else {
-            self.storage.remove(&name).map_err(|e| Error::io(&name, "remove", e))?;
+            return self.keep_damaged(&name);
+        }
+        match self.storage.remove(&name) {
+            Err(e) if e.kind() != ErrorKind::NotFound => Err(Error::io(&name, FileCall::Remove, e)),
+            _ => Ok(()),
+        }
+    }
+
+    /// Renames a damaged segment, unless an earlier call has done so.
+    fn keep_damaged(&mut self, name: &str) -> Result<(), Error> {
+        let kept = format!("{name}{DAMAGED_SUFFIX}");
+        match self.storage.rename(name, &kept) {
+            Err(e) if e.kind() != ErrorKind::NotFound => return Err(Error::io(name, FileCall::Rename, e)),
+            _ => {}
+        }
+        match self.storage.open(&kept).and_then(|f| f.size()) {
+            Ok(size) => self.damaged_bytes += size.next_multiple_of(512),
+            Err(e) if e.kind() == ErrorKind::NotFound => {}
+            Err(e) => return Err(Error::io(&kept, FileCall::Size, e)),
         }
-        self.names_dirty = true;
         Ok(())
     }
 
+    /// From now on the records so far may not be on the device.
+    fn distrust_disk(&mut self) {
+        self.log.sync_failed();
+        self.disk_trust = DiskTrust::Probing;
+    }
+
+    /// Syncs what has changed, including what a sync in flight covers.
     fn sync_files(&mut self) -> Result<(), Error> {
-        for number in std::mem::take(&mut self.dirty) {
+        let changed = &std::mem::take(&mut self.dirty) | &self.syncing;
+        for number in changed {
             if let Some(file) = self.files.get(&number) {
-                file.sync().map_err(|e| Error::io(&frame::segment_name(number), "sync", e))?;
+                file.sync().map_err(|e| Error::io(&frame::segment_name(number), FileCall::Sync, e))?;
             }
         }
         if std::mem::take(&mut self.names_dirty) {
-            self.storage.sync_names().map_err(|e| Error::io("journal", "sync", e))?;
+            self.storage.sync_names().map_err(|e| Error::io("journal", FileCall::Sync, e))?;
         }
         Ok(())
     }
@@ -729,7 +806,13 @@
     pub fn begin_sync(&mut self) -> Option<SyncJob> {
         let sync_writes = self.options.durability == Durability::Machine;
         if sync_writes && self.disk_trust == DiskTrust::Probing && !self.sync_in_flight {
-            let file = self.probe().ok()?;
+            let file = match self.probe() {
+                Ok(file) => file,
+                Err(e) => {
+                    self.tolerate(Error::io(PROBE_FILE, FileCall::Create, e));
+                    return None;
+                }
+            };
             self.sync_in_flight = true;
             return Some(SyncJob { storage: self.storage.clone(), files: vec![file], names: true, upto: 0 });
         }
@@ -738,8 +821,8 @@
             return None;
         }
         self.sync_in_flight = true;
-        let files = std::mem::take(&mut self.dirty);
-        let files = files.iter().filter_map(|n| self.files.get(n).cloned()).collect();
+        self.syncing = std::mem::take(&mut self.dirty);
+        let files = self.syncing.iter().filter_map(|n| self.files.get(n).cloned()).collect();
         let names = std::mem::take(&mut self.names_dirty);
         Some(SyncJob { storage: self.storage.clone(), files, names, upto: self.written_seq })
     }
@@ -765,11 +848,11 @@
     /// [`Error::SyncFailed`], once, after several consecutive failures. The journal continues to retry.
     pub fn finish_sync(&mut self, done: SyncOutcome) -> Result<(), Error> {
         self.sync_in_flight = false;
+        self.syncing.clear();
         if done.result.is_err() {
             self.sync_failures += 1;
             // Records in these segments may not be on the device, and their files are never synced again.
-            self.log.discard_pending_seals();
-            self.disk_trust = DiskTrust::Probing;
+            self.distrust_disk();
             return match self.sync_failures == REPORTED_SYNC_FAILURES {
                 true => Err(Error::SyncFailed { failures: self.sync_failures }),
                 false => Ok(()),
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod storage;
 mod sync;
 
-pub use error::{Damage, Error, Refusal};
+pub use error::{Damage, Error, FileCall, Refusal};
 pub use frame::FORMAT_VERSION;
 pub use journal::{Journal, RecoveryReport, Usage};
 pub use options::{Durability, OnDamage, Options};
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -20,6 +20,8 @@
     Sync,
     Remove {
         number: u64,
+        /// Bytes on disk.
+        used: u64,
     },
 }
 
@@ -268,7 +270,7 @@
 
     fn remove(&mut self, number: u64, used: u64) {
         self.used -= used;
-        self.queue.push_back(Op::Remove { number });
+        self.queue.push_back(Op::Remove { number, used });
     }
 
     /// Takes back an executed operation to reuse its buffer.
@@ -302,9 +304,21 @@
         self.roll();
     }
 
-    /// Drops the pending seals after a failed sync: the records before them may not be on the device.
-    pub fn discard_pending_seals(&mut self) {
+    /// After a failed sync the records so far may not be on the device. Drops the pending seals, and lets
+    /// queued removals wait until everything is known to be on the device again.
+    pub fn sync_failed(&mut self) {
         self.seals.clear();
+        let last_seq = self.last_seq();
+        for op in std::mem::take(&mut self.queue) {
+            match op {
+                Op::Remove { number, used } => {
+                    self.used += used;
+                    self.retiring.push_back((last_seq, number, used));
+                }
+                Op::Sync => {}
+                Op::Create { .. } | Op::Write { .. } => self.queue.push_back(op),
+            }
+        }
     }
 }
 
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -1,7 +1,7 @@
 //! Rebuilds the state from the segments. Distinguishes a torn tail, which any crash may leave, from damage to
 //! records that had been written completely.
 
-use crate::error::{Damage, Error};
+use crate::error::{Damage, Error, FileCall};
 use crate::frame::{self, Content, FORMAT_VERSION, HEADER_BYTES, Header, HeaderError};
 use crate::log::Segment;
 use crate::options::{Durability, Options};
@@ -85,7 +85,7 @@
     options: &Options,
     observe: Observer,
 ) -> Result<Recovered, Error> {
-    let names = storage.list().map_err(|e| Error::io("journal", "list", e))?;
+    let names = storage.list().map_err(|e| Error::io("journal", FileCall::List, e))?;
     let numbers: BTreeSet<u64> = names.iter().filter_map(|n| frame::segment_number(n)).collect();
     let headers = headers(storage, &numbers)?;
     let mut known = headers.values().filter_map(|head| match head {
@@ -186,10 +186,10 @@
     let mut headers = BTreeMap::new();
     for number in numbers {
         let name = frame::segment_name(*number);
-        let file = storage.open(&name).map_err(|e| Error::io(&name, "open", e))?;
-        let size = file.size().map_err(|e| Error::io(&name, "size", e))?;
+        let file = storage.open(&name).map_err(|e| Error::io(&name, FileCall::Open, e))?;
+        let size = file.size().map_err(|e| Error::io(&name, FileCall::Size, e))?;
         let mut head = vec![0; (HEADER_BYTES as u64).min(size) as usize];
-        file.read_at(0, &mut head).map_err(|e| Error::io(&name, "read", e))?;
+        file.read_at(0, &mut head).map_err(|e| Error::io(&name, FileCall::Read, e))?;
         let head = match Header::read(&head) {
             Ok(header) if header.number == *number => SegmentHeader::Valid(header),
             Ok(header) => SegmentHeader::Misplaced(header),
@@ -252,8 +252,8 @@
             break;
         }
         let name = frame::segment_name(*number);
-        let file = storage.open(&name).map_err(|e| Error::io(&name, "open", e))?;
-        read_into(&*file, &mut buffer).map_err(|e| Error::io(&name, "read", e))?;
+        let file = storage.open(&name).map_err(|e| Error::io(&name, FileCall::Open, e))?;
+        read_into(&*file, &mut buffer).map_err(|e| Error::io(&name, FileCall::Read, e))?;
         let bytes = &buffer[..];
         result.read += bytes.len() as u64;
         let sync_writes = written_with_syncs(headers, *number, options);
--- a/crates/journal/src/storage/faulty.rs
+++ b/crates/journal/src/storage/faulty.rs
@@ -27,6 +27,8 @@
 pub enum Fault {
     /// The call fails without effect.
     Fails(io::ErrorKind),
+    /// A creation, removal or rename takes effect, and yet reports a failure.
+    FailsAfterEffect(io::ErrorKind),
     /// A write succeeds for this many bytes only.
     Short(usize),
     /// A write fails after writing this many bytes.
@@ -108,12 +110,22 @@
 
     /// Executes a call that has its full effect or fails without any, and records it in the first case.
     fn call(&self, step: Step) -> io::Result<()> {
+        self.call_with(step, || Ok(()))
+    }
+
+    /// The same for a call that has this effect on the content.
+    fn call_with<T>(&self, step: Step, effect: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
         let mut inner = self.inner();
-        if let Some(Fault::Fails(kind)) = Self::fault(&mut inner, &step) {
+        let fault = Self::fault(&mut inner, &step);
+        if let Some(Fault::Fails(kind)) = fault {
             return Err(kind.into());
         }
+        let result = effect()?;
         inner.note(step);
-        Ok(())
+        match fault {
+            Some(Fault::FailsAfterEffect(kind)) => Err(kind.into()),
+            _ => Ok(result),
+        }
     }
 
     /// How many bytes of a write are written, and its result.
@@ -122,7 +134,7 @@
         let step = Step::Write { file, at, bytes: bytes.to_vec() };
         let (most, outcome) = match Self::fault(&mut inner, &step) {
             None => (bytes.len(), Ok(())),
-            Some(Fault::Fails(kind)) => (0, Err(kind)),
+            Some(Fault::Fails(kind) | Fault::FailsAfterEffect(kind)) => (0, Err(kind)),
             Some(Fault::Short(n)) => (n.clamp(1, bytes.len()), Ok(())),
             Some(Fault::Torn(n, kind)) => (n.min(bytes.len()), Err(kind)),
         };
@@ -199,8 +211,9 @@
             inner.files += 1;
             inner.files - 1
         };
-        self.call(Step::Create { name: name.to_owned(), file })?;
-        Ok(Arc::new(Handle { folder: self.clone(), file, content: self.content.create(name)? }))
+        let step = Step::Create { name: name.to_owned(), file };
+        let content = self.call_with(step, || self.content.create(name))?;
+        Ok(Arc::new(Handle { folder: self.clone(), file, content }))
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn StoredFile>> {
@@ -209,13 +222,12 @@
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.call(Step::Remove { name: name.to_owned() })?;
-        self.content.remove(name)
+        self.call_with(Step::Remove { name: name.to_owned() }, || self.content.remove(name))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.call(Step::Rename { from: from.to_owned(), to: to.to_owned() })?;
-        self.content.rename(from, to)
+        let step = Step::Rename { from: from.to_owned(), to: to.to_owned() };
+        self.call_with(step, || self.content.rename(from, to))
     }
 
     fn sync_names(&self) -> io::Result<()> {
--- a/crates/journal/src/storage/files.rs
+++ b/crates/journal/src/storage/files.rs
@@ -2,7 +2,7 @@
 //! damage.
 
 use super::{Storage, StoredFile};
-use crate::error::Error;
+use crate::error::{Error, FileCall};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -15,6 +15,8 @@
 /// A directory of files. The lock is held until this value is dropped.
 pub struct FileStorage {
     folder: PathBuf,
+    /// Opened to inspect the directory, possibly by a user without permission to write.
+    read_only: bool,
     _lock: Option<File>,
 }
 
@@ -28,9 +30,9 @@
         Self::check(folder)?;
         let shown = folder.join(LOCK).display().to_string();
         let lock = OpenOptions::new().write(true).create(true).truncate(false).open(folder.join(LOCK));
-        let lock = lock.map_err(|e| Error::io(&shown, "open", e))?;
+        let lock = lock.map_err(|e| Error::io(&shown, FileCall::Open, e))?;
         Self::hold(lock.try_lock(), folder)?;
-        Ok(FileStorage { folder: folder.to_owned(), _lock: Some(lock) })
+        Ok(FileStorage { folder: folder.to_owned(), read_only: false, _lock: Some(lock) })
     }
 
     /// Opens the directory for reading if no process has locked it. Creates nothing, not even a lock file.
@@ -46,22 +48,27 @@
                 Some(lock)
             }
             Err(e) if e.kind() == io::ErrorKind::NotFound => None,
-            Err(e) => return Err(Error::io(&folder.join(LOCK).display().to_string(), "open", e)),
+            Err(e) => return Err(Error::io(&folder.join(LOCK).display().to_string(), FileCall::Open, e)),
         };
-        Ok(FileStorage { folder: folder.to_owned(), _lock: lock })
+        Ok(FileStorage { folder: folder.to_owned(), read_only: true, _lock: lock })
     }
 
     fn check(folder: &Path) -> Result<(), Error> {
-        match folder.is_dir() {
-            true => Ok(()),
-            false => Err(Error::NotADirectory { folder: folder.display().to_string() }),
+        let shown = folder.display().to_string();
+        match fs::metadata(folder) {
+            Ok(found) if found.is_dir() => Ok(()),
+            Ok(_) => Err(Error::NotADirectory { folder: shown }),
+            Err(e) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::NotADirectory) => {
+                Err(Error::NotADirectory { folder: shown })
+            }
+            Err(e) => Err(Error::io(&shown, FileCall::Open, e)),
         }
     }
 
     fn hold(tried: Result<(), TryLockError>, folder: &Path) -> Result<(), Error> {
         tried.map_err(|e| match e {
             TryLockError::WouldBlock => Error::Locked { folder: folder.display().to_string() },
-            TryLockError::Error(e) => Error::io(&folder.join(LOCK).display().to_string(), "lock", e),
+            TryLockError::Error(e) => Error::io(&folder.join(LOCK).display().to_string(), FileCall::Lock, e),
         })
     }
 
@@ -88,15 +95,8 @@
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn StoredFile>> {
-        let open = OpenOptions::new().read(true).write(true).open(self.path(name));
-        // A user who only inspects a directory may lack permission to write.
-        let open = open.or_else(|e| match e.kind() {
-            io::ErrorKind::PermissionDenied | io::ErrorKind::ReadOnlyFilesystem => {
-                File::open(self.path(name))
-            }
-            _ => Err(e),
-        });
-        Ok(Arc::new(open?))
+        let file = OpenOptions::new().read(true).write(!self.read_only).open(self.path(name))?;
+        Ok(Arc::new(file))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
@@ -113,10 +113,11 @@
 
     fn preallocate(&self, name: &str, bytes: u64) -> io::Result<()> {
         use rustix::fs::{FallocateFlags, fallocate};
+        use rustix::io::retry_on_intr;
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(self.path(name))?;
         let before = file.metadata()?.len();
         if bytes > before {
-            fallocate(&file, FallocateFlags::empty(), before, bytes - before)?;
+            retry_on_intr(|| fallocate(&file, FallocateFlags::empty(), before, bytes - before))?;
         } else {
             file.set_len(bytes)?;
         }
--- a/crates/journal/src/sync.rs
+++ b/crates/journal/src/sync.rs
@@ -21,6 +21,13 @@
     pub(crate) result: io::Result<()>,
 }
 
+impl SyncOutcome {
+    /// Why the sync failed, if it did.
+    pub fn error(&self) -> Option<&io::Error> {
+        self.result.as_ref().err()
+    }
+}
+
 impl SyncJob {
     /// Syncs the files and blocks until the device has answered.
     pub fn run(self) -> SyncOutcome {
--- a/crates/journal/tests/faults.rs
+++ b/crates/journal/tests/faults.rs
@@ -12,7 +12,7 @@
 use std::io::ErrorKind;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 /// A journal of several segments whose messages have one attempt each, completely written.
 fn several_segments(durability: Durability) -> (FaultyStorage, Map) {
@@ -373,6 +373,138 @@
     }
 }
 
+/// Applies compaction and syncs until the journal works as before.
+fn recover_service(modelled: &mut ModelledJournal, what: &str) {
+    for _ in 0..200 {
+        modelled.apply(&Operation::Compact(2000));
+        modelled.apply(&Operation::Sync);
+        if modelled.journal.is_durable() && modelled.journal.is_disk_trusted() {
+            return;
+        }
+    }
+    panic!("the journal never recovers from {what}");
+}
+
+/// A history that fills the capacity, so that segments are compacted at once to make room.
+fn full_history() -> Vec<Operation> {
+    let round = |n: usize| {
+        let ended = (n > 30).then_some(Operation::End(n));
+        let step = if n.is_multiple_of(3) { Operation::Sync } else { Operation::Flush };
+        [Operation::Accept(500), Operation::Attempt(n)].into_iter().chain(ended).chain([step])
+    };
+    (0..100).flat_map(round).collect()
+}
+
+fn is_same_kind(step: &Step, kind: &Step) -> bool {
+    std::mem::discriminant(step) == std::mem::discriminant(kind)
+}
+
+// Guards against a courier that takes on nothing more after a call that failed once or for a while, possibly after it
+// had taken effect.
+#[test]
+fn each_kind_of_call_may_fail_for_a_while_and_the_journal_works_again() {
+    let named = String::new;
+    let kinds = [
+        Step::Create { name: named(), file: 0 },
+        Step::Write { file: 0, at: 0, bytes: Vec::new() },
+        Step::SetSize { file: 0, size: 0 },
+        Step::Sync { file: 0 },
+        Step::Remove { name: named() },
+        Step::SyncNames,
+    ];
+    let faults = [
+        Fault::Fails(ErrorKind::Other),
+        Fault::FailsAfterEffect(ErrorKind::ReadOnlyFilesystem),
+        Fault::Fails(ErrorKind::StorageFull),
+    ];
+    for durability in [Durability::Process, Durability::Machine] {
+        for (kind, fault, times) in
+            kinds.iter().flat_map(|k| faults.iter().flat_map(move |f| [1, 7].map(|t| (k.clone(), *f, t))))
+        {
+            let what = format!("{kind:?} with {fault:?} {times} times, {durability:?}");
+            let folder = FaultyStorage::default();
+            let preallocate = matches!(kind, Step::SetSize { .. });
+            let options = Options { preallocate, ..small_options(durability) };
+            let mut modelled = ModelledJournal::new(folder.clone(), options.clone());
+            for (n, operation) in full_history().iter().enumerate() {
+                if n % 80 == 50 {
+                    let (kind, mut left) = (kind.clone(), times);
+                    folder.set_fault_script(move |_, step| {
+                        let fails = left > 0 && is_same_kind(step, &kind);
+                        left -= usize::from(fails);
+                        fails.then_some(fault)
+                    });
+                }
+                modelled.apply(operation);
+                assert!(state(&modelled.journal) == modelled.map, "{what}");
+            }
+            folder.clear_faults();
+            recover_service(&mut modelled, &what);
+            let (again, report) = open(&FaultyStorage::from_image(folder.image()), options);
+            assert!(report.damages.is_empty() && state(&again) == modelled.map, "{what}");
+        }
+    }
+}
+
+fn removed_segments(folder: &FaultyStorage) -> usize {
+    let is_segment = |name: &str| name != "probe" && name != "set-aside";
+    folder.steps().iter().filter(|s| matches!(s, Step::Remove { name } if is_segment(name))).count()
+}
+
+// Guards against the removal of a segment whose messages were copied to a file that then failed to sync.
+#[test]
+fn no_segment_is_removed_between_a_failed_sync_and_the_rewrite_of_all_live_records() {
+    let history = full_history();
+    let mut failures = 0;
+    for bad in 1..120 {
+        let folder = FaultyStorage::default();
+        let mut modelled = ModelledJournal::new(folder.clone(), small_options(Durability::Machine));
+        let failed = Arc::new(AtomicBool::new(false));
+        let (mut syncs, has_failed) = (0, failed.clone());
+        folder.set_fault_script(move |_, step| {
+            syncs += usize::from(matches!(step, Step::Sync { .. }));
+            let fails = syncs == bad && matches!(step, Step::Sync { .. });
+            has_failed.fetch_or(fails, Ordering::Relaxed);
+            fails.then_some(Fault::Fails(ErrorKind::Other))
+        });
+        for operation in &history {
+            let (was_trusted, before) = (modelled.journal.is_disk_trusted(), removed_segments(&folder));
+            modelled.apply(operation);
+            let has_failed = failed.swap(false, Ordering::Relaxed);
+            failures += usize::from(has_failed);
+            assert!(!has_failed || !modelled.journal.is_disk_trusted(), "sync {bad} at {operation:?}");
+            let distrusted = !was_trusted && !modelled.journal.is_disk_trusted();
+            assert!(!distrusted || removed_segments(&folder) == before, "sync {bad} at {operation:?}");
+        }
+        recover_service(&mut modelled, "a failed sync");
+        assert!(state(&open(&folder, small_options(Durability::Machine)).0) == modelled.map, "sync {bad}");
+    }
+    assert!(failures > 60, "only {failures} syncs failed");
+}
+
+// Guards against the loss of a record that is being written when the reserve file cannot be shrunk.
+#[test]
+fn a_record_is_kept_while_neither_it_nor_the_reserve_file_can_be_written() {
+    let folder = FaultyStorage::default();
+    let options = Options { preallocate: true, ..Options::new(3_000_000) };
+    let mut modelled = ModelledJournal::new(folder.clone(), options.clone());
+    for n in 0..5 {
+        modelled.apply(&Operation::Accept(100));
+        assert!(modelled.apply(&Operation::Flush));
+        modelled.apply(&Operation::Attempt(n));
+        folder.set_fault_script(|_, step| match step {
+            Step::Write { .. } => Some(Fault::Fails(ErrorKind::StorageFull)),
+            Step::SetSize { .. } => Some(Fault::Fails(ErrorKind::Other)),
+            _ => None,
+        });
+        assert!(!modelled.apply(&Operation::Flush));
+        folder.clear_faults();
+        assert!(modelled.apply(&Operation::Flush));
+    }
+    let (again, report) = open(&FaultyStorage::from_image(folder.image()), options);
+    assert!(report.damages.is_empty() && state(&again) == modelled.map);
+}
+
 #[test]
 fn a_crash_while_the_disk_fails_leaves_the_state_before_the_failure() {
     let folder = FaultyStorage::default();
