--- a/crates/preload/src/calls.rs
+++ b/crates/preload/src/calls.rs
@@ -2,7 +2,8 @@
 
 use crate::rules::{Call, Fault, clock_offset, fault, folder};
 use libc::{
-    c_char, c_int, c_uint, c_void, clockid_t, iovec, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec,
+    c_char, c_int, c_uint, c_void, clockid_t, epoll_event, iovec, mode_t, size_t, sockaddr, socklen_t,
+    ssize_t, timespec,
 };
 use std::ffi::CStr;
 use std::sync::OnceLock;
@@ -67,7 +68,7 @@
     let call = if is_unix(socket) { Call::RecvLocal } else { Call::Recv };
     let length = match fault(call) {
         Some(Fault::Errno(errno)) => return fail_with(errno),
-        Some(Fault::Short) => length.min(1),
+        Some(Fault::Short | Fault::OneByte) => length.min(1),
         None => length,
     };
     // SAFETY: the caller's arguments, or a shorter length for its buffer.
@@ -81,18 +82,34 @@
     let length = match fault(Call::Send) {
         Some(Fault::Errno(errno)) => return fail_with(errno),
         Some(Fault::Short) => partial_length(length),
+        Some(Fault::OneByte) => length.min(1),
         None => length,
     };
     // SAFETY: the caller's arguments, or a shorter length for its buffer.
     unsafe { real_function!("send" as Send)(socket, buffer, length, flags) }
 }
 
+/// Writes the first byte of the first buffer that is not empty.
+///
+/// # Safety
+/// `buffers` must point to `count` valid buffers.
+unsafe fn write_one_byte(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    // SAFETY: guaranteed by the caller.
+    let buffers = unsafe { std::slice::from_raw_parts(buffers, usize::try_from(count).unwrap_or_default()) };
+    let Some(first) = buffers.iter().find(|buffer| buffer.iov_len > 0) else { return 0 };
+    let byte = iovec { iov_base: first.iov_base, iov_len: 1 };
+    // SAFETY: one byte of a valid buffer.
+    unsafe { real_function!("writev" as Writev)(descriptor, &raw const byte, 1) }
+}
+
 type Writev = unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t;
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     let count = match fault(Call::Send) {
         Some(Fault::Errno(errno)) => return fail_with(errno),
+        // SAFETY: the caller passes `count` valid buffers.
+        Some(Fault::OneByte) => return unsafe { write_one_byte(descriptor, buffers, count) },
         Some(Fault::Short) => count.min(1),
         None => count,
     };
@@ -135,6 +152,7 @@
     let length = match injected {
         Some(Fault::Errno(errno)) => return fail_with(errno),
         Some(Fault::Short) => partial_length(length),
+        Some(Fault::OneByte) => length.min(1),
         None => length,
     };
     // SAFETY: the caller's arguments, or a shorter length for its buffer.
@@ -154,6 +172,7 @@
     let length = match injected {
         Some(Fault::Errno(errno)) => return fail_with(errno),
         Some(Fault::Short) => partial_length(length),
+        Some(Fault::OneByte) => length.min(1),
         None => length,
     };
     // SAFETY: the caller's arguments, or a shorter length for its buffer.
@@ -214,6 +233,58 @@
     unsafe { real_function!("open64" as Open)(path, flags, mode) }
 }
 
+type Truncate = unsafe extern "C" fn(c_int, i64) -> c_int;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn ftruncate64(descriptor: c_int, length: i64) -> c_int {
+    if in_folder(descriptor)
+        && let Some(Fault::Errno(errno)) = fault(Call::Truncate)
+    {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's arguments.
+    unsafe { real_function!("ftruncate64" as Truncate)(descriptor, length) }
+}
+
+type Unlink = unsafe extern "C" fn(*const c_char) -> c_int;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
+    // SAFETY: the caller passes a NUL-terminated path.
+    if unsafe { is_below_folder(path) }
+        && let Some(Fault::Errno(errno)) = fault(Call::Unlink)
+    {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's argument.
+    unsafe { real_function!("unlink" as Unlink)(path) }
+}
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn bind(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
+    if let Some(Fault::Errno(errno)) = fault(Call::Bind) {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's arguments.
+    unsafe { real_function!("bind" as Connect)(socket, address, length) }
+}
+
+type EpollWait = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn epoll_wait(
+    epoll: c_int,
+    events: *mut epoll_event,
+    most_events: c_int,
+    timeout_ms: c_int,
+) -> c_int {
+    if let Some(Fault::Errno(errno)) = fault(Call::Wait) {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's arguments.
+    unsafe { real_function!("epoll_wait" as EpollWait)(epoll, events, most_events, timeout_ms) }
+}
+
 type ClockGettime = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
 
 #[unsafe(no_mangle)]
--- a/crates/preload/src/rules.rs
+++ b/crates/preload/src/rules.rs
@@ -23,6 +23,10 @@
     Sync,
     Rename,
     Open,
+    Truncate,
+    Unlink,
+    Bind,
+    Wait,
 }
 
 impl Call {
@@ -37,6 +41,10 @@
             "sync" => Call::Sync,
             "rename" => Call::Rename,
             "open" => Call::Open,
+            "truncate" => Call::Truncate,
+            "unlink" => Call::Unlink,
+            "bind" => Call::Bind,
+            "wait" => Call::Wait,
             _ => return None,
         })
     }
@@ -49,12 +57,15 @@
     Errno(i32),
     /// The call transfers only a part of the data.
     Short,
+    /// The call transfers one byte.
+    OneByte,
 }
 
 impl Fault {
     fn from_name(name: &str) -> Option<Self> {
         Some(Fault::Errno(match name {
             "short" => return Some(Fault::Short),
+            "one-byte" => return Some(Fault::OneByte),
             "EINTR" => libc::EINTR,
             "EIO" => libc::EIO,
             "ENOSPC" => libc::ENOSPC,
@@ -67,16 +78,45 @@
             "ETIMEDOUT" => libc::ETIMEDOUT,
             "EHOSTUNREACH" => libc::EHOSTUNREACH,
             "EADDRNOTAVAIL" => libc::EADDRNOTAVAIL,
+            "EADDRINUSE" => libc::EADDRINUSE,
+            "EACCES" => libc::EACCES,
+            "EPROTO" => libc::EPROTO,
+            "EROFS" => libc::EROFS,
             _ => return None,
         }))
     }
 }
 
+/// Which calls a rule applies to, by the number of calls before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Choice {
+    /// The first of every so many calls.
+    Every(u64),
+    /// One call only, counted from 1.
+    Nth(u64),
+}
+
+impl Choice {
+    fn from_word(word: &str) -> Option<Self> {
+        let number = |text: &str| text.parse().ok().filter(|n| *n > 0);
+        match word.strip_prefix("nth=") {
+            Some(nth) => number(nth).map(Choice::Nth),
+            None => number(word).map(Choice::Every),
+        }
+    }
+
+    fn applies(self, calls_before: u64) -> bool {
+        match self {
+            Choice::Every(every) => calls_before.is_multiple_of(every),
+            Choice::Nth(nth) => calls_before + 1 == nth,
+        }
+    }
+}
+
 struct Rule {
     call: Call,
     fault: Fault,
-    /// The rule applies to the first of every `every` calls.
-    every: u64,
+    choice: Choice,
     /// Calls seen so far.
     calls: u64,
 }
@@ -109,7 +149,7 @@
         let mut rules = RULES.lock().ok()?;
         let mut found = None;
         for rule in rules.iter_mut().filter(|rule| rule.call == call) {
-            if rule.calls.is_multiple_of(rule.every) {
+            if rule.choice.applies(rule.calls) {
                 found = found.or(Some(rule.fault));
             }
             rule.calls += 1;
@@ -162,12 +202,11 @@
         let words: Vec<_> = line.split_whitespace().collect();
         match words[..] {
             ["clock", offset] => CLOCK_OFFSET.store(offset.parse().unwrap_or(0), Ordering::Relaxed),
-            [call, fault, every] => {
-                let every = every.parse().ok().filter(|n| *n > 0);
-                if let (Some(call), Some(fault), Some(every)) =
-                    (Call::from_name(call), Fault::from_name(fault), every)
+            [call, fault, choice] => {
+                if let (Some(call), Some(fault), Some(choice)) =
+                    (Call::from_name(call), Fault::from_name(fault), Choice::from_word(choice))
                 {
-                    rules.push(Rule { call, fault, every, calls: 0 });
+                    rules.push(Rule { call, fault, choice, calls: 0 });
                 }
             }
             _ => {}
