--- a/crates/courier/src/bootstrap.rs
+++ b/crates/courier/src/bootstrap.rs
@@ -7,12 +7,16 @@
 pub mod settings;
 
 use crate::startup_error::StartupError;
+use crate::system_errors::{self, report_startup_error, retry};
 use platform_config::PlatformConfig;
 use settings::OperatorSettings;
-use stairshed_journal::{FileStorage, RecoveryReport};
-use std::future::Future;
+use stairshed_journal::{Error as JournalError, FileCall, FileStorage, Journal, Options, RecoveryReport};
+use std::fs;
+use std::future::{Future, poll_fn};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::task::Poll;
 use std::time::Duration;
 use tokio::runtime;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -27,6 +31,8 @@
 const LOCK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between attempts to lock the state folder.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How long startup tries to use the state folder, which may be read-only or fail for ten seconds.
+const STATE_FOLDER_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long shutdown waits for a disk sync in progress.
 const SHUTDOWN_SYNC_TIMEOUT: Duration = Duration::from_millis(200);
 
@@ -60,10 +66,71 @@
 fn block_on(work: impl Future<Output = Result<(), StartupError>>) -> Result<(), StartupError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| StartupError::Invalid("runtime", e.to_string()))?;
-    let done = LocalSet::new().block_on(&runtime, work);
+    let tasks = LocalSet::new();
+    tasks.spawn_local(system_errors::log_folded());
+    let done = tasks.block_on(&runtime, work);
     // A sync that hangs in the device must not delay shutdown: nothing that depends on it has been reported.
     runtime.shutdown_timeout(SHUTDOWN_SYNC_TIMEOUT);
-    done
+    match done {
+        Err(StartupError::Stopped) => Ok(()),
+        done => done,
+    }
+}
+
+/// Runs a part of the startup, unless one of these signals arrives.
+///
+/// # Errors
+/// Those of the work, and [`StartupError::Stopped`].
+async fn unless_stopped<T>(
+    signals: &mut [&mut Signal],
+    work: impl Future<Output = Result<T, StartupError>>,
+) -> Result<T, StartupError> {
+    let stopped = poll_fn(|cx| match signals.iter_mut().any(|signal| signal.poll_recv(cx).is_ready()) {
+        true => Poll::Ready(()),
+        false => Poll::Pending,
+    });
+    tokio::select! {
+        biased;
+        done = work => done,
+        () = stopped => {
+            eprintln!("stopping");
+            Err(StartupError::Stopped)
+        }
+    }
+}
+
+/// Creates the state folder if it does not exist, and locks it. Tries again for [`STATE_FOLDER_TIMEOUT`].
+/// `key` names the setting.
+///
+/// # Errors
+/// The last error, or one that attempts cannot pass.
+async fn lock_state(key: &'static str, folder: &Path) -> Result<Arc<FileStorage>, StartupError> {
+    let attempt = async || {
+        fs::create_dir_all(folder).map_err(|source| JournalError::Io {
+            file: folder.display().to_string(),
+            call: FileCall::Create,
+            source,
+        })?;
+        lock(folder).await
+    };
+    let locked = retry(key, STATE_FOLDER_TIMEOUT, report_startup_error, attempt).await;
+    locked.map(Arc::new).map_err(|e| StartupError::Invalid(key, e.to_string()))
+}
+
+/// Opens the journal in a locked folder. Tries again for [`STATE_FOLDER_TIMEOUT`]. `key` names the setting.
+///
+/// # Errors
+/// The last error, or one that attempts cannot pass.
+async fn open_journal(
+    key: &'static str,
+    files: &Arc<FileStorage>,
+    options: &Options,
+) -> Result<Journal, StartupError> {
+    let attempt = async || Journal::open(files.clone(), options.clone());
+    let opened = retry(key, STATE_FOLDER_TIMEOUT, report_startup_error, attempt).await;
+    let (journal, report) = opened.map_err(|e| StartupError::Invalid(key, e.to_string()))?;
+    log_recovery(&report);
+    Ok(journal)
 }
 
 fn signal_stream(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
--- a/crates/courier/src/bootstrap/dev.rs
+++ b/crates/courier/src/bootstrap/dev.rs
@@ -1,6 +1,7 @@
 //! `stairshed dev`: a courier on loopback with a sample installation and a stand-in endpoint, to try it out.
 
 use super::serve;
+use crate::ingress::listener::Acceptor;
 use crate::startup_error::StartupError;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -31,7 +32,9 @@
 
 /// Serves the stand-in endpoint, which prints each request and answers 200.
 async fn serve_endpoint(listener: TcpListener) {
-    while let Ok((stream, _)) = listener.accept().await {
+    let mut acceptor = Acceptor::new(listener);
+    loop {
+        let (stream, _) = acceptor.accept(|| {}).await;
         let service = service_fn(|request: Request<Incoming>| async move {
             let (parts, body) = request.into_parts();
             // An unreadable body counts as empty, since the endpoint only stands in for a partner.
--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -2,22 +2,20 @@
 
 use super::platform_config::{self, PlatformConfig};
 use super::settings::OperatorSettings;
-use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock, log_recovery, signal_stream};
+use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock_state, open_journal, signal_stream, unless_stopped};
 use crate::dispatcher::Dispatcher;
 use crate::events::DispatcherEvent;
 use crate::ingress::http::{HttpServer, Routing, ServerState};
-use crate::ingress::listener::listen;
+use crate::ingress::listener::listen_at_start;
 use crate::memory_budget::MemoryBudget;
 use crate::startup_error::StartupError;
 use crate::upstream::endpoint_client::EndpointClient;
 use crate::upstream::outcomes::OutcomeNotifier;
 use stairshed_decide::interface::ENDPOINT_LIST_LEASE;
 use stairshed_decide::scheduler::Scheduler;
-use stairshed_journal::Journal;
 use stairshed_memory::{ByPurpose, Caps, Purpose};
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind};
 use tokio::sync::mpsc;
@@ -62,9 +60,9 @@
     let hangup = signal_stream(SignalKind::hangup(), "SIGHUP")?;
     let disk_bytes = (config.limits.disk_mb * 1e6) as u64;
     let options = settings.journal.options(disk_bytes, u64::from(config.settings.max_attempts));
-    let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
-    let (journal, report) = opened.map_err(|e| StartupError::Invalid("LB_STATE", e.to_string()))?;
-    log_recovery(&report);
+    let files = unless_stopped(&mut [&mut terminate], lock_state("LB_STATE", &config.state)).await?;
+    let journal = open_journal("LB_STATE", &files, &options);
+    let journal = unless_stopped(&mut [&mut terminate], journal).await?;
     let upstream_sockets = (config.limits.sockets / 3).max(16);
     let client_sockets = config.limits.sockets.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(8);
     let memory_budget = memory_budget(&config);
@@ -86,7 +84,8 @@
         let _ = events.send(DispatcherEvent::StartWatch).await;
     }
     let server_state = Rc::new(ServerState::default());
-    let listener = listen(config.listen).map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
+    let listener = listen_at_start("LB_LISTEN", config.listen);
+    let listener = unless_stopped(&mut [&mut terminate], listener).await?;
     let at = listener.local_addr().map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
     let (name, kept) = (config.name.clone(), journal.len());
     let http_server = Rc::new(HttpServer {
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -1,7 +1,7 @@
 //! A courier configured by an operator's file, with configuration versions from a control service applied
 //! over it.
 
-use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock, log_recovery, signal_stream};
+use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock_state, open_journal, signal_stream, unless_stopped};
 use crate::discovery::config_file;
 use crate::discovery::configured_hosts::endpoint_kinds;
 use crate::discovery::control::{ConfigStatus, ConfigUpdater, VersionStore};
@@ -12,7 +12,7 @@
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::admin::{self, AdminPages};
 use crate::ingress::http::{HttpServer, MAX_BODY_BYTES, Routing, ServerState};
-use crate::ingress::listener::listen;
+use crate::ingress::listener::listen_at_start;
 use crate::ingress::mqtt::{self, MqttServer};
 use crate::ingress::rejection::ConnectionRejecter;
 use crate::ingress::users::Users;
@@ -27,7 +27,7 @@
 use stairshed_config::version::{Version, VersionTracker};
 use stairshed_decide::interface::Settings;
 use stairshed_decide::scheduler::Scheduler;
-use stairshed_journal::{Durability, Journal};
+use stairshed_journal::Durability;
 use stairshed_mqtt::server::Limits;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -121,7 +121,7 @@
 }
 
 /// Returns the configuration to start with: the stored version applied over the file, or the file alone.
-fn initial_configuration(
+async fn initial_configuration(
     document: &Document,
     file_installation: Installation,
     store: &VersionStore,
@@ -129,7 +129,7 @@
     if file_installation.control.is_none() {
         return (None, Arc::new(file_installation));
     }
-    match store.load() {
+    match store.load().await {
         Ok(Some(version)) => match document.installation(Some(&version.config)) {
             Ok(installation) => {
                 eprintln!("configuration: the last good version, {}", version.version);
@@ -162,10 +162,9 @@
         .map_err(|e| StartupError::Problems(e.to_string().lines().map(str::to_owned).collect()))?;
     let state = state_folder(&file, &file_installation);
     let folder = state.join("journal");
-    std::fs::create_dir_all(&folder).map_err(|e| invalid("state", format!("{}: {e}", folder.display())))?;
-    let files = lock(&folder).await.map_err(|e| invalid("state", e))?;
+    let files = unless_stopped(&mut [&mut terminate, &mut interrupt], lock_state("state", &folder)).await?;
     let store = VersionStore::new(state.join("version.json"));
-    let (version, installation) = initial_configuration(&document, file_installation, &store);
+    let (version, installation) = initial_configuration(&document, file_installation, &store).await;
     let has_no_inputs = installation.routes.is_empty() && installation.topics.is_empty();
     if has_no_inputs && installation.control.is_none() {
         return Err(invalid(
@@ -182,8 +181,8 @@
         journal.options(DEFAULT_JOURNAL_BYTES, u64::from(attempts.max(installation.file.limits.attempts)));
     options.reserved_name_bytes = options.reserved_name_bytes.max(MIN_NAMES_BYTES);
     let syncs_to_device = options.durability == Durability::Machine;
-    let (journal, report) = Journal::open(Arc::new(files), options).map_err(|e| invalid("journal", e))?;
-    log_recovery(&report);
+    let journal = open_journal("journal", &files, &options);
+    let journal = unless_stopped(&mut [&mut terminate, &mut interrupt], journal).await?;
     let name = installation.file.name.clone().unwrap_or_else(|| "stairshed".to_owned());
     let limits = &installation.file.limits;
     let upstream_sockets = (limits.connections / 3).max(4);
@@ -268,9 +267,10 @@
             ));
         }
     }
-    let at = config_updater.listen().map_err(|e| invalid("listen.http", e))?;
+    let at = unless_stopped(&mut [&mut terminate, &mut interrupt], config_updater.listen()).await?;
     if let Some(admin) = admin {
-        let listener = listen(admin).map_err(|e| invalid("listen.admin", format!("{admin}: {e}")))?;
+        let listener = listen_at_start("listen.admin", admin);
+        let listener = unless_stopped(&mut [&mut terminate, &mut interrupt], listener).await?;
         let at = listener.local_addr().map_err(|e| invalid("listen.admin", e))?;
         eprintln!("the operator's pages are at {at}");
         let (view, server_state, memory_budget) =
@@ -283,7 +283,8 @@
     }
     let mut accepting = None;
     if let Some((mqtt_server, address)) = mqtt_server.clone().zip(installation_mqtt) {
-        let listener = listen(address).map_err(|e| invalid("listen.mqtt", format!("{address}: {e}")))?;
+        let listener = listen_at_start("listen.mqtt", address);
+        let listener = unless_stopped(&mut [&mut terminate, &mut interrupt], listener).await?;
         let at = listener.local_addr().map_err(|e| invalid("listen.mqtt", e))?;
         eprintln!("MQTT clients are served at {at}");
         accepting = Some(tokio::task::spawn_local(mqtt_server.accept(listener)).abort_handle());
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -9,9 +9,10 @@
 use crate::events::{ConfigurationUpdate, DispatcherEvent, MembershipChanges};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::http::HttpServer;
-use crate::ingress::listener::listen;
+use crate::ingress::listener::{listen, listen_at_start};
 use crate::memory_budget::{self, MemoryBudget};
 use crate::startup_error::StartupError;
+use crate::system_errors::{Operation, report, retry};
 use crate::upstream::http_connection::HttpConnection;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -49,6 +50,8 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Upper bound of the retry delay, which doubles with each failure.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// How long reading or storing a version is tried. Meanwhile the configuration in effect stays.
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Memory that a parsed version takes, as a multiple of the size of its text.
 const MEMORY_PER_TEXT_BYTE: u64 = 40;
 /// Stream events that may be queued. Reading from the stream pauses while the queue is full.
@@ -66,18 +69,35 @@
         VersionStore(path)
     }
 
-    /// Returns the stored version, or None if there is no file.
+    /// Returns the stored version, or None if there is no file. Tries again for [`STORE_TIMEOUT`].
     ///
     /// # Errors
     /// The file cannot be read, or was not written by [`VersionStore::save`].
-    pub fn load(&self) -> Result<Option<Version>, String> {
-        match fs::read(&self.0) {
-            Ok(bytes) => {
-                serde_json::from_slice(&bytes).map(Some).map_err(|e| format!("{}: {e}", self.0.display()))
-            }
+    pub async fn load(&self) -> Result<Option<Version>, String> {
+        let path = self.0.display();
+        let bytes = self.retry("reads", async || match fs::read(&self.0) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(format!("{}: {e}", self.0.display())),
-        }
+            read => read.map(Some),
+        });
+        let bytes = bytes.await.map_err(|e| format!("{path}: {e}"))?;
+        let version = bytes.map(|bytes| serde_json::from_slice(&bytes)).transpose();
+        version.map_err(|e| format!("{path}: {e}"))
+    }
+
+    /// Stores a version. Tries again for [`STORE_TIMEOUT`].
+    async fn store(&self, version: &Version) -> io::Result<()> {
+        let save = async || {
+            let (store, version) = (self.clone(), version.clone());
+            let saved = tokio::task::spawn_blocking(move || store.save(&version)).await;
+            saved.unwrap_or_else(|e| Err(io::Error::other(e)))
+        };
+        self.retry("stores", save).await
+    }
+
+    async fn retry<T>(&self, verb: &str, attempt: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+        let what = format!("configuration: {verb} {}", self.0.display());
+        let policy = |e: &io::Error| report(Operation::VersionStore, e);
+        retry(&what, STORE_TIMEOUT, policy, attempt).await
     }
 
     /// Writes a temporary file, syncs it and renames it over the old one, so that a crash leaves a complete
@@ -270,11 +290,11 @@
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub fn listen(&mut self) -> io::Result<SocketAddr> {
+    pub async fn listen(&mut self) -> Result<SocketAddr, StartupError> {
         if let Some(at) = self.listen_address {
             return Ok(at);
         }
-        let listener = listen(self.installation.http)?;
+        let listener = listen_at_start("listen.http", self.installation.http).await?;
         let at = listener.local_addr()?;
         self.accept(listener);
         Ok(at)
@@ -551,15 +571,15 @@
         let listener = match installation.http == self.before.http {
             true => None,
             false => {
-                let failed = |e| vec![format!("listen.http: cannot listen on {}: {e}", installation.http)];
+                let failed = |e| {
+                    report(Operation::Listen, &e);
+                    vec![format!("listen.http: cannot listen on {}: {e}", installation.http)]
+                };
                 Some(listen(installation.http).map_err(failed)?)
             }
         };
         if let Change::Version(version) = change {
-            let (store, version) = (self.store.clone(), version.clone());
-            let stored = tokio::task::spawn_blocking(move || store.save(&version)).await;
-            let stored = stored.map_err(|e| e.to_string()).and_then(|done| done.map_err(|e| e.to_string()));
-            stored.map_err(|why| {
+            self.store.store(version).await.map_err(|why| {
                 vec![format!("it cannot be stored, so it would not outlast a restart: {why}")]
             })?;
         }
@@ -611,7 +631,7 @@
         event_sender: &Sender<StreamEvent>,
         line_received: &mut bool,
     ) -> Option<Refusal> {
-        let mut connection = HttpConnection::connect(self.url.address, CONNECT_TIMEOUT, None).await.ok()?;
+        let mut connection = connect(&self.url).await?;
         let current = self.current.borrow().map_or(String::new(), |v| format!("&version={v}"));
         let request = Request::get(format!("{}?node={}{current}", self.url.path, self.node))
             .header(header::HOST, self.url.address.to_string())
@@ -647,6 +667,11 @@
     }
 }
 
+/// Connects to the control service; `None` if that fails.
+async fn connect(url: &Url) -> Option<HttpConnection> {
+    HttpConnection::connect(url.address, CONNECT_TIMEOUT, Operation::ConnectControl).await.ok()
+}
+
 /// Posts answers in order, retrying each until the control service accepts or rejects it.
 async fn post_answers(url: Url, node: String, mut queue: Receiver<Value>, current: Rc<RefCell<Option<u64>>>) {
     while let Some(mut answer) = queue.recv().await {
@@ -667,7 +692,7 @@
 /// Posts one answer on a new connection. On a reused one, a duplicated response to the previous answer could
 /// be taken for the response to this one.
 async fn post_answer(url: &Url, answer: &Value) -> Option<StatusCode> {
-    let mut connection = HttpConnection::connect(url.address, CONNECT_TIMEOUT, None).await.ok()?;
+    let mut connection = connect(url).await?;
     let request = Request::post(format!("{}/answers", url.path.trim_end_matches('/')))
         .header(header::HOST, url.address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -3,15 +3,17 @@
 
 use crate::discovery::dns_cache::DnsCache;
 use crate::events::{DispatcherEvent, EndpointList, Health, ListedEndpoint, diff_endpoints};
+use crate::socket;
+use crate::system_errors::{Operation, report};
 use simple_dns::rdata::RData;
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use stairshed_config::Installation;
 use stairshed_config::installation::MemberAddress;
 use std::collections::{BTreeMap, BTreeSet};
+use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::sync::Semaphore;
 use tokio::sync::mpsc::{self, Sender};
@@ -238,9 +240,22 @@
     Err(last)
 }
 
+/// Repeats a call on a UDP socket that a signal interrupted.
+async fn retry_interrupted<T>(mut call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+    loop {
+        match call().await {
+            Err(e) if socket::is_transient(Operation::QueryDns, &e) => {}
+            result => return result,
+        }
+    }
+}
+
 /// Sends one query, over TCP if the response over UDP is truncated.
 async fn query(server: SocketAddr, name: &str) -> Answer {
-    let failed = |e: std::io::Error| format!("{server}: {e}");
+    let failed = |e: io::Error| {
+        report(Operation::QueryDns, &e);
+        format!("{server}: {e}")
+    };
     let id: u16 = rand::random();
     let query = build_query(id, name)?;
     let local: SocketAddr = if server.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
@@ -248,10 +263,10 @@
     // and the id.
     let socket = UdpSocket::bind(local).await.map_err(failed)?;
     socket.connect(server).await.map_err(failed)?;
-    socket.send(&query).await.map_err(failed)?;
+    retry_interrupted(async || socket.send(&query).await).await.map_err(failed)?;
     let mut buffer = vec![0; MAX_RESPONSE_BYTES];
     loop {
-        let n = socket.recv(&mut buffer).await.map_err(failed)?;
+        let n = retry_interrupted(async || socket.recv(&mut buffer).await).await.map_err(failed)?;
         match parse_response(id, name, &buffer[..n]) {
             Response::Answer(answer) => return answer,
             Response::Truncated => break,
@@ -259,12 +274,13 @@
             Response::Unrelated => {}
         }
     }
-    let mut stream = TcpStream::connect(server).await.map_err(failed)?;
+    let stream = TcpStream::connect(server).await.map_err(failed)?;
     let length = (query.len() as u16).to_be_bytes();
-    stream.write_all(&[&length[..], &query].concat()).await.map_err(failed)?;
-    let length = stream.read_u16().await.map_err(failed)?;
-    buffer.resize(usize::from(length), 0);
-    stream.read_exact(&mut buffer).await.map_err(failed)?;
+    socket::write_all(&stream, &[&length[..], &query].concat()).await.map_err(failed)?;
+    let mut length = [0; 2];
+    socket::read_exact(&stream, &mut length).await.map_err(failed)?;
+    buffer.resize(usize::from(u16::from_be_bytes(length)), 0);
+    socket::read_exact(&stream, &mut buffer).await.map_err(failed)?;
     match parse_response(id, name, &buffer) {
         Response::Answer(answer) => answer,
         Response::Truncated | Response::Unrelated => Err(format!("{server}: invalid response over TCP")),
--- a/crates/courier/src/discovery/list_age.rs
+++ b/crates/courier/src/discovery/list_age.rs
@@ -2,6 +2,7 @@
 //! state folder, on the machine's boot time clock, which also runs while the courier does not and is not
 //! stepped with the time of day.
 
+use crate::system_errors::{Operation, report};
 use rustix::time::{ClockId, clock_gettime};
 use std::fs;
 use std::io;
@@ -48,7 +49,10 @@
         match fs::read_to_string(&self.path) {
             Ok(text) => self.age(&text, discovery, boot_time()).map_or(ListAge::Unknown, ListAge::Known),
             Err(e) if e.kind() == io::ErrorKind::NotFound => ListAge::Unrecorded,
-            Err(_) => ListAge::Unknown,
+            Err(e) => {
+                report(Operation::ListAge, &e);
+                ListAge::Unknown
+            }
         }
     }
 
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -4,6 +4,8 @@
 use super::outage_detector::{CallFailure, OutageDetector};
 use super::watch_status::WatchStatus;
 use crate::events::{DispatcherEvent, EndpointList};
+use crate::system_errors::Operation;
+use crate::system_errors::policy::shows_unreachable_peer;
 use crate::upstream::http_connection::{ConnectError, HttpConnection, RequestError, StreamEnd};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,7 +15,6 @@
 use stairshed_config::lines::LineBuffer;
 use stairshed_decide::scheduler::list_retry_delay;
 use std::convert::Infallible;
-use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -70,14 +71,9 @@
     fn failure(&self) -> CallFailure {
         match self {
             WatchEnd::Connect(ConnectError::TimedOut(_)) => CallFailure::NoConnection,
-            WatchEnd::Connect(ConnectError::Io(e)) => match e.kind() {
-                ErrorKind::ConnectionRefused
-                | ErrorKind::ConnectionReset
-                | ErrorKind::HostUnreachable
-                | ErrorKind::NetworkUnreachable
-                | ErrorKind::TimedOut => CallFailure::NoConnection,
-                _ => CallFailure::Other,
-            },
+            WatchEnd::Connect(e) if e.errno().is_some_and(shows_unreachable_peer) => {
+                CallFailure::NoConnection
+            }
             WatchEnd::NoAnswer(_) | WatchEnd::Refused(_) => CallFailure::NotServed,
             _ => CallFailure::Other,
         }
@@ -207,7 +203,8 @@
             false => format!("/api/targets?stream=1&index={}", self.version),
         };
         eprintln!("discovery: calls {} for {path}", self.address);
-        let mut connection = HttpConnection::connect(self.address, CONNECT_TIMEOUT, None).await?;
+        let connected = HttpConnection::connect(self.address, CONNECT_TIMEOUT, Operation::ConnectDiscovery);
+        let mut connection = connected.await?;
         let request = Request::get(path)
             .header(header::HOST, self.address.to_string())
             .body(Full::<Bytes>::default())
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -4,6 +4,7 @@
 
 use super::Dispatcher;
 use crate::discovery::list_age::ListAge;
+use crate::system_errors::{Operation, report};
 use stairshed_decide::interface::Event;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -57,6 +58,7 @@
         }
         self.list_current_as_of(at);
         if let Some(Err(e)) = self.setup.list_age.as_ref().map(|file| file.save(discovery)) {
+            report(Operation::ListAge, &e);
             // The next start will assume an older list than it is.
             self.members.report_list_age_error(&e);
         }
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -7,6 +7,8 @@
 use crate::clock::unix_time;
 use crate::events::DispatcherEvent;
 use crate::message_trace;
+use crate::system_errors::policy::JOURNAL_PAUSES;
+use crate::system_errors::{Operation, report, report_journal_error};
 use crate::upstream::outcomes::Notice;
 use stairshed_decide::interface::*;
 use stairshed_journal::{LiveMessage, SyncOutcome, Verdict};
@@ -19,7 +21,7 @@
 /// Pause between compaction steps while the dispatcher is idle.
 pub(super) const COMPACTION_INTERVAL: Duration = Duration::from_millis(1);
 /// Interval between retries of a failed disk.
-pub(super) const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+pub(super) const DISK_RETRY_INTERVAL: Duration = JOURNAL_PAUSES.most;
 
 /// Actions that wait for the journal, and the state of the disk.
 #[derive(Default)]
@@ -149,6 +151,9 @@
 
     /// Handles the result of a sync.
     pub(super) fn sync_finished(&mut self, done: SyncOutcome) {
+        if let Some(e) = done.error() {
+            report(Operation::JournalSync, e);
+        }
         if let Err(e) = self.journal.finish_sync(done) {
             eprintln!("journal: {e}");
         }
@@ -206,11 +211,16 @@
                 }
             }
             Err(e) => {
+                report_journal_error(&e);
                 if self.records.disk_failed.replace(Instant::now()).is_none() {
                     eprintln!("journal: cannot write: {e}");
                 }
             }
         }
+        self.journal.take_tolerated_errors().iter().for_each(report_journal_error);
+        if !self.journal.is_disk_trusted() && self.records.sync_failed.is_none() {
+            self.records.sync_failed = Some(Instant::now());
+        }
         let disk_works = self.records.disk_failed.is_none();
         if disk_works {
             self.start_sync();
--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -1,10 +1,13 @@
-//! Admin pages for operators: readiness, memory, connections, discovery, and the configuration in effect with
-//! the last refused one. Served on a separate loopback address, only if configured.
+//! Admin pages for operators: readiness, memory, connections, discovery, failed system calls, and the
+//! configuration in effect with the last refused one. Served on a separate loopback address, only if configured.
 
 use crate::discovery::control::ConfigView;
 use crate::discovery::watch_status::WatchStatus;
 use crate::ingress::http::ServerState;
+use crate::ingress::listener::Acceptor;
 use crate::memory_budget::MemoryBudget;
+use crate::socket::Socket;
+use crate::system_errors;
 use crate::upstream::connection_status::ConnectionStatus;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -21,14 +24,21 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
-use tokio::time::{sleep, timeout};
+use tokio::time::timeout;
 
 /// Longest life of a connection; operators send few requests.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Limit of connections at once.
 const MAX_CONNECTIONS: usize = 16;
-const PAGES: [&str; 6] =
-    ["/-/config", "/-/config/values", "/-/connections", "/-/discovery", "/-/memory", "/-/ready"];
+const PAGES: [&str; 7] = [
+    "/-/config",
+    "/-/config/values",
+    "/-/connections",
+    "/-/discovery",
+    "/-/machine",
+    "/-/memory",
+    "/-/ready",
+];
 
 /// Sources of the pages' contents.
 #[derive(Clone)]
@@ -43,19 +53,18 @@
 /// Serves the pages until the process ends.
 pub async fn run(listener: TcpListener, pages: AdminPages) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let mut acceptor = Acceptor::new(listener);
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(Duration::from_millis(50)).await;
-            continue;
-        };
+        // Each connection ends within `CONNECTION_TIMEOUT`, so none is closed before.
+        let (stream, _) = acceptor.accept(|| {}).await;
         let pages = pages.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| {
                 let pages = pages.clone();
                 async move { Ok::<_, Infallible>(answer(&request, &pages).await) }
             });
-            let conn = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            let conn = http1::Builder::new().serve_connection(TokioIo::new(Socket(stream)), service);
             let _ = timeout(CONNECTION_TIMEOUT, conn).await;
             drop(permit);
         });
@@ -68,6 +77,7 @@
         (&Method::GET, "/-/config/values") => Some(effective_values(&pages.view).await),
         (&Method::GET, "/-/connections") => Some(pages.connections.page()),
         (&Method::GET, "/-/discovery") => Some(pages.watch.to_json()),
+        (&Method::GET, "/-/machine") => Some(system_errors::page()),
         (&Method::GET, "/-/memory") => Some(pages.memory_budget.page()),
         (&Method::GET, "/-/ready") => Some(json!({"ready": pages.server_state.ready.get()})),
         _ => None,
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -3,6 +3,7 @@
 use crate::clock::unix_time;
 use crate::events::{DEFAULT_RETRY_AFTER, DispatcherEvent, Reply, ReplyTo, Submission, refusal_reason};
 use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::listener::Acceptor;
 use crate::ingress::message_headers::{MessageHeaders, RequestError};
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
@@ -42,6 +43,9 @@
 /// and send a second or two later; closing earlier would fail their request. A client must get an answer or a
 /// close within 3 s of connecting.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Idle time after which a connection may be closed to free its descriptor. A request that its client sent
+/// right after connecting or after an answer has arrived by then.
+const MIN_SHED_IDLE_TIME: Duration = Duration::from_secs(1);
 /// Longest time from the first byte of a head to its end.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest time from the end of a head to the end of its body.
@@ -97,6 +101,8 @@
     graceful_close: Notify,
     /// Closes the connection at once, even within a request.
     abort: Notify,
+    /// Whether its client is told when it is closed through `abort`.
+    abort_is_told: Cell<bool>,
     /// The connection's memory; released as soon as it is evicted, so that the next one can have it.
     memory: RefCell<Option<Charge>>,
 }
@@ -109,6 +115,7 @@
             framing: RefCell::default(),
             graceful_close: Notify::new(),
             abort: Notify::new(),
+            abort_is_told: Cell::new(true),
             memory: RefCell::new(Some(memory)),
         }
     }
@@ -134,6 +141,13 @@
         }
     }
 
+    /// Whether it has been idle for long enough to be closed for its descriptor.
+    fn can_be_shed(&self) -> bool {
+        let is_idle =
+            matches!(self.state.get(), ConnectionState::AwaitingFirstByte | ConnectionState::Idle { .. });
+        is_idle && self.since.get().elapsed() > MIN_SHED_IDLE_TIME
+    }
+
     /// Order of eviction when connections or memory run out: lowest first, `None` never. A connection that
     /// has sent nothing goes before one that has served a valid request.
     fn eviction_rank(&self) -> Option<u8> {
@@ -282,6 +296,17 @@
         });
         evicted.is_some()
     }
+
+    /// Closes the connection that has been idle longest, if it may be, to free its descriptor.
+    fn shed_idle(&self) {
+        let mut connections = self.connections.borrow_mut();
+        let idle = connections.iter().filter(|(_, connection)| connection.can_be_shed());
+        let oldest = idle.min_by_key(|(_, connection)| connection.since.get()).map(|(id, _)| *id);
+        if let Some(connection) = oldest.and_then(|id| connections.remove(&id)) {
+            connection.abort_is_told.set(false);
+            connection.abort.notify_one();
+        }
+    }
 }
 
 /// How a request is mapped to a message.
@@ -309,6 +334,7 @@
     /// Accepts connections until the task is dropped.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let this = self;
+        let mut acceptor = Acceptor::new(listener);
         loop {
             // At the limit of sockets or memory, the lowest-ranked connection is evicted; if none can be, new
             // ones wait in the listen backlog. Each eviction admits one connection at once, so hundreds of
@@ -319,42 +345,28 @@
                 sleep(Duration::from_millis(5)).await;
                 continue;
             }
-            match listener.accept().await {
-                Ok((stream, from)) => {
-                    let rejecter = this.rejecter.as_ref();
-                    let from = from.ip();
-                    let client = rejecter.and_then(|_| {
-                        this.with_client_rules(|client_identification| {
-                            client_identification.for_connection(from)
-                        })
-                    });
-                    let client_account =
-                        client.map(|client| this.memory_budget.ledger.client_account(client));
-                    // A client that has used up its share is rejected; others are still admitted.
-                    match this.memory_budget.ledger.try_charge(
-                        Purpose::Clients,
-                        CONNECTION_BYTES,
-                        client_account.as_ref(),
-                    ) {
-                        Ok(memory) => drop(tokio::task::spawn_local(this.clone().serve(
-                            stream,
-                            from,
-                            client_account,
-                            memory,
-                        ))),
-                        Err(refused) => {
-                            if let Some(rejecter) = rejecter {
-                                let rejection = Rejection::from(this.memory_budget.refusal(refused));
-                                rejecter.reject(stream, Protocol::Http, rejection, false);
-                            }
-                        }
-                    }
-                    // Lets the new connection's request be read before the next connection may evict it.
-                    tokio::task::yield_now().await;
-                }
-                Err(e) => {
-                    eprintln!("http: cannot accept a connection: {e}");
-                    sleep(Duration::from_millis(50)).await;
+            let (stream, from) = acceptor.accept(|| this.server_state.shed_idle()).await;
+            this.clone().admit(stream, from.ip());
+            // Lets the new connection's request be read before the next connection may evict it.
+            tokio::task::yield_now().await;
+        }
+    }
+
+    /// Serves a new connection. A client that has used up its share is rejected; others are still admitted.
+    fn admit(self: Rc<Self>, stream: TcpStream, from: IpAddr) {
+        let client = self.rejecter.as_ref().and_then(|_| {
+            self.with_client_rules(|client_identification| client_identification.for_connection(from))
+        });
+        let client_account = client.map(|client| self.memory_budget.ledger.client_account(client));
+        let ledger = &self.memory_budget.ledger;
+        match ledger.try_charge(Purpose::Clients, CONNECTION_BYTES, client_account.as_ref()) {
+            Ok(memory) => {
+                tokio::task::spawn_local(self.serve(stream, from, client_account, memory));
+            }
+            Err(refused) => {
+                if let Some(rejecter) = &self.rejecter {
+                    let rejection = Rejection::from(self.memory_budget.refusal(refused));
+                    rejecter.reject(stream, Protocol::Http, rejection, false);
                 }
             }
         }
@@ -408,7 +420,8 @@
             }
         };
         self.server_state.connections.borrow_mut().remove(&id);
-        if let Some(rejecter) = self.rejecter.as_ref().filter(|_| evicted) {
+        let is_told = evicted && connection.abort_is_told.get();
+        if let Some(rejecter) = self.rejecter.as_ref().filter(|_| is_told) {
             // Its next request may already be on its way or partly read.
             let request_started = connection.state.get() == ConnectionState::ReadingHead;
             let stream = http_conn.into_parts().io.into_inner().stream;
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -7,10 +7,12 @@
     DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
 };
 use crate::ingress::active_config::ActiveConfig;
+use crate::ingress::listener::Acceptor;
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
 use crate::ingress::users::Users;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
+use crate::system_errors::Operation;
 use crate::upstream::outcomes;
 use bytes::BytesMut;
 use stairshed_journal::{Refusal, Verdict};
@@ -44,6 +46,8 @@
 /// A connection without a CONNECT is not evicted before this age: its CONNECT has usually arrived and been
 /// read by then.
 const MIN_EVICTION_AGE: Duration = Duration::from_millis(10);
+/// Age from which a connection without a CONNECT may be closed to free its descriptor.
+const MIN_SHED_AGE: Duration = Duration::from_secs(1);
 
 /// Output of one connection.
 struct ConnectionOutput {
@@ -325,48 +329,42 @@
     /// Accepts connections until the task is dropped.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut next = 0;
+        let mut acceptor = Acceptor::new(listener);
         loop {
             let full = self.outputs.borrow().len() >= self.max_connections
                 || self.memory_budget.ledger.room(Purpose::Clients) < CONNECTION_BYTES;
-            if full && !self.evict() {
+            if full && !self.evict(MIN_EVICTION_AGE) {
                 sleep(Duration::from_millis(5)).await;
                 continue;
             }
-            match listener.accept().await {
-                Ok((socket, from)) => {
-                    let client = self.active_config.get().1.client_identification.for_connection(from.ip());
-                    let client_account =
-                        client.map(|client| self.memory_budget.ledger.client_account(client));
-                    let memory = self.memory_budget.ledger.try_charge(
-                        Purpose::Clients,
-                        CONNECTION_BYTES,
-                        client_account.as_ref(),
-                    );
-                    // An address that has used up its share is rejected; others are still admitted.
-                    match memory {
-                        Ok(memory) => {
-                            next += 1;
-                            tokio::task::spawn_local(self.clone().serve(next, socket, memory));
-                        }
-                        Err(refused) => {
-                            let rejection = Rejection::from(self.memory_budget.refusal(refused));
-                            self.rejecter.reject(socket, Protocol::Mqtt, rejection, false);
-                        }
-                    }
-                    tokio::task::yield_now().await;
+            let (socket, from) = acceptor
+                .accept(|| {
+                    self.evict(MIN_SHED_AGE);
+                })
+                .await;
+            let client = self.active_config.get().1.client_identification.for_connection(from.ip());
+            let client_account = client.map(|client| self.memory_budget.ledger.client_account(client));
+            let ledger = &self.memory_budget.ledger;
+            // An address that has used up its share is rejected; others are still admitted.
+            match ledger.try_charge(Purpose::Clients, CONNECTION_BYTES, client_account.as_ref()) {
+                Ok(memory) => {
+                    next += 1;
+                    tokio::task::spawn_local(self.clone().serve(next, socket, memory));
                 }
-                Err(e) => {
-                    eprintln!("mqtt: cannot accept a connection: {e}");
-                    sleep(Duration::from_millis(50)).await;
+                Err(refused) => {
+                    let rejection = Rejection::from(self.memory_budget.refusal(refused));
+                    self.rejecter.reject(socket, Protocol::Mqtt, rejection, false);
                 }
             }
+            tokio::task::yield_now().await;
         }
     }
 
-    /// Evicts the connection that has waited longest without a CONNECT. Returns false if there is none.
-    fn evict(&self) -> bool {
+    /// Evicts the connection that has waited longest without a CONNECT, if it is older than `least_age`.
+    /// Returns false if there is none.
+    fn evict(&self, least_age: Duration) -> bool {
         let silent = self.machine.borrow().oldest_without_connect();
-        let old = silent.filter(|(_, since)| self.origin.elapsed() > *since + MIN_EVICTION_AGE);
+        let old = silent.filter(|(_, since)| self.origin.elapsed() > *since + least_age);
         if let Some((connection, _)) = old {
             self.with_machine(|machine, now| machine.shed(connection, now));
             // Frees its slot at once; the state machine's close effect then finds no output and does nothing.
@@ -436,7 +434,7 @@
                         match socket.try_read(&mut buffer) {
                             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                             Ok(n) => self.with_machine(|m, now| m.received(connection, &buffer[..n], now)),
-                            Err(e) if is_transient(&e) => {}
+                            Err(e) if is_transient(Operation::SocketRead, &e) => {}
                             Err(e) => return Err(e),
                         }
                     }
@@ -456,7 +454,7 @@
     }
     let mut written = match socket.try_write_vectored(&slices) {
         Ok(n) => n,
-        Err(e) if is_transient(&e) => return Ok(()),
+        Err(e) if is_transient(Operation::SocketWrite, &e) => return Ok(()),
         Err(e) => return Err(e),
     };
     output.queued_bytes.set(output.queued_bytes.get() - written);
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -5,7 +5,8 @@
 
 use crate::events::DEFAULT_RETRY_AFTER;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
-use crate::socket::is_transient;
+use crate::socket;
+use crate::system_errors::Operation;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use stairshed_memory::rejected_connections::{
     LINGER_TIMEOUT, MAX_CONCURRENT, MAX_DISCARDED_BYTES, REQUEST_TIMEOUT, RejectionOutcome,
@@ -180,14 +181,14 @@
                     None => {}
                 }
             }
-            match timeout(REQUEST_TIMEOUT, read(stream, &mut prefix[prefix_len..])).await {
+            match timeout(REQUEST_TIMEOUT, socket::read(stream, &mut prefix[prefix_len..])).await {
                 Ok(Ok(n)) if n > 0 => prefix_len += n,
                 _ => return RejectionOutcome::Silent,
             }
         };
         self.memory_budget.rejected_connections.borrow_mut().request_started(connection.id);
         let sent = timeout(LINGER_TIMEOUT, async {
-            stream.write_all(&answer).await?;
+            socket::write_all(stream, &answer).await?;
             stream.shutdown().await
         });
         if !matches!(sent.await, Ok(Ok(()))) {
@@ -208,7 +209,7 @@
             match stream.try_read(&mut self.discard_buffer.borrow_mut()) {
                 Ok(0) => break,
                 Ok(n) => total += n as u64,
-                Err(e) if is_transient(&e) => {}
+                Err(e) if socket::is_transient(Operation::SocketRead, &e) => {}
                 Err(e) => return Err(e),
             }
         }
@@ -216,17 +217,6 @@
     }
 }
 
-/// Reads the available bytes; 0 at the end of the input.
-async fn read(stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
-    loop {
-        stream.readable().await?;
-        match stream.try_read(into) {
-            Err(e) if is_transient(&e) => {}
-            done => return done,
-        }
-    }
-}
-
 /// The encoded answer, once `prefix` shows which protocol the client uses: `None` until then, empty for
 /// another protocol.
 fn rejection_bytes(protocol: Protocol, prefix: &[u8], rejection: &Rejection) -> Option<Vec<u8>> {
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -21,6 +21,7 @@
 mod process_memory;
 mod socket;
 mod startup_error;
+mod system_errors;
 mod upstream;
 
 pub use bootstrap::{dev, run_platform, serve, settings};
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -10,6 +10,7 @@
 
 mod config_tool;
 mod journal_tool;
+mod machine_tool;
 mod memory_tool;
 
 /// A message courier: accepts messages and delivers each to an endpoint of its destination, or reports
@@ -74,6 +75,14 @@
         #[arg(long)]
         json: bool,
     },
+    /// Shows the system calls of a running courier that failed, by operation and error number.
+    Machine {
+        /// The courier's listen.admin address.
+        #[arg(long, value_name = "ADDRESS")]
+        admin: SocketAddr,
+        #[arg(long)]
+        json: bool,
+    },
     /// Inspects the journal of a courier that is not running.
     #[command(subcommand)]
     Journal(Journal),
@@ -145,6 +154,9 @@
             let interval = watch.map(|s| Duration::from_secs_f64(s.clamp(0.1, 3600.0)));
             memory_tool::memory(admin, interval, json, out).map_err(|e| to_text(&e))
         }
+        Some(Command::Machine { admin, json }) => {
+            machine_tool::machine(admin, json, out).map_err(|e| to_text(&e))
+        }
         Some(Command::MqttPassword { user }) => {
             let mut password = String::new();
             let read = std::io::stdin().read_line(&mut password).map_err(|e| to_text(&e));
--- a/crates/courier/src/socket.rs
+++ b/crates/courier/src/socket.rs
@@ -2,14 +2,17 @@
 //! these do not treat a short read or write as a sign that the socket is empty or full; tokio's then wait for
 //! an event that never comes.
 
+use crate::system_errors::{Operation, Policy, report};
+use std::future::poll_fn;
 use std::io;
+use std::pin::Pin;
 use std::task::{Context, Poll, ready};
-use tokio::io::ReadBuf;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a call must be repeated: the socket was not ready, or a signal interrupted it.
-pub fn is_transient(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+/// Whether a call must be repeated: the socket was not ready, or a signal interrupted it. Reports the error.
+pub fn is_transient(operation: Operation, error: &io::Error) -> bool {
+    error.kind() == io::ErrorKind::WouldBlock || report(operation, error) == Policy::RetryNow
 }
 
 /// Reads available bytes into the buffer.
@@ -24,7 +27,7 @@
                 buffer.advance(number);
                 return Poll::Ready(Ok(()));
             }
-            Err(e) if is_transient(&e) => {}
+            Err(e) if is_transient(Operation::SocketRead, &e) => {}
             Err(e) => return Poll::Ready(Err(e)),
         }
     }
@@ -42,8 +45,68 @@
     loop {
         ready!(stream.poll_write_ready(cx))?;
         match write(stream) {
-            Err(e) if is_transient(&e) => {}
+            Err(e) if is_transient(Operation::SocketWrite, &e) => {}
             result => return Poll::Ready(result),
         }
     }
 }
+
+/// Reads available bytes and returns their number, 0 at the end of the input.
+///
+/// # Errors
+/// The socket failed.
+pub async fn read(stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
+    let mut buffer = ReadBuf::new(into);
+    poll_fn(|cx| poll_read(stream, cx, &mut buffer)).await?;
+    Ok(buffer.filled().len())
+}
+
+/// Reads until the buffer is full.
+///
+/// # Errors
+/// The socket failed, or the input ended before.
+pub async fn read_exact(stream: &TcpStream, into: &mut [u8]) -> io::Result<()> {
+    let mut done = 0;
+    while done < into.len() {
+        match read(stream, &mut into[done..]).await? {
+            0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+            number => done += number,
+        }
+    }
+    Ok(())
+}
+
+/// Writes all bytes.
+///
+/// # Errors
+/// The socket failed.
+pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+    while !bytes.is_empty() {
+        let number = poll_fn(|cx| poll_write(stream, cx, |stream| stream.try_write(bytes))).await?;
+        bytes = &bytes[number..];
+    }
+    Ok(())
+}
+
+/// A TCP stream with these reads and writes, for code that takes tokio's traits.
+pub struct Socket(pub TcpStream);
+
+impl AsyncRead for Socket {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
+        poll_read(&self.0, cx, buffer)
+    }
+}
+
+impl AsyncWrite for Socket {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        poll_write(&self.0, cx, |stream| stream.try_write(bytes))
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_shutdown(cx)
+    }
+}
--- a/crates/courier/src/startup_error.rs
+++ b/crates/courier/src/startup_error.rs
@@ -11,12 +11,15 @@
     Invalid(&'static str, String),
     /// Complete messages, one per line.
     Problems(Vec<String>),
+    /// The program was told to stop before it had started.
+    Stopped,
 }
 
 impl fmt::Display for StartupError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             StartupError::MissingVariable(name) => write!(f, "{name} is not set"),
+            StartupError::Stopped => f.write_str("told to stop during the start"),
             StartupError::Problems(problems) => write!(f, "{}", problems.join("\n")),
             StartupError::Invalid(name, why) => write!(f, "{name}: {}", why.replace('\n', " ")),
         }
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -3,6 +3,7 @@
 use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult, DispatcherEvent};
 use crate::socket::is_transient;
+use crate::system_errors::{Operation, report};
 use crate::upstream::endpoint_client::Call;
 use bytes::Bytes;
 use stairshed_config::file::{self, MqttVersion};
@@ -291,7 +292,10 @@
                             socket = Some(stream);
                             self.update_client(|mqtt_client, now| mqtt_client.connection_opened(now));
                         }
-                        Err(_) => self.update_client(|mqtt_client, now| mqtt_client.connection_lost(now)),
+                        Err(e) => {
+                            report(Operation::ConnectBroker, &e);
+                            self.update_client(|mqtt_client, now| mqtt_client.connection_lost(now));
+                        }
                     }
                 }
                 ready = ready => {
@@ -352,7 +356,7 @@
                 self.mqtt_client.borrow_mut().bytes_written(n, self.origin.elapsed());
                 Ok(())
             }
-            Err(e) if is_transient(&e) => Ok(()),
+            Err(e) if is_transient(Operation::SocketWrite, &e) => Ok(()),
             Err(e) => Err(e),
         }
     }
@@ -365,7 +369,7 @@
                 self.mqtt_client.borrow_mut().received(&bytes[..n], self.origin.elapsed());
                 Ok(())
             }
-            Err(e) if is_transient(&e) => Ok(()),
+            Err(e) if is_transient(Operation::SocketRead, &e) => Ok(()),
             Err(e) => Err(e),
         }
     }
--- a/crates/courier/src/upstream/connection_pool.rs
+++ b/crates/courier/src/upstream/connection_pool.rs
@@ -1,9 +1,10 @@
 //! Pool of idle connections to endpoints, with the socket and memory limits for new ones.
 
 use crate::memory_budget::MemoryBudget;
+use crate::system_errors::{Backoff, Operation, Policy};
 use crate::upstream::connection_status::{CloseReason, ConnectionStatus};
 use crate::upstream::failure_rate::FailureRates;
-use crate::upstream::http_connection::{HttpConnection, HttpResponse};
+use crate::upstream::http_connection::{HttpConnection, HttpResponse, connect_stream};
 use crate::upstream::response_identity::{Expectation, ResponseHistories};
 use stairshed_decide::interface::EndpointId;
 use stairshed_memory::{Charge, Purpose};
@@ -13,6 +14,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
+use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -239,13 +241,33 @@
         }
         let permit = self.acquire_socket().await?;
         let memory = self.reserve_memory();
-        let connection = HttpConnection::connect(address, self.connect_timeout.get(), Some((permit, memory)))
-            .await
-            .ok()?;
+        let stream = self.connect(address).await?;
+        let connection = HttpConnection::on_stream(stream, Some((permit, memory))).await.ok()?;
         self.status.opened();
         Some(PooledConnection { connection, idle: None })
     }
 
+    /// Connects within the connect time-out. Failures of this machine are passed over while there is time
+    /// left; they do not count against the endpoint.
+    async fn connect(&self, address: SocketAddr) -> Option<TcpStream> {
+        let (until, mut backoff) = (Instant::now() + self.connect_timeout.get(), Backoff::default());
+        loop {
+            let left = until.saturating_duration_since(Instant::now());
+            let policy = match connect_stream(address, left).await {
+                Ok(stream) => return Some(stream),
+                Err(error) => error.report(Operation::ConnectEndpoint),
+            };
+            if matches!(policy, Policy::Shed(_)) {
+                self.close_oldest();
+            }
+            let pause = backoff.next_pause(policy.pauses()?);
+            if Instant::now() + pause >= until {
+                return None;
+            }
+            sleep(pause).await;
+        }
+    }
+
     /// Records whether an exchange failed on a connection that was idle for `idle` before; None for a new
     /// connection.
     pub fn record_exchange(&self, idle: Option<Duration>, failed: bool) {
--- a/crates/courier/src/upstream/http_connection.rs
+++ b/crates/courier/src/upstream/http_connection.rs
@@ -2,6 +2,7 @@
 //! the socket at once, and whether any byte of a request was written is always known.
 
 use crate::socket;
+use crate::system_errors::{Errno, Operation, Policy, report};
 use crate::upstream::connection_status::CloseReason;
 use crate::upstream::response_head::ResponseHead;
 use crate::upstream::response_identity::ResponseIdentity;
@@ -119,6 +120,11 @@
     }
 }
 
+/// Whether a call on a socket that does not wait must be repeated. Reports the error.
+fn is_interrupted(error: &io::Error) -> bool {
+    error.kind() != io::ErrorKind::WouldBlock && socket::is_transient(Operation::SocketRead, error)
+}
+
 impl Transport {
     /// Records a socket error, after reading what the peer sent before it.
     fn failed<T>(&self, failure: SocketFailure, error: io::Error) -> Poll<io::Result<T>> {
@@ -138,7 +144,7 @@
                     self.received.head.borrow_mut().feed(&bytes[..number]);
                     left -= number;
                 }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) if is_interrupted(&e) => {}
                 _ => return,
             }
         }
@@ -149,7 +155,7 @@
         let mut byte = [MaybeUninit::uninit()];
         loop {
             match SockRef::from(&self.stream).peek(&mut byte) {
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) if is_interrupted(&e) => {}
                 result => return result,
             }
         }
@@ -251,6 +257,35 @@
     Http(#[from] hyper::Error),
 }
 
+impl ConnectError {
+    /// Reports the system's error, and returns its policy.
+    pub fn report(&self, operation: Operation) -> Policy {
+        match self {
+            ConnectError::Io(e) => report(operation, e),
+            ConnectError::TimedOut(_) | ConnectError::Http(_) => Policy::FailAttempt,
+        }
+    }
+
+    /// The system's error number, if it has one.
+    pub fn errno(&self) -> Option<Errno> {
+        match self {
+            ConnectError::Io(e) => Some(Errno::of(e)),
+            ConnectError::TimedOut(_) | ConnectError::Http(_) => None,
+        }
+    }
+}
+
+/// Connects, with `within` as the time-out.
+///
+/// # Errors
+/// The connection was not established in time, or the system reported an error.
+pub async fn connect_stream(to: SocketAddr, within: Duration) -> Result<TcpStream, ConnectError> {
+    let connected = timeout(within, TcpStream::connect(to)).await;
+    let stream = connected.map_err(|_| ConnectError::TimedOut(within))??;
+    stream.set_nodelay(true)?;
+    Ok(stream)
+}
+
 /// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
@@ -338,19 +373,30 @@
 }
 
 impl HttpConnection {
-    /// Connects, with `within` as the time-out. `reservation` holds the socket permit and the memory of the
-    /// connection; None if they are accounted for elsewhere.
+    /// Connects, with `within` as the time-out. An error of the system is reported for this operation.
     ///
     /// # Errors
     /// The connection was not established in time, or the system or hyper reported an error.
     pub async fn connect(
         to: SocketAddr,
         within: Duration,
+        operation: Operation,
+    ) -> Result<Self, ConnectError> {
+        let stream = connect_stream(to, within).await.inspect_err(|error| {
+            error.report(operation);
+        })?;
+        Self::on_stream(stream, None).await
+    }
+
+    /// Uses a stream that is connected. `reservation` holds the socket permit and the memory of the
+    /// connection; None if they are accounted for elsewhere.
+    ///
+    /// # Errors
+    /// hyper reported an error.
+    pub async fn on_stream(
+        stream: TcpStream,
         reservation: Option<(OwnedSemaphorePermit, Charge)>,
     ) -> Result<Self, ConnectError> {
-        let connected = timeout(within, TcpStream::connect(to)).await;
-        let stream = connected.map_err(|_| ConnectError::TimedOut(within))??;
-        stream.set_nodelay(true)?;
         let transport = Rc::new(Transport { stream, written: Cell::new(0), received: Rc::default() });
         let io = TokioIo::new(TransportIo(transport.clone()));
         let (sender, driver) = http1::Builder::new().max_buf_size(MAX_BODY_BYTES).handshake(io).await?;
--- a/crates/courier/src/upstream/outcomes.rs
+++ b/crates/courier/src/upstream/outcomes.rs
@@ -2,6 +2,8 @@
 //! file, or both. They are retried until they are acknowledged, without a time limit.
 
 use crate::events::DispatcherEvent;
+use crate::system_errors::policy::OUTCOMES_PAUSES;
+use crate::system_errors::{Backoff, Operation, report};
 use crate::upstream::http_connection::HttpConnection;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -108,22 +110,28 @@
 
 /// Appends on a blocking thread and retries until it succeeds.
 async fn append(notice_file: &Arc<Mutex<NoticeFile>>, text: String) {
-    let mut logged = false;
+    let (mut logged, mut backoff) = (false, Backoff::default());
     loop {
         let (notice_file, text) = (notice_file.clone(), text.clone());
         let result = tokio::task::spawn_blocking(move || {
             let notice_file = notice_file.lock().unwrap_or_else(PoisonError::into_inner);
-            notice_file.append(&text).map_err(|e| format!("{}: {e}", notice_file.path.display()))
+            let result = notice_file.append(&text);
+            result.map_err(|e| (report(Operation::OutcomesFile, &e), notice_file.path.clone(), e))
         });
+        let mut pauses = OUTCOMES_PAUSES;
         match result.await {
             Ok(Ok(())) => return,
-            Ok(Err(why)) if !logged => {
-                eprintln!("outcomes: cannot append, trying on: {why}");
-                logged = true;
+            Ok(Err((policy, path, e))) => {
+                pauses = policy.pauses().unwrap_or(pauses);
+                if !logged {
+                    eprintln!("outcomes: cannot append, trying on: {}: {e}", path.display());
+                    logged = true;
+                }
             }
-            _ => {}
+            // The append is not expected to panic; it is repeated if it does.
+            Err(_) => {}
         }
-        sleep(MAX_BACKOFF).await;
+        sleep(backoff.next_pause(pauses)).await;
     }
 }
 
@@ -202,7 +210,8 @@
     /// connection it could be a second copy of the previous one.
     async fn post_once(&self, batch: &[Notice]) -> Option<StatusCode> {
         let to = self.address.get();
-        let mut connection = HttpConnection::connect(to, CONNECT_TIMEOUT, None).await.ok()?;
+        let connected = HttpConnection::connect(to, CONNECT_TIMEOUT, Operation::ConnectOutcomes);
+        let mut connection = connected.await.ok()?;
         let text: String = batch.iter().map(Notice::line).collect();
         let request = Request::post(&*self.path)
             .header(header::HOST, to.to_string())
