--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -22,6 +22,7 @@
 mod signals;
 mod socket;
 mod startup_error;
+mod system_errors;
 mod upstream;
 
 pub use bootstrap::{dev, run_platform, serve, settings};
--- a/crates/courier/src/signals.rs
+++ b/crates/courier/src/signals.rs
@@ -2,17 +2,16 @@
 //! they are blocked: they run no handler and interrupt no system call.
 
 use crate::socket::is_transient;
+use crate::system_errors::Operation;
+use crate::system_errors::policy::SIGNAL_PAUSES;
 use std::fs::File;
 use std::io::{self, ErrorKind, Read};
 use std::mem::MaybeUninit;
 use std::os::fd::{FromRawFd, OwnedFd};
-use std::time::Duration;
 use tokio::io::Interest;
 use tokio::io::unix::AsyncFd;
 use tokio::time::sleep;
 
-/// Pause before the signal descriptor is read again after an error.
-const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Size of the kernel's record of one signal, bytes.
 const RECORD_BYTES: usize = size_of::<libc::signalfd_siginfo>();
 
@@ -66,7 +65,7 @@
     pub async fn recv(&mut self) {
         while let Err(error) = self.read_record().await {
             eprintln!("signals: cannot be read, tried again: {error}");
-            sleep(RETRY_INTERVAL).await;
+            sleep(SIGNAL_PAUSES.most).await;
         }
     }
 
@@ -79,7 +78,7 @@
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
                 // The kernel removes the signal with the first byte, and the content is not used.
                 Ok(_) => return Ok(()),
-                Err(error) if is_transient(&error) => {}
+                Err(error) if is_transient(Operation::ReadSignal, &error) => {}
                 Err(error) => return Err(error),
             }
         }
