--- a/crates/preload/src/calls.rs
+++ b/crates/preload/src/calls.rs
@@ -1,8 +1,10 @@
 //! Replacements for C library functions that inject the faults of the rules and then call the real function.
 
-use crate::rules::{Call, Fault, clock_offset, fault, folder};
+use crate::call::{Call, Fault};
+use crate::rules::{bytes_before_kill, clock_offset_ns, fault, folder, possible_fault};
 use libc::{
-    c_char, c_int, c_uint, c_void, clockid_t, iovec, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec,
+    c_char, c_int, c_uint, c_void, clockid_t, epoll_event, iovec, mode_t, size_t, sockaddr, socklen_t,
+    ssize_t, timespec,
 };
 use std::ffi::CStr;
 use std::sync::OnceLock;
@@ -28,6 +30,42 @@
     (length / 2).max(length.min(1))
 }
 
+/// What is left of a call with this length.
+enum Transfer {
+    /// The call fails with this `errno`.
+    Fail(c_int),
+    /// The call transfers at most this length.
+    AtMost(size_t),
+}
+
+impl Transfer {
+    fn new(fault: Option<Fault>, length: size_t) -> Self {
+        match fault {
+            Some(Fault::Errno(errno)) => Transfer::Fail(errno),
+            Some(Fault::Short) => Transfer::AtMost(partial_length(length)),
+            Some(Fault::OneByte) => Transfer::AtMost(length.min(1)),
+            None => Transfer::AtMost(length),
+        }
+    }
+
+    /// Like `new`, for calls on files: those outside the folder have no faults.
+    fn of_file(call: Call, descriptor: c_int, length: size_t) -> Self {
+        let injected = if in_folder(descriptor) { fault(call) } else { None };
+        Transfer::new(injected, length)
+    }
+}
+
+/// Ends this process at once, as a kill from outside does.
+fn kill_process() {
+    // SAFETY: signals this process only.
+    unsafe { libc::kill(libc::getpid(), libc::SIGKILL) };
+}
+
+/// Whether a call on an inet socket of this domain is subject to faults.
+fn is_inet(domain: c_int) -> bool {
+    matches!(domain, libc::AF_INET | libc::AF_INET6)
+}
+
 /// Whether a descriptor refers to a file in the folder whose files are subject to faults.
 fn in_folder(descriptor: c_int) -> bool {
     let Some(folder) = folder() else { return false };
@@ -65,10 +103,11 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
     let call = if is_unix(socket) { Call::RecvLocal } else { Call::Recv };
-    let length = match fault(call) {
-        Some(Fault::Errno(errno)) => return fail_with(errno),
-        Some(Fault::Short) => length.min(1),
-        None => length,
+    // A short read has always been one of a single byte.
+    let injected = fault(call).map(|fault| if fault == Fault::Short { Fault::OneByte } else { fault });
+    let length = match Transfer::new(injected, length) {
+        Transfer::Fail(errno) => return fail_with(errno),
+        Transfer::AtMost(length) => length,
     };
     // SAFETY: the caller's arguments, or a shorter length for its buffer.
     unsafe { real_function!("recv" as Recv)(socket, buffer, length, flags) }
@@ -78,10 +117,9 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let length = match fault(Call::Send) {
-        Some(Fault::Errno(errno)) => return fail_with(errno),
-        Some(Fault::Short) => partial_length(length),
-        None => length,
+    let length = match Transfer::new(fault(Call::Send), length) {
+        Transfer::Fail(errno) => return fail_with(errno),
+        Transfer::AtMost(length) => length,
     };
     // SAFETY: the caller's arguments, or a shorter length for its buffer.
     unsafe { real_function!("send" as Send)(socket, buffer, length, flags) }
@@ -93,6 +131,10 @@
 unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     let count = match fault(Call::Send) {
         Some(Fault::Errno(errno)) => return fail_with(errno),
+        Some(Fault::OneByte) => {
+            // SAFETY: the caller passes `count` buffers.
+            return unsafe { write_one_byte(descriptor, buffers, count) };
+        }
         Some(Fault::Short) => count.min(1),
         None => count,
     };
@@ -100,6 +142,61 @@
     unsafe { real_function!("writev" as Writev)(descriptor, buffers, count) }
 }
 
+/// Writes the first byte of the buffers.
+///
+/// # Safety
+/// `buffers` must point to `count` valid buffers.
+unsafe fn write_one_byte(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    // SAFETY: guaranteed by the caller.
+    let all = unsafe { std::slice::from_raw_parts(buffers, usize::try_from(count).unwrap_or(0)) };
+    let first = all.iter().find(|buffer| buffer.iov_len > 0);
+    let Some(first) = first.map(|buffer| iovec { iov_len: 1, ..*buffer }) else { return 0 };
+    // SAFETY: a part of one of the caller's buffers.
+    unsafe { real_function!("writev" as Writev)(descriptor, &raw const first, 1) }
+}
+
+type Socket = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
+    if is_inet(domain)
+        && let Some(Fault::Errno(errno)) = fault(Call::Socket)
+    {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's arguments.
+    unsafe { real_function!("socket" as Socket)(domain, kind, protocol) }
+}
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn bind(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
+    if !is_unix(socket)
+        && let Some(Fault::Errno(errno)) = fault(Call::Bind)
+    {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's arguments.
+    unsafe { real_function!("bind" as Connect)(socket, address, length) }
+}
+
+type EpollWait = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn epoll_wait(
+    descriptor: c_int,
+    events: *mut epoll_event,
+    count: c_int,
+    timeout_ms: c_int,
+) -> c_int {
+    if timeout_ms != 0
+        && let Some(Fault::Errno(errno)) = fault(Call::Wait)
+    {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's arguments.
+    unsafe { real_function!("epoll_wait" as EpollWait)(descriptor, events, count, timeout_ms) }
+}
+
 type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
 
 #[unsafe(no_mangle)]
@@ -131,12 +228,17 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    let injected = if in_folder(descriptor) { fault(Call::Write) } else { None };
-    let length = match injected {
-        Some(Fault::Errno(errno)) => return fail_with(errno),
-        Some(Fault::Short) => partial_length(length),
-        None => length,
+    let length = match Transfer::of_file(Call::Write, descriptor, length) {
+        Transfer::Fail(errno) => return fail_with(errno),
+        Transfer::AtMost(length) => length,
     };
+    if in_folder(descriptor)
+        && let Some(before) = bytes_before_kill(length)
+    {
+        // SAFETY: the caller's arguments with a shorter length.
+        unsafe { real_function!("write" as Write)(descriptor, buffer, before) };
+        kill_process();
+    }
     // SAFETY: the caller's arguments, or a shorter length for its buffer.
     unsafe { real_function!("write" as Write)(descriptor, buffer, length) }
 }
@@ -150,12 +252,17 @@
     length: size_t,
     offset: i64,
 ) -> ssize_t {
-    let injected = if in_folder(descriptor) { fault(Call::Write) } else { None };
-    let length = match injected {
-        Some(Fault::Errno(errno)) => return fail_with(errno),
-        Some(Fault::Short) => partial_length(length),
-        None => length,
+    let length = match Transfer::of_file(Call::Write, descriptor, length) {
+        Transfer::Fail(errno) => return fail_with(errno),
+        Transfer::AtMost(length) => length,
     };
+    if in_folder(descriptor)
+        && let Some(before) = bytes_before_kill(length)
+    {
+        // SAFETY: the caller's arguments with a shorter length.
+        unsafe { real_function!("pwrite64" as Pwrite)(descriptor, buffer, before, offset) };
+        kill_process();
+    }
     // SAFETY: the caller's arguments, or a shorter length for its buffer.
     unsafe { real_function!("pwrite64" as Pwrite)(descriptor, buffer, length, offset) }
 }
@@ -184,6 +291,57 @@
     unsafe { real_function!("fdatasync" as Sync)(descriptor) }
 }
 
+type Ftruncate = unsafe extern "C" fn(c_int, i64) -> c_int;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn ftruncate64(descriptor: c_int, length: i64) -> c_int {
+    if in_folder(descriptor)
+        && let Some(Fault::Errno(errno)) = fault(Call::Truncate)
+    {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's arguments.
+    unsafe { real_function!("ftruncate64" as Ftruncate)(descriptor, length) }
+}
+
+type Read = unsafe extern "C" fn(c_int, *mut c_void, size_t) -> ssize_t;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
+    let length = match Transfer::of_file(Call::Read, descriptor, length) {
+        Transfer::Fail(errno) => return fail_with(errno),
+        Transfer::AtMost(length) => length,
+    };
+    // SAFETY: the caller's arguments, or a shorter length for its buffer.
+    unsafe { real_function!("read" as Read)(descriptor, buffer, length) }
+}
+
+type Pread = unsafe extern "C" fn(c_int, *mut c_void, size_t, i64) -> ssize_t;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn pread64(descriptor: c_int, buffer: *mut c_void, length: size_t, offset: i64) -> ssize_t {
+    let length = match Transfer::of_file(Call::Read, descriptor, length) {
+        Transfer::Fail(errno) => return fail_with(errno),
+        Transfer::AtMost(length) => length,
+    };
+    // SAFETY: the caller's arguments, or a shorter length for its buffer.
+    unsafe { real_function!("pread64" as Pread)(descriptor, buffer, length, offset) }
+}
+
+type Unlink = unsafe extern "C" fn(*const c_char) -> c_int;
+
+#[unsafe(no_mangle)]
+unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
+    // SAFETY: the caller passes a NUL-terminated path.
+    if unsafe { is_below_folder(path) }
+        && let Some(Fault::Errno(errno)) = fault(Call::Unlink)
+    {
+        return fail_with(errno) as c_int;
+    }
+    // SAFETY: the caller's argument.
+    unsafe { real_function!("unlink" as Unlink)(path) }
+}
+
 type Rename = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
 
 #[unsafe(no_mangle)]
@@ -198,6 +356,18 @@
     unsafe { real_function!("rename" as Rename)(from, to) }
 }
 
+/// Whether `open` with these flags can have a fault: a read-only file system refuses writers only, and a full one
+/// only new files.
+fn open_can_have(flags: c_int, fault: Fault) -> bool {
+    let writes = flags & libc::O_ACCMODE != libc::O_RDONLY;
+    let creates = flags & libc::O_CREAT != 0;
+    match fault {
+        Fault::Errno(libc::EROFS) => writes || creates,
+        Fault::Errno(libc::ENOSPC | libc::EDQUOT) => creates,
+        _ => true,
+    }
+}
+
 type Open = unsafe extern "C" fn(*const c_char, c_int, c_uint) -> c_int;
 
 /// The mode is used only with `O_CREAT`; without it an unspecified value is passed on, which the real
@@ -206,7 +376,7 @@
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     // SAFETY: the caller passes a NUL-terminated path.
     if unsafe { is_below_folder(path) }
-        && let Some(Fault::Errno(errno)) = fault(Call::Open)
+        && let Some(Fault::Errno(errno)) = possible_fault(Call::Open, |fault| open_can_have(flags, fault))
     {
         return fail_with(errno) as c_int;
     }
@@ -214,6 +384,8 @@
     unsafe { real_function!("open64" as Open)(path, flags, mode) }
 }
 
+const NS_PER_SECOND: i64 = 1_000_000_000;
+
 type ClockGettime = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
 
 #[unsafe(no_mangle)]
@@ -222,7 +394,10 @@
     let result = unsafe { real_function!("clock_gettime" as ClockGettime)(clock, time) };
     if result == 0 && clock == libc::CLOCK_REALTIME {
         // SAFETY: the successful call has initialised `time`.
-        unsafe { (*time).tv_sec += clock_offset() };
+        let time = unsafe { &mut *time };
+        let nanoseconds = time.tv_nsec + clock_offset_ns();
+        time.tv_sec += nanoseconds.div_euclid(NS_PER_SECOND);
+        time.tv_nsec = nanoseconds.rem_euclid(NS_PER_SECOND);
     }
     result
 }
--- a/crates/preload/src/rules.rs
+++ b/crates/preload/src/rules.rs
@@ -1,93 +1,32 @@
 //! The rules of the control file, and which of them applies to a call.
 
+use crate::call::{Call, Fault};
+use crate::counts::count;
+use crate::rule::{KillRule, Line, Rule, parse_line};
 use std::cell::Cell;
 use std::ffi::CString;
-use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 use std::sync::{Mutex, OnceLock};
 
 /// Interval between reads of the control file.
 const REFRESH_INTERVAL_NS: i64 = 5_000_000;
 /// Maximum size of the control file.
-const MAX_FILE_BYTES: usize = 4096;
-
-/// A call that can be made to fail.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
-    Recv,
-    /// `recv` on a Unix socket, such as a socket pair within one program.
-    RecvLocal,
-    Send,
-    Connect,
-    Accept,
-    Write,
-    Sync,
-    Rename,
-    Open,
+const MAX_FILE_BYTES: usize = 16 * 1024;
+
+/// The rules that were read last.
+struct Rules {
+    text: String,
+    /// Each rule with its line. One whose line stays as it is goes on counting when the file changes.
+    calls: Vec<(String, Rule)>,
+    kills: Vec<(String, KillRule)>,
 }
 
-impl Call {
-    fn from_name(name: &str) -> Option<Self> {
-        Some(match name {
-            "recv" => Call::Recv,
-            "recv-local" => Call::RecvLocal,
-            "send" => Call::Send,
-            "connect" => Call::Connect,
-            "accept" => Call::Accept,
-            "write" => Call::Write,
-            "sync" => Call::Sync,
-            "rename" => Call::Rename,
-            "open" => Call::Open,
-            _ => return None,
-        })
-    }
-}
-
-/// The fault injected into a call.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// The call fails with this `errno`.
-    Errno(i32),
-    /// The call transfers only a part of the data.
-    Short,
-}
-
-impl Fault {
-    fn from_name(name: &str) -> Option<Self> {
-        Some(Fault::Errno(match name {
-            "short" => return Some(Fault::Short),
-            "EINTR" => libc::EINTR,
-            "EIO" => libc::EIO,
-            "ENOSPC" => libc::ENOSPC,
-            "EMFILE" => libc::EMFILE,
-            "ENOBUFS" => libc::ENOBUFS,
-            "ENOMEM" => libc::ENOMEM,
-            "ECONNABORTED" => libc::ECONNABORTED,
-            "ECONNRESET" => libc::ECONNRESET,
-            "EPIPE" => libc::EPIPE,
-            "ETIMEDOUT" => libc::ETIMEDOUT,
-            "EHOSTUNREACH" => libc::EHOSTUNREACH,
-            "EADDRNOTAVAIL" => libc::EADDRNOTAVAIL,
-            _ => return None,
-        }))
-    }
-}
-
-struct Rule {
-    call: Call,
-    fault: Fault,
-    /// The rule applies to the first of every `every` calls.
-    every: u64,
-    /// Calls seen so far.
-    calls: u64,
-}
-
-/// Offset added to the wall clock, in seconds.
+/// Offset added to the wall clock, in nanoseconds.
 static CLOCK_OFFSET: AtomicI64 = AtomicI64::new(0);
-static RULES: Mutex<Vec<Rule>> = Mutex::new(Vec::new());
+/// Whether the wall clock has not been read yet since its offset changed.
+static CLOCK_STEP_UNSEEN: AtomicBool = AtomicBool::new(false);
+static RULES: Mutex<Rules> = Mutex::new(Rules { text: String::new(), calls: Vec::new(), kills: Vec::new() });
 static LAST_READ: AtomicI64 = AtomicI64::new(i64::MIN);
-static LAST_TEXT: Mutex<String> = Mutex::new(String::new());
-/// Number of injected faults.
-static INJECTED: AtomicU64 = AtomicU64::new(0);
 
 thread_local! {
     /// Whether this thread is inside this library; calls that the library itself makes are not intercepted.
@@ -104,27 +43,51 @@
 
 /// The fault to inject into this call, if any. Counts the call for its rules.
 pub fn fault(call: Call) -> Option<Fault> {
+    possible_fault(call, |_| true)
+}
+
+/// Like [`fault`], for a call that can have only some of the faults; it does not count for rules with others.
+pub fn possible_fault(call: Call, is_possible: impl Fn(Fault) -> bool) -> Option<Fault> {
     without_reentry(|| {
         refresh();
+        let now = monotonic_ns();
         let mut rules = RULES.lock().ok()?;
         let mut found = None;
-        for rule in rules.iter_mut().filter(|rule| rule.call == call) {
-            if rule.calls.is_multiple_of(rule.every) {
+        for (_, rule) in &mut rules.calls {
+            if rule.call == call && is_possible(rule.fault) && rule.applies(now) {
                 found = found.or(Some(rule.fault));
             }
-            rule.calls += 1;
         }
-        if found.is_some() {
-            INJECTED.fetch_add(1, Ordering::Relaxed);
+        if let Some(fault) = found {
+            count(call.name(), fault.name(), control_path()?);
         }
         found
     })
     .flatten()
 }
 
-/// Offset to add to the wall clock, in seconds.
-pub fn clock_offset() -> i64 {
-    without_reentry(refresh);
+/// How much of a write of this length to do before the process kills itself, if a rule says so.
+pub fn bytes_before_kill(length: usize) -> Option<usize> {
+    without_reentry(|| {
+        refresh();
+        let mut rules = RULES.lock().ok()?;
+        let bytes = rules.kills.iter_mut().filter_map(|(_, rule)| rule.bytes_before_kill(length)).min()?;
+        count(Call::Write.name(), "kill", control_path()?);
+        Some(bytes)
+    })
+    .flatten()
+}
+
+/// Offset to add to the wall clock, in nanoseconds.
+pub fn clock_offset_ns() -> i64 {
+    without_reentry(|| {
+        refresh();
+        if CLOCK_STEP_UNSEEN.swap(false, Ordering::Relaxed)
+            && let Some(path) = control_path()
+        {
+            count("clock", "step", path);
+        }
+    });
     CLOCK_OFFSET.load(Ordering::Relaxed)
 }
 
@@ -148,34 +111,42 @@
         return;
     }
     let Some(text) = control_path().and_then(read_file) else { return };
-    let Ok(mut before) = LAST_TEXT.lock() else { return };
-    if *before != text {
-        apply(&text);
-        *before = text;
+    let Ok(mut rules) = RULES.lock() else { return };
+    if rules.text != text {
+        apply(&mut rules, text, now);
     }
 }
 
-fn apply(text: &str) {
-    let mut rules = Vec::new();
-    CLOCK_OFFSET.store(0, Ordering::Relaxed);
-    for line in text.lines() {
-        let words: Vec<_> = line.split_whitespace().collect();
-        match words[..] {
-            ["clock", offset] => CLOCK_OFFSET.store(offset.parse().unwrap_or(0), Ordering::Relaxed),
-            [call, fault, every] => {
-                let every = every.parse().ok().filter(|n| *n > 0);
-                if let (Some(call), Some(fault), Some(every)) =
-                    (Call::from_name(call), Fault::from_name(fault), every)
-                {
-                    rules.push(Rule { call, fault, every, calls: 0 });
-                }
+fn apply(rules: &mut Rules, text: String, now_ns: i64) {
+    let earlier_calls = std::mem::take(&mut rules.calls);
+    let earlier_kills = std::mem::take(&mut rules.kills);
+    let mut clock_offset_ns = 0;
+    for (index, line) in text.lines().enumerate() {
+        match parse_line(line) {
+            Ok(None) => {}
+            Ok(Some(Line::Clock(offset_ns))) => clock_offset_ns = offset_ns,
+            Ok(Some(Line::Rule(rule))) => {
+                let kept = earlier_calls.iter().find(|(earlier, _)| earlier == line);
+                let rule = kept.map_or(rule.read_at(now_ns), |(_, kept)| kept.clone());
+                rules.calls.push((line.to_owned(), rule));
             }
-            _ => {}
+            Ok(Some(Line::Kill(rule))) => {
+                let kept = earlier_kills.iter().find(|(earlier, _)| earlier == line);
+                rules.kills.push((line.to_owned(), kept.map_or(rule, |(_, kept)| kept.clone())));
+            }
+            Err(why) => report(&format!("stairshed-preload: line {}: {why}: {line}\n", index + 1)),
         }
     }
-    if let Ok(mut current) = RULES.lock() {
-        *current = rules;
+    if CLOCK_OFFSET.swap(clock_offset_ns, Ordering::Relaxed) != clock_offset_ns {
+        CLOCK_STEP_UNSEEN.store(true, Ordering::Relaxed);
     }
+    rules.text = text;
+}
+
+/// Writes to standard error with a direct system call.
+fn report(text: &str) {
+    // SAFETY: the buffer has the length that is passed.
+    unsafe { libc::syscall(libc::SYS_write, libc::STDERR_FILENO, text.as_ptr(), text.len()) };
 }
 
 /// Reads a short file with direct system calls, since the functions of the C library are intercepted by this
--- a/crates/rig/src/machine_faults.rs
+++ b/crates/rig/src/machine_faults.rs
@@ -2,6 +2,7 @@
 //! writes the file that lists the calls to fail.
 
 use crate::TestFolder;
+use std::collections::BTreeMap;
 use std::fs;
 use std::path::PathBuf;
 use std::process::Command;
@@ -34,6 +35,29 @@
         thread::sleep(RELOAD_TIME);
     }
 
+    /// Returns how many faults were injected into all couriers with this control file so far, by call and fault, such
+    /// as `sync EIO`.
+    pub fn injected(&self) -> BTreeMap<String, u64> {
+        let mut counts = BTreeMap::new();
+        for path in self.count_files() {
+            let text = fs::read_to_string(path).unwrap_or_default();
+            for (fault, number) in text.lines().filter_map(|line| line.rsplit_once(' ')) {
+                *counts.entry(fault.to_owned()).or_default() += number.parse().unwrap_or(0);
+            }
+        }
+        counts
+    }
+
+    /// Files with the counts of each process, see the library.
+    fn count_files(&self) -> Vec<PathBuf> {
+        let name = self.path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+        let prefix = format!("{name}.counts.");
+        let folder = self.path.parent().and_then(|folder| fs::read_dir(folder).ok());
+        let entries = folder.into_iter().flatten().flatten();
+        let of_this = entries.filter(|entry| entry.file_name().to_string_lossy().starts_with(&prefix));
+        of_this.map(|entry| entry.path()).collect()
+    }
+
     fn write(&self, rules: &str) {
         let next = self.path.with_extension("next");
         fs::write(&next, rules).expect("the rules");
