--- a/crates/rig/src/duplicating_endpoint.rs
+++ b/crates/rig/src/duplicating_endpoint.rs
@@ -48,6 +48,23 @@
 }
 
 impl ServedCall {
+    /// A call that arrived at this time, for checks of made-up records.
+    pub fn arrived_at(id: &str, endpoint: &str, zone: &str, arrived: Instant) -> Self {
+        ServedCall {
+            id: id.to_owned(),
+            endpoint: endpoint.to_owned(),
+            zone: zone.to_owned(),
+            courier: String::new(),
+            connection: 0,
+            arrived,
+            overlaps: false,
+            ended: None,
+            status: None,
+            told_wait: None,
+            stream: None,
+        }
+    }
+
     /// Whether the courier still waits for the response. Asks the kernel, since the thread that serves the
     /// call may not have noticed a close yet.
     fn is_in_flight(&self) -> bool {
--- a/crates/rig/src/machine_faults.rs
+++ b/crates/rig/src/machine_faults.rs
@@ -66,12 +66,15 @@
 }
 
 /// Path of the library, which is built in the folder of the running program, or its parent for tests, which
-/// run from `deps/`.
+/// run from `deps/`. Cargo leaves an old one beside the programs where only that in `deps/` is built anew, so the newest
+/// is taken.
 fn library() -> PathBuf {
     let own = std::env::current_exe().expect("a path");
     let folders = own.ancestors().skip(1).take(2);
-    let mut names = folders.flat_map(|folder| {
+    let names = folders.flat_map(|folder| {
         [folder.join("libstairshed_preload.so"), folder.join("deps/libstairshed_preload.so")]
     });
-    names.find(|path| path.is_file()).expect("stairshed-preload is built beside this program")
+    let built_at = |path: &PathBuf| fs::metadata(path).and_then(|data| data.modified()).ok();
+    let built = names.filter(|path| path.is_file());
+    built.max_by_key(built_at).expect("stairshed-preload is built beside this program")
 }
--- /dev/null
+++ b/crates/testkit/src/clients.rs
@@ -0,0 +1,127 @@
+//! The clients of a run. Each submits messages one after the other to one courier, on one connection for as long as it
+//! stays open.
+
+use crate::courier_file::ORDER_HEADER;
+use crate::record::Submission;
+use crate::scenario::Scenario;
+use stairshed_rig::{HttpMessage, request};
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, Instant};
+
+/// The clients' threads and what they have submitted.
+pub struct ClientGroup {
+    shared: Arc<Shared>,
+    threads: Vec<JoinHandle<()>>,
+}
+
+struct Shared {
+    stop: AtomicBool,
+    next_id: AtomicUsize,
+    submissions: Mutex<Vec<Submission>>,
+    pools: usize,
+    pause: Duration,
+    patience: Duration,
+    deadline_ms: u128,
+}
+
+/// One client.
+struct Client {
+    class: String,
+    courier: usize,
+    address: SocketAddr,
+    /// Value of its order header.
+    order_key: String,
+}
+
+impl ClientGroup {
+    /// Starts the clients of all couriers, which take them at these addresses.
+    pub fn start(scenario: &Scenario, addresses: &[SocketAddr]) -> Self {
+        let clients = &scenario.clients;
+        let shared = Arc::new(Shared {
+            stop: AtomicBool::new(false),
+            next_id: AtomicUsize::new(0),
+            submissions: Mutex::default(),
+            pools: scenario.endpoints.pools,
+            pause: Duration::from_secs_f64(1.0 / clients.rate),
+            patience: clients.patience.0,
+            deadline_ms: clients.deadline.0.as_millis(),
+        });
+        let mut threads = Vec::new();
+        for (courier, address) in addresses.iter().enumerate() {
+            for class in &clients.classes {
+                for number in 0..clients.per_class {
+                    let order_key = format!("{class}-{courier}-{number}");
+                    let client = Client { class: class.clone(), courier, address: *address, order_key };
+                    let shared = shared.clone();
+                    threads.push(thread::spawn(move || shared.run(&client)));
+                }
+            }
+        }
+        ClientGroup { shared, threads }
+    }
+
+    /// Lets the clients submit nothing more.
+    pub fn stop(&self) {
+        self.shared.stop.store(true, Ordering::SeqCst);
+    }
+
+    /// Returns what was submitted so far.
+    pub fn submissions(&self) -> Vec<Submission> {
+        self.shared.submissions.lock().expect("the submissions").clone()
+    }
+
+    /// Waits for the clients' ends and returns what they submitted.
+    pub fn join(self) -> Vec<Submission> {
+        self.stop();
+        for client in self.threads {
+            let _ = client.join();
+        }
+        self.shared.submissions.lock().expect("the submissions").clone()
+    }
+}
+
+impl Shared {
+    fn run(&self, client: &Client) {
+        let mut open = None;
+        while !self.stop.load(Ordering::SeqCst) {
+            thread::sleep(self.pause);
+            let Some(connection) = open.take().or_else(|| self.connect(client.address)) else { continue };
+            open = self.submit(client, connection);
+        }
+    }
+
+    fn connect(&self, to: SocketAddr) -> Option<BufReader<TcpStream>> {
+        let stream = TcpStream::connect(to).ok()?;
+        stream.set_read_timeout(Some(self.patience)).ok()?;
+        stream.set_nodelay(true).ok()?;
+        Some(BufReader::new(stream))
+    }
+
+    /// Submits one message. Returns the connection if it can be used again.
+    fn submit(&self, client: &Client, mut connection: BufReader<TcpStream>) -> Option<BufReader<TcpStream>> {
+        let number = self.next_id.fetch_add(1, Ordering::SeqCst);
+        let id = format!("{}-{number}", client.class);
+        let path = format!("/{}/{}", client.class, number % self.pools);
+        let headers = format!(
+            "X-Timeout: {}m\r\nIdempotency-Key: key-{id}\r\n{ORDER_HEADER}: {}\r\n",
+            self.deadline_ms, client.order_key
+        );
+        let sent = Instant::now();
+        let written = connection.get_mut().write_all(request(&path, &id, &headers, &id).as_bytes());
+        let answer = written.ok().and_then(|()| HttpMessage::read(&mut connection));
+        self.submissions.lock().expect("the submissions").push(Submission {
+            id,
+            class: client.class.clone(),
+            courier: client.courier,
+            order_key: client.order_key.clone(),
+            sent,
+            answer: answer.as_ref().map(|answer| (Instant::now(), answer.status())),
+        });
+        let closes = answer?.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+        (!closes).then_some(connection)
+    }
+}
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,1 +1,118 @@
-fn main() {}
+//! The command `stairshed-faults`: runs scenarios and prints the verdicts.
+
+use clap::{Parser, Subcommand};
+use serde_json::{Value, json};
+use stairshed_testkit::runner::run;
+use stairshed_testkit::scenario::Scenario;
+use stairshed_testkit::verdict::Verdict;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::sync::Mutex;
+use std::thread;
+
+/// A rule was broken, a fault never happened, or a run could not be done.
+const NOT_PASSED: u8 = 1;
+/// Bad usage or scenario; `clap` ends with it, too.
+const BAD_SCENARIO: u8 = 2;
+
+/// Runs couriers under faults drawn from a seed and checks the delivery rules.
+#[derive(Parser)]
+#[command(name = "stairshed-faults")]
+struct Cli {
+    #[command(subcommand)]
+    command: Command,
+}
+
+#[derive(Subcommand)]
+enum Command {
+    /// Runs scenarios. Ends with 0 if all rules held in all runs, 1 if not, 2 if a scenario is bad.
+    Run {
+        /// Scenario files.
+        #[arg(required = true)]
+        files: Vec<PathBuf>,
+        /// The first seed.
+        #[arg(long, default_value_t = 1)]
+        seed: u64,
+        /// Number of seeds, from the first one on.
+        #[arg(long, default_value_t = 1)]
+        seeds: u64,
+        /// Runs at the same time.
+        #[arg(long, default_value_t = 1)]
+        parallel: usize,
+        /// Prints each verdict as a line of JSON.
+        #[arg(long)]
+        json: bool,
+    },
+}
+
+/// A scenario with its name and a seed.
+struct Task<'a> {
+    name: &'a str,
+    scenario: &'a Scenario,
+    seed: u64,
+}
+
+fn main() -> ExitCode {
+    let Command::Run { files, seed, seeds, parallel, json } = Cli::parse().command;
+    let mut scenarios = Vec::new();
+    for path in &files {
+        match Scenario::read(path) {
+            Ok(scenario) => scenarios.push((name(path), scenario)),
+            Err(error) => {
+                eprintln!("{}: {error}", path.display());
+                return ExitCode::from(BAD_SCENARIO);
+            }
+        }
+    }
+    let tasks: Vec<_> = scenarios
+        .iter()
+        .flat_map(|(name, scenario)| (seed..seed + seeds).map(move |seed| Task { name, scenario, seed }))
+        .collect();
+    let failed = run_all(&tasks, parallel.max(1), json);
+    eprintln!("{} runs, {failed} not passed", tasks.len());
+    if failed == 0 { ExitCode::SUCCESS } else { ExitCode::from(NOT_PASSED) }
+}
+
+fn name(path: &Path) -> String {
+    path.file_stem().unwrap_or_default().to_string_lossy().into_owned()
+}
+
+/// Runs all tasks and returns how many did not pass.
+fn run_all(tasks: &[Task], parallel: usize, json: bool) -> usize {
+    let next = Mutex::new(tasks.iter());
+    let failed = Mutex::new(0);
+    thread::scope(|scope| {
+        for _ in 0..parallel {
+            scope.spawn(|| {
+                let next_task = || next.lock().expect("the tasks").next();
+                while let Some(task) = next_task() {
+                    if !run_one(task, json) {
+                        *failed.lock().expect("the count") += 1;
+                    }
+                }
+            });
+        }
+    });
+    failed.into_inner().expect("the count")
+}
+
+/// Runs a task and prints its verdict. Returns whether it passes.
+fn run_one(task: &Task, as_json: bool) -> bool {
+    let verdict = match run(task.scenario, task.seed) {
+        Ok(record) => Verdict::new(&record),
+        Err(error) => {
+            eprintln!("{} seed {}: {error}", task.name, task.seed);
+            return false;
+        }
+    };
+    if as_json {
+        let mut line = verdict.to_json();
+        if let Value::Object(fields) = &mut line {
+            fields.insert("scenario".to_owned(), json!(task.name));
+        }
+        println!("{line}");
+    } else {
+        print!("{} {verdict}", task.name);
+    }
+    verdict.passes()
+}
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -387,6 +387,11 @@
         broken.map_or(Ok(()), |(_, why)| Err(ScenarioError::Value(why)))
     }
 
+    /// Whether it has a fault of this link.
+    pub fn has_link(&self, link: Link) -> bool {
+        self.faults.iter().any(|fault| fault.link.as_ref().is_some_and(|own| own.between == link))
+    }
+
     /// The generator from which everything is drawn.
     pub fn generator(seed: u64) -> SmallRng {
         SmallRng::seed_from_u64(seed)
