--- a/crates/courier/src/ingress.rs
+++ b/crates/courier/src/ingress.rs
@@ -7,4 +7,5 @@
 pub mod message_headers;
 pub mod mqtt;
 pub mod rejection;
+pub mod session_memory;
 pub mod users;
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -8,6 +8,7 @@
 };
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
+use crate::ingress::session_memory::SessionMemory;
 use crate::ingress::users::Users;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
@@ -39,13 +40,15 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Limit of concurrent password checks.
 const MAX_PASSWORD_CHECKS: usize = 2;
-/// Memory accounted for a connection beside its part of the state machine: its task and its output queue.
-const CONNECTION_BYTES: u64 = 1_500;
+/// Memory accounted for a connection without its input: its task, its output queue and its part of the state
+/// machine.
+const CONNECTION_BYTES: u64 = 1_500 + server::CONNECTION_BYTES;
 /// A connection without a CONNECT is not evicted before this age: its CONNECT has usually arrived and been
 /// read by then.
 const MIN_EVICTION_AGE: Duration = Duration::from_millis(10);
 
 /// Output of one connection.
+#[derive(Default)]
 struct ConnectionOutput {
     write_queue: RefCell<VecDeque<BytesMut>>,
     queued_bytes: Cell<usize>,
@@ -54,6 +57,17 @@
     wake: Notify,
 }
 
+/// Whether a client may connect; if not, the reason code of 5.0 and the reason string for it.
+type AuthorizationVerdict = Result<(), (u8, String)>;
+
+/// A connection between its CONNECT and its admission or refusal.
+struct Admission {
+    connection: u64,
+    owner: String,
+    /// Memory that a new session of its client takes.
+    session_bytes: u64,
+}
+
 /// Serves MQTT clients and hands their messages to the courier.
 pub struct MqttServer {
     machine: RefCell<Server>,
@@ -62,8 +76,9 @@
     /// By token, offers that await the courier's reply, with a flag that is set when their client has left.
     pending_offers: RefCell<HashMap<u64, Rc<Cell<bool>>>>,
     memory_budget: MemoryBudget,
-    /// Memory of the sessions as last measured, plus those admitted since.
-    session_memory: RefCell<Charge>,
+    session_memory: RefCell<SessionMemory>,
+    /// Memory of input that is not processed yet, as last measured.
+    input_memory: RefCell<Charge>,
     buffer: RefCell<Vec<u8>>,
     wake: Notify,
     active_config: ActiveConfig,
@@ -116,8 +131,9 @@
     }
 
     fn measure_memory(&self) {
-        let bytes = self.machine.borrow().estimated_bytes();
-        self.session_memory.borrow_mut().resize(bytes);
+        let machine = self.machine.borrow();
+        self.session_memory.borrow_mut().set_measured(machine.estimated_session_bytes());
+        self.input_memory.borrow_mut().resize(machine.estimated_input_bytes());
     }
 
     fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
@@ -142,12 +158,14 @@
                 eprintln!("mqtt: the session of {owner} cannot be read, and is given up");
             }
         }
+        let session_memory = SessionMemory::new(&memory_budget.ledger, machine.estimated_session_bytes());
         Rc::new(MqttServer {
             machine: RefCell::new(machine),
             origin: Instant::now(),
             outputs: RefCell::default(),
             pending_offers: RefCell::default(),
-            session_memory: RefCell::new(memory_budget.ledger.force_charge(Purpose::Sessions, 0)),
+            session_memory: RefCell::new(session_memory),
+            input_memory: RefCell::new(memory_budget.ledger.force_charge(Purpose::Clients, 0)),
             memory_budget,
             buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             wake: Notify::new(),
@@ -220,11 +238,16 @@
                     self.active_config.message_from_publish(&publish, &owner).map(|_| ())
                 });
                 let admissible = admissible.map_err(|error| (error.code, format!("its will: {}", error.why)));
-                let admissible = admissible.and_then(|()| self.reserve_session_memory(&owner));
+                let admission = Admission {
+                    connection,
+                    session_bytes: server::session_bytes(&owner, will.as_ref()),
+                    owner,
+                };
+                let admissible = admissible.and_then(|()| self.reserve_session_memory(&admission));
                 if admissible.is_err() {
-                    return self.with_machine(|machine, now| machine.authorized(connection, admissible, now));
+                    return self.finish_admission(&admission, admissible);
                 }
-                self.check_password(connection, user, password);
+                self.check_password(admission, user, password);
             }
             Effect::Offer(offer) => self.submit_offer(*offer).await,
             Effect::AbandonOffer { token } => {
@@ -245,19 +268,40 @@
     }
 
     /// Reserves memory for a client's session. A client that already has a session needs none.
-    fn reserve_session_memory(&self, owner: &str) -> Result<(), (u8, String)> {
+    fn reserve_session_memory(&self, admission: &Admission) -> AuthorizationVerdict {
+        let Admission { connection, owner, session_bytes } = admission;
         if self.machine.borrow().has_session(owner) {
             return Ok(());
         }
-        // An estimate that counts until the sessions are measured again.
-        let fits = self.session_memory.borrow_mut().grow(server::SESSION_BYTES);
-        fits.map_err(|refused| (code::QUOTA_EXCEEDED, refused.to_string()))
+        if self.session_memory.borrow().should_measure(*session_bytes) {
+            self.measure_memory();
+        }
+        let reserved = self.session_memory.borrow_mut().reserve(*connection, owner, *session_bytes);
+        reserved.map_err(|refused| (code::QUOTA_EXCEEDED, refused.to_string()))
+    }
+
+    /// Admits or refuses a connection. Its reservation becomes the memory of its session, or is released.
+    fn finish_admission(&self, admission: &Admission, verdict: AuthorizationVerdict) {
+        // The session that the client had at its CONNECT may have ended since, and nothing was reserved then.
+        let verdict = verdict.and_then(|()| self.reserve_session_memory(admission));
+        self.with_machine(|machine, now| machine.authorized(admission.connection, verdict, now));
+        let created = self.machine.borrow().has_session(&admission.owner);
+        let mut session_memory = self.session_memory.borrow_mut();
+        if created {
+            session_memory.session_created(&admission.owner);
+        }
+        session_memory.release(admission.connection);
     }
 
     /// Checks a password off the serving thread, then admits or refuses the connection.
-    fn check_password(self: Rc<Self>, connection: u64, user: Option<String>, password: Option<bytes::Bytes>) {
+    fn check_password(
+        self: Rc<Self>,
+        admission: Admission,
+        user: Option<String>,
+        password: Option<bytes::Bytes>,
+    ) {
         let Some(users) = self.users.clone() else {
-            return self.with_machine(|machine, now| machine.authorized(connection, Ok(()), now));
+            return self.finish_admission(&admission, Ok(()));
         };
         tokio::task::spawn_local(async move {
             let verified = match (user, password, self.password_checks.clone().acquire_owned().await) {
@@ -269,7 +313,7 @@
             };
             let why = (code::BAD_USER_OR_PASSWORD, "no such user, or another password".to_owned());
             let verdict = if verified { Ok(()) } else { Err(why) };
-            self.with_machine(|machine, now| machine.authorized(connection, verdict, now));
+            self.finish_admission(&admission, verdict);
         });
     }
 
@@ -380,19 +424,11 @@
 
     async fn serve(self: Rc<Self>, connection: u64, socket: TcpStream, memory: Charge) {
         let _ = socket.set_nodelay(true);
-        let output = Rc::new(ConnectionOutput {
-            write_queue: RefCell::default(),
-            queued_bytes: Cell::new(0),
-            closing: Cell::new(false),
-            wake: Notify::new(),
-        });
+        let output = Rc::new(ConnectionOutput::default());
         self.outputs.borrow_mut().insert(connection, output.clone());
         self.with_machine(|machine, now| machine.connection_accepted(connection, now));
-        let result = self.run_io(connection, &socket, &output).await;
-        if result.is_err() {
-            self.outputs.borrow_mut().remove(&connection);
-            self.with_machine(|machine, now| machine.connection_lost(connection, now));
-        }
+        let _ = self.run_io(connection, &socket, &output).await;
+        self.connection_ended(connection);
         drop(memory);
         // Writes the remaining output, if the client reads it in time.
         let _ = timeout(CLOSE_TIMEOUT, async {
@@ -405,6 +441,13 @@
         .await;
     }
 
+    /// Removes what is left of a connection, whichever side closed it.
+    fn connection_ended(&self, connection: u64) {
+        self.outputs.borrow_mut().remove(&connection);
+        self.with_machine(|machine, now| machine.connection_lost(connection, now));
+        self.session_memory.borrow_mut().release(connection);
+    }
+
     /// Reads and writes until the connection fails or is to be closed.
     async fn run_io(&self, connection: u64, socket: &TcpStream, output: &ConnectionOutput) -> io::Result<()> {
         while !output.closing.get() {
@@ -471,3 +514,7 @@
     }
     Ok(())
 }
+
+#[cfg(test)]
+#[path = "mqtt_test.rs"]
+mod tests;
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -516,6 +516,16 @@
         self.bytes
     }
 
+    /// Adds `bytes` to the reserve.
+    ///
+    /// # Errors
+    /// The memory is refused; the reserve stays as it was.
+    pub fn grow(&mut self, bytes: u64) -> Result<(), Refused> {
+        let mut added = self.ledger.reserve(self.purpose, bytes)?;
+        self.bytes += std::mem::take(&mut added.bytes);
+        Ok(())
+    }
+
     /// Turns reserved memory into a charge. An amount beyond the reserve is charged regardless of the cap, so
     /// that an accepted message does not fail for lack of memory.
     pub fn draw(&mut self, bytes: u64) -> Charge {
--- a/crates/memory/src/ledger_test.rs
+++ b/crates/memory/src/ledger_test.rs
@@ -45,6 +45,17 @@
     assert_eq!(ledger.held(Purpose::Notices), 0);
 }
 
+#[test]
+fn a_reserve_grows_up_to_the_cap_and_is_released_whole() {
+    let ledger = ledger(&[(Purpose::Notices, 10 * KB)], 1.0);
+    let mut reserve = ledger.reserve(Purpose::Notices, 4 * KB).expect("room");
+    assert_eq!(reserve.grow(5 * KB), Ok(()));
+    assert_eq!(reserve.grow(2 * KB).expect_err("no room").why, RefusalCause::Cap);
+    assert_eq!((reserve.bytes(), ledger.held(Purpose::Notices)), (9 * KB, 9 * KB));
+    drop(reserve);
+    assert_eq!(ledger.held(Purpose::Notices), 0);
+}
+
 #[test]
 fn one_client_cannot_use_the_whole_cap_and_its_connections_count_together() {
     let ledger = ledger(&[(Purpose::BodiesRead, 100 * KB)], 0.4);
--- a/crates/mqtt/src/server.rs
+++ b/crates/mqtt/src/server.rs
@@ -15,8 +15,9 @@
 use crate::error::ConnectionError;
 use crate::frame::{Reader, encode};
 use crate::packet::{Connack, Connect, Packet, Properties, Publish, Qos, Version, Will, code};
+pub use crate::session::Outcome;
 use crate::session::Session;
-pub use crate::session::{Outcome, SESSION_BYTES};
+use crate::session::new_session_bytes;
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -33,8 +34,8 @@
 /// one cannot grow the record without bound.
 const MAX_UNRELEASED_PACKET_IDS: usize = 4096;
 
-/// Estimated memory of a connection in bytes.
-const CONNECTION_BYTES: u64 = 600;
+/// Estimated memory of a connection in bytes, without its input.
+pub const CONNECTION_BYTES: u64 = 600;
 /// Estimated memory of a pending offer in bytes.
 const PENDING_OFFER_BYTES: u64 = 150;
 
@@ -246,6 +247,13 @@
     format!("{}/{client}", user.unwrap_or_default())
 }
 
+/// Estimated memory in bytes that the session of a client takes when it begins, as
+/// [`Server::estimated_session_bytes`] counts it.
+pub fn session_bytes(owner: &str, will: Option<&Will>) -> u64 {
+    let client = owner.split_once('/').map_or(owner, |(_, client)| client);
+    owner.len() as u64 + new_session_bytes(client, will)
+}
+
 /// One and a half times the keep alive [MQTT-3.1.2-22].
 fn keep_alive_timeout(keep_alive: u16) -> Option<Time> {
     (keep_alive > 0).then(|| Duration::from_millis(u64::from(keep_alive) * 1500))
@@ -317,13 +325,16 @@
         self.sessions.contains_key(owner)
     }
 
-    /// Estimated memory of sessions, connections and pending offers in bytes.
-    pub fn estimated_bytes(&self) -> u64 {
-        let sessions: u64 =
-            self.sessions.iter().map(|(owner, s)| owner.len() as u64 + s.estimated_bytes()).sum();
-        let connections: u64 =
-            self.connections.values().map(|c| CONNECTION_BYTES + c.reader.buffered_bytes() as u64).sum();
-        sessions + connections + self.pending.len() as u64 * PENDING_OFFER_BYTES
+    /// Estimated memory of all sessions in bytes.
+    pub fn estimated_session_bytes(&self) -> u64 {
+        self.sessions.iter().map(|(owner, s)| owner.len() as u64 + s.estimated_bytes()).sum()
+    }
+
+    /// Estimated memory in bytes of input that is not processed yet: buffered packets and pending offers.
+    pub fn estimated_input_bytes(&self) -> u64 {
+        let buffered: u64 = self.connections.values().map(|c| c.reader.buffered_bytes() as u64).sum();
+        let pending_ids: u64 = self.sessions.values().map(Session::estimated_pending_bytes).sum();
+        buffered + pending_ids + self.pending.len() as u64 * PENDING_OFFER_BYTES
     }
 
     /// Numbers of sessions and of connections.
--- a/crates/mqtt/src/server_test.rs
+++ b/crates/mqtt/src/server_test.rs
@@ -736,3 +736,17 @@
     assert!(harness.take_offer().will);
     assert_eq!(harness.server.counts().1, 0);
 }
+
+#[test]
+fn a_new_session_takes_the_memory_that_was_computed_for_it() {
+    for will in [None, Some(Will::new("gone/van", Bytes::from_static(b"x")))] {
+        let mut harness = Harness::new();
+        let connect = Connect { user: Some("u".to_owned()), will, ..Connect::new(Version::V5, "van") };
+        let computed = session_bytes("u/van", connect.will.as_ref());
+        let (c, _) = harness.connect(connect);
+        assert_eq!(harness.server.estimated_session_bytes(), computed);
+        harness.publish(c, Version::V5, Qos::AtLeastOnce, Some(1));
+        assert_eq!(harness.server.estimated_session_bytes(), computed, "a pending offer counts as input");
+        assert!(harness.server.estimated_input_bytes() > 0);
+    }
+}
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -10,7 +10,29 @@
 
 /// Estimated memory of a session without its contents: its map entries and strings of typical length, in
 /// bytes.
-pub const SESSION_BYTES: u64 = 700;
+const SESSION_BYTES: u64 = 700;
+/// Estimated memory of a will beside its topic and payload, in bytes.
+const WILL_BYTES: usize = 200;
+/// Bytes of an entry in [`Session::releases`].
+const RELEASE_ENTRY_BYTES: u64 = 2;
+/// Bytes of an entry in [`Session::pending`].
+const PENDING_ENTRY_BYTES: u64 = 10;
+/// Entries for which a B-tree node has room.
+const NODE_ENTRIES: u64 = 11;
+
+/// Estimated memory in bytes of the session of a client when it begins.
+pub(crate) fn new_session_bytes(client: &str, will: Option<&Will>) -> u64 {
+    let will = will.map_or(0, |will| will.payload.len() + will.topic.len() + WILL_BYTES);
+    SESSION_BYTES + (client.len() + will) as u64
+}
+
+/// Estimated memory in bytes of a B-tree with packet ids as keys: its entries and its first node.
+fn id_table_bytes(entries: usize, entry_bytes: u64) -> u64 {
+    match entries {
+        0 => 0,
+        _ => NODE_ENTRIES * entry_bytes + entries as u64 * entry_bytes * 2,
+    }
+}
 
 /// Result of a message that the client published.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -82,15 +104,17 @@
         }
     }
 
-    /// Estimated memory in bytes, computed from the contents.
+    /// Estimated memory in bytes, computed from the contents, without the entries of pending PUBLISHes.
     pub fn estimated_bytes(&self) -> u64 {
         let outcome = |o: &Outcome| (size_of::<Outcome>() + o.line.len() + 16) as u64;
         let outcomes: u64 = self.outcomes.iter().chain(self.unacknowledged.values()).map(outcome).sum();
-        let will = self.will.as_ref().map_or(0, |w| (w.payload.len() + w.topic.len() + 200) as u64);
-        // Entries of the sets of packet ids, plus the first B-tree node of each set.
-        let ids = |n: usize, entry: u64| if n == 0 { 0 } else { 11 * entry + n as u64 * entry * 2 };
-        let ids = ids(self.releases.len(), 2) + ids(self.pending.len(), 10);
-        SESSION_BYTES + self.client.len() as u64 + outcomes + will + ids
+        let releases = id_table_bytes(self.releases.len(), RELEASE_ENTRY_BYTES);
+        new_session_bytes(&self.client, self.will.as_ref()) + outcomes + releases
+    }
+
+    /// Estimated memory in bytes of the entries of pending PUBLISHes.
+    pub fn estimated_pending_bytes(&self) -> u64 {
+        id_table_bytes(self.pending.len(), PENDING_ENTRY_BYTES)
     }
 
     /// Encodes the stored part of the session as JSON.
