--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -4,7 +4,7 @@
 use crate::events::{DEFAULT_RETRY_AFTER, DispatcherEvent, Reply, ReplyTo, Submission, refusal_reason};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::message_headers::{MessageHeaders, RequestError};
-use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
+use crate::ingress::rejection::{ConnectionRejecter, Protocol, ReceivedInput, Rejection};
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket;
 use bytes::Bytes;
@@ -345,7 +345,7 @@
                         Err(refused) => {
                             if let Some(rejecter) = rejecter {
                                 let rejection = Rejection::from(this.memory_budget.refusal(refused));
-                                rejecter.reject(stream, Protocol::Http, rejection, false);
+                                rejecter.reject(stream, Protocol::Http, rejection, ReceivedInput::Nothing);
                             }
                         }
                     }
@@ -410,9 +410,12 @@
         self.server_state.connections.borrow_mut().remove(&id);
         if let Some(rejecter) = self.rejecter.as_ref().filter(|_| evicted) {
             // Its next request may already be on its way or partly read.
-            let request_started = connection.state.get() == ConnectionState::ReadingHead;
+            let received = match connection.state.get() {
+                ConnectionState::ReadingHead => ReceivedInput::HttpRequest,
+                _ => ReceivedInput::Nothing,
+            };
             let stream = http_conn.into_parts().io.into_inner().stream;
-            rejecter.reject(stream, Protocol::Http, Rejection::connections(), request_started);
+            rejecter.reject(stream, Protocol::Http, Rejection::connections(), received);
         }
     }
 
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -7,7 +7,7 @@
     DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
 };
 use crate::ingress::active_config::ActiveConfig;
-use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
+use crate::ingress::rejection::{ConnectionRejecter, Protocol, ReceivedInput, Rejection};
 use crate::ingress::session_memory::SessionMemory;
 use crate::ingress::users::Users;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
@@ -54,6 +54,10 @@
     queued_bytes: Cell<usize>,
     /// Close once all output is written.
     closing: Cell<bool>,
+    /// Set once the connection is evicted: what was read of its CONNECT.
+    evicted: RefCell<Option<ReceivedInput>>,
+    /// Released at once when the connection is evicted.
+    memory: RefCell<Option<Charge>>,
     wake: Notify,
 }
 
@@ -370,14 +374,16 @@
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut next = 0;
         loop {
-            let full = self.outputs.borrow().len() >= self.max_connections
-                || self.memory_budget.ledger.room(Purpose::Clients) < CONNECTION_BYTES;
-            if full && !self.evict() {
+            if self.is_full() && !self.evict() {
                 sleep(Duration::from_millis(5)).await;
                 continue;
             }
             match listener.accept().await {
                 Ok((socket, from)) => {
+                    // Memory may have been taken while none connected.
+                    if self.is_full() {
+                        self.evict();
+                    }
                     let client = self.active_config.get().1.client_identification.for_connection(from.ip());
                     let client_account =
                         client.map(|client| self.memory_budget.ledger.client_account(client));
@@ -394,7 +400,7 @@
                         }
                         Err(refused) => {
                             let rejection = Rejection::from(self.memory_budget.refusal(refused));
-                            self.rejecter.reject(socket, Protocol::Mqtt, rejection, false);
+                            self.rejecter.reject(socket, Protocol::Mqtt, rejection, ReceivedInput::Nothing);
                         }
                     }
                     tokio::task::yield_now().await;
@@ -407,14 +413,22 @@
         }
     }
 
+    /// Whether a connection must be evicted before the next one can be admitted.
+    fn is_full(&self) -> bool {
+        self.outputs.borrow().len() >= self.max_connections
+            || self.memory_budget.ledger.room(Purpose::Clients) < CONNECTION_BYTES
+    }
+
     /// Evicts the connection that has waited longest without a CONNECT. Returns false if there is none.
     fn evict(&self) -> bool {
         let silent = self.machine.borrow().oldest_without_connect();
         let old = silent.filter(|(_, since)| self.origin.elapsed() > *since + MIN_EVICTION_AGE);
         if let Some((connection, _)) = old {
-            self.with_machine(|machine, now| machine.shed(connection, now));
+            let received = self.with_machine(|machine, now| machine.shed(connection, now));
             // Frees its slot at once; the state machine's close effect then finds no output and does nothing.
             if let Some(output) = self.outputs.borrow_mut().remove(&connection) {
+                output.memory.take();
+                output.evicted.replace(Some(ReceivedInput::part_of_connect(&received)));
                 output.closing.set(true);
                 output.wake.notify_one();
             }
@@ -424,12 +438,17 @@
 
     async fn serve(self: Rc<Self>, connection: u64, socket: TcpStream, memory: Charge) {
         let _ = socket.set_nodelay(true);
-        let output = Rc::new(ConnectionOutput::default());
+        let memory = RefCell::new(Some(memory));
+        let output = Rc::new(ConnectionOutput { memory, ..ConnectionOutput::default() });
         self.outputs.borrow_mut().insert(connection, output.clone());
         self.with_machine(|machine, now| machine.connection_accepted(connection, now));
         let _ = self.run_io(connection, &socket, &output).await;
         self.connection_ended(connection);
-        drop(memory);
+        output.memory.take();
+        if let Some(received) = output.evicted.take() {
+            // Its CONNECT may already be on its way or partly read.
+            return self.rejecter.reject(socket, Protocol::Mqtt, Rejection::connections(), received);
+        }
         // Writes the remaining output, if the client reads it in time.
         let _ = timeout(CLOSE_TIMEOUT, async {
             while !output.write_queue.borrow().is_empty() {
@@ -474,7 +493,8 @@
                     if ready.is_writable() {
                         flush_output(socket, output)?;
                     }
-                    if reads && (ready.is_readable() || ready.is_read_closed()) {
+                    // What an evicted connection sends is read by the rejecter.
+                    if reads && !output.closing.get() && (ready.is_readable() || ready.is_read_closed()) {
                         let mut buffer = self.buffer.borrow_mut();
                         match socket.try_read(&mut buffer) {
                             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -40,6 +40,36 @@
     Mqtt,
 }
 
+/// What was read from a connection before it is rejected.
+pub enum ReceivedInput {
+    Nothing,
+    /// Part of an HTTP request.
+    HttpRequest,
+    /// The beginning of an MQTT CONNECT.
+    Connect {
+        prefix: [u8; PREFIX_BYTES],
+        len: usize,
+    },
+}
+
+impl ReceivedInput {
+    /// The received part of a CONNECT. Only its first bytes are kept, which show the client's protocol.
+    pub fn part_of_connect(bytes: &[u8]) -> ReceivedInput {
+        if bytes.is_empty() {
+            return ReceivedInput::Nothing;
+        }
+        let mut prefix = [0; PREFIX_BYTES];
+        let len = bytes.len().min(PREFIX_BYTES);
+        prefix[..len].copy_from_slice(&bytes[..len]);
+        ReceivedInput::Connect { prefix, len }
+    }
+
+    /// Whether this is part of a request, so that the connection is owed an answer.
+    fn is_request_started(&self) -> bool {
+        !matches!(self, ReceivedInput::Nothing)
+    }
+}
+
 /// Why a connection is rejected, and when its client may retry.
 #[derive(Clone, Debug)]
 pub struct Rejection {
@@ -68,8 +98,7 @@
     stream: TcpStream,
     protocol: Protocol,
     rejection: Rejection,
-    /// Part of a request has already been read from it.
-    request_started: bool,
+    received: ReceivedInput,
     /// Notified when another rejection takes its slot; it is then closed at once.
     displaced: Rc<Notify>,
 }
@@ -105,12 +134,17 @@
         this
     }
 
-    /// Takes over a connection and tells its client why it is rejected. `request_started` says that part of a
-    /// request was already read from it. At the limit of concurrent rejections the connection is closed
-    /// without an answer.
-    pub fn reject(&self, stream: TcpStream, protocol: Protocol, rejection: Rejection, request_started: bool) {
+    /// Takes over a connection and tells its client why it is rejected. `received` is what was already read
+    /// from it. At the limit of concurrent rejections the connection is closed without an answer.
+    pub fn reject(
+        &self,
+        stream: TcpStream,
+        protocol: Protocol,
+        rejection: Rejection,
+        received: ReceivedInput,
+    ) {
         let mut rejected_connections = self.memory_budget.rejected_connections.borrow_mut();
-        let Some(slot) = rejected_connections.admit(request_started) else {
+        let Some(slot) = rejected_connections.admit(received.is_request_started()) else {
             return rejected_connections.closed(None, rejection.reason, RejectionOutcome::Untold);
         };
         let mut open = self.displaced.borrow_mut();
@@ -123,7 +157,7 @@
             stream,
             protocol,
             rejection,
-            request_started,
+            received,
             displaced: displaced.clone(),
         }) {
             Ok(()) => drop(open.insert(id, displaced)),
@@ -171,9 +205,13 @@
     /// would be taken for the answer to the next request, or for a protocol error.
     async fn send_rejection(&self, connection: &mut RejectedConnection) -> RejectionOutcome {
         let RejectedConnection { stream, protocol, rejection, .. } = connection;
-        let (mut prefix, mut prefix_len) = ([0; PREFIX_BYTES], 0);
+        let request_started = connection.received.is_request_started();
+        let (mut prefix, mut prefix_len) = match connection.received {
+            ReceivedInput::Connect { prefix, len } => (prefix, len),
+            ReceivedInput::Nothing | ReceivedInput::HttpRequest => ([0; PREFIX_BYTES], 0),
+        };
         let answer = loop {
-            if connection.request_started || prefix_len > 0 {
+            if request_started || prefix_len > 0 {
                 match rejection_bytes(*protocol, &prefix[..prefix_len], rejection) {
                     Some(text) if text.is_empty() => return RejectionOutcome::Silent,
                     Some(text) => break text,
--- a/crates/courier/tests/farewell.rs
+++ b/crates/courier/tests/farewell.rs
@@ -3,7 +3,8 @@
 //! the service for other clients.
 
 use serde_json::Value;
-use stairshed_mqtt::packet::{Connect, Version, code};
+use stairshed_mqtt::encode;
+use stairshed_mqtt::packet::{Connect, Packet, Version, code};
 use stairshed_rig::mqtt_client::MqttClient;
 use stairshed_rig::process_stats::open_descriptors;
 use stairshed_rig::*;
@@ -305,3 +306,35 @@
     let mut other = connect_from([127, 0, 0, 9], courier.address);
     assert_eq!(ask(&mut other), Some(200), "another client is accepted");
 }
+
+#[test]
+fn an_mqtt_connection_evicted_before_its_connect_is_answered() {
+    let (_endpoint, _folder, courier) = serve("clients = \"250KB\"\nclient_share = 1.0");
+    // Sent before the eviction: nothing, less than the protocol level, and more than that.
+    const SENT_FIRST: [usize; 3] = [0, 4, 14];
+    let mut vans: Vec<(MqttClient, Vec<u8>)> = (0..120)
+        .map(|n| {
+            let version = if n % 2 == 0 { Version::V5 } else { Version::V311 };
+            let connect = Packet::Connect(Box::new(Connect::new(version, &format!("van-{n}"))));
+            let mut bytes = encode(version, connect, None).expect("a CONNECT").to_vec();
+            let mut van = MqttClient::open(courier.mqtt(), version);
+            let rest = bytes.split_off(SENT_FIRST[n % SENT_FIRST.len()]);
+            van.send_bytes(&bytes);
+            thread::sleep(Duration::from_millis(2));
+            (van, rest)
+        })
+        .collect();
+    let mut evicted = 0;
+    for (n, (van, rest)) in vans.iter_mut().enumerate() {
+        van.send_bytes(rest);
+        let Some(Packet::Connack(connack)) = van.receive() else { panic!("van {n} has no CONNACK") };
+        match (connack.code, n % 2) {
+            (code::SUCCESS, _) => continue,
+            (code::QUOTA_EXCEEDED, 0) => assert!(connack.properties.iter().any(|(_, v)| v == "connections")),
+            (refused, _) => assert_eq!(refused, 3, "server unavailable"),
+        }
+        evicted += 1;
+    }
+    assert!(evicted > 0, "none was evicted, so the test shows nothing");
+    wait_until("each is counted", || rejected_count(&courier, "connections", "told") == evicted);
+}
--- a/crates/mqtt/src/frame.rs
+++ b/crates/mqtt/src/frame.rs
@@ -55,6 +55,11 @@
         self.buffer.len()
     }
 
+    /// Takes the buffered bytes: the beginning of a packet.
+    pub fn take_buffered(&mut self) -> BytesMut {
+        std::mem::take(&mut self.buffer)
+    }
+
     /// Decodes the next packet; `None` until all of it has been received.
     ///
     /// # Errors
--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -9,6 +9,7 @@
 use crate::frame::Reader;
 use crate::packet::{Connack, Connect, Disconnect, Packet, Properties, Version, code};
 use crate::session::Session;
+use bytes::BytesMut;
 use stairshed_config::topic;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -336,10 +337,12 @@
         }
     }
 
-    /// Closes a connection to free capacity.
-    pub fn shed(&mut self, connection: u64, now: Time) {
+    /// Closes a connection to free capacity. Returns the part of a packet that it has sent.
+    pub fn shed(&mut self, connection: u64, now: Time) -> BytesMut {
+        let received = self.connections.get_mut(&connection).map(|c| c.reader.take_buffered());
         self.effects.push_back(Effect::Close { connection });
         self.connection_lost(connection, now);
+        received.unwrap_or_default()
     }
 
     /// The process is shutting down: ends all connections with a DISCONNECT where the version has one, and
