--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -5,7 +5,7 @@
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::listener::Acceptor;
 use crate::ingress::message_headers::{MessageHeaders, RequestError};
-use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
+use crate::ingress::rejection::{ConnectionRejecter, Protocol, ReceivedInput, Rejection};
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket;
 use bytes::Bytes;
@@ -366,7 +366,7 @@
             Err(refused) => {
                 if let Some(rejecter) = &self.rejecter {
                     let rejection = Rejection::from(self.memory_budget.refusal(refused));
-                    rejecter.reject(stream, Protocol::Http, rejection, false);
+                    rejecter.reject(stream, Protocol::Http, rejection, ReceivedInput::Nothing);
                 }
             }
         }
@@ -423,9 +423,12 @@
         let is_told = evicted && connection.abort_is_told.get();
         if let Some(rejecter) = self.rejecter.as_ref().filter(|_| is_told) {
             // Its next request may already be on its way or partly read.
-            let request_started = connection.state.get() == ConnectionState::ReadingHead;
+            let received = match connection.state.get() {
+                ConnectionState::ReadingHead => ReceivedInput::HttpRequest,
+                _ => ReceivedInput::Nothing,
+            };
             let stream = http_conn.into_parts().io.into_inner().stream;
-            rejecter.reject(stream, Protocol::Http, Rejection::connections(), request_started);
+            rejecter.reject(stream, Protocol::Http, Rejection::connections(), received);
         }
     }
 
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -8,7 +8,8 @@
 };
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::listener::Acceptor;
-use crate::ingress::rejection::{ConnectionRejecter, Protocol, Rejection};
+use crate::ingress::rejection::{ConnectionRejecter, Protocol, ReceivedInput, Rejection};
+use crate::ingress::session_memory::SessionMemory;
 use crate::ingress::users::Users;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
@@ -41,23 +42,59 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Limit of concurrent password checks.
 const MAX_PASSWORD_CHECKS: usize = 2;
-/// Memory accounted for a connection beside its part of the state machine: its task and its output queue.
-const CONNECTION_BYTES: u64 = 1_500;
+/// Memory accounted for a connection without its input: its task, its output queue and its part of the state
+/// machine.
+const CONNECTION_BYTES: u64 = 1_500 + server::CONNECTION_BYTES;
 /// A connection without a CONNECT is not evicted before this age: its CONNECT has usually arrived and been
 /// read by then.
 const MIN_EVICTION_AGE: Duration = Duration::from_millis(10);
 /// Age from which a connection without a CONNECT may be closed to free its descriptor.
 const MIN_SHED_AGE: Duration = Duration::from_secs(1);
 
+/// What a connection is evicted for.
+#[derive(Clone, Copy, PartialEq)]
+enum Shortage {
+    /// The limit on connections, or memory.
+    Room,
+    /// The process has no descriptors left.
+    Descriptors,
+}
+
+impl Shortage {
+    /// Age from which a connection without a CONNECT may be evicted.
+    fn least_age(self) -> Duration {
+        match self {
+            Shortage::Room => MIN_EVICTION_AGE,
+            Shortage::Descriptors => MIN_SHED_AGE,
+        }
+    }
+}
+
 /// Output of one connection.
+#[derive(Default)]
 struct ConnectionOutput {
     write_queue: RefCell<VecDeque<BytesMut>>,
     queued_bytes: Cell<usize>,
     /// Close once all output is written.
     closing: Cell<bool>,
+    /// Set once the connection is evicted: what was read of its CONNECT.
+    evicted: RefCell<Option<ReceivedInput>>,
+    /// Released at once when the connection is evicted.
+    memory: RefCell<Option<Charge>>,
     wake: Notify,
 }
 
+/// Whether a client may connect; if not, the reason code of 5.0 and the reason string for it.
+type AuthorizationVerdict = Result<(), (u8, String)>;
+
+/// A connection between its CONNECT and its admission or refusal.
+struct Admission {
+    connection: u64,
+    owner: String,
+    /// Memory that a new session of its client takes.
+    session_bytes: u64,
+}
+
 /// Serves MQTT clients and hands their messages to the courier.
 pub struct MqttServer {
     machine: RefCell<Server>,
@@ -66,8 +103,9 @@
     /// By token, offers that await the courier's reply, with a flag that is set when their client has left.
     pending_offers: RefCell<HashMap<u64, Rc<Cell<bool>>>>,
     memory_budget: MemoryBudget,
-    /// Memory of the sessions as last measured, plus those admitted since.
-    session_memory: RefCell<Charge>,
+    session_memory: RefCell<SessionMemory>,
+    /// Memory of input that is not processed yet, as last measured.
+    input_memory: RefCell<Charge>,
     buffer: RefCell<Vec<u8>>,
     wake: Notify,
     active_config: ActiveConfig,
@@ -120,8 +158,9 @@
     }
 
     fn measure_memory(&self) {
-        let bytes = self.machine.borrow().estimated_bytes();
-        self.session_memory.borrow_mut().resize(bytes);
+        let machine = self.machine.borrow();
+        self.session_memory.borrow_mut().set_measured(machine.estimated_session_bytes());
+        self.input_memory.borrow_mut().resize(machine.estimated_input_bytes());
     }
 
     fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
@@ -146,12 +185,14 @@
                 eprintln!("mqtt: the session of {owner} cannot be read, and is given up");
             }
         }
+        let session_memory = SessionMemory::new(&memory_budget.ledger, machine.estimated_session_bytes());
         Rc::new(MqttServer {
             machine: RefCell::new(machine),
             origin: Instant::now(),
             outputs: RefCell::default(),
             pending_offers: RefCell::default(),
-            session_memory: RefCell::new(memory_budget.ledger.force_charge(Purpose::Sessions, 0)),
+            session_memory: RefCell::new(session_memory),
+            input_memory: RefCell::new(memory_budget.ledger.force_charge(Purpose::Clients, 0)),
             memory_budget,
             buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             wake: Notify::new(),
@@ -224,11 +265,16 @@
                     self.active_config.message_from_publish(&publish, &owner).map(|_| ())
                 });
                 let admissible = admissible.map_err(|error| (error.code, format!("its will: {}", error.why)));
-                let admissible = admissible.and_then(|()| self.reserve_session_memory(&owner));
+                let admission = Admission {
+                    connection,
+                    session_bytes: server::session_bytes(&owner, will.as_ref()),
+                    owner,
+                };
+                let admissible = admissible.and_then(|()| self.reserve_session_memory(&admission));
                 if admissible.is_err() {
-                    return self.with_machine(|machine, now| machine.authorized(connection, admissible, now));
+                    return self.finish_admission(&admission, admissible);
                 }
-                self.check_password(connection, user, password);
+                self.check_password(admission, user, password);
             }
             Effect::Offer(offer) => self.submit_offer(*offer).await,
             Effect::AbandonOffer { token } => {
@@ -249,19 +295,40 @@
     }
 
     /// Reserves memory for a client's session. A client that already has a session needs none.
-    fn reserve_session_memory(&self, owner: &str) -> Result<(), (u8, String)> {
+    fn reserve_session_memory(&self, admission: &Admission) -> AuthorizationVerdict {
+        let Admission { connection, owner, session_bytes } = admission;
         if self.machine.borrow().has_session(owner) {
             return Ok(());
         }
-        // An estimate that counts until the sessions are measured again.
-        let fits = self.session_memory.borrow_mut().grow(server::SESSION_BYTES);
-        fits.map_err(|refused| (code::QUOTA_EXCEEDED, refused.to_string()))
+        if self.session_memory.borrow().should_measure(*session_bytes) {
+            self.measure_memory();
+        }
+        let reserved = self.session_memory.borrow_mut().reserve(*connection, owner, *session_bytes);
+        reserved.map_err(|refused| (code::QUOTA_EXCEEDED, refused.to_string()))
+    }
+
+    /// Admits or refuses a connection. Its reservation becomes the memory of its session, or is released.
+    fn finish_admission(&self, admission: &Admission, verdict: AuthorizationVerdict) {
+        // The session that the client had at its CONNECT may have ended since, and nothing was reserved then.
+        let verdict = verdict.and_then(|()| self.reserve_session_memory(admission));
+        self.with_machine(|machine, now| machine.authorized(admission.connection, verdict, now));
+        let created = self.machine.borrow().has_session(&admission.owner);
+        let mut session_memory = self.session_memory.borrow_mut();
+        if created {
+            session_memory.session_created(&admission.owner);
+        }
+        session_memory.release(admission.connection);
     }
 
     /// Checks a password off the serving thread, then admits or refuses the connection.
-    fn check_password(self: Rc<Self>, connection: u64, user: Option<String>, password: Option<bytes::Bytes>) {
+    fn check_password(
+        self: Rc<Self>,
+        admission: Admission,
+        user: Option<String>,
+        password: Option<bytes::Bytes>,
+    ) {
         let Some(users) = self.users.clone() else {
-            return self.with_machine(|machine, now| machine.authorized(connection, Ok(()), now));
+            return self.finish_admission(&admission, Ok(()));
         };
         tokio::task::spawn_local(async move {
             let verified = match (user, password, self.password_checks.clone().acquire_owned().await) {
@@ -273,7 +340,7 @@
             };
             let why = (code::BAD_USER_OR_PASSWORD, "no such user, or another password".to_owned());
             let verdict = if verified { Ok(()) } else { Err(why) };
-            self.with_machine(|machine, now| machine.authorized(connection, verdict, now));
+            self.finish_admission(&admission, verdict);
         });
     }
 
@@ -331,17 +398,19 @@
         let mut next = 0;
         let mut acceptor = Acceptor::new(listener);
         loop {
-            let full = self.outputs.borrow().len() >= self.max_connections
-                || self.memory_budget.ledger.room(Purpose::Clients) < CONNECTION_BYTES;
-            if full && !self.evict(MIN_EVICTION_AGE) {
+            if self.is_full() && !self.evict(Shortage::Room) {
                 sleep(Duration::from_millis(5)).await;
                 continue;
             }
             let (socket, from) = acceptor
                 .accept(|| {
-                    self.evict(MIN_SHED_AGE);
+                    self.evict(Shortage::Descriptors);
                 })
                 .await;
+            // Memory may have been taken while none connected.
+            if self.is_full() {
+                self.evict(Shortage::Room);
+            }
             let client = self.active_config.get().1.client_identification.for_connection(from.ip());
             let client_account = client.map(|client| self.memory_budget.ledger.client_account(client));
             let ledger = &self.memory_budget.ledger;
@@ -353,22 +422,33 @@
                 }
                 Err(refused) => {
                     let rejection = Rejection::from(self.memory_budget.refusal(refused));
-                    self.rejecter.reject(socket, Protocol::Mqtt, rejection, false);
+                    self.rejecter.reject(socket, Protocol::Mqtt, rejection, ReceivedInput::Nothing);
                 }
             }
             tokio::task::yield_now().await;
         }
     }
 
-    /// Evicts the connection that has waited longest without a CONNECT, if it is older than `least_age`.
-    /// Returns false if there is none.
-    fn evict(&self, least_age: Duration) -> bool {
+    /// Whether a connection must be evicted before the next one can be admitted.
+    fn is_full(&self) -> bool {
+        self.outputs.borrow().len() >= self.max_connections
+            || self.memory_budget.ledger.room(Purpose::Clients) < CONNECTION_BYTES
+    }
+
+    /// Evicts the connection that has waited longest without a CONNECT, if it is old enough. Returns false if
+    /// there is none.
+    fn evict(&self, shortage: Shortage) -> bool {
         let silent = self.machine.borrow().oldest_without_connect();
-        let old = silent.filter(|(_, since)| self.origin.elapsed() > *since + least_age);
+        let old = silent.filter(|(_, since)| self.origin.elapsed() > *since + shortage.least_age());
         if let Some((connection, _)) = old {
-            self.with_machine(|machine, now| machine.shed(connection, now));
+            let received = self.with_machine(|machine, now| machine.shed(connection, now));
             // Frees its slot at once; the state machine's close effect then finds no output and does nothing.
             if let Some(output) = self.outputs.borrow_mut().remove(&connection) {
+                output.memory.take();
+                // A client that is told keeps its descriptor for a while.
+                if shortage == Shortage::Room {
+                    output.evicted.replace(Some(ReceivedInput::part_of_connect(&received)));
+                }
                 output.closing.set(true);
                 output.wake.notify_one();
             }
@@ -378,20 +458,17 @@
 
     async fn serve(self: Rc<Self>, connection: u64, socket: TcpStream, memory: Charge) {
         let _ = socket.set_nodelay(true);
-        let output = Rc::new(ConnectionOutput {
-            write_queue: RefCell::default(),
-            queued_bytes: Cell::new(0),
-            closing: Cell::new(false),
-            wake: Notify::new(),
-        });
+        let memory = RefCell::new(Some(memory));
+        let output = Rc::new(ConnectionOutput { memory, ..ConnectionOutput::default() });
         self.outputs.borrow_mut().insert(connection, output.clone());
         self.with_machine(|machine, now| machine.connection_accepted(connection, now));
-        let result = self.run_io(connection, &socket, &output).await;
-        if result.is_err() {
-            self.outputs.borrow_mut().remove(&connection);
-            self.with_machine(|machine, now| machine.connection_lost(connection, now));
+        let _ = self.run_io(connection, &socket, &output).await;
+        self.connection_ended(connection);
+        output.memory.take();
+        if let Some(received) = output.evicted.take() {
+            // Its CONNECT may already be on its way or partly read.
+            return self.rejecter.reject(socket, Protocol::Mqtt, Rejection::connections(), received);
         }
-        drop(memory);
         // Writes the remaining output, if the client reads it in time.
         let _ = timeout(CLOSE_TIMEOUT, async {
             while !output.write_queue.borrow().is_empty() {
@@ -403,6 +480,13 @@
         .await;
     }
 
+    /// Removes what is left of a connection, whichever side closed it.
+    fn connection_ended(&self, connection: u64) {
+        self.outputs.borrow_mut().remove(&connection);
+        self.with_machine(|machine, now| machine.connection_lost(connection, now));
+        self.session_memory.borrow_mut().release(connection);
+    }
+
     /// Reads and writes until the connection fails or is to be closed.
     async fn run_io(&self, connection: u64, socket: &TcpStream, output: &ConnectionOutput) -> io::Result<()> {
         while !output.closing.get() {
@@ -429,7 +513,8 @@
                     if ready.is_writable() {
                         flush_output(socket, output)?;
                     }
-                    if reads && (ready.is_readable() || ready.is_read_closed()) {
+                    // What an evicted connection sends is read by the rejecter.
+                    if reads && !output.closing.get() && (ready.is_readable() || ready.is_read_closed()) {
                         let mut buffer = self.buffer.borrow_mut();
                         match socket.try_read(&mut buffer) {
                             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
@@ -469,3 +554,7 @@
     }
     Ok(())
 }
+
+#[cfg(test)]
+#[path = "mqtt_test.rs"]
+mod tests;
