--- a/crates/courier/src/ingress/listener.rs
+++ b/crates/courier/src/ingress/listener.rs
@@ -34,7 +34,8 @@
 /// The last error, or one that attempts cannot pass.
 pub async fn listen_at_start(key: &'static str, address: SocketAddr) -> Result<TcpListener, StartupError> {
     let policy = |error: &io::Error| report(Operation::Listen, error);
-    let listener = retry(key, START_TIMEOUT, policy, async || listen(address)).await;
+    let what = format!("{key}: {address}");
+    let listener = retry(&what, START_TIMEOUT, policy, async || listen(address)).await;
     listener.map_err(|e| StartupError::Invalid(key, format!("{address}: {e}")))
 }
 
