--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -188,7 +188,8 @@
     let endpoint = Endpoint::new(|n| if n < 2 { EndpointAction::Hang } else { EndpointAction::Respond(OK) });
     let folder = TestFolder::new();
     let file = format!(
-        "[classes.fuel]\neffect = \"keyed\"\nkey_scope = \"zone\"\nkey_window = \"60s\"\ndeadline = \"20s\"\n\
+        "[listen]\nhttp = \"127.0.0.1:0\"\n\
+         [classes.fuel]\neffect = \"keyed\"\nkey_scope = \"zone\"\nkey_window = \"60s\"\ndeadline = \"20s\"\n\
          [pools.p]\nendpoints = [{{ address = \"{}\" }}]\n\
          [routes.r]\npath = \"/fuel\"\npool = \"p\"\nclass = \"fuel\"\n",
         endpoint.address
