--- a/crates/testkit/src/clients.rs
+++ b/crates/testkit/src/clients.rs
@@ -3,7 +3,7 @@
 
 use crate::courier_file::ORDER_HEADER;
 use crate::record::Submission;
-use crate::scenario::Scenario;
+use crate::scenario::{Scenario, StartMode};
 use stairshed_rig::{HttpMessage, request};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -22,6 +22,7 @@
     stop: AtomicBool,
     next_id: AtomicUsize,
     submissions: Mutex<Vec<Submission>>,
+    start: StartMode,
     pools: usize,
     pause: Duration,
     patience: Duration,
@@ -45,6 +46,7 @@
             stop: AtomicBool::new(false),
             next_id: AtomicUsize::new(0),
             submissions: Mutex::default(),
+            start: scenario.start,
             pools: scenario.endpoints.pools,
             pause: Duration::from_secs_f64(1.0 / clients.rate),
             patience: clients.patience.0,
@@ -110,10 +112,16 @@
     fn submit(&self, client: &Client, mut connection: BufReader<TcpStream>) -> Option<BufReader<TcpStream>> {
         let number = self.next_id.fetch_add(1, Ordering::SeqCst);
         let id = format!("{}-{number}", client.class);
-        let path = format!("/{}/{}", client.class, number % self.pools);
+        let pool = number % self.pools;
+        let path = match self.start {
+            StartMode::File => format!("/{}/{pool}", client.class),
+            StartMode::Platform => format!("/{}", client.class),
+        };
+        // The platform's couriers go by the class and the envelope, the others by the path.
         let headers = format!(
-            "X-Timeout: {}m\r\nIdempotency-Key: key-{id}\r\n{ORDER_HEADER}: {}\r\n",
-            self.deadline_ms, client.order_key
+            "X-Timeout: {}m\r\nIdempotency-Key: key-{id}\r\nX-Priority-Class: {}\r\n\
+             Envelope: dest={pool}\r\n{ORDER_HEADER}: {}\r\n",
+            self.deadline_ms, client.class, client.order_key
         );
         let sent = Instant::now();
         let written = connection.get_mut().write_all(request(&path, &id, &headers, &id).as_bytes());
--- a/crates/testkit/src/courier_file.rs
+++ b/crates/testkit/src/courier_file.rs
@@ -1,21 +1,100 @@
-//! The configuration file of the couriers of a run.
+//! The configuration of the couriers of a run, as an operator or the platform gives it.
 
-use crate::scenario::{CLASSES, Scenario};
+use crate::endpoints::SHARED_LIMIT;
+use crate::scenario::{CLASSES, Scenario, StartMode};
+use serde_json::{Value, json};
+use stairshed_rig::{TestFolder, program, serve_command, settings};
 use std::fmt::Write;
+use std::fs;
+use std::io;
 use std::net::SocketAddr;
+use std::process::{Command, Stdio};
+use std::time::Duration;
 
 /// Header by which messages are ordered.
 pub const ORDER_HEADER: &str = "X-Order";
 /// Room of the journal: small, so that segments are changed and compacted during a run.
 const JOURNAL_ROOM: &str = "3MB";
 
-/// Returns the file of one courier.
-pub fn courier_file(
+/// What a courier is started with.
+pub enum CourierFile {
+    Operator(String),
+    Platform { listen: SocketAddr, discovery: SocketAddr, config: Value },
+}
+
+impl CourierFile {
+    /// The configuration of one courier of a scenario. `known` is the list of endpoints at the start.
+    pub fn new(
+        scenario: &Scenario,
+        courier: usize,
+        listen: SocketAddr,
+        discovery: SocketAddr,
+        known: Value,
+    ) -> Self {
+        match scenario.start {
+            StartMode::File => CourierFile::Operator(operator_file(scenario, courier, listen, discovery)),
+            StartMode::Platform => {
+                let config = platform_config(scenario, courier, listen, discovery, known);
+                CourierFile::Platform { listen, discovery, config }
+            }
+        }
+    }
+
+    /// Writes the file into the folder and returns the command that starts the courier with it.
+    ///
+    /// # Errors
+    /// The file cannot be written.
+    pub fn command(&self, folder: &TestFolder) -> io::Result<Command> {
+        let (listen, discovery, config) = match self {
+            CourierFile::Operator(file) => return Ok(serve_command(folder, file)),
+            CourierFile::Platform { listen, discovery, config } => (listen, discovery, config),
+        };
+        let path = folder.0.join("config.json");
+        fs::write(&path, config.to_string())?;
+        let mut command = Command::new(program());
+        command
+            .env("LB_NAME", "courier")
+            .env("LB_LISTEN", listen.to_string())
+            .env("LB_DISCOVERY", discovery.to_string())
+            .env("LB_STATE", folder.0.join("state"))
+            .env("LB_CONFIG", path)
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped());
+        Ok(command)
+    }
+}
+
+fn nanoseconds(time: Duration) -> u64 {
+    u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
+}
+
+fn platform_config(
     scenario: &Scenario,
     courier: usize,
     listen: SocketAddr,
     discovery: SocketAddr,
-) -> String {
+    known: Value,
+) -> Value {
+    let mut settings = settings();
+    settings["siblings"] = json!(scenario.couriers);
+    settings["dcs"] = json!(scenario.endpoints.zones);
+    settings["skus"] = json!([SHARED_LIMIT]);
+    settings["family-info"]["separate-routes"] = json!([false]);
+    settings["family-info"]["slots"] = json!(scenario.endpoints.calls);
+    settings["family-info"]["fee-by-zone"] = json!(vec![0.0; scenario.endpoints.zones.len()]);
+    // Probes would stand among the calls at the endpoints.
+    settings["limits"]["probing"] = json!(false);
+    for lane in settings["lanes"].as_array_mut().into_iter().flatten() {
+        lane["deadline-ns"] = json!(nanoseconds(scenario.clients.deadline.0));
+        lane["key-ttl-ns"] = json!(nanoseconds(scenario.endpoints.key_window.0));
+    }
+    json!({"name": format!("n{courier}"), "listen": listen.to_string(), "discovery": discovery.to_string(),
+        "seed": format!("{:x}", courier + 1), "known": known, "settings": settings,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3}})
+}
+
+/// Returns the operator's file of one courier.
+fn operator_file(scenario: &Scenario, courier: usize, listen: SocketAddr, discovery: SocketAddr) -> String {
     let endpoints = &scenario.endpoints;
     let mut text = format!(
         "name = \"n{courier}\"\nstate = \"state\"\n[listen]\nhttp = \"{listen}\"\n\
--- a/crates/testkit/src/courier_process.rs
+++ b/crates/testkit/src/courier_process.rs
@@ -1,9 +1,10 @@
 //! One courier over all of its lives: its folder, its address, its faults, its log.
 
+use crate::courier_file::CourierFile;
 use crate::record::LogLine;
 use rustix::process::{Pid, Signal, kill_process};
 use stairshed_rig::machine_faults::MachineFaults;
-use stairshed_rig::{TestFolder, free_address, serve_command};
+use stairshed_rig::{TestFolder, free_address};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -22,7 +23,7 @@
     /// Address for clients, the same in each life.
     pub address: SocketAddr,
     folder: TestFolder,
-    file: String,
+    file: CourierFile,
     /// Fault rules in effect, also for the next life.
     rules: String,
     faults: Option<MachineFaults>,
@@ -43,7 +44,7 @@
 
 impl CourierProcess {
     /// A courier that is not started yet.
-    pub fn new(index: usize, address: SocketAddr, file: String, log: CourierLog) -> Self {
+    pub fn new(index: usize, address: SocketAddr, file: CourierFile, log: CourierLog) -> Self {
         let folder = TestFolder::new();
         CourierProcess { index, address, folder, file, rules: String::new(), faults: None, child: None, log }
     }
@@ -53,7 +54,7 @@
     /// # Errors
     /// It cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
-        let mut command = serve_command(&self.folder, &self.file);
+        let mut command = self.file.command(&self.folder)?;
         command.args(["--follow", "1/1"]);
         self.faults = Some(MachineFaults::load(&mut command, &self.folder, &self.rules));
         let mut child = command.spawn()?;
--- a/crates/testkit/src/endpoints.rs
+++ b/crates/testkit/src/endpoints.rs
@@ -20,7 +20,7 @@
 const SEED_STRIDE: u64 = 1000;
 
 /// Class in discovery of endpoints that share their pool's limit and waits.
-const SHARED_LIMIT: &str = "shared";
+pub const SHARED_LIMIT: &str = "shared";
 
 /// An endpoint.
 pub struct PlacedEndpoint {
@@ -87,6 +87,11 @@
         ListingService { discovery: Discovery::new(list(1, true, entries)), version: 1 }
     }
 
+    /// The list at the start.
+    pub fn first_list(&self) -> Value {
+        self.discovery.lines.lock().expect("the lists")[0].clone()
+    }
+
     /// Lists the endpoints of a zone as draining, or ready again.
     pub fn list_zone(&mut self, endpoints: &[PlacedEndpoint], zone: &str, is_draining: bool) {
         self.version += 1;
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -1,7 +1,7 @@
 //! Runs a scenario from a seed and collects its records.
 
 use crate::clients::ClientGroup;
-use crate::courier_file::courier_file;
+use crate::courier_file::CourierFile;
 use crate::courier_process::{CourierLog, CourierProcess, reserved_address, was_killed};
 use crate::endpoints::{ListingService, PlacedEndpoint};
 use crate::plan::{Plan, PlannedFault};
@@ -89,7 +89,8 @@
         let (mut couriers, mut client_proxies) = (Vec::new(), Vec::new());
         for index in 0..scenario.couriers {
             let address = reserved_address();
-            let file = courier_file(scenario, index, address, discovery_proxy.address);
+            let known = listing.first_list();
+            let file = CourierFile::new(scenario, index, address, discovery_proxy.address, known);
             let mut courier = CourierProcess::new(index, address, file, courier_log.clone());
             courier.start()?;
             couriers.push(courier);
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -40,6 +40,8 @@
     /// For how long clients submit messages.
     pub duration: Span,
     #[serde(default)]
+    pub start: StartMode,
+    #[serde(default)]
     pub durability: Durability,
     #[serde(default)]
     pub endpoints: Endpoints,
@@ -53,6 +55,17 @@
     1
 }
 
+/// How couriers are started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum StartMode {
+    /// By an operator's file.
+    #[default]
+    File,
+    /// By the platform's environment. Such couriers keep no order and do not name themselves to endpoints.
+    Platform,
+}
+
 /// The journal's durability.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
--- a/crates/testkit/src/verdict/order.rs
+++ b/crates/testkit/src/verdict/order.rs
@@ -2,6 +2,7 @@
 
 use super::{Judgement, holds_calls_back};
 use crate::record::{Record, Submission};
+use crate::scenario::StartMode;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -10,6 +11,9 @@
     if holds_calls_back(record) {
         return Judgement::not_judged("the link to the endpoints holds calls back");
     }
+    if record.scenario.start == StartMode::Platform {
+        return Judgement::not_judged("the platform's couriers keep no order");
+    }
     let ordered = &record.scenario.clients.ordered;
     let mut by_key: BTreeMap<&str, Vec<&Submission>> = BTreeMap::new();
     for (message, _) in record.accepted().filter(|(message, _)| ordered.contains(&message.class)) {
--- a/crates/testkit/src/verdict/waits.rs
+++ b/crates/testkit/src/verdict/waits.rs
@@ -3,7 +3,7 @@
 use super::{Judgement, NOTE_TIME, holds_calls_back};
 use crate::endpoints::pool_of;
 use crate::record::Record;
-use crate::scenario::{FaultKind, Link};
+use crate::scenario::{FaultKind, Link, StartMode};
 use stairshed_rig::duplicating_endpoint::ServedCall;
 use std::time::{Duration, Instant};
 
@@ -23,6 +23,9 @@
     if holds_calls_back(record) {
         return Judgement::not_judged("the link to the endpoints holds calls back");
     }
+    if record.scenario.start == StartMode::Platform {
+        return Judgement::not_judged("the platform's couriers do not name themselves to endpoints");
+    }
     let waits: Vec<_> = record.calls.iter().filter_map(|call| told_wait(record, call)).collect();
     if waits.is_empty() {
         return Judgement::not_judged("no wait was told");
