--- a/crates/clock/src/start.rs
+++ b/crates/clock/src/start.rs
@@ -16,10 +16,15 @@
 }
 
 impl ClockReading {
-    /// Reads the machine's clocks.
+    /// Reads the machine's clocks and the id of its boot.
     pub fn now() -> Self {
+        Self::within_boot(BootId::read())
+    }
+
+    /// Reads the machine's clocks, where the id of its boot is known already.
+    pub fn within_boot(boot_id: Option<BootId>) -> Self {
         let (boot_time, wall) = (whole_micros(boot_time()), whole_micros(TimeOfDay::now().as_unix()));
-        ClockReading { boot_id: BootId::read(), boot_time, wall: TimeOfDay::from_unix(wall) }
+        ClockReading { boot_id, boot_time, wall: TimeOfDay::from_unix(wall) }
     }
 }
 
--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -3,6 +3,7 @@
 use super::platform_config::{self, PlatformConfig};
 use super::settings::OperatorSettings;
 use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock, log_recovery, signal_stream};
+use crate::clock::start_clock;
 use crate::dispatcher::Dispatcher;
 use crate::events::DispatcherEvent;
 use crate::ingress::http::{HttpServer, Routing, ServerState};
@@ -65,6 +66,7 @@
     let opened = lock(&config.state).await.and_then(|files| Journal::open(Arc::new(files), options));
     let (journal, report) = opened.map_err(|e| StartupError::Invalid("LB_STATE", e.to_string()))?;
     log_recovery(&report);
+    let clock_start = start_clock(&journal);
     let upstream_sockets = (config.limits.sockets / 3).max(16);
     let client_sockets = config.limits.sockets.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(8);
     let memory_budget = memory_budget(&config);
@@ -90,7 +92,7 @@
     let at = listener.local_addr().map_err(|e| StartupError::Invalid("LB_LISTEN", e.to_string()))?;
     let (name, kept) = (config.name.clone(), journal.len());
     let http_server = Rc::new(HttpServer {
-        routing: Routing::Platform { classes: config.classes.clone() },
+        routing: Routing::Platform { classes: config.classes.clone(), clock: clock_start.clock },
         server_state: server_state.clone(),
         events: events.clone(),
         max_connections: client_sockets,
@@ -99,7 +101,7 @@
     });
     tokio::task::spawn_local(reload(hangup, config.file.clone(), events.clone()));
     let outcomes = OutcomeNotifier::platform(config.discovery);
-    let setup = config.setup(memory_budget);
+    let setup = config.setup(memory_budget, clock_start);
     let dispatcher = Dispatcher::new(
         setup,
         scheduler,
--- a/crates/courier/src/bootstrap/platform_config.rs
+++ b/crates/courier/src/bootstrap/platform_config.rs
@@ -7,6 +7,7 @@
 use crate::memory_budget::MemoryBudget;
 use crate::startup_error::StartupError;
 use serde::Deserialize;
+use stairshed_clock::ClockStart;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
 use stairshed_decide::settings::SettingsDocument;
@@ -61,7 +62,7 @@
 
 impl PlatformConfig {
     /// Converts it to the setup of the dispatcher.
-    pub fn setup(self, memory_budget: MemoryBudget) -> Setup {
+    pub fn setup(self, memory_budget: MemoryBudget, clock_start: ClockStart) -> Setup {
         let classes = self.classes.into_iter().zip(self.settings.classes.iter().cloned());
         Setup {
             classes: ClassTable::new(classes),
@@ -69,6 +70,7 @@
             zones: self.zones,
             endpoint_kinds: self.kinds,
             seed: self.seed,
+            clock_start,
             initial_list: self.known,
             discovery: Some(self.discovery),
             watch_status: Rc::default(),
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -2,6 +2,7 @@
 //! over it.
 
 use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock, log_recovery, signal_stream};
+use crate::clock::start_clock;
 use crate::discovery::config_file;
 use crate::discovery::configured_hosts::endpoint_kinds;
 use crate::discovery::control::{ConfigStatus, ConfigUpdater, VersionStore};
@@ -20,6 +21,7 @@
 use crate::startup_error::StartupError;
 use crate::upstream::endpoint_client::EndpointClient;
 use crate::upstream::outcomes::OutcomeNotifier;
+use stairshed_clock::{ClockStart, StableClock};
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_config::file::Wills;
@@ -55,6 +57,7 @@
     active_config: &ActiveConfig,
     events: &mpsc::Sender<DispatcherEvent>,
     (dispatcher, memory_budget, rejecter): (&Dispatcher, &MemoryBudget, &Rc<ConnectionRejecter>),
+    clock: StableClock,
 ) -> Result<Rc<MqttServer>, StartupError> {
     let m = &installation.file.mqtt;
     // The range is checked when the file is read.
@@ -75,7 +78,7 @@
     let users = users.map_err(|e| invalid("mqtt.users", e))?;
     let records = dispatcher.stored_state(mqtt::SESSION_KEY_PREFIX);
     let bounds = (m.connections, memory_budget.clone(), rejecter.clone());
-    Ok(MqttServer::new(limits, bounds, (active_config.clone(), users), events.clone(), records))
+    Ok(MqttServer::new(limits, bounds, (active_config.clone(), users), events.clone(), records, clock))
 }
 
 fn invalid(what: &'static str, why: impl ToString) -> StartupError {
@@ -88,6 +91,7 @@
     active_config: &ActiveConfig,
     memory_budget: &MemoryBudget,
     folder: &Path,
+    clock_start: ClockStart,
 ) -> Setup {
     let names = installation.classes.iter().map(|c| c.name.clone());
     let classes = match installation.classes.is_empty() {
@@ -101,6 +105,7 @@
         zones: Vec::new(),
         endpoint_kinds: endpoint_kinds(),
         seed: rand::random(),
+        clock_start,
         initial_list: None,
         discovery: installation.discovery,
         watch_status: Rc::default(),
@@ -184,15 +189,17 @@
     let syncs_to_device = options.durability == Durability::Machine;
     let (journal, report) = Journal::open(Arc::new(files), options).map_err(|e| invalid("journal", e))?;
     log_recovery(&report);
+    let clock_start = start_clock(&journal);
     let name = installation.file.name.clone().unwrap_or_else(|| "stairshed".to_owned());
     let limits = &installation.file.limits;
     let upstream_sockets = (limits.connections / 3).max(4);
     let client_sockets = limits.connections.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(4);
     let base_dir = file.parent().unwrap_or(Path::new(".")).to_owned();
-    let active_config = ActiveConfig::new(version.as_ref().map_or(0, |v| v.version), installation.clone());
+    let active_config =
+        ActiveConfig::new(version.as_ref().map_or(0, |v| v.version), installation.clone(), clock_start.clock);
     let caps = memory_budget::caps(&installation).map_err(StartupError::Problems)?;
     let memory_budget = MemoryBudget::new(&caps, installation.file.memory.client_share);
-    let mut setup = setup(&installation, &active_config, &memory_budget, &base_dir);
+    let mut setup = setup(&installation, &active_config, &memory_budget, &base_dir, clock_start);
     let endpoint_client = EndpointClient::new(
         setup.settings.connect_timeout,
         setup.settings.keepalive,
@@ -244,6 +251,7 @@
             &active_config,
             &events,
             (&dispatcher, &memory_budget, &rejecter),
+            clock_start.clock,
         )?),
         None => None,
     };
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -17,6 +17,7 @@
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
 use serde_json::{Value, json};
+use stairshed_clock::TimeOfDay;
 use stairshed_config::Installation;
 use stairshed_config::change::{member_changes, removed_and_current_destinations};
 use stairshed_config::installation::{Document, Url};
@@ -30,7 +31,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
 use tokio::sync::mpsc::{self, Receiver, Sender};
@@ -101,7 +102,7 @@
 struct Inner {
     /// Version in effect; None while the configuration comes from the file alone.
     version: Option<u64>,
-    since: SystemTime,
+    since: TimeOfDay,
     refusal: Option<Value>,
     acknowledged: u64,
     refused: u64,
@@ -109,14 +110,14 @@
     connected: Option<bool>,
 }
 
-fn unix_seconds(at: SystemTime) -> f64 {
-    (at.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as f64) / 1000.0
+fn unix_seconds(at: TimeOfDay) -> f64 {
+    (at.as_unix().as_millis() as f64) / 1000.0
 }
 
 impl ConfigStatus {
     /// Status at startup: `version` is in effect over `file`.
     pub fn new(file: PathBuf, version: Option<u64>) -> Self {
-        let (since, refusal, connected) = (SystemTime::now(), None, None);
+        let (since, refusal, connected) = (TimeOfDay::now(), None, None);
         ConfigStatus {
             file,
             inner: RefCell::new(Inner { version, since, refusal, acknowledged: 0, refused: 0, connected }),
@@ -142,12 +143,12 @@
         let mut inner = self.inner.borrow_mut();
         inner.refused += 1;
         inner.refusal =
-            Some(json!({"version": version, "reasons": reasons, "at": unix_seconds(SystemTime::now())}));
+            Some(json!({"version": version, "reasons": reasons, "at": unix_seconds(TimeOfDay::now())}));
     }
 
     fn in_effect(&self, version: Option<u64>) {
         let mut inner = self.inner.borrow_mut();
-        (inner.version, inner.since) = (version, SystemTime::now());
+        (inner.version, inner.since) = (version, TimeOfDay::now());
     }
 }
 
--- a/crates/courier/src/discovery/list_age.rs
+++ b/crates/courier/src/discovery/list_age.rs
@@ -2,7 +2,7 @@
 //! state folder, on the machine's boot time clock, which also runs while the courier does not and is not
 //! stepped with the time of day.
 
-use rustix::time::{ClockId, clock_gettime};
+use stairshed_clock::{BootId, boot_time};
 use std::fs;
 use std::io;
 use std::net::SocketAddr;
@@ -13,9 +13,6 @@
 const FILE_NAME: &str = "list-age";
 /// Temporary file that is renamed over the other.
 const NEXT_FILE_NAME: &str = "list-age.next";
-/// Id of the current boot. The boot time clock restarts with the machine, so a stored time is valid only
-/// within a boot.
-const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 
 /// What is known at startup about the age of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,13 +30,15 @@
 pub struct ListAgeFile {
     path: PathBuf,
     next_path: PathBuf,
+    /// Id of the current boot. The boot time clock restarts with the machine, so that a stored time is valid
+    /// only within a boot.
     boot_id: Option<String>,
 }
 
 impl ListAgeFile {
     /// Uses the file in the state folder `folder`.
     pub fn new(folder: &Path) -> Self {
-        let boot_id = fs::read_to_string(BOOT_ID).ok().map(|id| id.trim().to_owned());
+        let boot_id = BootId::read().map(|id| id.to_string());
         ListAgeFile { path: folder.join(FILE_NAME), next_path: folder.join(NEXT_FILE_NAME), boot_id }
     }
 
@@ -72,12 +71,6 @@
     }
 }
 
-/// Time since boot, including suspend.
-fn boot_time() -> Duration {
-    let now = clock_gettime(ClockId::Boottime);
-    Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs() as u32)
-}
-
 #[cfg(test)]
 #[path = "list_age_test.rs"]
 mod tests;
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -10,11 +10,13 @@
 //!   ended_messages  records of ended messages      brokers    attempts at MQTT brokers
 //!   memory          memory of each message, measuring, releasing
 //!   stored_state    state of other parts by key    shutdown   the end after SIGTERM
+//!   clock_record    the clocks, for the next process
 //! ```
 
 mod acceptance;
 mod attempts;
 mod brokers;
+mod clock_record;
 mod ended_messages;
 mod held_message;
 mod lease;
@@ -26,7 +28,6 @@
 mod shutdown;
 mod stored_state;
 
-use crate::clock::unix_time;
 use crate::discovery::configured_hosts::changed_hosts;
 use crate::events::{DispatcherEvent, EndpointList, Ingress};
 use crate::ingress::http::ServerState;
@@ -34,12 +35,14 @@
 use crate::upstream::outcomes::OutcomeNotifier;
 use acceptance::Acceptance;
 use attempts::{Attempts, less_elapsed};
+use clock_record::ClockRecorder;
 use members::Members;
 use memory::Memory;
 use notices::Notices;
 use records::{COMPACTION_INTERVAL, DISK_RETRY_INTERVAL, Records};
 use setup::Setup;
 use shutdown::{SHUTDOWN_CHECK_INTERVAL, Shutdown};
+use stairshed_clock::{StableClock, StableTime};
 use stairshed_config::change::member_changes;
 use stairshed_decide::interface::*;
 use stairshed_decide::scheduler::Scheduler;
@@ -57,6 +60,8 @@
     server_state: Rc<ServerState>,
     event_tx: Sender<DispatcherEvent>,
     clock_origin: Instant,
+    clock: StableClock,
+    clock_recorder: ClockRecorder,
     /// Events for the scheduler's next batch.
     events: Vec<Event>,
     /// The scheduler's timer and its token; a later request replaces it.
@@ -89,6 +94,7 @@
     ) -> Self {
         let acceptance = Acceptance::after(journal.last_number());
         let memory = Memory::new(setup.memory_budget.clone());
+        let clock = setup.clock_start.clock;
         let mut dispatcher = Dispatcher {
             setup,
             scheduler,
@@ -96,6 +102,8 @@
             server_state,
             event_tx,
             clock_origin: lease::clock_origin(),
+            clock,
+            clock_recorder: ClockRecorder::new(),
             events: Vec::new(),
             wake: None,
             acceptance,
@@ -111,6 +119,7 @@
             state_numbers: HashMap::new(),
         };
         dispatcher.load_state_numbers();
+        dispatcher.resume_clock_record();
         dispatcher.load_open_attempts();
         let known = dispatcher.setup.initial_list.clone().unwrap_or_default();
         dispatcher.apply_endpoint_list(EndpointList { whole: true, ..known });
@@ -167,8 +176,8 @@
             let shutdown_check = self.shutdown.since.map(|_| Instant::now() + SHUTDOWN_CHECK_INTERVAL);
             let destination_removal =
                 self.members.removed_destinations.values().copied().filter(|at| *at > Instant::now()).min();
-            let id_expiry =
-                self.ended_messages.next_expiry().map(|at| Instant::now() + at.saturating_sub(unix_time()));
+            let until_id_expiry = |at: StableTime| at.saturating_duration_since(self.clock.now());
+            let id_expiry = self.ended_messages.next_expiry().map(|at| Instant::now() + until_id_expiry(at));
             let attempt_expiry = self.next_open_expiry();
             let memory_check = self.memory.due();
             let wake_at = [
@@ -281,6 +290,7 @@
 
     /// Runs one batch: passes the pending events to the scheduler and carries out its actions.
     fn run_batch(&mut self, now: Instant) {
+        self.update_clock_record(now);
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
             self.events.push(Event::TimerFired { token });
         }
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -131,6 +131,9 @@
     /// Writes the new messages that the scheduler did not refuse to the journal, then replies to their
     /// clients.
     pub(super) fn accept_submissions(&mut self, refused: &mut HashMap<u64, Verdict>) {
+        if !self.acceptance.pending.is_empty() {
+            self.ensure_clock_record();
+        }
         let mut accepted_messages = Vec::new();
         for (message, PendingSubmission { class, submission, memory }) in
             std::mem::take(&mut self.acceptance.pending)
@@ -208,7 +211,7 @@
     /// The class of a message: by its name and, for a message from a route, by the effect and deadline
     /// recorded when it was accepted.
     pub(super) fn classify(&mut self, accepted: &AcceptedMessage) -> Option<usize> {
-        let deadline = accepted.deadline.saturating_sub(accepted.accepted_at);
+        let deadline = accepted.deadline.saturating_duration_since(accepted.accepted_at);
         let Some(routed) = &accepted.routed else {
             let classes = &mut self.setup.classes;
             let class = classes.current(&accepted.class)?;
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -3,7 +3,6 @@
 use super::Dispatcher;
 use super::held_message::{DeferredAction, HeldMessage};
 use super::shutdown::ATTEMPT_CUTOFF;
-use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult};
 use crate::message_trace;
 use crate::upstream::endpoint_client::{Call, CallTarget, EndpointClient};
@@ -108,7 +107,8 @@
                 continue;
             };
             let zone = self.setup.zones.get(e.zone).cloned().unwrap_or_default();
-            let attempt = Attempt { host: e.host.clone(), zone, sent_at: unix_time(), may_have_run: true };
+            let attempt =
+                Attempt { host: e.host.clone(), zone, sent_at: self.clock.now(), may_have_run: true };
             let broker = e.topic.is_some();
             m.in_flight = Some((now, None));
             if late {
--- a/crates/courier/src/dispatcher/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -3,11 +3,11 @@
 
 use super::Dispatcher;
 use super::held_message::{DeferredAction, HeldMessage};
-use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult};
 use crate::upstream::broker_connection::BrokerConnection;
 use crate::upstream::endpoint_client::{Call, MAX_WRITE_AFTER_DRAIN};
 use serde::{Deserialize, Serialize};
+use stairshed_clock::StableTime;
 use stairshed_decide::interface::*;
 use stairshed_journal::{LiveMessage, Verdict};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -61,7 +61,7 @@
 impl Dispatcher {
     /// Loads the attempts of a previous process that may be resumed.
     pub(super) fn load_open_attempts(&mut self) {
-        let now = unix_time();
+        let now = self.clock.now();
         // Sessions that were being resumed at the stop count as lost; see `Client::opened`.
         let lost: HashSet<String> =
             self.states_with_prefix(RESUMING_PREFIX).into_iter().map(|(host, _)| host).collect();
@@ -82,7 +82,8 @@
             }
             match self.journal.get(of.message) {
                 Some(live) if live.verdict.is_none() => {
-                    let left = live.accepted.deadline.saturating_sub(now).saturating_sub(EXPIRY_MARGIN);
+                    let left =
+                        live.accepted.deadline.saturating_duration_since(now).saturating_sub(EXPIRY_MARGIN);
                     let until = Instant::now() + left;
                     let open = OpenAttempt { host, id, released: of.released, resumed: false, until };
                     self.brokers.open_attempts.insert(of.message, open);
@@ -129,6 +130,7 @@
             (address, topic),
             (settings, client, connect),
             &self.setup.config_folder,
+            self.clock,
             self.event_tx.clone(),
         );
         self.brokers.by_endpoint.insert(endpoint, broker.clone());
@@ -259,7 +261,7 @@
         for message in due {
             let Some(live) = self.journal.get(message) else { continue };
             let attempt = live.attempts.len().saturating_sub(1) as u32;
-            let sent = live.attempts.last().map_or(Duration::ZERO, |a| a.sent_at);
+            let sent = live.attempts.last().map_or(StableTime::EPOCH, |a| a.sent_at);
             let accepted = live.accepted.clone();
             let effect = self.effect_of(message);
             let Some(open) = self.brokers.open_attempts.get_mut(&message) else { continue };
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -4,9 +4,9 @@
 use super::Dispatcher;
 use super::held_message::DeferredAction;
 use super::memory::Shrink;
-use crate::clock::unix_time;
 use crate::events::{Reply, ReplyTo, Submission};
 use crate::message_trace;
+use stairshed_clock::StableTime;
 use stairshed_journal::{AcceptedMessage, EndedMessage, Verdict};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -19,18 +19,19 @@
 /// Limit on remembered ids, of which the latest are kept: about half a megabyte.
 const MAX_RECENT_IDS: usize = 4096;
 
-/// The ids of messages that ended recently. Expired ids are removed at the next insertion.
+/// The ids of messages that ended recently. Expired ids are not known any more, and are removed at the next
+/// insertion.
 #[derive(Default)]
 struct RecentIds {
-    ids: HashSet<Rc<str>>,
+    /// With the time at which the message ended.
+    ids: HashMap<Rc<str>, Instant>,
     /// In the order in which the messages ended.
     ended: VecDeque<(Instant, Rc<str>)>,
 }
 
 impl RecentIds {
     fn insert(&mut self, id: &str, now: Instant) {
-        let expired = |(at, _): &mut (Instant, Rc<str>)| now.duration_since(*at) > RECENT_ID_TTL;
-        while let Some((_, id)) = self.ended.pop_front_if(expired) {
+        while let Some((_, id)) = self.ended.pop_front_if(|(at, _)| is_expired(*at, now)) {
             self.ids.remove(&id);
         }
         if self.ended.len() >= MAX_RECENT_IDS
@@ -39,23 +40,27 @@
             self.ids.remove(&id);
         }
         let id: Rc<str> = id.into();
-        if self.ids.insert(id.clone()) {
+        if self.ids.insert(id.clone(), now).is_none() {
             self.ended.push_back((now, id));
         }
     }
 
-    fn contains(&self, id: &str) -> bool {
-        self.ids.contains(id)
+    fn contains(&self, id: &str, now: Instant) -> bool {
+        self.ids.get(id).is_some_and(|at| !is_expired(*at, now))
     }
 }
 
+fn is_expired(ended: Instant, now: Instant) -> bool {
+    now.duration_since(ended) > RECENT_ID_TTL
+}
+
 /// Lookup tables of ended messages.
 #[derive(Default)]
 pub struct EndedMessages {
     /// Remembered messages by the id that the client gave.
     by_id: HashMap<String, u64>,
-    /// When each is forgotten, in Unix time.
-    expiry: BTreeSet<(Duration, u64)>,
+    /// When each is forgotten.
+    expiry: BTreeSet<(StableTime, u64)>,
     /// All messages of which a record is kept.
     remembered: HashSet<u64>,
     /// Messages whose client is being notified of the outcome by this process.
@@ -69,7 +74,7 @@
 impl EndedMessages {
     fn insert(&mut self, message: u64, kept: &EndedMessage) {
         self.remembered.insert(message);
-        if !kept.until.is_zero() {
+        if !kept.until.is_epoch() {
             self.by_id.insert(kept.id.clone(), message);
             self.expiry.insert((kept.until, message));
         }
@@ -85,7 +90,7 @@
 
     /// Whether a message with this id is remembered.
     pub(super) fn contains(&self, id: &str) -> bool {
-        self.by_id.contains_key(id) || self.recent_ids.contains(id)
+        self.by_id.contains_key(id) || self.recent_ids.contains(id, Instant::now())
     }
 
     /// Shrinks its tables after a burst.
@@ -96,8 +101,8 @@
         self.notified.shrink();
     }
 
-    /// When the next message is forgotten, in Unix time.
-    pub fn next_expiry(&self) -> Option<Duration> {
+    /// When the next message is forgotten.
+    pub fn next_expiry(&self) -> Option<StableTime> {
         self.expiry.first().map(|(at, _)| *at)
     }
 }
@@ -134,7 +139,8 @@
     /// The reply to a message whose id is remembered: it is accepted already, and its client is notified of
     /// the outcome again.
     pub(super) fn reply_to_duplicate(&mut self, accepted: &AcceptedMessage) -> Option<Reply> {
-        if accepted.routed.is_none() && self.ended_messages.recent_ids.contains(&accepted.id) {
+        if accepted.routed.is_none() && self.ended_messages.recent_ids.contains(&accepted.id, Instant::now())
+        {
             message_trace::log_step(
                 &accepted.id,
                 format_args!("handed in again after its end: not sent again"),
@@ -196,10 +202,13 @@
         let owner = routed.owner.clone().filter(|o| !notified && (notifying || self.accepts_outcomes(o)));
         // A bounced message may be submitted again with the same id.
         let bounced = matches!(verdict, Some(Verdict::Bounced { .. }));
-        let until = accepted.accepted_at + routed.remember_for;
-        let until = if bounced || until <= unix_time() { Duration::ZERO } else { until };
+        let until = match routed.remember_for {
+            Duration::ZERO => StableTime::EPOCH,
+            span => self.remembered_until(accepted.accepted_at, span),
+        };
+        let until = if bounced || until <= self.clock.now() { StableTime::EPOCH } else { until };
         let kept = EndedMessage { id: accepted.id.clone(), owner: owner.clone(), verdict, until };
-        if owner.is_none() && until.is_zero() {
+        if owner.is_none() && until.is_epoch() {
             self.memory.release(message);
             return self.journal.record_end(message);
         }
@@ -215,7 +224,7 @@
     pub(super) fn owner_notified(&mut self, message: u64) {
         self.ended_messages.notifying.remove(&message);
         match self.journal.ended_message(message).map(|k| EndedMessage::clone(k)) {
-            Some(kept) if kept.until.is_zero() => self.forget_message(message, &kept),
+            Some(kept) if kept.until.is_epoch() => self.forget_message(message, &kept),
             Some(kept) => self.journal.replace_with_ended(message, EndedMessage { owner: None, ..kept }),
             // The notice to the operator is not acknowledged yet.
             None if self.journal.get(message).is_some() => drop(self.ended_messages.notified.insert(message)),
@@ -231,7 +240,7 @@
 
     /// Forgets messages that have expired; the record stays while a client is still to be notified.
     pub(super) fn forget_expired(&mut self) {
-        let now = unix_time();
+        let now = self.clock.now();
         let mut any_expired = false;
         while let Some((at, message)) =
             self.ended_messages.expiry.first().copied().filter(|(at, _)| *at <= now)
@@ -246,7 +255,7 @@
             } else {
                 self.ended_messages.remove(message, &kept);
                 self.ended_messages.remembered.insert(message);
-                self.journal.replace_with_ended(message, EndedMessage { until: Duration::ZERO, ..kept });
+                self.journal.replace_with_ended(message, EndedMessage { until: StableTime::EPOCH, ..kept });
             }
         }
         if any_expired {
@@ -285,7 +294,7 @@
         }
         let message = self.acceptance.next;
         self.acceptance.next += 1;
-        let kept = EndedMessage { id, owner: Some(owner), verdict, until: Duration::ZERO };
+        let kept = EndedMessage { id, owner: Some(owner), verdict, until: StableTime::EPOCH };
         self.memory.remember(message, &kept);
         self.ended_messages.insert(message, &kept);
         self.journal.store_ended(message, kept);
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -1,7 +1,6 @@
 //! Verdicts and their notices: recorded in the journal first, then posted in batches until acknowledged.
 
 use super::Dispatcher;
-use crate::clock::unix_time;
 use crate::message_trace;
 use crate::upstream::outcomes::{Notice, OutcomeNotifier};
 use stairshed_journal::Verdict;
@@ -35,7 +34,7 @@
             return;
         }
         let id = m.accepted.id.clone();
-        let left = m.accepted.deadline.saturating_sub(unix_time());
+        let left = m.accepted.deadline.saturating_duration_since(self.clock.now());
         message_trace::log_step(
             &id,
             format_args!(
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -4,10 +4,10 @@
 
 use super::Dispatcher;
 use super::held_message::{DeferredAction, HeldMessage, UNKNOWN_ZONE};
-use crate::clock::unix_time;
 use crate::events::DispatcherEvent;
 use crate::message_trace;
 use crate::upstream::outcomes::Notice;
+use stairshed_clock::StableTime;
 use stairshed_decide::interface::*;
 use stairshed_journal::{LiveMessage, SyncOutcome, Verdict};
 use std::collections::VecDeque;
@@ -33,7 +33,7 @@
 }
 
 /// Logs how many messages the previous process left, if any.
-fn log_resumed(live: &[(u64, LiveMessage)]) {
+fn log_resumed(live: &[(u64, LiveMessage)], now: StableTime) {
     if live.is_empty() {
         return;
     }
@@ -41,7 +41,7 @@
     let open = || live.iter().filter(|(_, m)| m.verdict.is_none());
     let may_have_run = open().filter(|(_, m)| m.attempts.iter().any(|a| a.may_have_run)).count();
     let untried = open().filter(|(_, m)| m.attempts.is_empty()).count();
-    let past = open().filter(|(_, m)| m.accepted.deadline <= unix_time()).count();
+    let past = open().filter(|(_, m)| m.accepted.deadline <= now).count();
     eprintln!(
         "resumed {} messages: {ended} ended, their notices not acknowledged; {untried} never called; \
          {may_have_run} may have run; {past} out of time",
@@ -53,7 +53,7 @@
     /// Resumes the messages in the journal, with what is known of their attempts.
     pub(super) fn resume_messages(&mut self) {
         let live: Vec<(u64, LiveMessage)> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
-        log_resumed(&live);
+        log_resumed(&live, self.clock.now());
         for (message, m) in live {
             let accepted = m.accepted.clone();
             self.acceptance.ids.insert(accepted.id.clone(), message);
@@ -96,16 +96,14 @@
     /// The scheduler's event for a message with earlier attempts: one of a previous process, or one that the
     /// scheduler does not know yet.
     pub(super) fn resumed_message(&mut self, message: u64, live: &LiveMessage, class: usize) -> Accepted {
-        // If the clock has jumped back, a message must not gain time: neither beyond what was left at the
-        // latest time on record, nor beyond its class's deadline.
-        let now = unix_time().max(self.journal.latest_time());
+        let now = self.clock.now();
         let accepted = &live.accepted;
         let ran = live.attempts.iter().find(|a| a.may_have_run).map(|a| Ran {
             endpoint: self.endpoint_id(&a.host),
             // An operator's endpoints may have no zone, and this attempt's zone is not known: a keyed repeat
             // must not rely on the key memory of endpoints that may not have seen the key.
             zone: self.zone_index(if a.host.is_empty() { UNKNOWN_ZONE } else { &a.zone }),
-            ago: now.saturating_sub(a.sent_at),
+            ago: self.clock.proven_duration(a.sent_at, now).unwrap_or(Duration::MAX),
         });
         let most = self.setup.classes.get(class).map(|c| c.deadline);
         Accepted {
@@ -114,7 +112,8 @@
             tenant: 0,
             destination: DestinationId(accepted.destination),
             key: accepted.routed.as_ref().and_then(|r| r.order_key.clone()),
-            time_left: accepted.deadline.saturating_sub(now).min(most.unwrap_or(Duration::MAX)),
+            // A program without a stable clock may have recorded the deadline after a step of its clock.
+            time_left: accepted.deadline.saturating_duration_since(now).min(most.unwrap_or(Duration::MAX)),
             estimated_work: None,
             history: Past { attempts: live.attempts.len() as u32, ran },
         }
--- a/crates/courier/src/dispatcher/setup.rs
+++ b/crates/courier/src/dispatcher/setup.rs
@@ -5,6 +5,7 @@
 use crate::events::EndpointList;
 use crate::ingress::active_config::ActiveConfig;
 use crate::memory_budget::MemoryBudget;
+use stairshed_clock::ClockStart;
 use stairshed_config::Installation;
 use stairshed_config::classes::ClassTable;
 use stairshed_decide::interface::Settings;
@@ -22,6 +23,7 @@
     pub zones: Vec<String>,
     pub endpoint_kinds: Vec<String>,
     pub seed: u64,
+    pub clock_start: ClockStart,
     /// The endpoint list at the time when the configuration was written.
     pub initial_list: Option<EndpointList>,
     pub discovery: Option<SocketAddr>,
--- a/crates/courier/src/dispatcher/shutdown.rs
+++ b/crates/courier/src/dispatcher/shutdown.rs
@@ -55,6 +55,7 @@
         self.server_state.begin_shutdown();
         if self.shutdown.since.is_none() {
             self.shutdown.since = Some(Instant::now());
+            self.replace_outdated_clock_record();
             eprintln!("stopping: {}", self.workload());
         }
     }
--- a/crates/courier/src/dispatcher/stored_state.rs
+++ b/crates/courier/src/dispatcher/stored_state.rs
@@ -4,6 +4,7 @@
 use super::held_message::DeferredAction;
 use crate::events::StateUpdate;
 use stairshed_journal::{Note, Refusal};
+use tokio::time::Instant;
 
 impl Dispatcher {
     /// The stored state whose keys have this prefix: keys without the prefix, and values.
@@ -47,7 +48,12 @@
             return ingress.on_stored(token, Err(why));
         }
         match value {
-            Some(value) => self.put_state(&key, value),
+            Some(value) => {
+                // The value may contain times.
+                self.ensure_clock_record();
+                self.update_clock_record(Instant::now());
+                self.put_state(&key, value);
+            }
             None => self.delete_state(&key),
         }
         match self.flush_journal() {
--- a/crates/courier/src/ingress/active_config.rs
+++ b/crates/courier/src/ingress/active_config.rs
@@ -1,10 +1,10 @@
 //! The configuration in effect, by which HTTP requests and MQTT publishes are routed and made into messages.
 
-use crate::clock::unix_time;
 use crate::ingress::message_headers::{MAX_ID_BYTES, MessageHeaders, RequestError};
 use bytes::Bytes;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode};
+use stairshed_clock::StableClock;
 use stairshed_config::Installation;
 use stairshed_config::file::{IdentityScope, Pick};
 use stairshed_config::route::{self, NoRoute, normalize_path};
@@ -20,7 +20,10 @@
 
 /// Version and contents of the configuration in effect, shared by the servers and replaced atomically.
 #[derive(Clone)]
-pub struct ActiveConfig(Rc<RefCell<(u64, Arc<Installation>)>>);
+pub struct ActiveConfig {
+    current: Rc<RefCell<(u64, Arc<Installation>)>>,
+    clock: StableClock,
+}
 
 /// Longest path of a request that is accepted, in bytes; the path sent on may be twice as long with its
 /// query.
@@ -93,16 +96,16 @@
 }
 
 impl ActiveConfig {
-    pub fn new(version: u64, installation: Arc<Installation>) -> Self {
-        ActiveConfig(Rc::new(RefCell::new((version, installation))))
+    pub fn new(version: u64, installation: Arc<Installation>, clock: StableClock) -> Self {
+        ActiveConfig { current: Rc::new(RefCell::new((version, installation))), clock }
     }
 
     pub fn set(&self, version: u64, installation: Arc<Installation>) {
-        *self.0.borrow_mut() = (version, installation);
+        *self.current.borrow_mut() = (version, installation);
     }
 
     pub fn get(&self) -> (u64, Arc<Installation>) {
-        self.0.borrow().clone()
+        self.current.borrow().clone()
     }
 
     /// Routes a request by the version in effect and makes a message of it. Also returns the time left to
@@ -188,7 +191,7 @@
         }
         // After the deadline of its class a message has no value, so the client cannot extend it.
         let time_left = fields.time_left.unwrap_or(class_settings.deadline).min(class_settings.deadline);
-        let accepted_at = unix_time();
+        let accepted_at = self.clock.now();
         let routed = RoutedRequest {
             version,
             route: matched.route.name.clone(),
@@ -292,7 +295,7 @@
         })?;
         let expiry = publish.expiry.map(|s| Duration::from_secs(u64::from(s)));
         let time_left = [expiry, time_out].into_iter().flatten().fold(settings.deadline, Duration::min);
-        let accepted_at = unix_time();
+        let accepted_at = self.clock.now();
         // A message with a generated id cannot be recognised as a duplicate, so it need not be remembered.
         let remember_for = if identity.is_some() { class.remember_mqtt } else { Duration::ZERO };
         let routed = RoutedRequest {
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -1,6 +1,5 @@
 //! HTTP server for clients: accepts messages and answers the readiness check.
 
-use crate::clock::unix_time;
 use crate::events::{DEFAULT_RETRY_AFTER, DispatcherEvent, Reply, ReplyTo, Submission, refusal_reason};
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::message_headers::{MessageHeaders, RequestError};
@@ -15,6 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use stairshed_clock::StableClock;
 use stairshed_journal::AcceptedMessage;
 use stairshed_memory::{Charge, ClientAccount, ClientIdentification, Purpose};
 use std::borrow::Cow;
@@ -287,7 +287,7 @@
 /// How a request is mapped to a message.
 pub enum Routing {
     /// The platform protocol: the path names the class, the `Envelope` field the destination.
-    Platform { classes: Vec<String> },
+    Platform { classes: Vec<String>, clock: StableClock },
     /// By the routes of the active configuration.
     Routes(ActiveConfig),
 }
@@ -493,8 +493,8 @@
         }
         let at = Instant::now();
         let parsed = match &self.routing {
-            Routing::Platform { classes } => {
-                platform_message(classes, parts.uri.path(), &parts.headers, body)
+            Routing::Platform { classes, clock } => {
+                platform_message(classes, parts.uri.path(), &parts.headers, body, *clock)
             }
             Routing::Routes(active_config) => active_config.message_from_request(&parts, body),
         };
@@ -567,6 +567,7 @@
     path: &str,
     headers: &HeaderMap,
     body: Bytes,
+    clock: StableClock,
 ) -> Result<(AcceptedMessage, Duration), RequestError> {
     let fields = MessageHeaders::read(headers)?;
     let id = fields.id.ok_or("no X-Request-ID\n")?;
@@ -582,7 +583,7 @@
     let text = headers.get("Envelope").ok_or("no Envelope\n")?;
     let text = text.to_str().map_err(|_| "Envelope is no text\n")?;
     let destination = envelope_destination(text.trim()).ok_or("Envelope names no destination\n")?;
-    let (id, class, key, accepted_at) = (id.to_owned(), name.to_owned(), fields.key, unix_time());
+    let (id, class, key, accepted_at) = (id.to_owned(), name.to_owned(), fields.key, clock.now());
     let deadline = accepted_at + time_left;
     Ok((
         AcceptedMessage { id, class, destination, key, accepted_at, deadline, body, routed: None },
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -2,7 +2,6 @@
 //! and sessions. The active configuration routes each PUBLISH, and the courier accepts or refuses its
 //! message.
 
-use crate::clock::unix_time;
 use crate::events::{
     DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
 };
@@ -13,6 +12,7 @@
 use crate::socket::is_transient;
 use crate::upstream::outcomes;
 use bytes::BytesMut;
+use stairshed_clock::{StableClock, StableTime};
 use stairshed_journal::{Refusal, Verdict};
 use stairshed_memory::{Charge, Purpose};
 use stairshed_mqtt::packet::code;
@@ -27,7 +27,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::Sender;
 use tokio::sync::{Notify, Semaphore, oneshot};
-use tokio::time::{Instant, sleep, sleep_until, timeout};
+use tokio::time::{Instant, sleep, timeout};
 
 /// Prefix of session keys in the journal: `session/USER/CLIENT`.
 pub const SESSION_KEY_PREFIX: &str = "session/";
@@ -57,7 +57,9 @@
 /// Serves MQTT clients and hands their messages to the courier.
 pub struct MqttServer {
     machine: RefCell<Server>,
-    origin: Instant,
+    clock: StableClock,
+    /// When the time of the state machine is zero.
+    origin: StableTime,
     outputs: RefCell<HashMap<u64, Rc<ConnectionOutput>>>,
     /// By token, offers that await the courier's reply, with a flag that is set when their client has left.
     pending_offers: RefCell<HashMap<u64, Rc<Cell<bool>>>>,
@@ -134,8 +136,10 @@
         (active_config, users): (ActiveConfig, Option<Users>),
         events: Sender<DispatcherEvent>,
         records: Vec<(String, bytes::Bytes)>,
+        clock: StableClock,
     ) -> Rc<MqttServer> {
-        let mut machine = Server::new(limits, unix_time(), rand::random());
+        let origin = clock.now();
+        let mut machine = Server::new(limits, origin, rand::random());
         for (owner, record) in records {
             let text = std::str::from_utf8(&record).unwrap_or_default();
             if !machine.restore(&owner, text, Duration::ZERO) {
@@ -144,7 +148,8 @@
         }
         Rc::new(MqttServer {
             machine: RefCell::new(machine),
-            origin: Instant::now(),
+            clock,
+            origin,
             outputs: RefCell::default(),
             pending_offers: RefCell::default(),
             session_memory: RefCell::new(memory_budget.ledger.force_charge(Purpose::Sessions, 0)),
@@ -161,11 +166,16 @@
     }
 
     fn with_machine<T>(&self, act: impl FnOnce(&mut Server, Duration) -> T) -> T {
-        let result = act(&mut self.machine.borrow_mut(), self.origin.elapsed());
+        let result = act(&mut self.machine.borrow_mut(), self.now());
         self.wake.notify_one();
         result
     }
 
+    /// The time of the state machine.
+    fn now(&self) -> stairshed_mqtt::Time {
+        self.clock.now().saturating_duration_since(self.origin)
+    }
+
     fn remove_pending_offer(&self, token: u64) -> Option<Rc<Cell<bool>>> {
         self.pending_offers.borrow_mut().remove(&token)
     }
@@ -185,7 +195,7 @@
             let due = self.machine.borrow().timeout();
             let timer = async {
                 match due {
-                    Some(at) => sleep_until(self.origin + at).await,
+                    Some(at) => sleep(at.saturating_sub(self.now())).await,
                     None => std::future::pending().await,
                 }
             };
@@ -366,7 +376,7 @@
     /// Evicts the connection that has waited longest without a CONNECT. Returns false if there is none.
     fn evict(&self) -> bool {
         let silent = self.machine.borrow().oldest_without_connect();
-        let old = silent.filter(|(_, since)| self.origin.elapsed() > *since + MIN_EVICTION_AGE);
+        let old = silent.filter(|(_, since)| self.now() > *since + MIN_EVICTION_AGE);
         if let Some((connection, _)) = old {
             self.with_machine(|machine, now| machine.shed(connection, now));
             // Frees its slot at once; the state machine's close effect then finds no output and does nothing.
--- a/crates/courier/src/journal_tool.rs
+++ b/crates/courier/src/journal_tool.rs
@@ -1,6 +1,8 @@
 //! `stairshed journal`: inspects the journal of a courier that is not running. Only `compact` writes.
 
 use serde_json::{Value, json};
+use stairshed_clock::{ClockReading, ClockStart, JournalTimes, StableTime, StoredClock, TimeOfDay};
+use stairshed_courier::clock::stored_clock;
 use stairshed_courier::settings::OperatorSettings;
 use stairshed_journal::{
     Attempt, EndedMessage, FileStorage, Journal, JournalContents, LiveMessage, Options, Record, Verdict,
@@ -8,7 +10,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
@@ -29,14 +31,35 @@
     Ok(stairshed_journal::read(&files, &Options::new(u64::MAX / 4), on_record)?)
 }
 
-fn seconds_between(from: Duration, to: Duration) -> f64 {
-    to.as_secs_f64() - from.as_secs_f64()
+/// The clock by which ages are computed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum AgeClock {
+    /// The courier's clock, continued from its record in the journal.
+    Stable,
+    /// The wall clock, since the journal has no record of the courier's clock.
+    Wall,
+}
+
+/// What the clock shows by which ages are computed.
+fn now(found: &JournalContents) -> (StableTime, AgeClock) {
+    let stored = stored_clock(found.notes.values().map(|note| &**note));
+    if !matches!(stored, StoredClock::Readable(_)) {
+        return (StableTime::from_epoch(TimeOfDay::now().as_unix()), AgeClock::Wall);
+    }
+    let attempts = found.live.values().flat_map(|live| live.attempts.iter().map(|a| a.sent_at));
+    let latest = attempts.chain(found.live.values().map(|live| live.accepted.accepted_at)).max();
+    let journal = JournalTimes { latest: latest.unwrap_or_default(), holds_messages: !found.live.is_empty() };
+    (ClockStart::new(&stored, journal, &ClockReading::now()).clock.now(), AgeClock::Stable)
+}
+
+fn seconds_between(from: StableTime, to: StableTime) -> f64 {
+    to.since_epoch().as_secs_f64() - from.since_epoch().as_secs_f64()
 }
 
 /// Lists the live messages, and prints totals.
 pub fn inspect(folder: &Path, out: &mut impl Write) -> Result<(), Error> {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let found = read(folder, &mut |_, _| {})?;
+    let (now, age_clock) = now(&found);
     let (mut body_bytes, mut name_bytes, mut attempts, mut with_verdict, mut may_have_run) = (0, 0, 0, 0, 0);
     writeln!(
         out,
@@ -56,7 +79,7 @@
             Some(Verdict::Bounced { .. }) => "bounced",
         };
         let left = seconds_between(now, accepted.deadline);
-        let age = match accepted.accepted_at.is_zero() {
+        let age = match accepted.accepted_at.is_epoch() {
             true => "-".to_owned(),
             false => format!("{:.1}", seconds_between(accepted.accepted_at, now)),
         };
@@ -67,6 +90,9 @@
             accepted.class, accepted.id
         )?;
     }
+    if age_clock == AgeClock::Wall {
+        writeln!(out, "ages: by the wall clock, the journal has no record of the courier's clock")?;
+    }
     writeln!(
         out,
         "messages: {} live, {with_verdict} with a verdict, {may_have_run} that may have run",
@@ -139,19 +165,19 @@
 
 fn record_json(seq: u64, record: &Record) -> Value {
     let micros = |t: Duration| t.as_micros() as u64;
-    let attempt = |a: &Attempt| json!({"host": a.host, "zone": a.zone, "sent_us": micros(a.sent_at), "may_have_run": a.may_have_run});
+    let attempt = |a: &Attempt| json!({"host": a.host, "zone": a.zone, "sent_us": a.sent_at.as_micros(), "may_have_run": a.may_have_run});
     let verdict = |v: &Verdict| match v {
         Verdict::Dead => json!({"result": "dead"}),
         Verdict::Bounced { wait } => json!({"result": "bounced", "wait_us": wait.map(micros)}),
     };
     let remembered_json = |k: &EndedMessage| {
-        json!({"id": k.id, "owner": k.owner, "until_us": micros(k.until),
+        json!({"id": k.id, "owner": k.owner, "until_us": k.until.as_micros(),
             "verdict": k.verdict.as_ref().map(verdict)})
     };
     let live_json = |live: &LiveMessage| {
         let l = &live.accepted;
         json!({"id": l.id, "class": l.class, "destination": l.destination, "key": l.key,
-            "taken_us": micros(l.accepted_at), "until_us": micros(l.deadline), "body_bytes": l.body.len(),
+            "taken_us": l.accepted_at.as_micros(), "until_us": l.deadline.as_micros(), "body_bytes": l.body.len(),
             "attempts": live.attempts.iter().map(attempt).collect::<Vec<_>>(),
             "verdict": live.verdict.as_ref().map(verdict)})
     };
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub mod admin_client;
 mod bootstrap;
-mod clock;
+pub mod clock;
 mod discovery;
 mod dispatcher;
 mod events;
--- a/crates/courier/src/message_trace.rs
+++ b/crates/courier/src/message_trace.rs
@@ -2,6 +2,7 @@
 //! by default and limited in lines per second. It depends on no other part of the courier and changes no
 //! decision.
 
+use stairshed_clock::TimeOfDay;
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::fmt::{Arguments, Display};
@@ -104,7 +105,7 @@
 
 #[cold]
 fn write(id: impl Display, what: Arguments) {
-    let now = crate::clock::unix_time();
+    let now = TimeOfDay::now().as_unix();
     let Some(dropped) = LINE_COUNT.with(|count| admit_line(now.as_secs(), count)) else { return };
     let mut out = std::io::stderr().lock();
     // Write errors are ignored: the trace must not stop the courier.
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -1,10 +1,10 @@
 //! Connection to one MQTT broker: the socket I/O for the protocol state machine of `stairshed-mqtt`.
 
-use crate::clock::unix_time;
 use crate::events::{AfterAttempt, CallResult, DispatcherEvent};
 use crate::socket::is_transient;
 use crate::upstream::endpoint_client::Call;
 use bytes::Bytes;
+use stairshed_clock::{StableClock, StableTime};
 use stairshed_config::file::{self, MqttVersion};
 use stairshed_decide::interface::{Effect, EndpointId, Outcome};
 use stairshed_journal::AcceptedMessage;
@@ -38,6 +38,7 @@
     topic: String,
     settings: file::Broker,
     origin: Instant,
+    clock: StableClock,
     mqtt_client: RefCell<Client>,
     /// Messages in flight, with the number of the attempt.
     attempts: RefCell<HashMap<u64, u32>>,
@@ -59,6 +60,7 @@
         (address, topic): (SocketAddr, String),
         (settings, client, connect_timeout): (file::Broker, String, Duration),
         folder: &Path,
+        clock: StableClock,
         events: Sender<DispatcherEvent>,
     ) -> Rc<BrokerConnection> {
         let password = settings.password_file.as_ref().and_then(|f| match password(folder, f) {
@@ -92,6 +94,7 @@
             topic,
             settings,
             origin: Instant::now(),
+            clock,
             mqtt_client: RefCell::new(Client::new(options)),
             attempts: RefCell::default(),
             wake: Notify::new(),
@@ -141,32 +144,32 @@
         self.with_client(|mqtt_client, now| mqtt_client.publish(id, message, now));
     }
 
-    /// Restores an attempt from before a restart. `sent` is Unix time; `released` is whether its PUBREC had
+    /// Restores an attempt from before a restart. `sent` is its time; `released` is whether its PUBREC had
     /// arrived.
     pub fn resume(
         &self,
         id: u16,
         (number, attempt, accepted): (u64, u32, Rc<AcceptedMessage>),
         effect: Effect,
-        (sent, released): (Duration, bool),
+        (sent, released): (StableTime, bool),
     ) {
         self.attempts.borrow_mut().insert(number, attempt);
-        let response_timeout = accepted.deadline.saturating_sub(unix_time());
+        let response_timeout = accepted.deadline.saturating_duration_since(self.clock.now());
         let message = self.message(number, &accepted, response_timeout, effect, Some(sent));
         self.with_client(|mqtt_client, now| mqtt_client.resume(id, message, released, now));
     }
 
-    /// The MQTT message for a delivery. `sent` is the Unix time of the attempt; None for a new one.
+    /// The MQTT message for a delivery. `sent` is the time of the attempt; None for a new one.
     fn message(
         &self,
         number: u64,
         accepted: &AcceptedMessage,
         response_timeout: Duration,
         effect: Effect,
-        sent: Option<Duration>,
+        sent: Option<StableTime>,
     ) -> Message {
-        let (unix, now) = (unix_time(), self.origin.elapsed());
-        let left = accepted.deadline.saturating_sub(unix);
+        let (stable_now, now) = (self.clock.now(), self.origin.elapsed());
+        let left = accepted.deadline.saturating_duration_since(stable_now);
         // At QoS 1 a broker treats a retransmission as a new message, so messages that must not run twice use
         // QoS 2.
         let qos = if effect == Effect::Once || self.settings.qos == 2 {
@@ -175,7 +178,12 @@
             Qos::AtLeastOnce
         };
         let retransmit_until = match effect {
-            Effect::Keyed { window, .. } => now + (sent.unwrap_or(unix) + window).saturating_sub(unix),
+            Effect::Keyed { window, .. } => {
+                // A window that is not provably open counts as closed.
+                let elapsed =
+                    sent.map_or(Some(Duration::ZERO), |at| self.clock.proven_duration(at, stable_now));
+                now + elapsed.map_or(Duration::ZERO, |elapsed| window.saturating_sub(elapsed))
+            }
             Effect::Repeatable | Effect::Once => NEVER,
         };
         let mut properties = vec![("X-Request-ID".to_owned(), accepted.id.clone())];
--- a/crates/journal/benches/journal.rs
+++ b/crates/journal/benches/journal.rs
@@ -8,6 +8,7 @@
 //! The run takes a few minutes and up to 3 GB.
 
 use bytes::Bytes;
+use stairshed_clock::StableTime;
 use stairshed_journal::{AcceptedMessage, Durability, FileStorage, Journal, Options};
 use std::fs::{self, File, OpenOptions};
 use std::io::{Read, Write};
@@ -32,8 +33,8 @@
         class: "payment".to_owned(),
         destination: n % 50,
         key: Some(format!("{n:032x}")),
-        accepted_at: Duration::from_secs(1_789_999_990),
-        deadline: Duration::from_secs(1_790_000_000),
+        accepted_at: StableTime::from_epoch(Duration::from_secs(1_789_999_990)),
+        deadline: StableTime::from_epoch(Duration::from_secs(1_790_000_000)),
         body: Bytes::from(vec![n as u8; body]),
         routed: None,
     })
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -11,10 +11,10 @@
 use crate::state::{Item, State, with_end_record};
 use crate::storage::{Storage, StoredFile, read_into};
 use crate::sync::{DiskTrust, SyncJob, SyncOutcome};
+use stairshed_clock::StableTime;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Duration;
 
 /// File whose preallocated blocks reserve disk space for records that accepted messages still need.
 const RESERVE_FILE: &str = "set-aside";
@@ -304,8 +304,8 @@
         self.state.last_number()
     }
 
-    /// Latest time in any record, Unix time. A clock that shows an earlier time has jumped back.
-    pub fn latest_time(&self) -> Duration {
+    /// Latest time in any record.
+    pub fn latest_time(&self) -> StableTime {
         self.state.latest_time()
     }
 
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -3,6 +3,7 @@
 
 use crate::record::{AcceptedMessage, Attempt, FieldReader, LiveMessage, Verdict};
 use bytes::Bytes;
+use stairshed_clock::StableTime;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,7 +33,7 @@
     *last = message.max(*last);
     match kind {
         ACCEPTED => {
-            let (deadline, destination) = (Duration::from_micros(f.u64()?), f.u64()?);
+            let (deadline, destination) = (f.stable_time()?, f.u64()?);
             let (id, class, keyed, key) = (text(&mut f)?, text(&mut f)?, f.byte()? == 1, text(&mut f)?);
             let length = f.u32()? as usize;
             let body = Bytes::copy_from_slice(f.take(length)?);
@@ -42,7 +43,7 @@
                 class,
                 destination,
                 key,
-                accepted_at: Duration::ZERO,
+                accepted_at: StableTime::EPOCH,
                 deadline,
                 body,
                 routed: None,
@@ -53,7 +54,7 @@
             );
         }
         ATTEMPT => {
-            let (sent_at, host, zone) = (Duration::from_micros(f.u64()?), text(&mut f)?, text(&mut f)?);
+            let (sent_at, host, zone) = (f.stable_time()?, text(&mut f)?, text(&mut f)?);
             if let Some(m) = live.get_mut(&message) {
                 m.attempts.push(Attempt { host, zone, sent_at, may_have_run: true });
             }
--- a/crates/journal/src/legacy_test.rs
+++ b/crates/journal/src/legacy_test.rs
@@ -16,7 +16,7 @@
 
 fn accepted_record(message: u64, accepted: &AcceptedMessage) -> Vec<u8> {
     let mut to = head(ACCEPTED, message);
-    to.put_u64_le(accepted.deadline.as_micros() as u64);
+    to.put_u64_le(accepted.deadline.as_micros());
     to.put_u64_le(accepted.destination);
     put_text(&mut to, accepted.id.as_bytes());
     put_text(&mut to, accepted.class.as_bytes());
@@ -54,8 +54,8 @@
         destination: 7,
         key: (!body.is_empty()).then(|| format!("k-{id}")),
         routed: None,
-        accepted_at: Duration::ZERO,
-        deadline: Duration::from_micros(1_790_000_000_000_001),
+        accepted_at: StableTime::EPOCH,
+        deadline: StableTime::from_micros(1_790_000_000_000_001),
         body: Bytes::from_static(body),
     }
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -2,6 +2,7 @@
 //! little-endian.
 
 use bytes::{BufMut, Bytes};
+use stairshed_clock::StableTime;
 use stairshed_decide::interface::{Effect, KeyScope};
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,10 +14,10 @@
     pub class: String,
     pub destination: u64,
     pub key: Option<String>,
-    /// Time of acceptance, Unix time; zero if unknown, as in the old format.
-    pub accepted_at: Duration,
-    /// Time after which the message is not delivered any more, Unix time.
-    pub deadline: Duration,
+    /// Time of acceptance; the epoch if unknown, as in the old format.
+    pub accepted_at: StableTime,
+    /// Time after which the message is not delivered any more.
+    pub deadline: StableTime,
     pub body: Bytes,
     /// The request that an operator's route made of it; `None` for a message in the platform protocol.
     pub routed: Option<RoutedRequest>,
@@ -53,8 +54,8 @@
     pub owner: Option<String>,
     /// `None` if the message was delivered.
     pub verdict: Option<Verdict>,
-    /// Time until which the id is remembered, Unix time.
-    pub until: Duration,
+    /// Time until which the id is remembered; the epoch if it is not.
+    pub until: StableTime,
 }
 
 /// A named value that another part of the courier stores across restarts, such as the state of an MQTT
@@ -71,15 +72,15 @@
     /// Empty if the record of the attempt was lost; see [`crate::Damage`].
     pub host: String,
     pub zone: String,
-    /// Time of the attempt, Unix time.
-    pub sent_at: Duration,
+    /// Time of the attempt.
+    pub sent_at: StableTime,
     /// Whether the message may have taken effect; true until an outcome proves that it did not.
     pub may_have_run: bool,
 }
 
 impl Attempt {
     /// An attempt that a lost record may have described: it may have run, at an unknown host.
-    pub(crate) fn unknown(sent_at: Duration) -> Self {
+    pub(crate) fn unknown(sent_at: StableTime) -> Self {
         Attempt { host: String::new(), zone: String::new(), sent_at, may_have_run: true }
     }
 }
@@ -239,7 +240,7 @@
 fn read_routed(f: &mut FieldReader, owned: bool) -> Option<RoutedRequest> {
     let (version, route, method, path) = (f.u64()?, f.text()?, f.text()?, f.text()?);
     let headers = (0..f.u16()?).map(|_| Some((f.text()?, f.text()?))).collect::<Option<Vec<_>>>()?;
-    let (effect, window) = (f.byte()?, f.time()?);
+    let (effect, window) = (f.byte()?, f.span()?);
     let effect = match effect {
         0 => Effect::Repeatable,
         1 => Effect::Once,
@@ -249,7 +250,7 @@
         _ => return None,
     };
     let order_key = f.option()?;
-    let (owner, remember_for) = if owned { (f.option()?, f.time()?) } else { (None, Duration::ZERO) };
+    let (owner, remember_for) = if owned { (f.option()?, f.span()?) } else { (None, Duration::ZERO) };
     Some(RoutedRequest { version, route, method, path, headers, effect, order_key, owner, remember_for })
 }
 
@@ -265,8 +266,8 @@
     to.put_slice(text.as_bytes());
 }
 
-fn micros(time: Duration) -> u64 {
-    time.as_micros().min(u128::from(u64::MAX)) as u64
+fn micros(span: Duration) -> u64 {
+    span.as_micros().min(u128::from(u64::MAX)) as u64
 }
 
 fn put_verdict(to: &mut Vec<u8>, verdict: Verdict) {
@@ -288,8 +289,8 @@
         Some(_) => ROUTED,
     });
     to.put_u64_le(message);
-    to.put_u64_le(micros(accepted.accepted_at));
-    to.put_u64_le(micros(accepted.deadline));
+    to.put_u64_le(accepted.accepted_at.as_micros());
+    to.put_u64_le(accepted.deadline.as_micros());
     to.put_u64_le(accepted.destination);
     put_text(to, &accepted.id);
     put_text(to, &accepted.class);
@@ -297,7 +298,7 @@
     to.put_u16_le(live.attempts.len().min(usize::from(u16::MAX)) as u16);
     for a in live.attempts.iter().take(usize::from(u16::MAX)) {
         to.put_u8(u8::from(a.may_have_run));
-        to.put_u64_le(micros(a.sent_at));
+        to.put_u64_le(a.sent_at.as_micros());
         put_text(to, &a.host);
         put_text(to, &a.zone);
     }
@@ -346,7 +347,7 @@
             Record::Attempt { message, index, attempt } => {
                 head(ATTEMPT, *message);
                 to.put_u16_le(*index);
-                to.put_u64_le(micros(attempt.sent_at));
+                to.put_u64_le(attempt.sent_at.as_micros());
                 put_text(to, &attempt.host);
                 put_text(to, &attempt.zone);
             }
@@ -370,7 +371,7 @@
                     }
                     Some(verdict) => put_verdict(to, verdict),
                 }
-                to.put_u64_le(micros(kept.until));
+                to.put_u64_le(kept.until.as_micros());
             }
             Record::Note { number, note } => {
                 head(NOTE, *number);
@@ -397,7 +398,7 @@
                     0 => f.u64().map(|_| None)?,
                     kind => Some(verdict_of(kind, &mut f)?),
                 };
-                let kept = EndedMessage { id, owner, verdict, until: f.time()? };
+                let kept = EndedMessage { id, owner, verdict, until: f.stable_time()? };
                 Record::Kept { message: number, kept: Rc::new(kept) }
             }
             NOTE => {
@@ -407,7 +408,7 @@
                 Record::Note { number, note: Rc::new(note) }
             }
             ATTEMPT => {
-                let (index, sent_at) = (f.u16()?, f.time()?);
+                let (index, sent_at) = (f.u16()?, f.stable_time()?);
                 let attempt = Attempt { host: f.text()?, zone: f.text()?, sent_at, may_have_run: true };
                 Record::Attempt { message: number, index, attempt }
             }
@@ -437,11 +438,11 @@
 }
 
 fn read_snapshot(f: &mut FieldReader, kind: u8) -> Option<LiveMessage> {
-    let (accepted_at, deadline, destination) = (f.time()?, f.time()?, f.u64()?);
+    let (accepted_at, deadline, destination) = (f.stable_time()?, f.stable_time()?, f.u64()?);
     let (id, class, key) = (f.text()?, f.text()?, f.option()?);
     let attempts = (0..f.u16()?)
         .map(|_| {
-            let (ran, sent_at) = (f.byte()? == 1, f.time()?);
+            let (ran, sent_at) = (f.byte()? == 1, f.stable_time()?);
             Some(Attempt { host: f.text()?, zone: f.text()?, sent_at, may_have_run: ran })
         })
         .collect::<Option<Vec<_>>>()?;
@@ -462,7 +463,7 @@
 }
 
 fn verdict_of(kind: u8, f: &mut FieldReader) -> Option<Verdict> {
-    let wait = f.time()?;
+    let wait = f.span()?;
     match kind {
         1 => Some(Verdict::Dead),
         2 => Some(Verdict::Bounced { wait: None }),
@@ -497,10 +498,14 @@
         self.take(8)?.try_into().ok().map(u64::from_le_bytes)
     }
 
-    pub fn time(&mut self) -> Option<Duration> {
+    pub fn span(&mut self) -> Option<Duration> {
         self.u64().map(Duration::from_micros)
     }
 
+    pub fn stable_time(&mut self) -> Option<StableTime> {
+        self.u64().map(StableTime::from_micros)
+    }
+
     pub fn text(&mut self) -> Option<String> {
         let n = self.u16()?;
         String::from_utf8(self.take(n.into())?.to_vec()).ok()
--- a/crates/journal/src/record_test.rs
+++ b/crates/journal/src/record_test.rs
@@ -12,8 +12,8 @@
         class: "payment".to_owned(),
         destination: 7,
         key: Some(String::new()),
-        accepted_at: Duration::from_micros(1_790_000_000_000_000),
-        deadline: Duration::from_micros(1_790_000_000_000_001),
+        accepted_at: StableTime::from_micros(1_790_000_000_000_000),
+        deadline: StableTime::from_micros(1_790_000_000_000_001),
         body: Bytes::from_static(b"bo\0dy"),
         routed: None,
     };
@@ -38,7 +38,7 @@
         attempts: Vec::new(),
         verdict: None,
     });
-    let sent_at = Duration::from_micros(1_790_000_000_000_002);
+    let sent_at = StableTime::from_micros(1_790_000_000_000_002);
     let attempt = Attempt { host: "s-1".to_owned(), zone: "a".to_owned(), sent_at, may_have_run: true };
     let mut live = LiveMessage { accepted: Rc::new(accepted), attempts: Vec::new(), verdict: None };
     let fresh = live.clone();
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -4,9 +4,9 @@
 use crate::log::FRAME_OVERHEAD_BYTES;
 use crate::options::Options;
 use crate::record::{Attempt, ENDED_BYTES, EndedMessage, LiveMessage, Note, Record};
+use stairshed_clock::StableTime;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use std::time::Duration;
 
 /// What is stored under a number.
 #[derive(Clone)]
@@ -58,8 +58,8 @@
     notes: u64,
     /// Highest number in any record.
     last_number: u64,
-    /// Latest time in any record, Unix time.
-    latest_time: Duration,
+    /// Latest time in any record.
+    latest_time: StableTime,
     /// Numbers that have records but no snapshot. Empty at the end of an undamaged log.
     orphans: BTreeSet<u64>,
 }
@@ -225,7 +225,7 @@
         self.last_number
     }
 
-    pub fn latest_time(&self) -> Duration {
+    pub fn latest_time(&self) -> StableTime {
         self.latest_time
     }
 
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
+use stairshed_clock::StableTime;
 use stairshed_journal::storage::faulty::FaultyStorage;
 use stairshed_journal::{
     AcceptedMessage, Attempt, Durability, EndedMessage, Journal, LiveMessage, Note, Options, RecoveryReport,
@@ -17,7 +18,7 @@
 pub type EndedAndNotes = (BTreeMap<u64, EndedMessage>, BTreeMap<u64, Note>);
 pub type Image = BTreeMap<String, Vec<u8>>;
 
-pub const NOW: Duration = Duration::from_secs(1_790_000_000);
+pub const NOW: StableTime = StableTime::from_epoch(Duration::from_secs(1_790_000_000));
 
 /// Options with small segments, so that a short history has many.
 pub fn small_options(durability: Durability) -> Options {
--- a/crates/mqtt/src/server.rs
+++ b/crates/mqtt/src/server.rs
@@ -18,6 +18,7 @@
 use crate::session::Session;
 pub use crate::session::{Outcome, SESSION_BYTES};
 use bytes::{Bytes, BytesMut};
+use stairshed_clock::StableTime;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -217,7 +218,7 @@
 pub struct Server {
     limits: Limits,
     /// Unix time at which the monotonic clock reads zero.
-    origin: Duration,
+    origin: StableTime,
     /// Random part of the ids assigned to clients that send none.
     nonce: u64,
     connections: HashMap<u64, Connection>,
@@ -283,8 +284,9 @@
 }
 
 impl Server {
-    /// Creates a server without sessions; `origin` is the Unix time at which the clock reads zero.
-    pub fn new(limits: Limits, origin: Duration, nonce: u64) -> Self {
+    /// Creates a server without sessions; `origin` is the point on the stable clock at which
+    /// [`Time`] is zero.
+    pub fn new(limits: Limits, origin: StableTime, nonce: u64) -> Self {
         Server {
             limits,
             origin,
--- a/crates/mqtt/src/server/connection.rs
+++ b/crates/mqtt/src/server/connection.rs
@@ -282,10 +282,11 @@
     /// Schedules the will and the expiry of a session without a connection.
     pub(super) fn schedule_session_end(&mut self, owner: &str, now: Time) {
         let Some(session) = self.sessions.get(owner) else { return };
-        let unix = self.origin + now;
-        let disconnected_at = session.gone.unwrap_or(unix);
+        let stable_now = self.origin + now;
+        let disconnected_at = session.gone.unwrap_or(stable_now);
         let due_at = |seconds: u32| {
-            now + (disconnected_at + Duration::from_secs(u64::from(seconds))).saturating_sub(unix)
+            let due = disconnected_at + Duration::from_secs(u64::from(seconds));
+            now + due.saturating_duration_since(stable_now)
         };
         let (expiry, will) = (session.expiry, session.will.as_ref().map(|w| w.delay.min(session.expiry)));
         // The will is sent after its delay or at the end of the session, whichever comes first
--- a/crates/mqtt/src/server_test.rs
+++ b/crates/mqtt/src/server_test.rs
@@ -44,7 +44,7 @@
 
     fn with(limits: Limits) -> Self {
         Harness {
-            server: Server::new(limits, Duration::from_secs(1_790_000_000), 7),
+            server: Server::new(limits, StableTime::from_epoch(Duration::from_secs(1_790_000_000)), 7),
             now: Duration::from_secs(100),
             readers: HashMap::new(),
             received_packets: HashMap::new(),
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -5,6 +5,7 @@
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
+use stairshed_clock::StableTime;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -29,8 +30,8 @@
     /// Session Expiry Interval in seconds; `u32::MAX` means that the session does not expire.
     pub expiry: u32,
     pub connection: Option<u64>,
-    /// When the connection ended, as Unix time.
-    pub gone: Option<Duration>,
+    /// When the connection ended.
+    pub gone: Option<StableTime>,
     /// Packet ids of accepted QoS 2 messages that wait for their PUBREL.
     pub releases: BTreeSet<u16>,
     /// Packet ids of PUBLISHes that wait for a decision, with the token of the offer.
@@ -108,7 +109,7 @@
             client: self.client.clone(),
             version: self.version,
             expiry: self.expiry,
-            gone: self.gone.map(|at| at.as_secs()),
+            gone: self.gone.map(|at| at.since_epoch().as_secs()),
             releases: self.releases.clone(),
             subscribed: self.subscribed.map(|qos| qos.value()),
             will,
@@ -136,7 +137,7 @@
         };
         Some(Session {
             expiry: stored.expiry,
-            gone: stored.gone.map(Duration::from_secs),
+            gone: stored.gone.map(|seconds| StableTime::from_epoch(Duration::from_secs(seconds))),
             releases: stored.releases,
             subscribed: stored.subscribed.and_then(qos),
             will,
@@ -152,7 +153,7 @@
     client: String,
     version: Version,
     expiry: u32,
-    /// Unix time in seconds; `None` if the client was connected.
+    /// Seconds on the stable clock; `None` if the client was connected.
     gone: Option<u64>,
     releases: BTreeSet<u16>,
     subscribed: Option<u8>,
--- a/crates/mqtt/src/session_test.rs
+++ b/crates/mqtt/src/session_test.rs
@@ -4,7 +4,7 @@
 fn what_is_recorded_is_restored() {
     let mut session = Session::new("van-7", Version::V5);
     session.expiry = 3600;
-    session.gone = Some(Duration::from_secs(1_790_000_000));
+    session.gone = Some(StableTime::from_epoch(Duration::from_secs(1_790_000_000)));
     session.releases = [1, 9, 65535].into();
     session.subscribed = Some(Qos::AtLeastOnce);
     session.will = Some(Will {
--- a/crates/mqtt/tests/hostile.rs
+++ b/crates/mqtt/tests/hostile.rs
@@ -6,6 +6,7 @@
 use bytes::Bytes;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use stairshed_clock::StableTime;
 use stairshed_mqtt::client::{Client, Message, Options};
 use stairshed_mqtt::packet::{
     Ack, Connack, Connect, Disconnect, Packet, Publish, Qos, Subscribe, Version, Will,
@@ -125,7 +126,7 @@
             max_outcomes: 3,
             wills: rng.random_bool(0.9),
         },
-        Duration::from_secs(1_790_000_000),
+        StableTime::from_epoch(Duration::from_secs(1_790_000_000)),
         1,
     );
     let mut now = Duration::from_secs(1);
