--- a/crates/courier/src/ingress/mqtt_test.rs
+++ b/crates/courier/src/ingress/mqtt_test.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::ingress::session_memory::MIN_MEASUREMENT_INTERVAL;
 use crate::ingress::users::password_line;
+use stairshed_clock::{ClockReading, ClockStart, JournalTimes, StableTime, StoredClock};
 use stairshed_config::installation;
 use stairshed_memory::{ByPurpose, Caps};
 use stairshed_mqtt::frame::{Reader, encode};
@@ -51,6 +52,12 @@
     Connect { user, password, ..Connect::new(Version::V5, client) }
 }
 
+/// The clock of a courier without stored state.
+fn clock() -> StableClock {
+    let times = JournalTimes { latest: StableTime::default(), holds_messages: false };
+    ClockStart::new(&StoredClock::Missing, times, &ClockReading::now()).clock
+}
+
 impl Harness {
     /// Must be called within a [`LocalSet`].
     fn new() -> Harness {
@@ -59,10 +66,12 @@
         let memory_budget = MemoryBudget::new(&caps, 1.0);
         let rejecter = ConnectionRejecter::start(&memory_budget);
         let installation = installation::load("test", "name = \"c1\"\n").expect("a valid configuration");
-        let active_config = ActiveConfig::new(0, Arc::new(installation));
+        let clock = clock();
+        let active_config = ActiveConfig::new(0, Arc::new(installation), clock);
         let (sender, events) = mpsc::channel(16);
         let bounds = (100, memory_budget, rejecter);
-        let server = MqttServer::new(limits(), bounds, (active_config, Some(users())), sender, Vec::new());
+        let server =
+            MqttServer::new(limits(), bounds, (active_config, Some(users())), sender, Vec::new(), clock);
         Harness { server, _events: events }
     }
 
