--- a/crates/testkit/src/record.rs
+++ b/crates/testkit/src/record.rs
@@ -9,6 +9,8 @@
 
 /// Status with which a courier accepts a message.
 const ACCEPTED: u16 = 202;
+/// Begins the line with which the library `stairshed-preload` refuses a rule.
+const REFUSED_RULE: &str = "stairshed-preload: ";
 
 /// The records of one run.
 #[derive(Clone, Debug)]
@@ -139,11 +141,15 @@
         calls.filter_map(|call| call.ended).chain(notices).min()
     }
 
-    /// The planned faults that never happened.
+    /// The planned faults that never happened, and the rules that the library refused.
     pub fn unreached(&self) -> Vec<String> {
         let faults = self.plan.faults.iter().zip(&self.reached);
         let never = faults.filter(|(_, counts)| counts.values().all(|number| *number == 0));
-        never.map(|(fault, _)| fault.to_string()).collect()
+        let mut all: Vec<_> = never.map(|(fault, _)| fault.to_string()).collect();
+        let refused = self.log.iter().filter(|line| line.text.starts_with(REFUSED_RULE));
+        all.extend(refused.map(|line| line.text.clone()));
+        all.dedup();
+        all
     }
 
     /// All that the records say about a message, in the order of time, with what was done meanwhile.
