--- a/crates/courier/tests/system_errors.rs
+++ b/crates/courier/tests/system_errors.rs
@@ -311,8 +311,8 @@
 
 #[test]
 fn a_start_waits_for_an_address_that_cannot_be_bound_for_two_seconds() {
-    for errno in ["EADDRINUSE", "EMFILE"] {
-        let log = start_under(&format!("bind {errno} 1"), Duration::from_secs(2));
+    for rule in ["bind EADDRINUSE 1", "socket EMFILE 1"] {
+        let log = start_under(rule, Duration::from_secs(2));
         let waits = |line: &String| line.contains("listen.http: ") && line.ends_with("tries again for 5 s");
         assert!(log.iter().any(waits), "{log:?}");
     }
