--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -4,6 +4,7 @@
 use super::settings::OperatorSettings;
 use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock, log_recovery, signal_stream};
 use crate::dispatcher::Dispatcher;
+use crate::dispatcher::planted_settings::scheduler_settings;
 use crate::events::DispatcherEvent;
 use crate::ingress::http::{HttpServer, Routing, ServerState};
 use crate::ingress::listener::listen;
@@ -78,7 +79,7 @@
     config.settings.keepalive = endpoint_client.idle_timeout();
     config.settings.membership_lease_duration = Some(ENDPOINT_LIST_LEASE);
     let lists_are_pushed = !config.settings.subscription_required;
-    let scheduler = Scheduler::new(config.settings.clone(), config.seed);
+    let scheduler = Scheduler::new(scheduler_settings(config.settings.clone()), config.seed);
     let scheduler = scheduler.map_err(|e| StartupError::Invalid("LB_CONFIG", e))?;
     let (events, event_queue) = mpsc::channel(EVENT_QUEUE_LENGTH);
     if lists_are_pushed {
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -7,6 +7,7 @@
 use crate::discovery::control::{ConfigStatus, ConfigUpdater, VersionStore};
 use crate::discovery::dns;
 use crate::dispatcher::Dispatcher;
+use crate::dispatcher::planted_settings::scheduler_settings;
 use crate::dispatcher::setup::Setup;
 use crate::events::DispatcherEvent;
 use crate::ingress::active_config::ActiveConfig;
@@ -201,8 +202,8 @@
     );
     setup.settings.keepalive = endpoint_client.idle_timeout();
     let connections = endpoint_client.connection_status();
-    let scheduler =
-        Scheduler::new(setup.settings.clone(), setup.seed).map_err(|e| invalid("configuration", e))?;
+    let scheduler = Scheduler::new(scheduler_settings(setup.settings.clone()), setup.seed)
+        .map_err(|e| invalid("configuration", e))?;
     let (events, event_queue) = mpsc::channel(EVENT_QUEUE_LENGTH);
     let server_state = Rc::new(ServerState::default());
     let rejecter = ConnectionRejecter::start(&memory_budget);
--- a/crates/courier/src/discovery/outage_detector.rs
+++ b/crates/courier/src/discovery/outage_detector.rs
@@ -1,6 +1,7 @@
 //! Distinguishes an outage of discovery, in which no courier learns of a change, from an overload, in which
 //! discovery announces changes to others while it refuses this courier.
 
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::future::Future;
 use std::pin::pin;
 use std::time::Duration;
@@ -75,6 +76,7 @@
         let refusals_are_outage =
             self.failed_calls >= MIN_QUICK_REFUSALS && self.failing_for >= MIN_REFUSING_TIME;
         match failure {
+            CallFailure::NotServed if is_planted(PlantedFault::LeaseRenewedByRefusal) => true,
             CallFailure::NoConnection => true,
             CallFailure::ConnectTimedOut | CallFailure::NotServed => {
                 waited >= MIN_OUTAGE_WAIT || refusals_are_outage
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -21,6 +21,7 @@
 mod members;
 mod memory;
 mod notices;
+pub mod planted_settings;
 mod records;
 pub mod setup;
 mod shutdown;
@@ -37,6 +38,7 @@
 use members::Members;
 use memory::Memory;
 use notices::Notices;
+use planted_settings::scheduler_settings;
 use records::{COMPACTION_INTERVAL, DISK_RETRY_INTERVAL, Records};
 use setup::Setup;
 use shutdown::{SHUTDOWN_CHECK_INTERVAL, Shutdown};
@@ -44,6 +46,7 @@
 use stairshed_decide::interface::*;
 use stairshed_decide::scheduler::Scheduler;
 use stairshed_journal::{Journal, Verdict};
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::mpsc::{Receiver, Sender};
@@ -141,7 +144,7 @@
     }
 
     fn reconfigure(&mut self) {
-        if let Err(why) = self.scheduler.reconfigure(self.setup.settings.clone()) {
+        if let Err(why) = self.scheduler.reconfigure(scheduler_settings(self.setup.settings.clone())) {
             // The settings were checked before; on an error the scheduler keeps the previous ones.
             eprintln!("configuration: {why}");
         }
@@ -285,6 +288,9 @@
             self.events.push(Event::TimerFired { token });
         }
         self.drop_abandoned_submissions();
+        if is_planted(PlantedFault::DeadlineByWallClock) {
+            self.end_overdue_by_wall_clock();
+        }
         self.apply_pending_changes();
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -4,6 +4,7 @@
 
 use super::held_message::{DeferredAction, HeldMessage};
 use super::memory::MessageMemory;
+use super::planted_settings::scheduler_time_left;
 use super::{Dispatcher, Verdict};
 use crate::events::{Reply, ReplyTo, Submission};
 use crate::message_trace;
@@ -71,7 +72,7 @@
             tenant: 0,
             destination: DestinationId(submission.accepted.destination),
             key: submission.accepted.routed.as_ref().and_then(|r| r.order_key.clone()),
-            time_left: submission.time_left.saturating_sub(submission.at.elapsed()),
+            time_left: scheduler_time_left(submission.time_left.saturating_sub(submission.at.elapsed())),
             estimated_work: None,
             history: Past::default(),
         }));
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -10,6 +10,7 @@
 use crate::upstream::exchange::ExchangeLog;
 use stairshed_decide::interface::*;
 use stairshed_journal::{Attempt, Verdict};
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -37,6 +38,9 @@
 
     /// Records the result of a call and passes it to the scheduler.
     pub(super) fn call_ended(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallResult) {
+        if is_planted(PlantedFault::AttemptRecordedLate) {
+            self.record_ended_attempt(message, endpoint);
+        }
         // These outcomes prove that the message never ran; after any other it may have run.
         let never = matches!(
             end.outcome,
@@ -95,6 +99,15 @@
         }
     }
 
+    /// Planted fault: records an attempt that has ended.
+    fn record_ended_attempt(&mut self, message: u64, endpoint: EndpointId) {
+        let Some(ended) = self.members.endpoints.get(&endpoint) else { return };
+        let zone = self.setup.zones.get(ended.zone).cloned().unwrap_or_default();
+        let attempt = Attempt { host: ended.host.clone(), zone, sent_at: unix_time(), may_have_run: true };
+        // Without room the message goes on without the record.
+        let _ = self.journal.record_attempt(message, attempt);
+    }
+
     /// Starts the calls that the scheduler asked for, once their attempts are in the journal.
     pub(super) fn start_calls(&mut self, sends: Vec<(u64, EndpointId, Duration)>, now: Instant) {
         let late = self.shutdown.since.is_some_and(|t| now >= t + ATTEMPT_CUTOFF);
@@ -127,7 +140,12 @@
                 self.events.push(not_sent(message, endpoint, Outcome::Full { wait: None }));
                 continue;
             };
-            let Ok(number) = self.journal.record_attempt(message, attempt) else {
+            let recorded = if is_planted(PlantedFault::AttemptRecordedLate) {
+                Ok(self.journal.get(message).map_or(0, |live| live.attempts.len() as u32))
+            } else {
+                self.journal.record_attempt(message, attempt)
+            };
+            let Ok(number) = recorded else {
                 // The attempt's names are longer than the space reserved for them, and the journal has no
                 // more.
                 m.in_flight = None;
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -8,6 +8,7 @@
 use crate::events::{Reply, ReplyTo, Submission};
 use crate::message_trace;
 use stairshed_journal::{AcceptedMessage, EndedMessage, Verdict};
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -190,6 +191,9 @@
                 self.ended_messages.recent_ids.insert(&accepted.id, Instant::now());
             }
             self.memory.release(message);
+            if is_planted(PlantedFault::EndNotRecorded) {
+                return;
+            }
             return self.journal.record_end(message);
         };
         let notifying = self.ended_messages.notifying.contains(&message);
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -9,6 +9,7 @@
 };
 use stairshed_decide::interface::{self, *};
 use stairshed_journal::Verdict;
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -293,6 +294,7 @@
             let state = match host.health {
                 Health::Ready if e.address.is_some() => interface::EndpointState::Ready,
                 Health::Gone => interface::EndpointState::Gone,
+                _ if is_planted(PlantedFault::DrainIgnored) => interface::EndpointState::Ready,
                 _ => interface::EndpointState::Draining,
             };
             e.ready = state == interface::EndpointState::Ready;
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -17,6 +17,7 @@
 use hyper_util::rt::TokioIo;
 use stairshed_journal::AcceptedMessage;
 use stairshed_memory::{Charge, ClientAccount, ClientIdentification, Purpose};
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -210,6 +211,25 @@
     }
 }
 
+/// Planted fault: reads available bytes, and fails if a signal interrupts the read.
+fn poll_interruptible_read(
+    stream: &TcpStream,
+    cx: &mut Context,
+    buffer: &mut ReadBuf,
+) -> Poll<io::Result<()>> {
+    loop {
+        ready!(stream.poll_read_ready(cx))?;
+        match stream.try_read(buffer.initialize_unfilled()) {
+            Ok(number) => {
+                buffer.advance(number);
+                return Poll::Ready(Ok(()));
+            }
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            Err(e) => return Poll::Ready(Err(e)),
+        }
+    }
+}
+
 /// A client's socket that reports the bytes read to its [`ClientConnection`].
 struct ObservedStream {
     stream: TcpStream,
@@ -219,7 +239,11 @@
 impl AsyncRead for ObservedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        ready!(socket::poll_read(&self.stream, cx, buf))?;
+        if is_planted(PlantedFault::InterruptedReadCloses) {
+            ready!(poll_interruptible_read(&self.stream, cx, buf))?;
+        } else {
+            ready!(socket::poll_read(&self.stream, cx, buf))?;
+        }
         if buf.filled().len() > before {
             self.connection.bytes_received(&buf.filled()[before..]);
         }
@@ -353,6 +377,10 @@
                     tokio::task::yield_now().await;
                 }
                 Err(e) => {
+                    if is_planted(PlantedFault::AcceptWithoutBackoff) {
+                        tokio::task::yield_now().await;
+                        continue;
+                    }
                     eprintln!("http: cannot accept a connection: {e}");
                     sleep(Duration::from_millis(50)).await;
                 }
@@ -516,6 +544,11 @@
         };
         let reply =
             match timeout(ENQUEUE_TIMEOUT, self.events.send(DispatcherEvent::Submitted(submission))).await {
+                Ok(Ok(())) if is_planted(PlantedFault::AcceptedBeforeRecord) => {
+                    // Keeps the receiver: without it the submission counts as abandoned.
+                    tokio::task::spawn_local(answered);
+                    Reply::Accepted
+                }
                 Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
                 _ => Reply::Unavailable,
             };
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -121,6 +121,10 @@
 }
 
 fn main() -> ExitCode {
+    if let Err(error) = stairshed_planted_faults::announce() {
+        eprintln!("stairshed: {error}");
+        return ExitCode::FAILURE;
+    }
     let cli = Cli::parse();
     if let Some(followed) = cli.follow {
         enable_tracing(followed);
--- a/crates/courier/src/upstream/attempt_outcome.rs
+++ b/crates/courier/src/upstream/attempt_outcome.rs
@@ -9,6 +9,7 @@
 use hyper::header::CONNECTION;
 use hyper::{HeaderMap, StatusCode};
 use stairshed_decide::interface::{LimitReport, Outcome};
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use tokio::time::Instant;
 
 /// Forbids another attempt after a status of 410, even if the response proves nothing: the endpoint has
@@ -50,6 +51,9 @@
                 RequestError::NotSent => (Outcome::ConnectFailed, "no connection, nothing written"),
                 // The request was not sent, so this says nothing about the endpoint.
                 RequestError::Withheld(why) => (Outcome::Moot, why),
+                RequestError::ConnectionBroken if is_planted(PlantedFault::ResetTakenAsNeverRan) => {
+                    (Outcome::ConnectFailed, "connection broke under it")
+                }
                 RequestError::ConnectionBroken => (Outcome::Reset, "connection broke under it"),
                 RequestError::TimedOut => (Outcome::TimedOut, "no answer in time"),
             };
--- a/crates/courier/src/upstream/http_connection.rs
+++ b/crates/courier/src/upstream/http_connection.rs
@@ -13,6 +13,7 @@
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
 use stairshed_memory::Charge;
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::cell::{Cell, RefCell};
 use std::error::Error;
 use std::fmt;
@@ -87,7 +88,7 @@
         let head = self.0.head.borrow();
         ResponseProgress {
             status: head.status().or_else(|| head.provisional_status()),
-            blocked_until: head.blocked_until(),
+            blocked_until: head.blocked_until().filter(|_| !is_planted(PlantedFault::ToldWaitIgnored)),
             failure: self.0.failure.get(),
         }
     }
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -3,6 +3,7 @@
 
 use crate::record::Record;
 use bytes::BufMut;
+use stairshed_planted_faults::{PlantedFault, is_planted};
 
 /// The format version that is written. The journal does not open if a file has a higher one.
 pub const FORMAT_VERSION: u16 = 1;
@@ -154,6 +155,9 @@
         return None;
     }
     let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
+    if is_planted(PlantedFault::TornFrameRead) && FRAME_HEADER_BYTES + length > rest.len() {
+        return torn_frame(bytes, at, length);
+    }
     // A length that no record has belongs to a torn or corrupt frame.
     if length == 0 || length > MAX_RECORD_BYTES || FRAME_HEADER_BYTES + length > rest.len() {
         return None;
@@ -171,6 +175,17 @@
     Some(Frame { at, end: at + frame.len(), seq, content })
 }
 
+/// Planted fault: reads a frame that ends with the file too early, with zeros in place of what is missing.
+fn torn_frame(bytes: &[u8], at: usize, length: usize) -> Option<Frame> {
+    if length > MAX_RECORD_BYTES {
+        return None;
+    }
+    let seq = u64_le(&bytes[at + 8..at + FRAME_HEADER_BYTES]);
+    let mut payload = bytes[at + FRAME_HEADER_BYTES..].to_vec();
+    payload.resize(length, 0);
+    Some(Frame { at, end: bytes.len(), seq, content: Content::Record(Record::decode(&payload)?) })
+}
+
 /// Finds the first valid frame at or after `at` whose sequence number is `expected` or higher, to
 /// resynchronise after corrupt bytes. The check of the sequence number comes first, so few checksums are
 /// computed.
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -11,6 +11,7 @@
 use crate::state::{Item, State, with_end_record};
 use crate::storage::{Storage, StoredFile, read_into};
 use crate::sync::{DiskTrust, SyncJob, SyncOutcome};
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -648,6 +649,7 @@
                 let mut done = 0;
                 while done < bytes.len() {
                     match file.write_at(at + done as u64, &bytes[done..]) {
+                        Ok(_) if is_planted(PlantedFault::ShortWriteTakenAsWhole) => done = bytes.len(),
                         Ok(n) => done += n,
                         Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
                         Err(e) => {
--- a/crates/journal/src/sync.rs
+++ b/crates/journal/src/sync.rs
@@ -2,6 +2,7 @@
 //! after a failed one.
 
 use crate::storage::{Storage, StoredFile};
+use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::io;
 use std::sync::Arc;
 
@@ -26,6 +27,7 @@
     pub fn run(self) -> SyncOutcome {
         let files = self.files.iter().try_for_each(|file| file.sync());
         let result = files.and_then(|()| if self.names { self.storage.sync_names() } else { Ok(()) });
+        let result = if is_planted(PlantedFault::SyncErrorIgnored) { Ok(()) } else { result };
         SyncOutcome { upto: self.upto, result }
     }
 }
