--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -537,9 +537,15 @@
     pub startup_log: Vec<String>,
 }
 
-/// Path of the courier binary, which is built in the folder of the running program, or its parent for tests,
-/// which run from `deps/`.
+/// The environment variable that names another courier binary.
+pub const PROGRAM_VARIABLE: &str = "STAIRSHED_PROGRAM";
+
+/// Path of the courier binary: the one that [`PROGRAM_VARIABLE`] names, or the one that is built in the folder of the
+/// running program, or its parent for tests, which run from `deps/`.
 pub fn program() -> PathBuf {
+    if let Some(path) = std::env::var_os(PROGRAM_VARIABLE) {
+        return path.into();
+    }
     let own = std::env::current_exe().expect("a path");
     let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join("stairshed"));
     beside.into_iter().find(|path| path.is_file()).expect("stairshed is built beside this program")
--- a/crates/testkit/src/clients.rs
+++ b/crates/testkit/src/clients.rs
@@ -118,6 +118,8 @@
         let sent = Instant::now();
         let written = connection.get_mut().write_all(request(&path, &id, &headers, &id).as_bytes());
         let answer = written.ok().and_then(|()| HttpMessage::read(&mut connection));
+        let waited = sent.elapsed();
+        let is_closed = answer.is_none() && waited < self.patience;
         self.submissions.lock().expect("the submissions").push(Submission {
             id,
             class: client.class.clone(),
@@ -125,6 +127,7 @@
             order_key: client.order_key.clone(),
             sent,
             answer: answer.as_ref().map(|answer| (Instant::now(), answer.status())),
+            closed_after: is_closed.then_some(waited),
         });
         let closes = answer?.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
         (!closes).then_some(connection)
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod courier_process;
 pub mod endpoints;
 pub mod plan;
+pub mod planted;
 pub mod proxy;
 pub mod reach;
 pub mod record;
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -2,6 +2,8 @@
 
 use clap::{Parser, Subcommand};
 use serde_json::{Value, json};
+use stairshed_planted_faults::PlantedFault;
+use stairshed_testkit::planted::{EXPECTATIONS, Expectation, Finding, PlantedRuns};
 use stairshed_testkit::runner::run;
 use stairshed_testkit::scenario::Scenario;
 use stairshed_testkit::verdict::Verdict;
@@ -43,6 +45,21 @@
         #[arg(long)]
         json: bool,
     },
+    /// Looks for each planted fault with the scenario that should find it. Ends with 0 if all are found, 1 if not.
+    Plant {
+        /// A courier built with the feature `planted-faults`.
+        #[arg(long)]
+        program: PathBuf,
+        /// Number of seeds that are tried for each fault, from 1 on.
+        #[arg(long, default_value_t = 10)]
+        seeds: u64,
+        /// Folder of the scenarios.
+        #[arg(long, default_value = "crates/testkit/scenarios")]
+        scenarios: PathBuf,
+        /// Only this fault; may be repeated.
+        #[arg(long = "fault", value_parser = PlantedFault::named)]
+        faults: Vec<PlantedFault>,
+    },
 }
 
 /// A scenario with its name and a seed.
@@ -53,9 +70,15 @@
 }
 
 fn main() -> ExitCode {
-    let Command::Run { files, seed, seeds, parallel, json } = Cli::parse().command;
+    match Cli::parse().command {
+        Command::Run { files, seed, seeds, parallel, json } => run_files(&files, seed, seeds, parallel, json),
+        Command::Plant { program, seeds, scenarios, faults } => plant(&program, seeds, &scenarios, &faults),
+    }
+}
+
+fn run_files(files: &[PathBuf], seed: u64, seeds: u64, parallel: usize, json: bool) -> ExitCode {
     let mut scenarios = Vec::new();
-    for path in &files {
+    for path in files {
         match Scenario::read(path) {
             Ok(scenario) => scenarios.push((name(path), scenario)),
             Err(error) => {
@@ -73,6 +96,36 @@
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::from(NOT_PASSED) }
 }
 
+/// Looks for planted faults and prints what the runs have shown.
+fn plant(program: &Path, seeds: u64, scenarios: &Path, faults: &[PlantedFault]) -> ExitCode {
+    let runs = match PlantedRuns::new(program, scenarios) {
+        Ok(runs) => runs,
+        Err(error) => {
+            eprintln!("{error}");
+            return ExitCode::from(BAD_SCENARIO);
+        }
+    };
+    let is_wanted = |expected: &&Expectation| faults.is_empty() || faults.contains(&expected.fault);
+    let mut missed = 0;
+    for expected in EXPECTATIONS.iter().filter(is_wanted) {
+        let Expectation { fault, scenario, rule } = expected;
+        let prefix = format!("{fault}, {scenario}, {}:", rule.name());
+        match runs.look_for(expected, 1..=seeds) {
+            Ok(Finding::Found { seed, what }) => println!("{prefix} found with seed {seed}: {what}"),
+            Ok(Finding::NotFound { broken }) => {
+                missed += 1;
+                println!("{prefix} NOT FOUND with {seeds} seeds");
+                broken.iter().for_each(|other| println!("    {other}"));
+            }
+            Err(error) => {
+                missed += 1;
+                println!("{prefix} NOT FOUND, {error}");
+            }
+        }
+    }
+    if missed == 0 { ExitCode::SUCCESS } else { ExitCode::from(NOT_PASSED) }
+}
+
 fn name(path: &Path) -> String {
     path.file_stem().unwrap_or_default().to_string_lossy().into_owned()
 }
--- a/crates/testkit/src/record.rs
+++ b/crates/testkit/src/record.rs
@@ -44,6 +44,8 @@
     pub sent: Instant,
     /// When the answer came, and its status.
     pub answer: Option<(Instant, u16)>,
+    /// How long after `sent` its connection was closed without an answer; None if the client gave up.
+    pub closed_after: Option<Duration>,
 }
 
 impl Submission {
--- a/crates/testkit/src/verdict.rs
+++ b/crates/testkit/src/verdict.rs
@@ -1,7 +1,10 @@
 //! Checks the rules from the records of a run alone.
 
+mod accepts;
+mod answers;
 mod delivery;
 mod drains;
+mod endings;
 mod order;
 mod overload;
 mod waits;
@@ -26,6 +29,9 @@
     NoOverload,
     Order,
     WaitsHeeded,
+    EndsOnce,
+    RequestsAnswered,
+    AcceptsSpaced,
     CouriersStayUp,
 }
 
@@ -41,6 +47,9 @@
             Rule::NoOverload => "no overload",
             Rule::Order => "order",
             Rule::WaitsHeeded => "waits heeded",
+            Rule::EndsOnce => "each message ends once",
+            Rule::RequestsAnswered => "requests are answered",
+            Rule::AcceptsSpaced => "failed accepts are spaced",
             Rule::CouriersStayUp => "couriers stay up",
         }
     }
@@ -68,6 +77,11 @@
         Judgement::Broken(Offence { id: Some(id.to_owned()), what })
     }
 
+    /// A breach that concerns no message.
+    fn broken_by_none(what: String) -> Self {
+        Judgement::Broken(Offence { id: None, what })
+    }
+
     fn not_judged(why: &str) -> Self {
         Judgement::NotJudged(why.to_owned())
     }
@@ -99,6 +113,9 @@
             (Rule::NoOverload, overload::no_overload(record)),
             (Rule::Order, order::in_order(record)),
             (Rule::WaitsHeeded, waits::waits_heeded(record)),
+            (Rule::EndsOnce, endings::ends_once(record)),
+            (Rule::RequestsAnswered, answers::requests_answered(record)),
+            (Rule::AcceptsSpaced, accepts::accepts_spaced(record)),
             (Rule::CouriersStayUp, couriers_stay_up(record)),
         ];
         let mut offences = rules.iter().filter_map(|(_, judgement)| match judgement {
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -35,6 +35,7 @@
             order_key: "client".to_owned(),
             sent: at,
             answer: Some((at, 202)),
+            closed_after: None,
         });
     }
 
