--- a/crates/testkit/src/verdict.rs
+++ b/crates/testkit/src/verdict.rs
@@ -4,6 +4,7 @@
 mod answers;
 mod delivery;
 mod drains;
+mod durable;
 mod endings;
 mod order;
 mod overload;
@@ -29,6 +30,7 @@
     NoOverload,
     Order,
     WaitsHeeded,
+    AcceptedWhenDurable,
     EndsOnce,
     RequestsAnswered,
     AcceptsSpaced,
@@ -47,6 +49,7 @@
             Rule::NoOverload => "no overload",
             Rule::Order => "order",
             Rule::WaitsHeeded => "waits heeded",
+            Rule::AcceptedWhenDurable => "accepted only when durable",
             Rule::EndsOnce => "each message ends once",
             Rule::RequestsAnswered => "requests are answered",
             Rule::AcceptsSpaced => "failed accepts are spaced",
@@ -113,6 +116,7 @@
             (Rule::NoOverload, overload::no_overload(record)),
             (Rule::Order, order::in_order(record)),
             (Rule::WaitsHeeded, waits::waits_heeded(record)),
+            (Rule::AcceptedWhenDurable, durable::accepted_when_durable(record)),
             (Rule::EndsOnce, endings::ends_once(record)),
             (Rule::RequestsAnswered, answers::requests_answered(record)),
             (Rule::AcceptsSpaced, accepts::accepts_spaced(record)),
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -243,3 +243,79 @@
         .to_vec();
     assert!(places.is_sorted(), "{history}");
 }
+
+#[test]
+fn a_message_that_is_sent_or_told_again_after_its_end_is_found() {
+    let delivered = || {
+        let mut record = record("");
+        let text = "follow 1.0 status-1 attempt=0 ended outcome=Delivered ran=yes".to_owned();
+        record.log.push(LogLine { at: record.begun, courier: 0, text });
+        record
+    };
+    for (at_ms, is_broken) in [(90, false), (300, true)] {
+        let mut sent = delivered();
+        sent.call("status-1", "p0-a", at_ms, Some(200));
+        assert_eq!(offender(&sent, Rule::EndsOnce).is_some(), is_broken, "{at_ms}");
+        let mut told = delivered();
+        told.notice("status-1", at_ms, "dead");
+        assert_eq!(offender(&told, Rule::EndsOnce).is_some(), is_broken, "{at_ms}");
+    }
+    for (kill_ms, is_broken) in [(50, false), (150, true)] {
+        let mut record = delivered();
+        record.notice("status-1", 900, "dead");
+        let kill = CourierKill { at: record.begun + ms(kill_ms), folder_failed_since: None };
+        record.kills.push(LifeEnd { courier: 0, kill });
+        assert_eq!(offender(&record, Rule::EndsOnce).is_some(), is_broken, "{kill_ms}");
+    }
+}
+
+#[test]
+fn a_notice_is_told_again_only_until_its_acknowledgement_is_recorded() {
+    for (at_ms, is_broken) in [(1_400, false), (1_600, true)] {
+        let mut record = record("");
+        record.notice("status-1", 0, "dead");
+        record.notice("status-1", at_ms, "dead");
+        assert_eq!(offender(&record, Rule::EndsOnce).is_some(), is_broken, "{at_ms}");
+    }
+}
+
+#[test]
+fn a_connection_that_is_closed_with_a_request_on_it_is_found() {
+    let closed = |rest: &str| {
+        let mut record = record(rest);
+        record.accept("status-1", 0);
+        record.submissions[0].answer = None;
+        record.submissions[0].closed_after = Some(ms(3));
+        record
+    };
+    assert_eq!(offender(&closed(""), Rule::RequestsAnswered).as_deref(), Some("status-1"));
+    let interrupted = closed("[[faults]]\nat = \"0s\"\ncalls = [\"recv EINTR 2\"]\n");
+    assert!(offender(&interrupted, Rule::RequestsAnswered).is_some());
+    let reset = closed("[[faults]]\nat = \"0s\"\ncalls = [\"recv ECONNRESET 2\"]\n");
+    assert!(matches!(judgement(&reset, Rule::RequestsAnswered), Judgement::NotJudged(_)));
+}
+
+#[test]
+fn accepts_that_fail_without_pauses_are_found() {
+    // 50 and 200 per second are allowed.
+    for (failed, is_broken) in [(150, false), (151, true)] {
+        let text = "[[faults]]\nat = \"0s\"\nspan = \"500ms\"\ncalls = [\"accept EMFILE 1\"]\n";
+        let mut record = record(text);
+        record.reached = vec![[("accept EMFILE".to_owned(), failed)].into()];
+        let is_found = matches!(judgement(&record, Rule::AcceptsSpaced), Judgement::Broken(_));
+        assert_eq!(is_found, is_broken, "{failed}");
+    }
+}
+
+#[test]
+fn a_message_that_is_accepted_while_no_sync_succeeds_is_found() {
+    let text =
+        "durability = \"machine\"\n[[faults]]\nat = \"0s\"\nspan = \"500ms\"\ncalls = [\"sync EIO 1\"]\n";
+    for (sent_ms, accepted_ms, is_broken) in [(90, 300, false), (200, 300, true), (200, 600, false)] {
+        let mut record = record(text);
+        record.accept("status-1", sent_ms);
+        record.submissions[0].answer = Some((record.begun + ms(accepted_ms), 202));
+        let found = offender(&record, Rule::AcceptedWhenDurable);
+        assert_eq!(found.is_some(), is_broken, "{sent_ms} {accepted_ms}");
+    }
+}
