--- a/crates/rig/src/duplicating_endpoint.rs
+++ b/crates/rig/src/duplicating_endpoint.rs
@@ -33,6 +33,7 @@
     pub zone: String,
     /// The header field `X-Courier`, which names the courier that sent it; empty without one.
     pub courier: String,
+    pub body: Vec<u8>,
     pub connection: usize,
     pub arrived: Instant,
     /// Whether another call of the same message was in flight when this one arrived.
@@ -55,6 +56,7 @@
             endpoint: endpoint.to_owned(),
             zone: zone.to_owned(),
             courier: String::new(),
+            body: Vec::new(),
             connection: 0,
             arrived,
             overlaps: false,
@@ -215,6 +217,7 @@
             endpoint: self.name.clone(),
             zone: self.zone.clone(),
             courier: call.header("x-courier").unwrap_or_default().to_owned(),
+            body: call.body.clone(),
             connection,
             arrived: Instant::now(),
             overlaps,
--- a/crates/testkit/src/clients.rs
+++ b/crates/testkit/src/clients.rs
@@ -24,6 +24,7 @@
     submissions: Mutex<Vec<Submission>>,
     start: StartMode,
     pools: usize,
+    body: usize,
     pause: Duration,
     patience: Duration,
     deadline_ms: u128,
@@ -38,6 +39,11 @@
     order_key: String,
 }
 
+/// The body of a message, of this length at least.
+pub fn body_of(id: &str, length: usize) -> String {
+    format!("{id:x<length$}")
+}
+
 impl ClientGroup {
     /// Starts the clients of all couriers, which take them at these addresses.
     pub fn start(scenario: &Scenario, addresses: &[SocketAddr]) -> Self {
@@ -48,6 +54,7 @@
             submissions: Mutex::default(),
             start: scenario.start,
             pools: scenario.endpoints.pools,
+            body: clients.body,
             pause: Duration::from_secs_f64(1.0 / clients.rate),
             patience: clients.patience.0,
             deadline_ms: clients.deadline.0.as_millis(),
@@ -123,8 +130,9 @@
              Envelope: dest={pool}\r\n{ORDER_HEADER}: {}\r\n",
             self.deadline_ms, client.class, client.order_key
         );
+        let body = body_of(&id, self.body);
         let sent = Instant::now();
-        let written = connection.get_mut().write_all(request(&path, &id, &headers, &id).as_bytes());
+        let written = connection.get_mut().write_all(request(&path, &id, &headers, &body).as_bytes());
         let answer = written.ok().and_then(|()| HttpMessage::read(&mut connection));
         let waited = sent.elapsed();
         let is_closed = answer.is_none() && waited < self.patience;
--- a/crates/testkit/src/endpoints.rs
+++ b/crates/testkit/src/endpoints.rs
@@ -19,6 +19,9 @@
 /// Seeds of endpoints' generators are this far apart for each run.
 const SEED_STRIDE: u64 = 1000;
 
+/// Limit of a pool, in calls per second, where the scenario names none.
+const DEFAULT_LIMIT: u32 = 900;
+
 /// Class in discovery of endpoints that share their pool's limit and waits.
 pub const SHARED_LIMIT: &str = "shared";
 
@@ -27,6 +30,8 @@
     pub name: String,
     pub pool: usize,
     pub zone: String,
+    /// Calls per second that its pool can take.
+    limit: u32,
     address: SocketAddr,
     /// Between it and the couriers, where the scenario has faults of that link.
     pub proxy: Option<Proxy>,
@@ -61,7 +66,8 @@
             let endpoint = DuplicatingEndpoint::start_in_zone(&name, zone, log, script);
             let proxy = if with_proxy { Some(Proxy::start(endpoint.address, own_seed)?) } else { None };
             let address = proxy.as_ref().map_or(endpoint.address, |proxy| proxy.address);
-            all.push(PlacedEndpoint { name, pool, zone: zone.clone(), address, proxy });
+            let limit = scenario.endpoints.limit.unwrap_or(DEFAULT_LIMIT);
+            all.push(PlacedEndpoint { name, pool, zone: zone.clone(), limit, address, proxy });
         }
         Ok(all)
     }
@@ -70,7 +76,7 @@
     fn entry(&self, is_draining: bool) -> Value {
         let health = if is_draining { "draining" } else { "ready" };
         json!({"host": self.name, "dial": self.address.to_string(), "site": self.zone, "class": SHARED_LIMIT,
-            "block": self.pool, "health": health, "share": 900.0, "born_ms": 0})
+            "block": self.pool, "health": health, "share": self.limit, "born_ms": 0})
     }
 }
 
--- a/crates/testkit/src/planted.rs
+++ b/crates/testkit/src/planted.rs
@@ -36,7 +36,7 @@
     expect(PlantedFault::AcceptWithoutBackoff, "accept-refused", Rule::AcceptsSpaced),
     expect(PlantedFault::OrderIgnored, "order", Rule::Order),
     expect(PlantedFault::EndNotRecorded, "kill-in-flight", Rule::EndsOnce),
-    expect(PlantedFault::TornFrameRead, "kill-in-write", Rule::CouriersStayUp),
+    expect(PlantedFault::TornFrameRead, "kill-in-body", Rule::SentAsSubmitted),
     expect(PlantedFault::DrainIgnored, "drains", Rule::DrainsKept),
     expect(PlantedFault::SlowStartSkipped, "slow-start", Rule::NoOverload),
 ];
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -145,6 +145,8 @@
     pub ordered: Vec<String>,
     /// Messages per second of one client, at most.
     pub rate: f64,
+    /// Length of bodies at least, in bytes; they begin with the message's id.
+    pub body: usize,
     pub deadline: Span,
     /// How long a client waits for an answer.
     pub patience: Span,
@@ -159,6 +161,7 @@
             classes: CLASSES.map(str::to_owned).to_vec(),
             ordered: vec!["notice".to_owned()],
             rate: 20.0,
+            body: 0,
             deadline: Span(Duration::from_secs(4)),
             patience: Span(Duration::from_millis(400)),
             lateness: Span(Duration::from_millis(1850)),
--- a/crates/testkit/src/verdict.rs
+++ b/crates/testkit/src/verdict.rs
@@ -2,6 +2,7 @@
 
 mod accepts;
 mod answers;
+mod contents;
 mod delivery;
 mod drains;
 mod durable;
@@ -31,6 +32,7 @@
     Order,
     WaitsHeeded,
     AcceptedWhenDurable,
+    SentAsSubmitted,
     EndsOnce,
     RequestsAnswered,
     AcceptsSpaced,
@@ -50,6 +52,7 @@
             Rule::Order => "order",
             Rule::WaitsHeeded => "waits heeded",
             Rule::AcceptedWhenDurable => "accepted only when durable",
+            Rule::SentAsSubmitted => "messages are sent as submitted",
             Rule::EndsOnce => "each message ends once",
             Rule::RequestsAnswered => "requests are answered",
             Rule::AcceptsSpaced => "failed accepts are spaced",
@@ -117,6 +120,7 @@
             (Rule::Order, order::in_order(record)),
             (Rule::WaitsHeeded, waits::waits_heeded(record)),
             (Rule::AcceptedWhenDurable, durable::accepted_when_durable(record)),
+            (Rule::SentAsSubmitted, contents::sent_as_submitted(record)),
             (Rule::EndsOnce, endings::ends_once(record)),
             (Rule::RequestsAnswered, answers::requests_answered(record)),
             (Rule::AcceptsSpaced, accepts::accepts_spaced(record)),
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -44,6 +44,7 @@
         let zone = endpoint.split('-').nth(1).unwrap_or_default();
         let mut call = ServedCall::arrived_at(id, endpoint, zone, self.begun + ms(at_ms));
         call.courier = "0".to_owned();
+        call.body = id.as_bytes().to_vec();
         call.ended = Some(call.arrived + ms(10));
         call.status = status;
         self.calls.push(call);
@@ -321,3 +322,12 @@
         assert_eq!(found.is_some(), is_broken, "{sent_ms} {accepted_ms}");
     }
 }
+
+#[test]
+fn a_call_with_another_body_is_found() {
+    for (body, is_broken) in [("status-1xx", false), ("status-1\0\0", true), ("status-1x", true)] {
+        let mut record = record("[clients]\nbody = 10\n");
+        record.call("status-1", "p0-a", 0, Some(200)).body = body.as_bytes().to_vec();
+        assert_eq!(offender(&record, Rule::SentAsSubmitted).is_some(), is_broken, "{body}");
+    }
+}
