--- a/crates/courier/src/bootstrap.rs
+++ b/crates/courier/src/bootstrap.rs
@@ -88,7 +88,7 @@
         biased;
         done = work => done,
         () = stop.recv() => {
-            eprintln!("stopping");
+            log_line!("stopping");
             Err(StartupError::Stopped)
         }
     }
@@ -148,22 +148,22 @@
 /// Logs what the recovery of the journal found.
 fn log_recovery(report: &RecoveryReport) {
     if let Some(messages) = report.migrated {
-        eprintln!("journal: {messages} messages taken over from the old format");
+        log_line!("journal: {messages} messages taken over from the old format");
     }
     if report.truncated_bytes > 0 {
-        eprintln!(
+        log_line!(
             "journal: a torn tail of {} bytes was cut off, as a crash leaves it",
             report.truncated_bytes
         );
     }
     for damage in &report.damages {
-        eprintln!("journal: DAMAGED: {damage}");
+        log_line!("journal: DAMAGED: {damage}");
     }
     for message in &report.lost_messages {
-        eprintln!("journal: LOST: message {message} was accepted, and its id and body cannot be read");
+        log_line!("journal: LOST: message {message} was accepted, and its id and body cannot be read");
     }
     if !report.presumed_sent.is_empty() {
         let n = report.presumed_sent.len();
-        eprintln!("journal: {n} messages count as sent, since a lost record may say so");
+        log_line!("journal: {n} messages count as sent, since a lost record may say so");
     }
 }
--- a/crates/courier/src/bootstrap/dev.rs
+++ b/crates/courier/src/bootstrap/dev.rs
@@ -12,6 +12,7 @@
 use hyper_util::rt::TokioIo;
 use std::convert::Infallible;
 use std::fs;
+use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tokio::net::TcpListener;
@@ -30,6 +31,11 @@
     )
 }
 
+/// Writes a line to standard output. It is left out if that cannot be written, since the courier must go on.
+macro_rules! print_line {
+    ($($arguments:tt)*) => {{ let _ = writeln!(io::stdout(), $($arguments)*); }};
+}
+
 /// Serves the stand-in endpoint, which prints each request and answers 200.
 async fn serve_endpoint(listener: TcpListener) {
     let mut acceptor = Acceptor::new(listener);
@@ -41,7 +47,7 @@
             let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
             let id = parts.headers.get("x-request-id").and_then(|v| v.to_str().ok()).unwrap_or("-");
             let text = String::from_utf8_lossy(&body).into_owned();
-            println!("the stand-in endpoint got {} {} ({id}): {text}", parts.method, parts.uri);
+            print_line!("the stand-in endpoint got {} {} ({id}): {text}", parts.method, parts.uri);
             Ok::<_, Infallible>(Response::new(Full::<Bytes>::from("done\n")))
         });
         tokio::task::spawn_local(async move {
@@ -71,10 +77,10 @@
     let file = folder.0.join("stairshed.toml");
     fs::write(&file, sample_file(listen, at))?;
     tokio::task::spawn_local(serve_endpoint(stand_in));
-    println!("sample installation: {}", file.display());
-    println!("hand in a message:\n\n    curl -i -d 'hello' http://{listen}/notice\n");
-    println!("a message that must not take effect twice needs an id:\n");
-    println!("    curl -i -d '42 EUR' -H 'X-Request-ID: p-1' http://{listen}/payment/7\n");
-    println!("press Ctrl-C to stop");
+    print_line!("sample installation: {}", file.display());
+    print_line!("hand in a message:\n\n    curl -i -d 'hello' http://{listen}/notice\n");
+    print_line!("a message that must not take effect twice needs an id:\n");
+    print_line!("    curl -i -d '42 EUR' -H 'X-Request-ID: p-1' http://{listen}/payment/7\n");
+    print_line!("press Ctrl-C to stop");
     serve::serve(file).await
 }
--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -27,11 +27,11 @@
         hangup.recv().await;
         match platform_config::reread_discovery(&file) {
             Ok(Some(discovery)) => {
-                eprintln!("configuration read again: discovery is at {discovery}");
+                log_line!("configuration read again: discovery is at {discovery}");
                 let _ = events.send(DispatcherEvent::DiscoveryAddressChanged(discovery)).await;
             }
-            Ok(None) => eprintln!("configuration read again: it has no address of discovery"),
-            Err(error) => eprintln!("configuration not read again, the previous one stays: {error}"),
+            Ok(None) => log_line!("configuration read again: it has no address of discovery"),
+            Err(error) => log_line!("configuration not read again, the previous one stays: {error}"),
         }
     }
 }
@@ -115,12 +115,12 @@
     let accepting = tokio::task::spawn_local(http_server.run(listener));
     tokio::task::spawn_local(async move {
         terminate.recv().await;
-        eprintln!("stopping");
+        log_line!("stopping");
         let _ = events.send(DispatcherEvent::Stop).await;
         tokio::time::sleep(Duration::from_millis(700)).await;
         accepting.abort();
     });
-    eprintln!("{name} serves {at}; {kept} messages resumed");
+    log_line!("{name} serves {at}; {kept} messages resumed");
     dispatcher.run(event_queue).await;
     Ok(())
 }
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -137,17 +137,17 @@
     match store.load().await {
         Ok(Some(version)) => match document.installation(Some(&version.config)) {
             Ok(installation) => {
-                eprintln!("configuration: the last good version, {}", version.version);
+                log_line!("configuration: the last good version, {}", version.version);
                 return (Some(version), Arc::new(installation));
             }
             Err(problems) => {
                 let number = version.version;
-                eprintln!("configuration: stored version {number} does not go with the file any more:");
-                eprintln!("{problems}");
+                log_line!("configuration: stored version {number} does not go with the file any more:");
+                log_line!("{problems}");
             }
         },
         Ok(None) => {}
-        Err(why) => eprintln!("configuration: cannot read the stored version: {why}"),
+        Err(why) => log_line!("configuration: cannot read the stored version: {why}"),
     }
     (None, Arc::new(file_installation))
 }
@@ -266,7 +266,7 @@
         resolver_handle,
     );
     if let Some(wait) = first_wait {
-        eprintln!("configuration: no version yet and no routes in the file; waits for one");
+        log_line!("configuration: no version yet and no routes in the file; waits for one");
         if !config_updater.wait_for_first_version(wait).await {
             return Err(invalid(
                 "control",
@@ -279,21 +279,21 @@
         let listener = listen_at_start("listen.admin", admin);
         let listener = unless_stopped(&mut stop, listener).await?;
         let at = listener.local_addr().map_err(|e| invalid("listen.admin", e))?;
-        eprintln!("the operator's pages are at {at}");
+        log_line!("the operator's pages are at {at}");
         let (view, server_state, memory_budget) =
             (config_updater.view(), server_state.clone(), memory_budget.clone());
         let pages = AdminPages { view, server_state, memory_budget, watch: watch_status, connections };
         tokio::task::spawn_local(admin::run(listener, pages));
     }
     if installation_mqtt.is_none() && topics {
-        eprintln!("configuration: there are [topics], and listen.mqtt is not set: none is taken");
+        log_line!("configuration: there are [topics], and listen.mqtt is not set: none is taken");
     }
     let mut accepting = None;
     if let Some((mqtt_server, address)) = mqtt_server.clone().zip(installation_mqtt) {
         let listener = listen_at_start("listen.mqtt", address);
         let listener = unless_stopped(&mut stop, listener).await?;
         let at = listener.local_addr().map_err(|e| invalid("listen.mqtt", e))?;
-        eprintln!("MQTT clients are served at {at}");
+        log_line!("MQTT clients are served at {at}");
         accepting = Some(tokio::task::spawn_local(mqtt_server.accept(listener)).abort_handle());
     }
     if discovery {
@@ -304,7 +304,7 @@
     let stopper = server_state.clone();
     tokio::task::spawn_local(async move {
         stop.recv().await;
-        eprintln!("stopping");
+        log_line!("stopping");
         configuring.abort();
         if let Some(accepting) = accepting {
             accepting.abort();
@@ -318,7 +318,7 @@
         tokio::time::sleep(Duration::from_millis(700)).await;
         stopper.close_listener();
     });
-    eprintln!("{name} serves {at}; {kept} messages resumed");
+    log_line!("{name} serves {at}; {kept} messages resumed");
     running.await.map_err(|e| invalid("courier", e))?;
     drop(resolver);
     Ok(())
--- a/crates/courier/src/clock.rs
+++ b/crates/courier/src/clock.rs
@@ -29,7 +29,7 @@
         ClockRestart::WallClock => "is taken from the wall clock, since the machine was started again",
         ClockRestart::Unknown => "is not known",
     };
-    eprintln!(
+    log_line!(
         "clock: the time since the last times on record {elapsed}; no key's window counts as open over it"
     );
 }
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -349,7 +349,7 @@
                 match done {
                     Ok(done) => self.finish_change(done).await,
                     Err(e) => {
-                        eprintln!("configuration: the validation of a version did not complete: {e}");
+                        log_line!("configuration: the validation of a version did not complete: {e}");
                         self.update_versions(|v| v.finish(Err(vec!["its check broke off".to_owned()])))
                             .await;
                     }
@@ -360,13 +360,13 @@
                     self.update_versions(move |v| v.receive_line(&line)).await;
                 }
                 Some(StreamEvent::Opened) => {
-                    eprintln!("control: the stream is open");
+                    log_line!("control: the stream is open");
                     self.status.inner.borrow_mut().connected = Some(true);
                 }
                 Some(StreamEvent::Closed(reason)) => {
                     self.versions.discard_waiting();
                     if self.status.inner.borrow_mut().connected.replace(false) == Some(true) {
-                        eprintln!("control: the stream is closed; the current configuration stays in effect");
+                        log_line!("control: the stream is closed; the current configuration stays in effect");
                     }
                     if let Some(reason) = reason {
                         self.perform(vec![VersionAction::Refuse { version: None, reason }]);
@@ -398,7 +398,7 @@
             }
             // The transition is not expected to panic. If it does, the configuration in effect stays, and the
             // next start loads it from disk.
-            Err(e) => eprintln!("control: no more versions are applied: {e}"),
+            Err(e) => log_line!("control: no more versions are applied: {e}"),
         }
     }
 
@@ -441,7 +441,7 @@
                     // A superseded version is not an error.
                     if !matches!(reason, Refusal::Superseded { .. }) {
                         let number = version.map_or("without a number".to_owned(), |v| v.to_string());
-                        eprintln!("control: version {number} is refused: {}", reasons.join("; "));
+                        log_line!("control: version {number} is refused: {}", reasons.join("; "));
                         self.status.refused(version, reasons.clone());
                     }
                     self.queue_answer(json!({"version": version, "accepted": false, "reasons": reasons}));
@@ -454,7 +454,7 @@
     /// reload.
     fn queue_answer(&self, answer: Value) {
         if let Some(Err(_)) = self.answer_queue.as_ref().map(|to| to.try_send(answer)) {
-            eprintln!("control: an answer is dropped, since the queue of answers is full or closed");
+            log_line!("control: an answer is dropped, since the queue of answers is full or closed");
         }
     }
 
@@ -468,8 +468,8 @@
                         self.update_versions(|v| v.finish(Err(reasons))).await;
                     }
                     Change::Reload => {
-                        eprintln!("configuration not read again, the previous one stays:");
-                        reasons.iter().for_each(|r| eprintln!("{r}"));
+                        log_line!("configuration not read again, the previous one stays:");
+                        reasons.iter().for_each(|r| log_line!("{r}"));
                         self.status.refused(None, reasons);
                     }
                 }
@@ -477,7 +477,7 @@
             }
         };
         if let Some(listener) = applied.listener {
-            eprintln!("listen.http: clients are taken at {} now", applied.installation.http);
+            log_line!("listen.http: clients are taken at {} now", applied.installation.http);
             self.accept(listener);
         }
         self.resolver.set(&applied.installation);
@@ -492,12 +492,12 @@
         match change {
             Change::Version(version) => {
                 let number = version.version;
-                eprintln!("configuration: version {number} is in effect");
+                log_line!("configuration: version {number} is in effect");
                 self.status.in_effect(Some(number));
                 self.update_versions(|v| v.finish(Ok(()))).await;
             }
             Change::Reload => {
-                eprintln!("configuration: the file is read again and in effect");
+                log_line!("configuration: the file is read again and in effect");
                 self.status.in_effect(self.versions.in_effect().map(|v| v.version));
             }
         }
--- a/crates/courier/src/discovery/dns.rs
+++ b/crates/courier/src/discovery/dns.rs
@@ -173,7 +173,7 @@
             Ok((addresses, ttl)) => {
                 if let Some(change) = self.cache.answered(name, &addresses, ttl, now) {
                     let (come, gone) = (change.added.len(), change.removed.len());
-                    eprintln!(
+                    log_line!(
                         "dns: {name} stands for {} addresses, {come} new, {gone} gone",
                         addresses.len()
                     );
@@ -185,10 +185,10 @@
                 if failure.first {
                     match failure.age {
                         Some(age) => {
-                            eprintln!("dns: {name}: {why}; the answer of {} s ago holds", age.as_secs())
+                            log_line!("dns: {name}: {why}; the answer of {} s ago holds", age.as_secs())
                         }
                         None => {
-                            eprintln!("dns: {name}: {why}; it was never answered, so it has no endpoints")
+                            log_line!("dns: {name}: {why}; it was never answered, so it has no endpoints")
                         }
                     }
                 }
--- a/crates/courier/src/discovery/watch.rs
+++ b/crates/courier/src/discovery/watch.rs
@@ -154,7 +154,7 @@
         self.status.call_ended(end.kind(), &end.to_string());
         let what = if lines_read > 0 { "the watch is lost" } else { "no watch" };
         let (after, pause) = (after.as_secs_f64(), pause.as_secs_f64());
-        eprintln!(
+        log_line!(
             "discovery: {what} after {after:.2} s, {lines_read} lines: {end}; calls again in {pause:.2} s"
         );
     }
@@ -188,7 +188,7 @@
                 line_started = None;
                 if progress.lines_read == 1 {
                     let after = started.elapsed().as_secs_f64();
-                    eprintln!(
+                    log_line!(
                         "discovery: the watch is open at version {}, {after:.2} s after its call",
                         self.version
                     );
@@ -215,7 +215,7 @@
             true => "/api/targets?stream=1".to_owned(),
             false => format!("/api/targets?stream=1&index={}", self.version),
         };
-        eprintln!("discovery: calls {} for {path}", self.address);
+        log_line!("discovery: calls {} for {path}", self.address);
         let connected = HttpConnection::connect(self.address, CONNECT_TIMEOUT, Operation::ConnectDiscovery);
         let mut connection = connected.await?;
         let request = Request::get(path)
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -152,7 +152,7 @@
     fn reconfigure(&mut self) {
         if let Err(why) = self.scheduler.reconfigure(self.setup.settings.clone()) {
             // The settings were checked before; on an error the scheduler keeps the previous ones.
-            eprintln!("configuration: {why}");
+            log_line!("configuration: {why}");
         }
     }
 
@@ -326,7 +326,7 @@
                         self.members.ids_by_host.remove(&e.host);
                     }
                 }
-                Action::Log { text } => eprintln!("note: {text}"),
+                Action::Log { text } => log_line!("note: {text}"),
             }
         }
         self.accept_submissions(&mut refused);
--- a/crates/courier/src/dispatcher/brokers.rs
+++ b/crates/courier/src/dispatcher/brokers.rs
@@ -72,7 +72,7 @@
             let of = key.split_once('/').and_then(|(id, host)| Some((id.parse().ok()?, host.to_owned())));
             let read = of.zip(serde_json::from_slice::<PacketIdRecord>(&value).ok());
             let Some(((id, host), of)) = read else {
-                eprintln!("mqtt: a record of a packet id cannot be read, and is dropped: {key}");
+                log_line!("mqtt: a record of a packet id cannot be read, and is dropped: {key}");
                 self.delete_state(&format!("{PACKET_ID_PREFIX}{key}"));
                 continue;
             };
--- a/crates/courier/src/dispatcher/lease.rs
+++ b/crates/courier/src/dispatcher/lease.rs
@@ -39,7 +39,7 @@
             ListAge::Known(ago) => ago,
             ListAge::Unrecorded if self.journal.last_number() == 0 => ASSUMED_FIRST_AGE,
             ListAge::Unrecorded | ListAge::Unknown => {
-                eprintln!(
+                log_line!(
                     "discovery: the age of the list is unknown; nothing is sent until discovery answers"
                 );
                 self.members.list_age_unknown = true;
@@ -114,14 +114,14 @@
         let stale = expired && !self.attempts.held.is_empty() && self.members.has_listed();
         match (self.members.list_stale_since, stale) {
             (None, true) => {
-                eprintln!(
+                log_line!(
                     "discovery: the list may be out of date; messages are held until discovery answers"
                 );
                 self.members.list_stale_since = Some(now);
             }
             (Some(since), false) => {
                 let held = now.duration_since(since).as_secs_f64();
-                eprintln!("discovery: the list is current again, after {held:.2} s");
+                log_line!("discovery: the list is current again, after {held:.2} s");
                 self.members.list_stale_since = None;
             }
             _ => {}
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -81,7 +81,7 @@
         let now = Instant::now();
         if self.list_age_reported.is_none_or(|at| now - at >= REPORT_INTERVAL) {
             self.list_age_reported = Some(now);
-            eprintln!(
+            log_line!(
                 "discovery: the age of the list cannot be kept: {error}; a restart may hold messages longer"
             );
         }
@@ -226,7 +226,7 @@
             }
         }
         if !ended.is_empty() {
-            eprintln!("configuration: {} messages of pools that are gone have ended", ended.len());
+            log_line!("configuration: {} messages of pools that are gone have ended", ended.len());
             self.flush_journal();
             self.post_notices();
         }
--- a/crates/courier/src/dispatcher/memory.rs
+++ b/crates/courier/src/dispatcher/memory.rs
@@ -321,7 +321,7 @@
             budget.ledger.set_resident(resident);
         }
         for change in budget.ledger.tick(budget.now()) {
-            eprintln!("{change}");
+            log_line!("{change}");
         }
         // Idle connections are released first: they are only a cache.
         if budget.ledger.level(Purpose::Endpoints) > Level::Ample
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -44,7 +44,7 @@
     let may_have_run = open().filter(|(_, m)| m.attempts.iter().any(|a| a.may_have_run)).count();
     let untried = open().filter(|(_, m)| m.attempts.is_empty()).count();
     let past = open().filter(|(_, m)| m.accepted.deadline <= now).count();
-    eprintln!(
+    log_line!(
         "resumed {} messages: {ended} ended, their notices not acknowledged; {untried} never called; \
          {may_have_run} may have run; {past} out of time",
         live.len()
@@ -154,11 +154,11 @@
             report(Operation::JournalSync, e);
         }
         if let Err(e) = self.journal.finish_sync(done) {
-            eprintln!("journal: {e}");
+            log_line!("journal: {e}");
         }
         if self.journal.is_disk_trusted() {
             if self.records.sync_failed.take().is_some() {
-                eprintln!("journal: syncs work again, and all that lives is written anew");
+                log_line!("journal: syncs work again, and all that lives is written anew");
             }
         } else if !self.journal.wants_compaction() {
             self.records.sync_failed = Some(Instant::now());
@@ -206,13 +206,13 @@
         match self.journal.flush() {
             Ok(()) => {
                 if self.records.disk_failed.take().is_some() {
-                    eprintln!("journal: works again");
+                    log_line!("journal: works again");
                 }
             }
             Err(e) => {
                 report_journal_error(&e);
                 if self.records.disk_failed.replace(Instant::now()).is_none() {
-                    eprintln!("journal: cannot write: {e}");
+                    log_line!("journal: cannot write: {e}");
                 }
             }
         }
--- a/crates/courier/src/dispatcher/shutdown.rs
+++ b/crates/courier/src/dispatcher/shutdown.rs
@@ -56,7 +56,7 @@
         if self.shutdown.since.is_none() {
             self.shutdown.since = Some(Instant::now());
             self.replace_outdated_clock_record();
-            eprintln!("stopping: {}", self.workload());
+            log_line!("stopping: {}", self.workload());
         }
     }
 
@@ -87,7 +87,7 @@
         let done = since >= SHUTDOWN_LIMIT || (quiet && notices_done && idle && !calls);
         if done {
             self.flush_journal();
-            eprintln!("stopped after {:.2} s: {}", since.as_secs_f64(), self.workload());
+            log_line!("stopped after {:.2} s: {}", since.as_secs_f64(), self.workload());
         }
         done
     }
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -186,7 +186,7 @@
         for (owner, record) in records {
             let text = std::str::from_utf8(&record).unwrap_or_default();
             if !machine.restore(&owner, text, Duration::ZERO) {
-                eprintln!("mqtt: the session of {owner} cannot be read, and is given up");
+                log_line!("mqtt: the session of {owner} cannot be read, and is given up");
             }
         }
         let session_memory = SessionMemory::new(&memory_budget.ledger, machine.estimated_session_bytes());
@@ -300,7 +300,7 @@
             Effect::OutcomeDelivered { message } | Effect::OutcomeDropped { message } => {
                 let _ = self.events.send(DispatcherEvent::OutcomeNotified { message }).await;
             }
-            Effect::Log(text) => eprintln!("mqtt: {text}"),
+            Effect::Log(text) => log_line!("mqtt: {text}"),
         }
     }
 
@@ -501,7 +501,7 @@
     async fn run_io(&self, connection: u64, socket: &TcpStream, output: &ConnectionOutput) -> io::Result<()> {
         while !output.closing.get() {
             if output.queued_bytes.get() > MAX_WRITE_QUEUE_BYTES {
-                eprintln!("mqtt: a client that does not read is left");
+                log_line!("mqtt: a client that does not read is left");
                 return Err(io::ErrorKind::WriteZero.into());
             }
             let reads = self.machine.borrow_mut().wants_input(connection);
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -175,7 +175,7 @@
                 (rejected_connections.take_log_line(now), rejected_connections.log_due())
             };
             if let Some(log_line) = log_line {
-                eprintln!("{log_line}");
+                log_line!("{log_line}");
             }
             let pause = next_log.map(|next_log| next_log.saturating_sub(now).max(Duration::from_millis(1)));
             tokio::select! {
--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -9,6 +9,11 @@
 //!   dispatcher  the scheduler, its event loop, and the messages it holds
 //! ```
 
+#![forbid(clippy::print_stderr, clippy::print_stdout)]
+
+#[macro_use]
+pub mod log;
+
 pub mod admin_client;
 mod bootstrap;
 pub mod clock;
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -1,8 +1,12 @@
 //! The `stairshed` command: runs the courier, and has tools for its configuration, memory and journal.
 
+#![deny(clippy::print_stderr, clippy::print_stdout)]
+
 use clap::{Args, CommandFactory, Parser, Subcommand};
+use stairshed_courier::log;
 use stairshed_courier::message_trace::{TraceFilter, enable_tracing};
 use stairshed_courier::users;
+use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -129,8 +133,23 @@
     folder: PathBuf,
 }
 
+/// Whether a command runs a courier, as opposed to printing something and ending.
+fn runs_courier(command: Option<&Command>) -> bool {
+    matches!(command, None | Some(Command::Serve { .. } | Command::Dev { .. }))
+}
+
+/// Lets SIGPIPE end the program, which Rust ignores by default: a tool ends without an error when the reader
+/// of its output is gone.
+fn end_on_broken_pipe() {
+    // SAFETY: the default action replaces no handler, and no other thread runs yet.
+    unsafe { libc::signal(libc::SIGPIPE, libc::SIG_DFL) };
+}
+
 fn main() -> ExitCode {
     let cli = Cli::parse();
+    if !runs_courier(cli.command.as_ref()) {
+        end_on_broken_pipe();
+    }
     if let Some(followed) = cli.follow {
         enable_tracing(followed);
     }
@@ -163,11 +182,13 @@
             let line = read.and_then(|_| {
                 users::password_line(&user, password.trim_end_matches(['\r', '\n'])).map_err(|e| to_text(&e))
             });
-            line.map(|line| println!("{line}"))
+            line.and_then(|line| writeln!(out, "{line}").map_err(|e| to_text(&e)))
         }
         Some(Command::Completions { shell }) => {
-            clap_complete::generate(shell, &mut Cli::command(), "stairshed", out);
-            Ok(())
+            // The generator panics if it cannot write.
+            let mut script = Vec::new();
+            clap_complete::generate(shell, &mut Cli::command(), "stairshed", &mut script);
+            out.write_all(&script).map_err(|e| to_text(&e))
         }
         Some(Command::Journal(command)) => {
             let out = &mut out.lock();
@@ -183,7 +204,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error.lines().for_each(|line| eprintln!("stairshed: {line}"));
+            error.lines().for_each(|line| log::write_line(format_args!("stairshed: {line}")));
             ExitCode::FAILURE
         }
     }
--- a/crates/courier/src/message_trace.rs
+++ b/crates/courier/src/message_trace.rs
@@ -1,5 +1,5 @@
 //! Traces messages selected by their client-assigned ids: writes a line to standard error for each step. Off
-//! by default and limited in lines per second. It depends on no other part of the courier and changes no
+//! by default and limited in lines per second. Of the courier it depends on the log alone, and it changes no
 //! decision.
 
 use stairshed_clock::TimeOfDay;
@@ -7,7 +7,6 @@
 use std::collections::BTreeSet;
 use std::fmt::{Arguments, Display};
 use std::hash::{DefaultHasher, Hash, Hasher};
-use std::io::Write;
 use std::str::FromStr;
 use std::sync::OnceLock;
 
@@ -107,12 +106,10 @@
 fn write(id: impl Display, what: Arguments) {
     let now = TimeOfDay::now().as_unix();
     let Some(dropped) = LINE_COUNT.with(|count| admit_line(now.as_secs(), count)) else { return };
-    let mut out = std::io::stderr().lock();
-    // Write errors are ignored: the trace must not stop the courier.
     if dropped > 0 {
-        let _ = writeln!(out, "follow: {dropped} lines dropped, more than {MAX_LINES_PER_SECOND} a second");
+        log_line!("follow: {dropped} lines dropped, more than {MAX_LINES_PER_SECOND} a second");
     }
-    let _ = writeln!(out, "follow {:.3} {id} {what}", now.as_secs_f64());
+    log_line!("follow {:.3} {id} {what}", now.as_secs_f64());
 }
 
 #[cfg(test)]
--- a/crates/courier/src/signals.rs
+++ b/crates/courier/src/signals.rs
@@ -64,7 +64,7 @@
     /// arrives later is received by the next call. A call that is cancelled loses none.
     pub async fn recv(&mut self) {
         while let Err(error) = self.read_record().await {
-            eprintln!("signals: cannot be read, tried again: {error}");
+            log_line!("signals: cannot be read, tried again: {error}");
             sleep(SIGNAL_PAUSES.most).await;
         }
     }
--- a/crates/courier/src/system_errors.rs
+++ b/crates/courier/src/system_errors.rs
@@ -10,7 +10,7 @@
 pub use backoff::{Backoff, retry};
 pub use errno::Errno;
 pub use policy::{Operation, Policy};
-pub use record::{log_folded, page, report};
+pub use record::{count_unlogged, log_folded, page, policy_of, report};
 
 use stairshed_journal::{Error as JournalError, FileCall};
 
--- a/crates/courier/src/system_errors/backoff.rs
+++ b/crates/courier/src/system_errors/backoff.rs
@@ -66,7 +66,7 @@
         }
         if !logged {
             logged = true;
-            eprintln!("{what}: {error}; tries again for {} s", limit.as_secs_f64());
+            log_line!("{what}: {error}; tries again for {} s", limit.as_secs_f64());
         }
         match policy.pauses() {
             Some(bounds) => sleep(backoff.next_pause(bounds).min(left)).await,
--- a/crates/courier/src/system_errors/policy.rs
+++ b/crates/courier/src/system_errors/policy.rs
@@ -55,6 +55,8 @@
     VersionStore,
     ListAge,
     OutcomesFile,
+    /// Writing a line of the log.
+    Log,
 }
 
 impl Operation {
@@ -84,6 +86,7 @@
             Operation::VersionStore => "version store",
             Operation::ListAge => "list age",
             Operation::OutcomesFile => "outcomes file",
+            Operation::Log => "log",
         }
     }
 }
@@ -105,6 +108,8 @@
     RefuseNewWork(Bounds),
     /// Goes on with what there is; the next change makes the next attempt.
     Continue,
+    /// Goes on without the line of the log.
+    DropLine,
     /// Ends the program with an error.
     EndProgram,
 }
@@ -118,6 +123,7 @@
             | Policy::CloseConnection
             | Policy::FailAttempt
             | Policy::Continue
+            | Policy::DropLine
             | Policy::EndProgram => None,
         }
     }
@@ -133,6 +139,7 @@
             Policy::FailAttempt => f.write_str("counts as not reached"),
             Policy::RefuseNewWork(pauses) => write!(f, "refuses new messages, tries again after {pauses}"),
             Policy::Continue => f.write_str("goes on, tries again at the next change"),
+            Policy::DropLine => f.write_str("drops the line, goes on"),
             Policy::EndProgram => f.write_str("ends with an error"),
         }
     }
@@ -265,6 +272,8 @@
     Rule { operations: &[Operation::VersionStore], errnos: &[], policy: Policy::BackOff(STORE_PAUSES) },
     Rule { operations: &[Operation::ListAge], errnos: &[], policy: Policy::Continue },
     Rule { operations: &[Operation::OutcomesFile], errnos: &[], policy: Policy::BackOff(OUTCOMES_PAUSES) },
+    Rule { operations: &[Operation::Log], errnos: &[libc::EINTR], policy: Policy::RetryNow },
+    Rule { operations: &[Operation::Log], errnos: &[], policy: Policy::DropLine },
 ];
 
 /// Error numbers that show that a host cannot be reached, as opposed to a failure of this machine.
--- a/crates/courier/src/system_errors/record.rs
+++ b/crates/courier/src/system_errors/record.rs
@@ -55,16 +55,23 @@
     /// Counts a failure. Returns the line to log, if one is due.
     pub fn add(&mut self, operation: Operation, error: &io::Error, now: Instant) -> Option<String> {
         let errno = Errno::of(error);
-        let key = (operation, errno);
-        let Some(entry) = self.entries.get_mut(&key) else {
-            self.entries.insert(key, Entry { count: 1, last: now, logged: now, unlogged: 0 });
-            let policy = policy(operation, errno);
-            return Some(format!("system: {}: {errno}: {error}; {policy}", operation.name()));
-        };
+        let entry = self.count(operation, error, now);
+        if entry.count > 1 {
+            return entry.take_line((operation, errno), now);
+        }
+        entry.unlogged = 0;
+        let policy = policy(operation, errno);
+        Some(format!("system: {}: {errno}: {error}; {policy}", operation.name()))
+    }
+
+    /// Counts a failure, to be logged with the following ones.
+    fn count(&mut self, operation: Operation, error: &io::Error, now: Instant) -> &mut Entry {
+        let new = Entry { count: 0, last: now, logged: now, unlogged: 0 };
+        let entry = self.entries.entry((operation, Errno::of(error))).or_insert(new);
         entry.count += 1;
         entry.unlogged += 1;
         entry.last = now;
-        entry.take_line(key, now)
+        entry
     }
 
     /// The lines that are due although nothing more has failed.
@@ -98,8 +105,19 @@
 pub fn report(operation: Operation, error: &io::Error) -> Policy {
     let line = record().add(operation, error, Instant::now());
     if let Some(line) = line {
-        eprintln!("{line}");
+        log_line!("{line}");
     }
+    policy_of(operation, error)
+}
+
+/// Counts a failed call without logging it at once: the log itself must not write a line for a line that it
+/// could not write.
+pub fn count_unlogged(operation: Operation, error: &io::Error) {
+    record().count(operation, error, Instant::now());
+}
+
+/// The policy of a failed call.
+pub fn policy_of(operation: Operation, error: &io::Error) -> Policy {
     policy(operation, Errno::of(error))
 }
 
@@ -108,7 +126,7 @@
     loop {
         sleep(CHECK_INTERVAL).await;
         let lines = record().take_lines(Instant::now());
-        lines.iter().for_each(|line| eprintln!("{line}"));
+        lines.iter().for_each(|line| log_line!("{line}"));
     }
 }
 
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -67,7 +67,7 @@
         let password = settings.password_file.as_ref().and_then(|f| match password(folder, f) {
             Ok(password) => Some(password),
             Err(e) => {
-                eprintln!(
+                log_line!(
                     "mqtt: {address}: its password cannot be read, and none is sent: {}: {e}",
                     f.display()
                 );
@@ -339,7 +339,7 @@
                 DispatcherEvent::CallEnded { message, attempt, endpoint, end: call_end_of(end) }
             }
             client::Effect::Log(text) => {
-                eprintln!("mqtt: {}: {text}", self.address);
+                log_line!("mqtt: {}: {text}", self.address);
                 return;
             }
             client::Effect::Open | client::Effect::Close { .. } => return,
--- a/crates/courier/src/upstream/connection_status.rs
+++ b/crates/courier/src/upstream/connection_status.rs
@@ -107,7 +107,7 @@
         }
         self.last_report.set(Some(now));
         let number = self.count(CloseReason::UnsolicitedBytes);
-        eprintln!(
+        log_line!(
             "connections: endpoint {} sent bytes that no request asked for, found {:.3} s after its last answer; \
              connection {connection_number} is closed ({number} so far)",
             endpoint.0,
--- a/crates/courier/src/upstream/outcomes.rs
+++ b/crates/courier/src/upstream/outcomes.rs
@@ -124,7 +124,7 @@
             Ok(Err((policy, path, e))) => {
                 pauses = policy.pauses().unwrap_or(pauses);
                 if !logged {
-                    eprintln!("outcomes: cannot append, trying on: {}: {e}", path.display());
+                    log_line!("outcomes: cannot append, trying on: {}: {e}", path.display());
                     logged = true;
                 }
             }
@@ -191,7 +191,7 @@
                 // One unreadable line must not hold back the others, so each is sent by itself from now on.
                 Some(StatusCode::BAD_REQUEST) if count > 1 => batch_limit = 1,
                 Some(StatusCode::BAD_REQUEST) => {
-                    eprintln!("outcomes: the other side cannot read the notice for {:?}", batch[0].id);
+                    log_line!("outcomes: the other side cannot read the notice for {:?}", batch[0].id);
                     if let Some(rejected) = rejected {
                         append(rejected, batch[0].line()).await;
                     }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -620,6 +620,16 @@
         courier
     }
 
+    /// Starts a courier that listens at this address, and waits until it is ready. Its log is left to the
+    /// caller of the command.
+    pub fn spawn_without_log(mut command: Command, address: SocketAddr) -> Self {
+        let child = command.spawn().expect("the courier starts");
+        let (_, log) = channel();
+        let courier = Courier { address, child, log, startup_log: Vec::new() };
+        wait_until("ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 200));
+        courier
+    }
+
     /// Starts a courier with an operator's configuration file, which is written into the folder.
     pub fn serve(folder: &TestFolder, file: &str) -> Self {
         Self::spawn(&mut serve_command(folder, file))
