--- a/crates/courier/src/log.rs
+++ b/crates/courier/src/log.rs
@@ -1,5 +1,5 @@
 //! The log: whole lines on standard error. A line that cannot be written is dropped and counted under
-//! [`Operation::Log`]; it neither ends a task, as `log_line!` would, nor holds one up for longer than
+//! [`Operation::Log`]; it neither ends a task, as `eprintln!` would, nor holds one up for longer than
 //! [`MAX_WAIT_PER_SECOND`].
 
 use crate::system_errors::{Operation, Policy, count_unlogged, policy_of};
