--- a/crates/testkit/src/verdict/endings.rs
+++ b/crates/testkit/src/verdict/endings.rs
@@ -3,11 +3,13 @@
 use super::{Judgement, NOTE_TIME};
 use crate::record::{Notice, Record};
 use crate::scenario::{FaultKind, Link};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 /// Words in the log line of an attempt by which a message has ended.
 const DELIVERED: &str = "outcome=Delivered";
+/// Words in the log line on a message that its courier gives up, perhaps with a call out.
+const GIVEN_UP: &str = " ends verdict=";
 /// Time from a notice to its acknowledgement in the journal. A kill within it lets the next process tell it again.
 const ACKNOWLEDGEMENT: Duration = Duration::from_millis(1500);
 
@@ -34,11 +36,20 @@
     })
 }
 
-/// Messages whose delivery a courier has logged, each with the time in which a kill may lose its record.
+/// Messages whose delivery a courier has logged, each with the time in which a kill may lose its record. A message that
+/// was given up before with the call out is told of by a notice in any case.
 fn delivered(record: &Record) -> BTreeMap<&str, (Instant, Duration)> {
-    let lines = record.log.iter().filter(|line| line.text.contains(DELIVERED));
-    let ids = lines.filter_map(|line| Some((message_of(&line.text)?, (line.at, NOTE_TIME))));
-    ids.collect()
+    let mut ends = BTreeMap::new();
+    let mut given_up = BTreeSet::new();
+    for line in &record.log {
+        let Some(id) = message_of(&line.text) else { continue };
+        if line.text.contains(GIVEN_UP) {
+            given_up.insert(id);
+        } else if line.text.contains(DELIVERED) && !given_up.contains(id) {
+            ends.entry(id).or_insert((line.at, NOTE_TIME));
+        }
+    }
+    ends
 }
 
 /// The message that a line of `--follow` is about: the word after `follow` and the time.
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -263,6 +263,11 @@
         told.notice("status-1", at_ms, "dead");
         assert_eq!(offender(&told, Rule::EndsOnce).is_some(), is_broken, "{at_ms}");
     }
+    let mut given_up = delivered();
+    let text = "follow 1.0 status-1 ends verdict=Bounced { wait: None } attempts=1 out=true".to_owned();
+    given_up.log.insert(0, LogLine { at: given_up.begun, courier: 0, text });
+    given_up.notice("status-1", 900, "bounced");
+    assert_eq!(offender(&given_up, Rule::EndsOnce), None);
     for (kill_ms, is_broken) in [(50, false), (150, true)] {
         let mut record = delivered();
         record.notice("status-1", 900, "dead");
