--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -74,8 +74,7 @@
 
     /// Reads one message, its body by `Content-Length`. Returns None if the connection ends first.
     pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
-        let mut message = HttpMessage::default();
-        message.start_line = read_whole_line(from)?;
+        let mut message = HttpMessage { start_line: read_whole_line(from)?, ..HttpMessage::default() };
         loop {
             let line = read_whole_line(from)?;
             let Some((name, value)) = line.split_once(':') else { break };
