--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -147,7 +147,7 @@
 
 fn main() -> ExitCode {
     if let Err(error) = stairshed_planted_faults::announce() {
-        eprintln!("stairshed: {error}");
+        log::write_line(format_args!("stairshed: {error}"));
         return ExitCode::FAILURE;
     }
     let cli = Cli::parse();
