--- a/crates/testkit/src/courier_file.rs
+++ b/crates/testkit/src/courier_file.rs
@@ -3,11 +3,12 @@
 use crate::endpoints::SHARED_LIMIT;
 use crate::scenario::{CLASSES, Scenario, StartMode};
 use serde_json::{Value, json};
-use stairshed_rig::{TestFolder, program, serve_command, settings};
+use stairshed_rig::{TestFolder, serve_command_of, settings};
 use std::fmt::Write;
 use std::fs;
 use std::io;
 use std::net::SocketAddr;
+use std::path::Path;
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
@@ -40,18 +41,18 @@
         }
     }
 
-    /// Writes the file into the folder and returns the command that starts the courier with it.
+    /// Writes the file into the folder and returns the command that starts this program with it.
     ///
     /// # Errors
     /// The file cannot be written.
-    pub fn command(&self, folder: &TestFolder) -> io::Result<Command> {
+    pub fn command(&self, program: &Path, folder: &TestFolder) -> io::Result<Command> {
         let (listen, discovery, config) = match self {
-            CourierFile::Operator(file) => return Ok(serve_command(folder, file)),
+            CourierFile::Operator(file) => return Ok(serve_command_of(program, folder, file)),
             CourierFile::Platform { listen, discovery, config } => (listen, discovery, config),
         };
         let path = folder.0.join("config.json");
         fs::write(&path, config.to_string())?;
-        let mut command = Command::new(program());
+        let mut command = Command::new(program);
         command
             .env("LB_NAME", "courier")
             .env("LB_LISTEN", listen.to_string())
--- a/crates/testkit/src/courier_process.rs
+++ b/crates/testkit/src/courier_process.rs
@@ -4,15 +4,21 @@
 use crate::record::LogLine;
 use rustix::process::{Pid, Signal, kill_process};
 use stairshed_rig::machine_faults::MachineFaults;
-use stairshed_rig::{TestFolder, free_address};
+use stairshed_rig::{TestFolder, exchange, free_address, program};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, BufReader};
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpStream};
 use std::os::unix::process::ExitStatusExt;
+use std::path::PathBuf;
 use std::process::{Child, ChildStderr, ExitStatus};
 use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::Instant;
+use std::time::{Duration, Instant};
+
+/// How long a courier may take until it serves.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two looks whether a courier serves.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Log lines of all couriers of a run.
 pub type CourierLog = Arc<Mutex<Vec<LogLine>>>;
@@ -22,6 +28,8 @@
     index: usize,
     /// Address for clients, the same in each life.
     pub address: SocketAddr,
+    /// What is run, as a rule the courier beside this program.
+    pub program: PathBuf,
     folder: TestFolder,
     file: CourierFile,
     /// Fault rules in effect, also for the next life.
@@ -46,7 +54,17 @@
     /// A courier that is not started yet.
     pub fn new(index: usize, address: SocketAddr, file: CourierFile, log: CourierLog) -> Self {
         let folder = TestFolder::new();
-        CourierProcess { index, address, folder, file, rules: String::new(), faults: None, child: None, log }
+        CourierProcess {
+            index,
+            address,
+            program: program(),
+            folder,
+            file,
+            rules: String::new(),
+            faults: None,
+            child: None,
+            log,
+        }
     }
 
     /// Starts a process.
@@ -54,7 +72,7 @@
     /// # Errors
     /// It cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
-        let mut command = self.file.command(&self.folder)?;
+        let mut command = self.file.command(&self.program, &self.folder)?;
         command.args(["--follow", "1/1"]);
         self.faults = Some(MachineFaults::load(&mut command, &self.folder, &self.rules));
         let mut child = command.spawn()?;
@@ -75,6 +93,23 @@
         });
     }
 
+    /// Waits until the courier is ready to accept messages. Returns false if it ends or takes too long.
+    pub fn wait_until_serving(&mut self) -> bool {
+        let end = Instant::now() + START_TIMEOUT;
+        while !is_serving(self.address) {
+            if self.take_exit().is_some() || Instant::now() > end {
+                return false;
+            }
+            thread::sleep(POLL_INTERVAL);
+        }
+        true
+    }
+
+    /// Id of the process, if one runs.
+    pub fn process_id(&self) -> Option<u32> {
+        self.child.as_ref().map(Child::id)
+    }
+
     /// Replaces the fault rules, of this life and the next.
     pub fn set_rules(&mut self, rules: String) {
         self.rules = rules;
@@ -114,6 +149,15 @@
     }
 }
 
+/// Whether a courier is ready to accept messages.
+fn is_serving(address: SocketAddr) -> bool {
+    if TcpStream::connect(address).is_err() {
+        return false;
+    }
+    let page = exchange(address, b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    page.is_some_and(|page| page.status() == 200)
+}
+
 /// Whether SIGKILL ended the process, such as its own one in the middle of a write.
 pub fn was_killed(status: ExitStatus) -> bool {
     status.signal() == Some(Signal::KILL.as_raw())
--- a/crates/testkit/src/endpoints.rs
+++ b/crates/testkit/src/endpoints.rs
@@ -105,9 +105,16 @@
 fn draw_script(settings: &Endpoints, rng: &mut SmallRng) -> Script {
     let latency = settings.latency.draw(rng);
     let (answer, delay) = draw_answer(&settings.answers, rng, latency);
+    let is_last = settings.closing > 0.0 && rng.random_bool(settings.closing);
+    let answer = if is_last { answer.map(|answer| closing(&answer)) } else { answer };
     Script { answer, delay, reset_after: false, copy_after: None }
 }
 
+/// Adds to an answer 200 that it is the last one on its connection.
+fn closing(answer: &str) -> String {
+    answer.replacen("200 OK\r\n", "200 OK\r\nConnection: close\r\n", 1)
+}
+
 fn draw_answer(answers: &Answers, rng: &mut SmallRng, latency: Duration) -> (Option<String>, Duration) {
     let body: u64 = rng.random();
     let wait = answers.wait.map_or(DEFAULT_WAIT, |wait| wait.draw(rng)).as_millis();
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,16 +1,18 @@
-//! The command `stairshed-faults`: runs scenarios and prints the verdicts.
+//! The command `stairshed-faults`: runs scenarios and prints the verdicts, and measures what faults cost.
 
-use clap::{Parser, Subcommand};
+use clap::{Args, Parser, Subcommand};
 use serde_json::{Value, json};
-use stairshed_testkit::runner::run;
+use stairshed_testkit::runner::{RunError, run};
 use stairshed_testkit::scenario::Scenario;
 use stairshed_testkit::verdict::Verdict;
+use stairshed_testkit::{fault_cost, folder_cost};
+use std::io::{self, Stdout};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::thread;
 
-/// A rule was broken, a fault never happened, or a run could not be done.
+/// A rule was broken, a target was missed, a fault never happened, or a run could not be done.
 const NOT_PASSED: u8 = 1;
 /// Bad usage or scenario; `clap` ends with it, too.
 const BAD_SCENARIO: u8 = 2;
@@ -43,6 +45,21 @@
         #[arg(long)]
         json: bool,
     },
+    /// Measures what failing calls cost and prints a table. Ends with 1 if a target is missed.
+    Cost(Measurement),
+    /// Measures what clients see while calls on the state folder fail and prints a table. Ends with 1 if a target is
+    /// missed.
+    Folder(Measurement),
+}
+
+#[derive(Args)]
+struct Measurement {
+    /// Seed of the endpoints' answers.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// The courier; without it the one beside this program.
+    #[arg(long)]
+    program: Option<PathBuf>,
 }
 
 /// A scenario with its name and a seed.
@@ -53,9 +70,30 @@
 }
 
 fn main() -> ExitCode {
-    let Command::Run { files, seed, seeds, parallel, json } = Cli::parse().command;
+    match Cli::parse().command {
+        Command::Run { files, seed, seeds, parallel, json } => run_files(&files, seed, seeds, parallel, json),
+        Command::Cost(measurement) => measurement.run(fault_cost::measure),
+        Command::Folder(measurement) => measurement.run(folder_cost::measure),
+    }
+}
+
+impl Measurement {
+    fn run(self, measure: fn(&Path, u64, &mut Stdout) -> Result<bool, RunError>) -> ExitCode {
+        let program = self.program.unwrap_or_else(stairshed_rig::program);
+        match measure(&program, self.seed, &mut io::stdout()) {
+            Ok(true) => ExitCode::SUCCESS,
+            Ok(false) => ExitCode::from(NOT_PASSED),
+            Err(error) => {
+                eprintln!("{error}");
+                ExitCode::from(NOT_PASSED)
+            }
+        }
+    }
+}
+
+fn run_files(files: &[PathBuf], seed: u64, seeds: u64, parallel: usize, json: bool) -> ExitCode {
     let mut scenarios = Vec::new();
-    for path in &files {
+    for path in files {
         match Scenario::read(path) {
             Ok(scenario) => scenarios.push((name(path), scenario)),
             Err(error) => {
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -15,7 +15,6 @@
 use stairshed_rig::duplicating_endpoint::CallLog;
 use std::collections::BTreeSet;
 use std::io;
-use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -23,8 +22,6 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Time between two looks for messages that have not ended.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long couriers may take until they serve, before the run begins.
-const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time from the end of a process by itself to the next start.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
 
@@ -37,6 +34,15 @@
     NotServing { courier: usize, last_line: String },
 }
 
+impl RunError {
+    /// A courier does not serve; the last line of the log tells why.
+    pub fn not_serving(courier: usize, log: &CourierLog) -> Self {
+        let log = log.lock().expect("the log");
+        let last_line = log.last().map(|line| line.text.clone()).unwrap_or_default();
+        RunError::NotServing { courier, last_line }
+    }
+}
+
 /// The parts of a run.
 struct Run {
     record: Record,
@@ -115,15 +121,9 @@
     }
 
     fn wait_until_serving(&mut self) -> Result<(), RunError> {
-        let end = Instant::now() + START_TIMEOUT;
         for (index, courier) in self.couriers.iter_mut().enumerate() {
-            while !is_serving(courier.address) {
-                if courier.take_exit().is_some() || Instant::now() > end {
-                    let log = self.courier_log.lock().expect("the log");
-                    let last_line = log.last().map(|line| line.text.clone()).unwrap_or_default();
-                    return Err(RunError::NotServing { courier: index, last_line });
-                }
-                thread::sleep(POLL_INTERVAL);
+            if !courier.wait_until_serving() {
+                return Err(RunError::not_serving(index, &self.courier_log));
             }
         }
         Ok(())
@@ -446,12 +446,3 @@
     let delay = link.delay.map_or(Duration::ZERO, |delay| delay.0);
     ProxyFault { action: link.action, delay, after_bytes: link.after_bytes }
 }
-
-/// Whether a courier is ready to accept messages.
-fn is_serving(address: SocketAddr) -> bool {
-    if TcpStream::connect(address).is_err() {
-        return false;
-    }
-    let page = stairshed_rig::exchange(address, b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    page.is_some_and(|page| page.status() == 200)
-}
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -100,6 +100,8 @@
     /// How long receivers of keyed messages remember a key.
     pub key_window: Span,
     pub answers: Answers,
+    /// Probability that an answer 200 is the last one on its connection, so that the next call connects anew.
+    pub closing: f64,
 }
 
 impl Default for Endpoints {
@@ -112,6 +114,7 @@
             latency: SpanRange { least: Duration::from_millis(2), most: Duration::from_millis(40) },
             key_window: Span(Duration::from_secs(12)),
             answers: Answers::default(),
+            closing: 0.0,
         }
     }
 }
@@ -393,6 +396,7 @@
             (endpoints.pools > 0 && !endpoints.zones.is_empty(), "endpoints: at least one pool and one zone"),
             (shares.iter().all(|p| *p >= 0.0), "endpoints.answers: probabilities are not negative"),
             (shares.iter().sum::<f64>() <= 1.0, "endpoints.answers: the probabilities are more than 1"),
+            ((0.0..=1.0).contains(&endpoints.closing), "endpoints.closing: from 0 to 1"),
             (clients.rate > 0.0, "clients.rate: more than 0"),
             (clients.classes.iter().chain(&clients.ordered).all(known), "clients: no such class"),
         ];
