--- a/crates/testkit/src/fault_cost.rs
+++ b/crates/testkit/src/fault_cost.rs
@@ -123,7 +123,7 @@
         let accepted = record.messages_in_fault().filter(|message| message.accepted_at().is_some());
         let delivered = record.deliveries(record.fault_began, record.fault_ended);
         FaultCost {
-            injected: record.injected,
+            injected: record.injected.values().sum(),
             accepted_share: accepted.count() as f64 / submitted,
             delivered_share: delivered as f64 / submitted,
             recovery: recovery(record, baseline),
@@ -195,14 +195,14 @@
     let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
     let plan =
         TrialPlan { scenario, body_bytes: BODY_BYTES, before: BEFORE, lasting: LASTING, after: AFTER, seed };
-    let record = run_trial(&plan, program, None)?;
+    let record = run_trial(&plan, program, &[])?;
     let baseline = Baseline::new(&record);
     let mut cells = FaultCost::new(&record, baseline).row(BASELINE);
     cells[COLUMNS.len() - 1].clear();
     writeln!(table, "{}\n{}", table_head(&COLUMNS), table_row(&cells))?;
     let mut all_met = true;
     for fault in FAULTS {
-        let cost = FaultCost::new(&run_trial(&plan, program, Some(fault))?, baseline);
+        let cost = FaultCost::new(&run_trial(&plan, program, &[fault])?, baseline);
         writeln!(table, "{}", table_row(&cost.row(&fault.to_string())))?;
         all_met &= cost.misses().is_empty();
     }
--- a/crates/testkit/src/fault_cost_test.rs
+++ b/crates/testkit/src/fault_cost_test.rs
@@ -14,7 +14,7 @@
         with_delivery(&mut record, ms(at));
     }
     record.cpu_seconds = 0.5;
-    record.injected = 3;
+    record.injected.insert("accept EMFILE".to_owned(), 3);
     record
 }
 
@@ -54,7 +54,7 @@
 fn each_missed_target_is_told() {
     let mut record = record(0, 2000);
     record.cpu_seconds = 1.1;
-    record.injected = 0;
+    record.injected.clear();
     record.exit = Some("exit status: 1".to_owned());
     let cost = cost(&record);
     assert_eq!(cost.misses(), ["not reached", "back", "CPU", "ended"]);
--- a/crates/testkit/src/folder_cost.rs
+++ b/crates/testkit/src/folder_cost.rs
@@ -2,16 +2,21 @@
 
 use crate::fault_cost::RECOVERY_LIMIT;
 use crate::runner::RunError;
-use crate::scenario::Scenario;
+use crate::scenario::{Scenario, StartMode};
 use crate::steady_load::LoadMessage;
 use crate::table::{table_head, table_row};
 use crate::trial::{CallFault, TrialPlan, TrialRecord, run_trial};
 use std::collections::BTreeMap;
 use std::io::Write;
+use std::iter;
 use std::path::Path;
 use std::time::Duration;
 
-const CALLS: [&str; 6] = ["open", "write", "sync", "truncate", "rename", "unlink"];
+const CALLS: [&str; 6] = ["open", "write", "sync", TRUNCATE, RENAME, "unlink"];
+/// Comes when a write has failed in the middle of a record.
+const TRUNCATE: &str = "truncate";
+/// Comes in couriers of the platform alone, which keep the age of the list.
+const RENAME: &str = "rename";
 const ERRORS: [&str; 4] = ["ENOSPC", "EIO", "EDQUOT", "EROFS"];
 
 const BEFORE: Duration = Duration::from_secs(1);
@@ -33,6 +38,39 @@
 ordered = []
 "#;
 
+/// What is measured in one row.
+struct FolderFault {
+    fault: CallFault,
+    /// Faults without which the call would not come.
+    provoking: Vec<CallFault>,
+    start: StartMode,
+}
+
+impl FolderFault {
+    fn new(call: &'static str, error: &'static str) -> Self {
+        let provoking = if call == TRUNCATE {
+            vec![
+                CallFault { call: "write", fault: "short", every: 2 },
+                CallFault { call: "write", fault: error, every: 3 },
+            ]
+        } else {
+            Vec::new()
+        };
+        let start = if call == RENAME { StartMode::Platform } else { StartMode::File };
+        FolderFault { fault: CallFault { call, fault: error, every: 1 }, provoking, start }
+    }
+
+    fn all(&self) -> Vec<CallFault> {
+        iter::once(self.fault).chain(self.provoking.iter().copied()).collect()
+    }
+
+    /// Its name in the table.
+    fn name(&self) -> String {
+        let rules: Vec<_> = self.all().iter().map(ToString::to_string).collect();
+        rules.join(", ")
+    }
+}
+
 const COLUMNS: [&str; 9] = [
     "fault",
     "injected",
@@ -64,8 +102,8 @@
 }
 
 impl FolderCost {
-    /// The figures of a run.
-    pub fn new(record: &TrialRecord) -> Self {
+    /// The figures of a run with this fault.
+    pub fn new(record: &TrialRecord, fault: CallFault) -> Self {
         let mut answers = BTreeMap::new();
         for message in record.messages_in_fault() {
             *answers.entry(answer_name(message)).or_default() += 1;
@@ -76,7 +114,7 @@
         let number = |id: &str| calls.get(id).copied().unwrap_or(0);
         let payments = record.messages.iter().filter(|message| message.id.starts_with(ONCE_CLASS));
         FolderCost {
-            injected: record.injected,
+            injected: record.times_injected(fault),
             answers,
             without_end: accepted.filter(|message| !record.has_ended(&message.id)).count(),
             doubled_payments: payments.filter(|message| number(&message.id) > 1).count(),
@@ -157,15 +195,17 @@
 /// A run cannot be set up, or the table cannot be written.
 pub fn measure(program: &Path, seed: u64, table: &mut impl Write) -> Result<bool, RunError> {
     let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
-    let plan =
+    let mut plan =
         TrialPlan { scenario, body_bytes: BODY_BYTES, before: BEFORE, lasting: LASTING, after: AFTER, seed };
     writeln!(table, "{}", table_head(&COLUMNS))?;
     let mut all_met = true;
     for call in CALLS {
         for error in ERRORS {
-            let fault = CallFault { call, fault: error, every: 1 };
-            let cost = FolderCost::new(&run_trial(&plan, program, Some(fault))?);
-            writeln!(table, "{}", table_row(&cost.row(&fault.to_string())))?;
+            let fault = FolderFault::new(call, error);
+            plan.scenario.start = fault.start;
+            let record = run_trial(&plan, program, &fault.all())?;
+            let cost = FolderCost::new(&record, fault.fault);
+            writeln!(table, "{}", table_row(&cost.row(&fault.name())))?;
             all_met &= cost.misses().is_empty();
         }
     }
--- a/crates/testkit/src/steady_load.rs
+++ b/crates/testkit/src/steady_load.rs
@@ -1,7 +1,7 @@
 //! A load of the same rate whatever the courier answers: each client submits at fixed times and gives up on an answer
 //! before the next one. Half of the clients keep their connection, the others connect for each message.
 
-use crate::scenario::{CLASSES, Scenario};
+use crate::scenario::{CLASSES, Scenario, StartMode};
 use stairshed_rig::{HttpMessage, request};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -63,6 +63,7 @@
                 class: CLASSES[number as usize % CLASSES.len()],
                 keeps_connection: (number as usize / CLASSES.len()).is_multiple_of(2),
                 courier,
+                start: scenario.start,
                 pools: scenario.endpoints.pools,
                 deadline: scenario.clients.deadline.0,
                 body: "x".repeat(body_bytes),
@@ -84,6 +85,7 @@
     class: &'static str,
     keeps_connection: bool,
     courier: SocketAddr,
+    start: StartMode,
     pools: usize,
     deadline: Duration,
     body: String,
@@ -108,8 +110,7 @@
     /// Submits one message on the open connection, if there is one, and leaves it open if it can be used again.
     fn submit(&self, id: &str, pool: usize, open: &mut Option<BufReader<TcpStream>>) -> Option<LoadAnswer> {
         let mut connection = open.take().or_else(|| self.connect())?;
-        let path = format!("/{}/{pool}", self.class);
-        let headers = format!("X-Timeout: {}m\r\nIdempotency-Key: key-{id}\r\n", self.deadline.as_millis());
+        let (path, headers) = self.address(id, pool);
         let request = request(&path, id, &headers, &self.body);
         connection.get_mut().write_all(request.as_bytes()).ok()?;
         let answer = HttpMessage::read(&mut connection)?;
@@ -124,6 +125,20 @@
         })
     }
 
+    /// Path and header fields of a message: the platform's couriers go by the class and the envelope, the others by
+    /// the path.
+    fn address(&self, id: &str, pool: usize) -> (String, String) {
+        let class = self.class;
+        let common = format!("X-Timeout: {}m\r\nIdempotency-Key: key-{id}\r\n", self.deadline.as_millis());
+        match self.start {
+            StartMode::File => (format!("/{class}/{pool}"), common),
+            StartMode::Platform => {
+                let headers = format!("{common}X-Priority-Class: {class}\r\nEnvelope: dest={pool}\r\n");
+                (format!("/{class}"), headers)
+            }
+        }
+    }
+
     fn connect(&self) -> Option<BufReader<TcpStream>> {
         let stream = TcpStream::connect_timeout(&self.courier, PATIENCE).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).ok()?;
--- a/crates/testkit/src/trial.rs
+++ b/crates/testkit/src/trial.rs
@@ -1,8 +1,9 @@
-//! One courier under a steady load, with a call that fails for a while, and what was recorded.
+//! One courier under a steady load, with calls that fail for a while, and what was recorded.
 
 use crate::courier_file::CourierFile;
 use crate::courier_process::{CourierLog, CourierProcess, reserved_address};
 use crate::endpoints::{ListingService, PlacedEndpoint};
+use crate::reach::FaultCounts;
 use crate::runner::RunError;
 use crate::scenario::Scenario;
 use crate::steady_load::{LoadMessage, SteadyLoad};
@@ -25,6 +26,13 @@
     pub every: u32,
 }
 
+impl CallFault {
+    /// Name under which the library counts it.
+    fn count_name(self) -> String {
+        format!("{} {}", self.call, self.fault)
+    }
+}
+
 impl fmt::Display for CallFault {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         write!(to, "{} {} {}", self.call, self.fault, self.every)
@@ -60,21 +68,17 @@
     pub noticed: BTreeSet<String>,
     /// CPU time of the courier while the fault lasted.
     pub cpu_seconds: f64,
-    /// How often the fault was injected.
-    pub injected: u64,
+    /// How often faults were injected, by the library's names.
+    pub injected: FaultCounts,
     /// How the process ended, if it ended by itself.
     pub exit: Option<String>,
 }
 
-/// Runs a trial of a program; without a fault it is the baseline.
+/// Runs a trial of a program; without faults it is the baseline. All faults last equally long.
 ///
 /// # Errors
 /// The parts cannot be set up, or the courier does not serve before the fault.
-pub fn run_trial(
-    plan: &TrialPlan,
-    program: &Path,
-    fault: Option<CallFault>,
-) -> Result<TrialRecord, RunError> {
+pub fn run_trial(plan: &TrialPlan, program: &Path, faults: &[CallFault]) -> Result<TrialRecord, RunError> {
     let scenario = &plan.scenario;
     let calls = CallLog::default();
     let endpoints = PlacedEndpoint::start_all(scenario, plan.seed, &calls)?;
@@ -85,7 +89,7 @@
     let load_ended = begun + plan.before + plan.lasting + plan.after;
     let load = SteadyLoad::start(scenario, courier.address, plan.body_bytes, begun, load_ended);
     thread::sleep(plan.before);
-    courier.set_rules(fault.map(|fault| fault.to_string()).unwrap_or_default());
+    courier.set_rules(faults.iter().map(|fault| format!("{fault}\n")).collect());
     let fault_began = Instant::now();
     let cpu_before = courier_cpu_seconds(&courier);
     thread::sleep(plan.lasting);
@@ -108,7 +112,7 @@
         calls,
         noticed: noticed(&listing),
         cpu_seconds: cpu_after - cpu_before,
-        injected: courier.injected().values().sum(),
+        injected: courier.injected(),
         exit,
     })
 }
@@ -141,6 +145,11 @@
 }
 
 impl TrialRecord {
+    /// How often a fault was injected.
+    pub fn times_injected(&self, fault: CallFault) -> u64 {
+        self.injected.get(&fault.count_name()).copied().unwrap_or(0)
+    }
+
     /// Messages that were submitted while the fault lasted.
     pub fn messages_in_fault(&self) -> impl Iterator<Item = &LoadMessage> {
         let lasting = self.fault_began..self.fault_ended;
--- a/crates/testkit/src/trial_test.rs
+++ b/crates/testkit/src/trial_test.rs
@@ -14,7 +14,7 @@
         calls: Vec::new(),
         noticed: BTreeSet::new(),
         cpu_seconds: 0.0,
-        injected: 0,
+        injected: FaultCounts::new(),
         exit: None,
     }
 }
