--- a/crates/courier/src/bootstrap.rs
+++ b/crates/courier/src/bootstrap.rs
@@ -6,11 +6,14 @@
 mod serve;
 pub mod settings;
 
+use crate::memory_budget::MemoryBudget;
 use crate::signals::{Signal, SignalStream};
 use crate::startup_error::StartupError;
 use crate::system_errors::{self, report_startup_error, retry};
+use crate::upstream::endpoint_client::EndpointClient;
 use platform_config::PlatformConfig;
 use settings::OperatorSettings;
+use stairshed_decide::interface::Settings;
 use stairshed_journal::{Error as JournalError, FileCall, FileStorage, Journal, Options, RecoveryReport};
 use std::fs;
 use std::future::Future;
@@ -128,6 +131,15 @@
     Ok(journal)
 }
 
+/// Creates the client of the endpoints, with at most `sockets` connections. The scheduler must know how long
+/// connections are kept idle here, so the settings take that over.
+fn endpoint_client(settings: &mut Settings, sockets: usize, memory_budget: &MemoryBudget) -> EndpointClient {
+    let client =
+        EndpointClient::new(settings.connect_timeout, settings.keepalive, sockets, memory_budget.clone());
+    settings.keepalive = client.idle_timeout();
+    client
+}
+
 fn signal_stream(signals: &[Signal]) -> Result<SignalStream, StartupError> {
     SignalStream::open(signals).map_err(|e| StartupError::Invalid("signals", e.to_string()))
 }
--- a/crates/courier/src/bootstrap/platform.rs
+++ b/crates/courier/src/bootstrap/platform.rs
@@ -2,7 +2,10 @@
 
 use super::platform_config::{self, PlatformConfig};
 use super::settings::OperatorSettings;
-use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock_state, open_journal, signal_stream, unless_stopped};
+use super::{
+    EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, endpoint_client, lock_state, open_journal, signal_stream,
+    unless_stopped,
+};
 use crate::clock::start_clock;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::planted_settings::scheduler_settings;
@@ -12,7 +15,6 @@
 use crate::memory_budget::MemoryBudget;
 use crate::signals::{Signal, SignalStream};
 use crate::startup_error::StartupError;
-use crate::upstream::endpoint_client::EndpointClient;
 use crate::upstream::outcomes::OutcomeNotifier;
 use stairshed_decide::interface::ENDPOINT_LIST_LEASE;
 use stairshed_decide::scheduler::Scheduler;
@@ -70,14 +72,7 @@
     let upstream_sockets = (config.limits.sockets / 3).max(16);
     let client_sockets = config.limits.sockets.saturating_sub(upstream_sockets + RESERVED_SOCKETS).max(8);
     let memory_budget = memory_budget(&config);
-    let endpoint_client = EndpointClient::new(
-        config.settings.connect_timeout,
-        config.settings.keepalive,
-        upstream_sockets,
-        memory_budget.clone(),
-    );
-    // The scheduler must know how long connections are kept alive here.
-    config.settings.keepalive = endpoint_client.idle_timeout();
+    let endpoint_client = endpoint_client(&mut config.settings, upstream_sockets, &memory_budget);
     config.settings.membership_lease_duration = Some(ENDPOINT_LIST_LEASE);
     let lists_are_pushed = !config.settings.subscription_required;
     let scheduler = Scheduler::new(scheduler_settings(config.settings.clone()), config.seed);
--- a/crates/courier/src/bootstrap/serve.rs
+++ b/crates/courier/src/bootstrap/serve.rs
@@ -1,7 +1,10 @@
 //! A courier configured by an operator's file, with configuration versions from a control service applied
 //! over it.
 
-use super::{EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, lock_state, open_journal, signal_stream, unless_stopped};
+use super::{
+    EVENT_QUEUE_LENGTH, RESERVED_SOCKETS, endpoint_client, lock_state, open_journal, signal_stream,
+    unless_stopped,
+};
 use crate::clock::start_clock;
 use crate::discovery::config_file;
 use crate::discovery::configured_hosts::endpoint_kinds;
@@ -21,7 +24,6 @@
 use crate::memory_budget::{self, MemoryBudget};
 use crate::signals::Signal;
 use crate::startup_error::StartupError;
-use crate::upstream::endpoint_client::EndpointClient;
 use crate::upstream::outcomes::OutcomeNotifier;
 use stairshed_clock::{ClockStart, StableClock};
 use stairshed_config::Installation;
@@ -199,13 +201,7 @@
     let caps = memory_budget::caps(&installation).map_err(StartupError::Problems)?;
     let memory_budget = MemoryBudget::new(&caps, installation.file.memory.client_share);
     let mut setup = setup(&installation, &active_config, &memory_budget, &base_dir, clock_start);
-    let endpoint_client = EndpointClient::new(
-        setup.settings.connect_timeout,
-        setup.settings.keepalive,
-        upstream_sockets,
-        memory_budget.clone(),
-    );
-    setup.settings.keepalive = endpoint_client.idle_timeout();
+    let endpoint_client = endpoint_client(&mut setup.settings, upstream_sockets, &memory_budget);
     let connections = endpoint_client.connection_status();
     let scheduler = Scheduler::new(scheduler_settings(setup.settings.clone()), setup.seed)
         .map_err(|e| invalid("configuration", e))?;
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -231,17 +231,7 @@
     cx: &mut Context,
     buffer: &mut ReadBuf,
 ) -> Poll<io::Result<()>> {
-    loop {
-        ready!(stream.poll_read_ready(cx))?;
-        match stream.try_read(buffer.initialize_unfilled()) {
-            Ok(number) => {
-                buffer.advance(number);
-                return Poll::Ready(Ok(()));
-            }
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            Err(e) => return Poll::Ready(Err(e)),
-        }
-    }
+    socket::poll_read_repeating(stream, cx, buffer, |e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
 /// A client's socket that reports the bytes read to its [`ClientConnection`].
--- a/crates/courier/src/socket.rs
+++ b/crates/courier/src/socket.rs
@@ -23,6 +23,19 @@
 /// # Errors
 /// The socket failed.
 pub fn poll_read(stream: &TcpStream, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
+    poll_read_repeating(stream, cx, buffer, |e| is_transient(Operation::SocketRead, e))
+}
+
+/// Reads available bytes into the buffer. Calls that fail with an error for which `repeats` holds are repeated.
+///
+/// # Errors
+/// The socket failed with another error.
+pub fn poll_read_repeating(
+    stream: &TcpStream,
+    cx: &mut Context,
+    buffer: &mut ReadBuf,
+    repeats: impl Fn(&io::Error) -> bool,
+) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
         match stream.try_read(buffer.initialize_unfilled()) {
@@ -30,7 +43,7 @@
                 buffer.advance(number);
                 return Poll::Ready(Ok(()));
             }
-            Err(e) if is_transient(Operation::SocketRead, &e) => {}
+            Err(e) if repeats(&e) => {}
             Err(e) => return Poll::Ready(Err(e)),
         }
     }
--- a/crates/courier/tests/stale_membership.rs
+++ b/crates/courier/tests/stale_membership.rs
@@ -278,6 +278,17 @@
 const STOP_AFTER_CHANGE: Duration = Duration::from_millis(1200);
 const STOP_TIME: Duration = Duration::from_millis(1500);
 
+/// Lets stopped couriers run after [`STOP_TIME`], with discovery serving again at `latest`.
+fn assert_no_call_after_stop(fleet: &Fleet, clients: Vec<JoinHandle<()>>, latest: Instant) {
+    thread::sleep(STOP_TIME);
+    fleet.couriers.iter().for_each(|courier| courier.signal("-CONT"));
+    thread::sleep(latest - Instant::now());
+    fleet.discovery.answer_watches(WatchAnswer::Serve);
+    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    fleet.assert_no_call_to_old_after(latest);
+    fleet.assert_new_is_used();
+}
+
 // Guards against taking the time in which the process was stopped for a wait for discovery, which would be an outage.
 #[test]
 fn courier_stopped_during_a_refused_call_sends_nothing_to_a_draining_endpoint() {
@@ -294,13 +305,7 @@
         wait_until("a call", || calls() > before);
         courier.signal("-STOP");
     }
-    thread::sleep(STOP_TIME);
-    fleet.couriers.iter().for_each(|courier| courier.signal("-CONT"));
-    thread::sleep(latest - Instant::now());
-    fleet.discovery.answer_watches(WatchAnswer::Serve);
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
-    fleet.assert_no_call_to_old_after(latest);
-    fleet.assert_new_is_used();
+    assert_no_call_after_stop(&fleet, clients, latest);
 }
 
 // Guards against counting a line from discovery as new when it is read, long after it arrived.
@@ -317,13 +322,7 @@
     let change = fleet.replace_endpoint();
     let latest = change + MAX_PROPAGATION + DRAIN_GRACE;
     let clients = fleet.start_clients_until(latest + Duration::from_secs(3));
-    thread::sleep(STOP_TIME);
-    fleet.couriers.iter().for_each(|courier| courier.signal("-CONT"));
-    thread::sleep(latest - Instant::now());
-    fleet.discovery.answer_watches(WatchAnswer::Serve);
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
-    fleet.assert_no_call_to_old_after(latest);
-    fleet.assert_new_is_used();
+    assert_no_call_after_stop(&fleet, clients, latest);
 }
 
 // Guards against not receiving lists on a site where they are pushed instead of requested.
