--- a/crates/courier/tests/clock_steps.rs
+++ b/crates/courier/tests/clock_steps.rs
@@ -37,7 +37,7 @@
             .map(|name| format!("[routes.{name}]\nprefix = \"/{name}\"\npool = \"p\"\nclass = \"{name}\"\n"));
         let file = format!(
             "[listen]\nhttp = \"127.0.0.1:0\"\nmqtt = \"127.0.0.1:0\"\n\
-             [classes.short]\neffect = \"repeatable\"\ndeadline = \"4s\"\n\
+             [classes.short]\neffect = \"repeatable\"\ndeadline = \"4s\"\nattempts = 100\n\
              [classes.payment]\neffect = \"once\"\ndeadline = \"20s\"\nremember = \"3s\"\n\
              [classes.narrow]\neffect = \"keyed\"\nkey_window = \"2s\"\ndeadline = \"20s\"\n\
              [classes.wide]\neffect = \"keyed\"\nkey_window = \"15s\"\ndeadline = \"20s\"\n\
