--- a/crates/courier/src/ingress/admin.rs
+++ b/crates/courier/src/ingress/admin.rs
@@ -64,7 +64,7 @@
                 let pages = pages.clone();
                 async move { Ok::<_, Infallible>(answer(&request, &pages).await) }
             });
-            let conn = http1::Builder::new().serve_connection(TokioIo::new(Socket(stream)), service);
+            let conn = http1::Builder::new().serve_connection(TokioIo::new(Socket::new(stream)), service);
             let _ = timeout(CONNECTION_TIMEOUT, conn).await;
             drop(permit);
         });
--- a/crates/courier/src/ingress/http.rs
+++ b/crates/courier/src/ingress/http.rs
@@ -6,7 +6,7 @@
 use crate::ingress::message_headers::{MessageHeaders, RequestError};
 use crate::ingress::rejection::{ConnectionRejecter, Protocol, ReceivedInput, Rejection};
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
-use crate::socket;
+use crate::socket::{self, Socket};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -236,17 +236,17 @@
 
 /// A client's socket that reports the bytes read to its [`ClientConnection`].
 struct ObservedStream {
-    stream: TcpStream,
+    socket: Socket,
     connection: Rc<ClientConnection>,
 }
 
 impl AsyncRead for ObservedStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         if is_planted(PlantedFault::InterruptedReadCloses) {
-            ready!(poll_interruptible_read(&self.stream, cx, buf))?;
+            ready!(poll_interruptible_read(&self.socket.stream, cx, buf))?;
         } else {
-            ready!(socket::poll_read(&self.stream, cx, buf))?;
+            ready!(Pin::new(&mut self.socket).poll_read(cx, buf))?;
         }
         if buf.filled().len() > before {
             self.connection.bytes_received(&buf.filled()[before..]);
@@ -256,16 +256,16 @@
 }
 
 impl AsyncWrite for ObservedStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        socket::poll_write(&self.stream, cx, |stream| stream.try_write(buf))
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.socket).poll_write(cx, buf)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
+        Pin::new(&mut self.socket).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
+        Pin::new(&mut self.socket).poll_shutdown(cx)
     }
 }
 
@@ -414,7 +414,7 @@
             .max_buf_size(MAX_HEAD_BYTES)
             .keep_alive(!self.server_state.stopping.get())
             .serve_connection(
-                TokioIo::new(ObservedStream { stream, connection: connection.clone() }),
+                TokioIo::new(ObservedStream { socket: Socket::new(stream), connection: connection.clone() }),
                 service,
             );
         let mut read_timer = pin!(sleep(FIRST_BYTE_TIMEOUT));
@@ -441,7 +441,7 @@
                 ConnectionState::ReadingHead => ReceivedInput::HttpRequest,
                 _ => ReceivedInput::Nothing,
             };
-            let stream = http_conn.into_parts().io.into_inner().stream;
+            let stream = http_conn.into_parts().io.into_inner().socket.stream;
             rejecter.reject(stream, Protocol::Http, Rejection::connections(), received);
         }
     }
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -12,7 +12,7 @@
 use crate::ingress::users::Users;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket::is_transient;
-use crate::system_errors::Operation;
+use crate::system_errors::{Operation, RetryPause};
 use crate::upstream::outcomes;
 use bytes::BytesMut;
 use stairshed_clock::{StableClock, StableTime};
@@ -481,9 +481,11 @@
         }
         // Writes the remaining output, if the client reads it in time.
         let _ = timeout(CLOSE_TIMEOUT, async {
+            let mut pause = RetryPause::default();
             while !output.write_queue.borrow().is_empty() {
+                pause.ended().await;
                 socket.writable().await?;
-                flush_output(&socket, &output)?;
+                flush_output(&socket, &output, &mut pause)?;
             }
             Ok::<_, io::Error>(())
         })
@@ -499,6 +501,7 @@
 
     /// Reads and writes until the connection fails or is to be closed.
     async fn run_io(&self, connection: u64, socket: &TcpStream, output: &ConnectionOutput) -> io::Result<()> {
+        let mut pause = RetryPause::default();
         while !output.closing.get() {
             if output.queued_bytes.get() > MAX_WRITE_QUEUE_BYTES {
                 log_line!("mqtt: a client that does not read is left");
@@ -516,20 +519,28 @@
                     continue;
                 }
             };
+            let ready = async {
+                pause.ended().await;
+                socket.ready(wanted).await
+            };
             tokio::select! {
                 () = output.wake.notified() => {}
-                ready = socket.ready(wanted) => {
+                ready = ready => {
                     let ready = ready?;
                     if ready.is_writable() {
-                        flush_output(socket, output)?;
+                        flush_output(socket, output, &mut pause)?;
                     }
                     // What an evicted connection sends is read by the rejecter.
                     if reads && !output.closing.get() && (ready.is_readable() || ready.is_read_closed()) {
                         let mut buffer = self.buffer.borrow_mut();
                         match socket.try_read(&mut buffer) {
                             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                            Ok(n) => self.with_machine(|m, now| m.received(connection, &buffer[..n], now)),
+                            Ok(n) => {
+                                pause.reset();
+                                self.with_machine(|m, now| m.received(connection, &buffer[..n], now));
+                            }
                             Err(e) if is_transient(Operation::SocketRead, &e) => {}
+                            Err(e) if pause.start_after(Operation::SocketRead, &e) => {}
                             Err(e) => return Err(e),
                         }
                     }
@@ -540,8 +551,9 @@
     }
 }
 
-/// Writes queued output without blocking, as far as the socket accepts it.
-fn flush_output(socket: &TcpStream, output: &ConnectionOutput) -> io::Result<()> {
+/// Writes queued output without blocking, as far as the socket accepts it. Starts a pause if the system has no
+/// memory for it.
+fn flush_output(socket: &TcpStream, output: &ConnectionOutput, pause: &mut RetryPause) -> io::Result<()> {
     let mut write_queue = output.write_queue.borrow_mut();
     let slices: Vec<io::IoSlice> = write_queue.iter().take(64).map(|b| io::IoSlice::new(b)).collect();
     if slices.is_empty() {
@@ -550,8 +562,10 @@
     let mut written = match socket.try_write_vectored(&slices) {
         Ok(n) => n,
         Err(e) if is_transient(Operation::SocketWrite, &e) => return Ok(()),
+        Err(e) if pause.start_after(Operation::SocketWrite, &e) => return Ok(()),
         Err(e) => return Err(e),
     };
+    pause.reset();
     output.queued_bytes.set(output.queued_bytes.get() - written);
     while let Some(first) = write_queue.front_mut() {
         let part = written.min(first.len());
--- a/crates/courier/src/ingress/rejection.rs
+++ b/crates/courier/src/ingress/rejection.rs
@@ -6,7 +6,7 @@
 use crate::events::DEFAULT_RETRY_AFTER;
 use crate::memory_budget::{MemoryBudget, MemoryRefusal};
 use crate::socket;
-use crate::system_errors::Operation;
+use crate::system_errors::{Operation, RetryPause};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use stairshed_memory::rejected_connections::{
     LINGER_TIMEOUT, MAX_CONCURRENT, MAX_DISCARDED_BYTES, REQUEST_TIMEOUT, RejectionOutcome,
@@ -241,13 +241,15 @@
 impl ConnectionRejecter {
     /// Reads and discards further input, up to `DRAINED` bytes.
     async fn drain(&self, stream: &TcpStream) -> io::Result<()> {
-        let mut total = 0;
+        let (mut total, mut pause) = (0, RetryPause::default());
         while total < MAX_DISCARDED_BYTES {
+            pause.ended().await;
             stream.readable().await?;
             match stream.try_read(&mut self.discard_buffer.borrow_mut()) {
                 Ok(0) => break,
                 Ok(n) => total += n as u64,
                 Err(e) if socket::is_transient(Operation::SocketRead, &e) => {}
+                Err(e) if pause.start_after(Operation::SocketRead, &e) => {}
                 Err(e) => return Err(e),
             }
         }
--- a/crates/courier/src/socket.rs
+++ b/crates/courier/src/socket.rs
@@ -1,8 +1,9 @@
-//! Reads and writes on a TCP socket. Calls interrupted by a signal are repeated. Unlike tokio's own methods,
+//! Reads and writes on a TCP socket. Calls interrupted by a signal are repeated, and calls for which the system
+//! has no memory are repeated after a pause. Unlike tokio's own methods,
 //! these do not treat a short read or write as a sign that the socket is empty or full; tokio's then wait for
 //! an event that never comes.
 
-use crate::system_errors::{Operation, Policy, report};
+use crate::system_errors::{Operation, Policy, RetryPause, report};
 use std::future::poll_fn;
 use std::io;
 use std::mem::MaybeUninit;
@@ -18,12 +19,28 @@
     error.kind() == io::ErrorKind::WouldBlock || report(operation, error) == Policy::RetryNow
 }
 
-/// Reads available bytes into the buffer.
+/// Reads available bytes into the buffer. `pause` is that of the connection's reads.
 ///
 /// # Errors
 /// The socket failed.
-pub fn poll_read(stream: &TcpStream, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
-    poll_read_repeating(stream, cx, buffer, |e| is_transient(Operation::SocketRead, e))
+pub fn poll_read(
+    stream: &TcpStream,
+    cx: &mut Context,
+    buffer: &mut ReadBuf,
+    pause: &mut RetryPause,
+) -> Poll<io::Result<()>> {
+    let repeats = |error: &io::Error| is_transient(Operation::SocketRead, error);
+    loop {
+        ready!(pause.poll_end(cx));
+        match ready!(poll_read_repeating(stream, cx, buffer, repeats)) {
+            Ok(()) => {
+                pause.reset();
+                return Poll::Ready(Ok(()));
+            }
+            Err(e) if pause.start_after(Operation::SocketRead, &e) => {}
+            Err(e) => return Poll::Ready(Err(e)),
+        }
+    }
 }
 
 /// Reads available bytes into the buffer. Calls that fail with an error for which `repeats` holds are repeated.
@@ -49,7 +66,8 @@
     }
 }
 
-/// Writes as much as the socket accepts, using `write`, and returns the number of bytes.
+/// Writes as much as the socket accepts, using `write`, and returns the number of bytes. `pause` is that of the
+/// connection's writes.
 ///
 /// # Errors
 /// The socket failed.
@@ -57,12 +75,19 @@
     stream: &TcpStream,
     cx: &mut Context,
     write: impl Fn(&TcpStream) -> io::Result<usize>,
+    pause: &mut RetryPause,
 ) -> Poll<io::Result<usize>> {
     loop {
+        ready!(pause.poll_end(cx));
         ready!(stream.poll_write_ready(cx))?;
         match write(stream) {
+            Ok(number) => {
+                pause.reset();
+                return Poll::Ready(Ok(number));
+            }
             Err(e) if is_transient(Operation::SocketWrite, &e) => {}
-            result => return Poll::Ready(result),
+            Err(e) if pause.start_after(Operation::SocketWrite, &e) => {}
+            Err(e) => return Poll::Ready(Err(e)),
         }
     }
 }
@@ -92,8 +117,8 @@
 /// # Errors
 /// The socket failed.
 pub async fn read(stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
-    let mut buffer = ReadBuf::new(into);
-    poll_fn(|cx| poll_read(stream, cx, &mut buffer)).await?;
+    let (mut buffer, mut pause) = (ReadBuf::new(into), RetryPause::default());
+    poll_fn(|cx| poll_read(stream, cx, &mut buffer, &mut pause)).await?;
     Ok(buffer.filled().len())
 }
 
@@ -117,33 +142,49 @@
 /// # Errors
 /// The socket failed.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+    let mut pause = RetryPause::default();
     while !bytes.is_empty() {
-        let number = poll_fn(|cx| poll_write(stream, cx, |stream| stream.try_write(bytes))).await?;
+        let write = |stream: &TcpStream| stream.try_write(bytes);
+        let number = poll_fn(|cx| poll_write(stream, cx, write, &mut pause)).await?;
         bytes = &bytes[number..];
     }
     Ok(())
 }
 
 /// A TCP stream with these reads and writes, for code that takes tokio's traits.
-pub struct Socket(pub TcpStream);
+pub struct Socket {
+    /// The stream itself.
+    pub stream: TcpStream,
+    read_pause: RetryPause,
+    write_pause: RetryPause,
+}
+
+impl Socket {
+    /// Takes over a connected stream.
+    pub fn new(stream: TcpStream) -> Self {
+        Socket { stream, read_pause: RetryPause::default(), write_pause: RetryPause::default() }
+    }
+}
 
 impl AsyncRead for Socket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
-        poll_read(&self.0, cx, buffer)
+        let Socket { stream, read_pause, .. } = self.get_mut();
+        poll_read(stream, cx, buffer, read_pause)
     }
 }
 
 impl AsyncWrite for Socket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        poll_write(&self.0, cx, |stream| stream.try_write(bytes))
+        let Socket { stream, write_pause, .. } = self.get_mut();
+        poll_write(stream, cx, |stream| stream.try_write(bytes), write_pause)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0).poll_flush(cx)
+        Pin::new(&mut self.stream).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0).poll_shutdown(cx)
+        Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
 
--- a/crates/courier/src/system_errors.rs
+++ b/crates/courier/src/system_errors.rs
@@ -6,11 +6,13 @@
 pub mod errno;
 pub mod policy;
 pub mod record;
+pub mod retry_pause;
 
 pub use backoff::{Backoff, retry};
 pub use errno::Errno;
 pub use policy::{Operation, Policy};
 pub use record::{count_unlogged, log_folded, page, policy_of, report};
+pub use retry_pause::RetryPause;
 
 use stairshed_journal::{Error as JournalError, FileCall};
 
--- a/crates/courier/src/system_errors/policy.rs
+++ b/crates/courier/src/system_errors/policy.rs
@@ -14,6 +14,9 @@
 /// Pauses between attempts to connect to an endpoint, within the connect time-out.
 pub const CONNECT_PAUSES: Bounds =
     Bounds { least: Duration::from_millis(5), most: Duration::from_millis(100) };
+/// Pauses between reads or writes of a connection for which the system has no memory.
+pub const SOCKET_PAUSES: Bounds =
+    Bounds { least: Duration::from_millis(5), most: Duration::from_millis(100) };
 /// Pauses between attempts to store a configuration version.
 pub const STORE_PAUSES: Bounds =
     Bounds { least: Duration::from_millis(50), most: Duration::from_millis(400) };
@@ -229,6 +232,12 @@
         policy: Policy::RetryNow,
     },
     Rule { operations: &[Operation::QueryDns], errnos: &[], policy: Policy::FailAttempt },
+    // The cause is this machine: the connection itself is intact.
+    Rule {
+        operations: &[Operation::SocketRead, Operation::SocketWrite],
+        errnos: &[libc::ENOBUFS, libc::ENOMEM],
+        policy: Policy::BackOff(SOCKET_PAUSES),
+    },
     Rule {
         operations: &[Operation::SocketRead, Operation::SocketWrite],
         errnos: &[],
--- a/crates/courier/src/system_errors_test.rs
+++ b/crates/courier/src/system_errors_test.rs
@@ -66,6 +66,10 @@
     for number in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::EPIPE, libc::ECONNRESET] {
         is(Operation::SocketWrite, number, |p| p == Policy::CloseConnection);
     }
+    for number in [libc::ENOBUFS, libc::ENOMEM] {
+        is(Operation::SocketRead, number, |p| matches!(p, Policy::BackOff(_)));
+        is(Operation::SocketWrite, number, |p| matches!(p, Policy::BackOff(_)));
+    }
     assert!(shows_unreachable_peer(Errno(libc::EHOSTUNREACH)));
     assert!(!shows_unreachable_peer(Errno(libc::EMFILE)), "a failure of this machine");
 }
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -2,7 +2,7 @@
 
 use crate::events::{AfterAttempt, CallResult, DispatcherEvent};
 use crate::socket::is_transient;
-use crate::system_errors::{Operation, report};
+use crate::system_errors::{Operation, RetryPause, report};
 use crate::upstream::endpoint_client::Call;
 use bytes::Bytes;
 use stairshed_clock::{StableClock, StableTime};
@@ -245,6 +245,7 @@
         let mut socket: Option<TcpStream> = None;
         let mut connecting: Option<Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>> = None;
         let mut bytes = vec![0; READ_BUFFER_BYTES];
+        let mut pause = RetryPause::default();
         loop {
             loop {
                 let Some(effect) = self.mqtt_client.borrow_mut().poll() else { break };
@@ -278,6 +279,7 @@
                 false => Interest::READABLE,
             };
             let ready = async {
+                pause.ended().await;
                 match &socket {
                     Some(socket) => socket.ready(interest).await,
                     None => std::future::pending().await,
@@ -298,6 +300,7 @@
                         Ok(stream) => {
                             let _ = stream.set_nodelay(true);
                             socket = Some(stream);
+                            pause = RetryPause::default();
                             self.update_client(|mqtt_client, now| mqtt_client.connection_opened(now));
                         }
                         Err(e) => {
@@ -309,8 +312,10 @@
                 ready = ready => {
                     let result = match (&socket, ready) {
                         (Some(socket), Ok(ready)) => {
-                            let read = if ready.is_readable() { self.read(socket, &mut bytes) } else { Ok(()) };
-                            read.and_then(|()| if ready.is_writable() { self.write(socket) } else { Ok(()) })
+                            let readable = ready.is_readable();
+                            let read = if readable { self.read(socket, &mut bytes, &mut pause) } else { Ok(()) };
+                            let writable = ready.is_writable();
+                            read.and_then(|()| if writable { self.write(socket, &mut pause) } else { Ok(()) })
                         }
                         (_, Err(e)) => Err(e),
                         (None, _) => Ok(()),
@@ -349,7 +354,7 @@
     }
 
     /// Writes pending output.
-    fn write(&self, socket: &TcpStream) -> io::Result<()> {
+    fn write(&self, socket: &TcpStream, pause: &mut RetryPause) -> io::Result<()> {
         let written = {
             let mqtt_client = self.mqtt_client.borrow();
             let mut slices = Vec::new();
@@ -361,23 +366,27 @@
         };
         match written {
             Ok(n) => {
+                pause.reset();
                 self.mqtt_client.borrow_mut().bytes_written(n, self.origin.elapsed());
                 Ok(())
             }
             Err(e) if is_transient(Operation::SocketWrite, &e) => Ok(()),
+            Err(e) if pause.start_after(Operation::SocketWrite, &e) => Ok(()),
             Err(e) => Err(e),
         }
     }
 
     /// Passes received bytes to the state machine.
-    fn read(&self, socket: &TcpStream, bytes: &mut [u8]) -> io::Result<()> {
+    fn read(&self, socket: &TcpStream, bytes: &mut [u8], pause: &mut RetryPause) -> io::Result<()> {
         match socket.try_read(bytes) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(n) => {
+                pause.reset();
                 self.mqtt_client.borrow_mut().received(&bytes[..n], self.origin.elapsed());
                 Ok(())
             }
             Err(e) if is_transient(Operation::SocketRead, &e) => Ok(()),
+            Err(e) if pause.start_after(Operation::SocketRead, &e) => Ok(()),
             Err(e) => Err(e),
         }
     }
--- a/crates/courier/src/upstream/endpoint_client.rs
+++ b/crates/courier/src/upstream/endpoint_client.rs
@@ -7,7 +7,7 @@
 use crate::upstream::connection_pool::{ConnectionPool, PooledConnection};
 use crate::upstream::connection_status::ConnectionStatus;
 use crate::upstream::exchange::Exchange;
-use crate::upstream::exchange_monitor::{ExchangeMonitor, run_monitored};
+use crate::upstream::exchange_monitor::{ExchangeMonitor, run_checked, run_monitored};
 use crate::upstream::http_connection::{HttpResponse, RequestError, ResponseProgress};
 use crate::upstream::response_identity::ResponseIdentity;
 use bytes::Bytes;
@@ -173,7 +173,14 @@
         let (connection_number, sequence, started) =
             (connection.number(), connection.response_count() + 1, Instant::now());
         monitor.attach(connection.progress_handle());
-        let response = run_monitored(connection.send_request(request, until), || {
+        // A write for which the system has no memory is repeated later; until its first byte is written, it may
+        // come to be forbidden.
+        let sent =
+            run_checked(connection.send_request(request, until), || match monitor.is_request_started() {
+                true => Ok(()),
+                false => self.check_writable(endpoint, pool, write_deadline),
+            });
+        let response = run_monitored(sent, || {
             let progress = monitor.progress();
             self.record_wait(pool, progress);
             monitor.try_report_wait();
--- a/crates/courier/src/upstream/exchange_monitor.rs
+++ b/crates/courier/src/upstream/exchange_monitor.rs
@@ -37,6 +37,11 @@
         self.handle.borrow().as_ref().map(ProgressHandle::progress).unwrap_or_default()
     }
 
+    /// Whether a byte of the request has been written.
+    pub fn is_request_started(&self) -> bool {
+        self.handle.borrow().as_ref().is_some_and(ProgressHandle::is_request_started)
+    }
+
     /// The requested wait, if it has not been reported yet.
     fn unreported_wait(&self) -> Option<DispatcherEvent> {
         let until = self.progress().blocked_until.filter(|_| !self.wait_reported.get())?;
@@ -61,6 +66,24 @@
     }
 }
 
+/// Polls `work` to completion, and calls `check` before each poll.
+///
+/// # Errors
+/// That of `work`, or the first one of `check`, after which `work` is not polled any more.
+pub async fn run_checked<T, E>(
+    work: impl Future<Output = Result<T, E>>,
+    check: impl Fn() -> Result<(), E>,
+) -> Result<T, E> {
+    let mut work = pin!(work);
+    poll_fn(|cx| {
+        if let Err(error) = check() {
+            return Poll::Ready(Err(error));
+        }
+        work.as_mut().poll(cx)
+    })
+    .await
+}
+
 /// Number of polls after which all received data has been processed: hyper yields one body chunk per poll,
 /// and a body has few chunks.
 const MAX_FINAL_POLLS: usize = 16;
--- a/crates/courier/src/upstream/http_connection.rs
+++ b/crates/courier/src/upstream/http_connection.rs
@@ -2,7 +2,7 @@
 //! the socket at once, and whether any byte of a request was written is always known.
 
 use crate::socket;
-use crate::system_errors::{Errno, Operation, Policy, report};
+use crate::system_errors::{Errno, Operation, Policy, RetryPause, report};
 use crate::upstream::connection_status::CloseReason;
 use crate::upstream::response_head::ResponseHead;
 use crate::upstream::response_identity::ResponseIdentity;
@@ -54,11 +54,15 @@
     stream: TcpStream,
     written: Cell<u64>,
     received: Rc<ReceiveState>,
+    read_pause: RefCell<RetryPause>,
+    write_pause: RefCell<RetryPause>,
 }
 
 /// The response head of the latest exchange, and the latest socket error.
 #[derive(Default)]
 struct ReceiveState {
+    /// Whether a byte of the request of the latest exchange has been written.
+    request_started: Cell<bool>,
     head: RefCell<ResponseHead>,
     failure: Cell<Option<SocketFailure>>,
 }
@@ -84,6 +88,11 @@
 pub struct ProgressHandle(Rc<ReceiveState>);
 
 impl ProgressHandle {
+    /// Whether a byte of the request has been written.
+    pub fn is_request_started(&self) -> bool {
+        self.0.request_started.get()
+    }
+
     /// What has been received so far.
     pub fn progress(&self) -> ResponseProgress {
         let head = self.0.head.borrow();
@@ -113,7 +122,7 @@
 impl AsyncRead for TransportIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        match ready!(socket::poll_read(&self.0.stream, cx, buf)) {
+        match ready!(socket::poll_read(&self.0.stream, cx, buf, &mut self.0.read_pause.borrow_mut())) {
             Ok(()) => self.0.received.head.borrow_mut().feed(&buf.filled()[before..]),
             Err(e) => return self.0.failed(SocketFailure::Read(e.kind()), e),
         }
@@ -169,8 +178,9 @@
         cx: &mut Context,
         f: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
-        match ready!(socket::poll_write(&self.0.stream, cx, f)) {
+        match ready!(socket::poll_write(&self.0.stream, cx, f, &mut self.0.write_pause.borrow_mut())) {
             Ok(number) => {
+                self.0.received.request_started.set(true);
                 self.0.written.set(self.0.written.get() + number as u64);
                 Poll::Ready(Ok(number))
             }
@@ -398,7 +408,13 @@
         stream: TcpStream,
         reservation: Option<(OwnedSemaphorePermit, Charge)>,
     ) -> Result<Self, ConnectError> {
-        let transport = Rc::new(Transport { stream, written: Cell::new(0), received: Rc::default() });
+        let transport = Rc::new(Transport {
+            stream,
+            written: Cell::new(0),
+            received: Rc::default(),
+            read_pause: RefCell::default(),
+            write_pause: RefCell::default(),
+        });
         let io = TokioIo::new(TransportIo(transport.clone()));
         let (sender, driver) = http1::Builder::new().max_buf_size(MAX_BODY_BYTES).handshake(io).await?;
         let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -480,6 +496,7 @@
     ) -> Result<HttpResponse, RequestError> {
         let (before, transport) = (self.transport.written.get(), self.transport.clone());
         *transport.received.head.borrow_mut() = ResponseHead::default();
+        transport.received.request_started.set(false);
         let started = head_within(&transport, until, self.send_and_await_head(request)).await;
         let received_at = Instant::now();
         let (parts, body) = match started {
--- a/crates/courier/tests/system_errors.rs
+++ b/crates/courier/tests/system_errors.rs
@@ -25,6 +25,16 @@
     )
 }
 
+/// Lines for payments that MQTT clients submit and that this broker receives.
+fn topics(broker: &Broker) -> String {
+    format!(
+        "[pools.b]\nendpoints = [{{ name = \"b\", address = \"mqtt://{}/fuel/in\" }}]\n\
+         [topics.pay]\nfilter = \"fuel/#\"\npool = \"b\"\nclass = \"payment\"\n\
+         identity = {{ pointer = \"/id\" }}\nidentity_scope = \"all\"\n",
+        broker.address
+    )
+}
+
 /// A courier with one endpoint that answers every call, and the faults of its system calls.
 struct TestSetup {
     endpoint: Endpoint,
@@ -35,7 +45,10 @@
 
 impl TestSetup {
     fn start(lines: &str) -> Self {
-        let endpoint = Endpoint::new(|_| EndpointAction::RespondDistinct(MS));
+        Self::start_with(Endpoint::new(|_| EndpointAction::RespondDistinct(MS)), lines)
+    }
+
+    fn start_with(endpoint: Endpoint, lines: &str) -> Self {
         let folder = TestFolder::new();
         let mut command = serve_command(&folder, &file(&endpoint, lines));
         let faults = MachineFaults::load(&mut command, &folder, "");
@@ -163,13 +176,7 @@
 #[test]
 fn all_connections_work_while_each_read_and_write_moves_one_byte() {
     let broker = Broker::new(BrokerFaults::default());
-    let topics = format!(
-        "[pools.b]\nendpoints = [{{ name = \"b\", address = \"mqtt://{}/fuel/in\" }}]\n\
-         [topics.pay]\nfilter = \"fuel/#\"\npool = \"b\"\nclass = \"payment\"\n\
-         identity = {{ pointer = \"/id\" }}\nidentity_scope = \"all\"\n",
-        broker.address
-    );
-    let setup = TestSetup::start(&topics);
+    let setup = TestSetup::start(&topics(&broker));
     setup.faults.set("recv one-byte 1\nsend one-byte 1");
     let ids: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
     ids.iter().for_each(|id| assert_eq!(setup.pay(id), 202));
@@ -181,6 +188,109 @@
     assert!(setup.courier.page("/-/memory")["purposes"].is_array());
 }
 
+// Guards against closing connections, and ending messages as ones that may have run, for a momentary lack of memory.
+#[test]
+fn connections_stay_open_while_each_second_read_and_write_has_no_memory() {
+    let broker = Broker::new(BrokerFaults::default());
+    let setup = TestSetup::start(&topics(&broker));
+    let (mut van, _) = MqttClient::connect(setup.courier.mqtt(), Connect::new(Version::V5, "van"));
+    assert_eq!(van.submit("fuel/x", 100, "{\"id\": \"first\"}", &[]), Some(0));
+    wait_until("its effect", || broker.effects().contains_key("first"));
+    let (mut client, broker_connections) = (connect(setup.courier.address), broker.connections());
+    let mut paid = Vec::new();
+    let rules =
+        ["recv ENOMEM 2\nsend ENOBUFS 2", "recv ENOBUFS 2\nsend ENOMEM 2", "send short 2\nsend ENOBUFS 3"];
+    for (round, rules) in rules.iter().enumerate() {
+        setup.faults.set(rules);
+        for n in 0..10 {
+            let id = format!("m{round}-{n}");
+            assert_eq!(answer_on(&mut client, &request("/pay", &id, "", "x")), Some(202), "{id}");
+            let body = format!("{{\"id\": \"van-{id}\"}}");
+            assert_eq!(van.submit("fuel/x", n + 1, &body, &[]), Some(0), "{id}");
+            paid.push(id);
+        }
+        wait_until("the effects", || broker.effects().len() == paid.len() + 1);
+        wait_until("the deliveries", || setup.endpoint.ids().len() == paid.len());
+    }
+    setup.faults.set("");
+    assert!(broker.effects().values().all(|times| *times == 1), "{:?}", broker.effects());
+    assert_eq!(broker.connections(), broker_connections);
+    setup.assert_delivered_once(paid);
+    for (operation, errno) in
+        [("read", "ENOMEM"), ("read", "ENOBUFS"), ("write", "ENOMEM"), ("write", "ENOBUFS")]
+    {
+        assert!(setup.count(operation, errno) > 0, "{operation} {errno}");
+    }
+    assert_eq!(setup.courier.page("/-/connections")["errors"], json!({}), "no exchange failed");
+}
+
+// Guards against a loop without pauses, and against many lines of the log, while a read keeps failing.
+#[test]
+fn a_read_without_memory_is_tried_with_pauses_and_logged_once() {
+    let setup = TestSetup::start("");
+    let mut client = connect(setup.courier.address);
+    assert_eq!(answer_on(&mut client, &request("/pay", "m0", "", "x")), Some(202));
+    wait_until("its delivery", || setup.endpoint.ids() == ["m0"]);
+    setup.faults.set("recv ENOMEM 1");
+    let started = Instant::now();
+    client.write_all(request("/pay", "m1", "", "x").as_bytes()).expect("written");
+    thread::sleep(Duration::from_secs(2));
+    setup.faults.set("");
+    let answer = HttpMessage::read(&mut BufReader::new(&client)).map(|answer| answer.status());
+    assert_eq!(answer, Some(202));
+    // Pauses double from 2.5 ms at least, up to 50 ms at least.
+    let most = started.elapsed().as_millis() as u64 / 50 + 10;
+    let failures = setup.count("read", "ENOMEM");
+    assert!((5..=most).contains(&failures), "{failures} failed calls, at most {most}");
+    setup.assert_delivered_once(vec!["m0".to_owned(), "m1".to_owned()]);
+    let lines = setup.courier.unread_log();
+    let logged = lines.iter().filter(|line| line.starts_with("system: read: ENOMEM: ")).count();
+    assert_eq!(logged, 1, "{lines:?}");
+}
+
+// Guards against an attempt without an end, and against a second one, where an answer cannot be read in time.
+#[test]
+fn a_call_whose_answer_cannot_be_read_ends_at_its_deadline_as_one_that_may_have_run() {
+    let short = "[classes.short]\neffect = \"once\"\ndeadline = \"4s\"\n\
+                 [routes.short]\nprefix = \"/short\"\npool = \"p\"\nclass = \"short\"\n";
+    let endpoint = Endpoint::new(|_| EndpointAction::RespondAfter(Duration::from_secs(2), OK));
+    let setup = TestSetup::start_with(endpoint, short);
+    assert_eq!(setup.courier.post("/short", "m1", "", "x").status(), 202);
+    wait_until("the call", || setup.endpoint.ids() == ["m1"]);
+    setup.faults.set("recv ENOMEM 1");
+    wait_until("its outcome", || !outcomes(&setup.folder).is_empty());
+    setup.faults.set("");
+    assert_eq!(outcomes(&setup.folder), [("m1".to_owned(), "dead".to_owned())]);
+    assert!(setup.count("read", "ENOMEM") > 1, "it was tried again");
+    assert_eq!(setup.endpoint.ids(), ["m1"]);
+}
+
+// Guards against a request that was decided on long ago and is written to an endpoint that drains.
+#[test]
+fn a_call_that_waits_for_memory_is_not_written_once_its_endpoint_has_drained() {
+    let answering = || Endpoint::new(|_| EndpointAction::RespondDistinct(MS));
+    let (old, new, folder) = (answering(), answering(), TestFolder::new());
+    let known = list(1, true, vec![host("s-old", &old, 7, "ready")]);
+    let discovery = Discovery::new(known.clone());
+    let mut command = command(&folder, &discovery, &config(&discovery, known));
+    let faults = MachineFaults::load(&mut command, &folder, "");
+    let courier = Courier::spawn(&mut command);
+    courier.submit_accepted("m0", "payment", 7, 5000);
+    wait_until("its delivery", || old.ids() == ["m0"]);
+    faults.set("send ENOBUFS 1");
+    let address = courier.address;
+    let client = thread::spawn(move || exchange(address, message("m1", "payment", 7, 10_000).as_bytes()));
+    thread::sleep(500 * MS);
+    let drains = vec![host("s-old", &old, 7, "draining"), host("s-new", &new, 7, "ready")];
+    discovery.tell(list(2, false, drains));
+    // The grace of a drain, 1 s, is over when the system has memory again.
+    thread::sleep(Duration::from_secs(2));
+    faults.set("");
+    assert_eq!(client.join().expect("a client").map(|answer| answer.status()), Some(202));
+    wait_until("its delivery", || new.ids() == ["m1"]);
+    assert_eq!(old.ids(), ["m0"]);
+}
+
 // Guards against messages that are lost or refused for ever after one failed sync.
 #[test]
 fn the_journal_works_again_after_one_sync_has_failed() {
