--- a/crates/courier/tests/system_errors.rs
+++ b/crates/courier/tests/system_errors.rs
@@ -7,9 +7,11 @@
 use stairshed_rig::control_service::ControlService;
 use stairshed_rig::machine_faults::MachineFaults;
 use stairshed_rig::mqtt_client::MqttClient;
+use stairshed_rig::name_server::{DnsAnswer, NameServer};
 use stairshed_rig::*;
+use std::fs;
 use std::io::{BufReader, ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -291,6 +293,134 @@
     assert_eq!(old.ids(), ["m0"]);
 }
 
+// Guards against a loop without pauses, and against closing sessions that are served, while there are no descriptors.
+#[test]
+fn mqtt_clients_stay_served_and_silent_ones_make_room_while_there_are_no_descriptors() {
+    let broker = Broker::new(BrokerFaults::default());
+    let setup = TestSetup::start(&topics(&broker));
+    let (mut van, _) = MqttClient::connect(setup.courier.mqtt(), Connect::new(Version::V5, "van"));
+    assert_eq!(van.submit("fuel/x", 100, "{\"id\": \"first\"}", &[]), Some(0));
+    let mut silent: Vec<TcpStream> = (0..10).map(|_| connect(setup.courier.mqtt())).collect();
+    // A connection without a CONNECT may be closed for its descriptor after a second.
+    thread::sleep(1100 * MS);
+    setup.faults.set("accept EMFILE 1");
+    let (started, address) = (Instant::now(), setup.courier.mqtt());
+    let newcomer = thread::spawn(move || MqttClient::connect(address, Connect::new(Version::V5, "newcomer")));
+    for n in 0..20 {
+        let body = format!("{{\"id\": \"m{n}\"}}");
+        assert_eq!(van.submit("fuel/x", n + 1, &body, &[]), Some(0), "m{n}");
+        thread::sleep(50 * MS);
+    }
+    let closed = silent.iter_mut().filter_map(|stream| is_closed(stream).then_some(())).count();
+    assert!(closed > 0, "none made room");
+    assert!(!newcomer.is_finished(), "there was no descriptor for it");
+    setup.faults.set("");
+    let (_, connack) = newcomer.join().expect("it is accepted");
+    assert_eq!(connack.code, 0);
+    // Pauses double from 2.5 ms at least, up to 125 ms at least.
+    let most = started.elapsed().as_millis() as u64 / 125 + 10;
+    let failures = setup.count("accept", "EMFILE");
+    assert!((3..=most).contains(&failures), "{failures} failed calls, at most {most}");
+    wait_until("the effects", || broker.effects().len() == 21);
+    assert!(broker.effects().values().all(|times| *times == 1), "{:?}", broker.effects());
+}
+
+// Guards against names that lose their addresses, or are never looked up again, and against a loop of queries.
+#[test]
+fn a_name_keeps_its_addresses_while_lookups_fail_and_is_looked_up_again() {
+    let (server, endpoint) = (NameServer::new(), Endpoint::new(|_| EndpointAction::RespondDistinct(MS)));
+    server.set("plain.example", DnsAnswer::Addresses(vec![Ipv4Addr::LOCALHOST], 1));
+    let (port, resolver) = (endpoint.address.port(), server.address);
+    let named = format!(
+        "[pools.n]\nendpoints = [{{ address = \"plain.example:{port}\" }}]\n\
+         [routes.n]\nprefix = \"/n\"\npool = \"n\"\nclass = \"payment\"\n[dns]\nresolver = \"{resolver}\"\n"
+    );
+    let setup = TestSetup::start_with(endpoint, &named);
+    let pay = |id: &str| assert_eq!(setup.courier.post("/n", id, "", "x").status(), 202);
+    pay("before");
+    wait_until("its delivery", || setup.endpoint.ids() == ["before"]);
+    for (round, (rule, errno)) in
+        [("socket EMFILE 1", "EMFILE"), ("connect ENETUNREACH 1", "ENETUNREACH")].iter().enumerate()
+    {
+        let started = Instant::now();
+        setup.faults.set(rule);
+        setup.courier.wait_for_log("holds");
+        pay(&format!("m{round}"));
+        thread::sleep(Duration::from_secs(2));
+        let asked = server.asked("plain.example");
+        setup.faults.set("");
+        wait_until("another lookup", || server.asked("plain.example") > asked);
+        // A lookup makes two queries, and pauses double from 500 ms.
+        let most = 2 * (started.elapsed().as_millis() as u64 / 500 + 1);
+        let failures = setup.count("query dns", errno);
+        assert!((2..=most).contains(&failures), "{failures} failed queries, at most {most}");
+        wait_until("its delivery", || setup.endpoint.ids().contains(&format!("m{round}")));
+    }
+    setup.assert_delivered_once(["before", "m0", "m1"].map(str::to_owned).to_vec());
+}
+
+// Guards against outcomes that are lost, told twice or tried without pauses while their file cannot be opened, and
+// against refusing messages meanwhile.
+#[test]
+fn outcomes_are_told_once_their_file_can_be_opened_again_also_after_a_kill() {
+    for is_killed in [false, true] {
+        // A payment that may have run ends as dead.
+        let setup = TestSetup::start_with(Endpoint::new(|_| EndpointAction::CloseConnection), "");
+        let started = Instant::now();
+        setup.faults.set("open EMFILE 1");
+        (0..4).for_each(|n| assert_eq!(setup.pay(&format!("m{n}")), 202));
+        wait_until("attempts", || setup.count("outcomes file", "EMFILE") > 4);
+        let failures = setup.count("outcomes file", "EMFILE");
+        // Each of the messages is a batch at most, with pauses of 250 ms at least.
+        let most = 4 * (started.elapsed().as_millis() as u64 / 250 + 1);
+        assert!(failures <= most, "{failures} failed calls, at most {most}");
+        assert_eq!(outcomes(&setup.folder), []);
+        let TestSetup { endpoint, courier, faults, folder } = setup;
+        let _courier = match is_killed {
+            true => {
+                courier.kill();
+                Courier::serve(&folder, &file(&endpoint, ""))
+            }
+            false => courier,
+        };
+        faults.set("");
+        let expected: Vec<_> = (0..4).map(|n| (format!("m{n}"), "dead".to_owned())).collect();
+        wait_until("the outcomes", || outcomes(&folder).len() >= expected.len());
+        let mut told = outcomes(&folder);
+        told.sort();
+        assert_eq!(told, expected);
+    }
+}
+
+// Guards against a list that is dropped, or an age that is never saved again, after the age could not be saved.
+#[test]
+fn a_list_whose_age_cannot_be_saved_stays_in_use_until_the_next_line_saves_it() {
+    let (endpoint, folder) = (Endpoint::new(|_| EndpointAction::RespondDistinct(MS)), TestFolder::new());
+    let known = list(1, true, vec![host("s-1", &endpoint, 7, "ready")]);
+    let discovery = Discovery::new(known.clone());
+    let mut command = command(&folder, &discovery, &config(&discovery, known));
+    let faults = MachineFaults::load(&mut command, &folder, "");
+    let courier = Courier::spawn(&mut command);
+    let saved = || fs::read_to_string(folder.0.join("state/list-age")).unwrap_or_default();
+    let deliver = |id: &str| {
+        courier.submit_accepted(id, "payment", 7, 5000);
+        wait_until("the delivery", || endpoint.ids().iter().any(|other| other == id));
+    };
+    deliver("before");
+    wait_until("an age", || !saved().is_empty());
+    faults.set("rename EIO 1");
+    let before = saved();
+    discovery.tell(list(2, false, vec![]));
+    courier.wait_for_log("system: list age: EIO: ");
+    courier.wait_for_log("the age of the list cannot be kept: ");
+    deliver("during");
+    assert_eq!(saved(), before, "the older age is kept, whole");
+    faults.set("");
+    discovery.tell(list(3, false, vec![]));
+    wait_until("the new age", || saved() != before);
+    deliver("after");
+}
+
 // Guards against messages that are lost or refused for ever after one failed sync.
 #[test]
 fn the_journal_works_again_after_one_sync_has_failed() {
