--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -56,7 +56,9 @@
                 let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
                 self.finish_message(message, verdict);
             }
-            AfterAttempt::FailWithoutRetry => self.record_verdict(message, Verdict::Dead),
+            AfterAttempt::FailWithoutRetry | AfterAttempt::Rejected => {
+                self.record_verdict(message, Verdict::Dead);
+            }
         }
         if self.open_attempt_ended(message, &end) {
             return;
@@ -72,8 +74,9 @@
             message_trace::log_step(
                 &m.accepted.id,
                 format_args!(
-                    "attempt={attempt} ended outcome={:?} ran={ran} over={} proof={:?} {}",
+                    "attempt={attempt} ended outcome={:?} status={} ran={ran} over={} proof={:?} {}",
                     end.outcome,
+                    end.status.map_or("-".to_owned(), |status| status.to_string()),
                     end.after != AfterAttempt::RetryAllowed,
                     end.proof,
                     ExchangeLog(end.exchange)
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -234,6 +234,8 @@
     pub after: AfterAttempt,
     pub report: Option<LimitReport>,
     pub at: Instant,
+    /// Status of the response, if one came.
+    pub status: Option<u16>,
     /// The evidence for the outcome, for the message trace (`--follow`).
     pub proof: &'static str,
     /// The exchange on a connection, if there was one.
@@ -250,6 +252,9 @@
     /// A notice of its end, but no retry: the endpoint said that it has ended, in a response that proves
     /// nothing.
     FailWithoutRetry,
+    /// A notice of its end, but no retry: the endpoint rejected it for good.
+    #[expect(dead_code, reason = "made once pools have profiles of answers")]
+    Rejected,
 }
 
 /// A list of endpoints, or changes to one, in discovery's format.
--- a/crates/courier/src/upstream/attempt_outcome.rs
+++ b/crates/courier/src/upstream/attempt_outcome.rs
@@ -31,6 +31,7 @@
         after: AfterAttempt::RetryAllowed,
         report: None,
         at: Instant::now(),
+        status: None,
         proof,
         exchange: None,
     }
@@ -96,7 +97,8 @@
         _ => response.status.canonical_reason().unwrap_or("an answer"),
     };
     let report = load_report(&response.headers);
-    CallResult { outcome, after, report, at: response.received_at, proof, exchange: None }
+    let status = Some(response.status.as_u16());
+    CallResult { outcome, after, report, at: response.received_at, status, proof, exchange: None }
 }
 
 /// Whether the response has `Connection: close`.
--- a/crates/courier/src/upstream/broker_connection.rs
+++ b/crates/courier/src/upstream/broker_connection.rs
@@ -403,6 +403,7 @@
         },
         report: None,
         at: Instant::now(),
+        status: None,
         proof: "the broker's word",
         exchange: None,
     }
