--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -2,6 +2,7 @@
 //! comments on fields become the descriptions of the JSON schema. Values are not validated here; see
 //! [`crate::installation`].
 
+use crate::answers::Answers;
 use crate::units::{Portion, Rate, Size, Span};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -151,6 +152,8 @@
     pub limit: Option<Rate>,
     /// Settings for endpoints that are MQTT brokers.
     pub mqtt: Option<Broker>,
+    /// What the statuses of responses of HTTP endpoints mean. Without effect on MQTT brokers.
+    pub answers: Answers,
 }
 
 /// Protocol version of MQTT.
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -2,6 +2,7 @@
 //! indexes and defaults are filled in. Built from the operator's file, with the sections of a configuration
 //! version replacing the file's own.
 
+use crate::answers::{Answers, error_path};
 use crate::decode::decode;
 use crate::file::{self, File, VERSIONED_SECTIONS};
 use crate::problem::{Path, Problem, Problems, path, suggest};
@@ -11,6 +12,7 @@
 use crate::tree::{self, Entry, Node, Value, line_and_column};
 use crate::units::{Rate, Span};
 use stairshed_decide::interface as decide;
+use stairshed_health::answers::AnswerProfile;
 use stairshed_memory::{ByPurpose, CapError, CapSetting, Caps, ClientIdentification, Purpose};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -51,7 +53,9 @@
 /// Estimated memory of a pool without its members, in its decoded and its validated form together, with
 /// strings of typical length. `tests/memory_estimate.rs` compares this and the following estimates with the
 /// allocator.
-const POOL_BYTES: u64 = 1950;
+const POOL_BYTES: u64 = 2080;
+/// Estimated memory of the `answers` of a pool that configures them.
+const ANSWERS_BYTES: u64 = 1700;
 /// Estimated memory of a pool member.
 const MEMBER_BYTES: u64 = 860;
 /// Estimated memory of a route.
@@ -120,6 +124,8 @@
     pub limit: Option<Rate>,
     /// Client settings for the MQTT brokers among its endpoints.
     pub broker: Option<file::Broker>,
+    /// What the responses of its HTTP endpoints mean.
+    pub answers: Arc<AnswerProfile>,
 }
 
 /// An entry of a pool: one endpoint, or a host name that resolves to several.
@@ -177,8 +183,10 @@
     /// entries. The text of the document is not included.
     pub fn estimated_bytes(&self) -> u64 {
         let members: usize = self.pools.iter().map(|p| p.members.len()).sum();
+        let pools_with_answers = self.file.pools.values().filter(|p| !p.answers.is_default()).count();
         let all = [
             (self.pools.len(), POOL_BYTES),
+            (pools_with_answers, ANSWERS_BYTES),
             (members, MEMBER_BYTES),
             (self.routes.len(), ROUTE_BYTES),
             (self.file.topics.len(), TOPIC_BYTES),
@@ -478,6 +486,7 @@
     fn pools(&mut self, file: &File) -> (Vec<Pool>, Vec<String>) {
         let (mut pools, mut zones) = (Vec::new(), Vec::new());
         let mut pool_by_number: HashMap<u64, String> = HashMap::new();
+        let default_answers = Arc::new(AnswerProfile::default());
         for (name, pool) in &file.pools {
             let at = path(&["pools", name]);
             self.name(at.clone(), name);
@@ -505,6 +514,10 @@
             if let Some(broker) = &pool.mqtt {
                 self.broker(&at.key("mqtt"), broker);
             }
+            let answers = match pool.answers.is_default() {
+                true => default_answers.clone(),
+                false => self.answers(&at.key("answers"), &pool.answers).into(),
+            };
             let (name, discovery, limit) = (name.clone(), pool.discovery, pool.limit);
             pools.push(Pool {
                 name,
@@ -513,11 +526,24 @@
                 discovery,
                 limit,
                 broker: pool.mqtt.clone(),
+                answers,
             });
         }
         (pools, zones)
     }
 
+    fn answers(&mut self, at: &Path, answers: &Answers) -> AnswerProfile {
+        match AnswerProfile::new(&answers.lists()) {
+            Ok(profile) => profile,
+            Err(errors) => {
+                for error in errors {
+                    self.report(error_path(at, error), error.to_string());
+                }
+                AnswerProfile::default()
+            }
+        }
+    }
+
     fn member(&mut self, at: &Path, pool: &str, endpoint: &file::Endpoint) -> Option<PoolMember> {
         let Some(text) = &endpoint.address else {
             self.report(at.clone(), "address: it is missing");
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`problem`]: errors with file, line, column, key and the nearest valid name.
 //! - [`tree`]: a TOML or JSON document with the position of each value.
 //! - [`decode`]: decodes a tree into types and reports all errors at once.
-//! - [`units`], [`file`](mod@file): the types of the file, with defaults and a JSON schema.
+//! - [`units`], [`answers`], [`file`](mod@file): the types of the file, with defaults and a JSON schema.
 //! - [`route`]: finds the route of a request, or the reason why there is none.
 //! - [`topic`]: MQTT topic names and filters; maps a topic to a pool, a class and a path.
 //! - [`installation`]: the validated configuration, in the courier's own terms.
@@ -15,6 +15,7 @@
 //! - [`version`]: numbered versions: which one is being applied, acknowledged or refused.
 //! - [`report`]: the effective configuration with the source of each value, and differences.
 
+pub mod answers;
 pub mod change;
 pub mod classes;
 pub mod decode;
--- a/crates/health/src/answers.rs
+++ b/crates/health/src/answers.rs
@@ -197,13 +197,12 @@
 /// Why lists make no profile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProfileError {
-    /// The entry at `index` of `list` is in an earlier list, too.
+    /// An entry of `list` is in an earlier list, too.
     #[error("{pattern} stands in answers.{}, too", other.name())]
-    InTwoLists { list: AnswerList, index: usize, pattern: StatusPattern, other: AnswerList },
-    /// The entry at `index` of [`AnswerList::Refused`] is a class. A class contains statuses of messages that
-    /// have run.
-    #[error("{pattern}: statuses that prove that nothing ran are named one by one")]
-    RefusedClass { index: usize, pattern: StatusPattern },
+    InTwoLists { list: AnswerList, pattern: StatusPattern, other: AnswerList },
+    /// An entry of [`AnswerList::Refused`] is a class, which contains statuses of messages that have run.
+    #[error("{pattern} is a class: statuses that prove that nothing ran are named one by one")]
+    RefusedClass { pattern: StatusPattern },
     /// No status counts as delivered.
     #[error("no status counts as delivered")]
     NothingDelivered,
@@ -334,13 +333,13 @@
     let mut errors = Vec::new();
     let mut list_of: BTreeMap<StatusPattern, AnswerList> = BTreeMap::new();
     for list in AnswerList::ALL {
-        for (index, pattern) in lists.configured(list).into_iter().flatten().copied().enumerate() {
+        for pattern in lists.configured(list).into_iter().flatten().copied() {
             let other = *list_of.entry(pattern).or_insert(list);
             if other != list {
-                errors.push(ProfileError::InTwoLists { list, index, pattern, other });
+                errors.push(ProfileError::InTwoLists { list, pattern, other });
             }
             if list == AnswerList::Refused && matches!(pattern, StatusPattern::Class(_)) {
-                errors.push(ProfileError::RefusedClass { index, pattern });
+                errors.push(ProfileError::RefusedClass { pattern });
             }
         }
     }
--- a/crates/health/src/answers_test.rs
+++ b/crates/health/src/answers_test.rs
@@ -93,12 +93,11 @@
         refused: Some(vec![exact(503), exact(404), class("7xx")]),
         wait_scope: WaitScope::Pool,
     };
-    let in_two =
-        |list, index, pattern| ProfileError::InTwoLists { list, index, pattern, other: AnswerList::Rejected };
+    let in_two = |list, pattern| ProfileError::InTwoLists { list, pattern, other: AnswerList::Rejected };
     let expected = vec![
-        in_two(AnswerList::MayHaveRun, 0, class("5xx")),
-        in_two(AnswerList::Refused, 1, exact(404)),
-        ProfileError::RefusedClass { index: 2, pattern: class("7xx") },
+        in_two(AnswerList::MayHaveRun, class("5xx")),
+        in_two(AnswerList::Refused, exact(404)),
+        ProfileError::RefusedClass { pattern: class("7xx") },
         ProfileError::NothingDelivered,
     ];
     assert_eq!(AnswerProfile::new(&lists), Err(expected));
