--- a/crates/courier/src/config_tool.rs
+++ b/crates/courier/src/config_tool.rs
@@ -7,6 +7,7 @@
 use stairshed_config::{Installation, Problems, load, report};
 use stairshed_courier::admin_client;
 use stairshed_courier::host_name;
+use stairshed_health::answers::{Meaning, WaitScope};
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -24,6 +25,8 @@
     Courier { address: SocketAddr, why: io::Error },
     #[error("{0}")]
     Request(String),
+    #[error("there is no pools.{0}")]
+    NoPool(String),
     #[error("no route matches the request")]
     NoRoute,
     /// The differences have already been printed.
@@ -36,8 +39,8 @@
     Ok(load(&file.display().to_string(), &text)?)
 }
 
-/// Validates a file, and shows how the given requests would be routed.
-pub fn check(file: &Path, explain: &[String], out: &mut impl Write) -> Result<(), Error> {
+/// Validates a file, shows how the given requests would be routed, and what answers mean for the given pools.
+pub fn check(file: &Path, explain: &[String], answers: &[String], out: &mut impl Write) -> Result<(), Error> {
     let installation = read_installation(file)?;
     let (classes, pools, routes) =
         (installation.classes.len(), installation.pools.len(), installation.routes.len());
@@ -56,6 +59,10 @@
         let _ = n;
         writeln!(out, "  note: no route uses pools.{}", pool.name)?;
     }
+    for name in answers {
+        let pool = installation.pools.iter().find(|pool| pool.name == *name);
+        print_answers(pool.ok_or_else(|| Error::NoPool(name.clone()))?, out)?;
+    }
     let mut all_routed = true;
     for request in explain {
         all_routed &= explain_request(&installation, request, out)?;
@@ -63,6 +70,27 @@
     if all_routed { Ok(()) } else { Err(Error::NoRoute) }
 }
 
+/// Prints the statuses of a pool's answers by their meaning.
+fn print_answers(pool: &Pool, out: &mut impl Write) -> Result<(), Error> {
+    writeln!(out, "  pools.{}, answers:", pool.name)?;
+    for (label, meaning, others) in [
+        ("delivered", Meaning::Delivered, ""),
+        ("rejected", Meaning::Rejected, ""),
+        ("may have run", Meaning::MayHaveRun, ", and any other"),
+        ("refused", Meaning::Refused, ""),
+    ] {
+        let patterns = pool.answers.meanings().filter(|(_, of)| *of == meaning);
+        let patterns: Vec<String> = patterns.map(|(pattern, _)| pattern.to_string()).collect();
+        writeln!(out, "    {label:<14}{}{others}", patterns.join(" "))?;
+    }
+    let scope = match pool.answers.wait_scope() {
+        WaitScope::Pool => "whole pool",
+        WaitScope::Endpoint => "endpoint",
+    };
+    writeln!(out, "    a told wait holds for the {scope}")?;
+    Ok(())
+}
+
 /// A request given as `METHOD /path [Header: value, ...]`; its host is the `Host` header.
 struct RequestView {
     method: String,
--- a/crates/courier/src/discovery/control.rs
+++ b/crates/courier/src/discovery/control.rs
@@ -694,7 +694,13 @@
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(answer.to_string())))
         .ok()?;
-    Some(connection.send_request(request, Instant::now() + RESPONSE_TIMEOUT).await.ok()?.status)
+    Some(
+        connection
+            .send_request(request, Instant::now() + RESPONSE_TIMEOUT, |status| StatusCode::OK == status)
+            .await
+            .ok()?
+            .status,
+    )
 }
 
 impl From<io::Error> for StartupError {
--- a/crates/courier/src/dispatcher.rs
+++ b/crates/courier/src/dispatcher.rs
@@ -129,6 +129,7 @@
         if let Some(installation) = dispatcher.setup.installation.clone() {
             dispatcher.memory.set_configuration_bytes(installation.estimated_bytes());
             dispatcher.members.discovery_answered = true;
+            dispatcher.attempts.calls.answer_profiles().set_pools(&installation.pools);
             dispatcher.members.destinations.extend(installation.pools.iter().map(|p| p.destination));
             let (hosts, limits) = changed_hosts(&member_changes(None, &installation));
             dispatcher.queue_membership_changes(hosts, limits);
@@ -249,7 +250,9 @@
                 let outcome = less_elapsed(end.outcome, end.at);
                 self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed, report: end.report });
             }
-            DispatcherEvent::BackoffRequested { endpoint, until } => self.back_off_endpoint(endpoint, until),
+            DispatcherEvent::BackoffRequested { endpoint, until, scope } => {
+                self.back_off_endpoint(endpoint, until, scope);
+            }
             DispatcherEvent::EndpointsListed(list) => {
                 self.members.discovery_answered = true;
                 match self.setup.installation.is_some() {
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -5,9 +5,11 @@
 use super::shutdown::ATTEMPT_CUTOFF;
 use crate::events::{AfterAttempt, CallResult};
 use crate::message_trace;
+use crate::upstream::attempt_outcome::outcome_of;
 use crate::upstream::endpoint_client::{Call, CallTarget, EndpointClient};
 use crate::upstream::exchange::ExchangeLog;
 use stairshed_decide::interface::*;
+use stairshed_health::answers::WaitScope;
 use stairshed_journal::{Attempt, Verdict};
 use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::collections::BTreeMap;
@@ -28,10 +30,10 @@
 }
 
 impl Dispatcher {
-    /// Passes a requested wait to the scheduler as the result of a probe, since it concerns the endpoint and
-    /// no message.
-    pub(super) fn back_off_endpoint(&mut self, endpoint: EndpointId, until: Instant) {
-        let outcome = Outcome::Full { wait: Some(until.saturating_duration_since(Instant::now())) };
+    /// Passes a requested wait to the scheduler as the result of a probe, since it concerns the endpoint, or
+    /// its destination, and no message.
+    pub(super) fn back_off_endpoint(&mut self, endpoint: EndpointId, until: Instant, scope: WaitScope) {
+        let outcome = outcome_of(scope.refusal(Some(until.saturating_duration_since(Instant::now()))));
         self.events.push(Event::ProbeEnded { endpoint, outcome, elapsed: Duration::ZERO, report: None });
     }
 
--- a/crates/courier/src/dispatcher/members.rs
+++ b/crates/courier/src/dispatcher/members.rs
@@ -105,6 +105,7 @@
             .attempts
             .calls
             .set_timeouts(installation.settings.connect_timeout, installation.settings.keepalive);
+        self.attempts.calls.answer_profiles().set_pools(&installation.pools);
         self.reconfigure();
         let removal_due = Instant::now() + installation.file.limits.pool_wait.0;
         self.setup.pool_wait = installation.file.limits.pool_wait.0;
@@ -224,6 +225,7 @@
             if !self.attempts.held.values().any(|m| m.accepted.destination == destination) {
                 self.members.removed_destinations.remove(&destination);
                 self.members.destinations.remove(&destination);
+                self.attempts.calls.answer_profiles().remove(DestinationId(destination));
             }
         }
         if !ended.is_empty() {
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -6,6 +6,7 @@
 use serde::Deserialize;
 use stairshed_config::Installation;
 use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
+use stairshed_health::answers::WaitScope;
 use stairshed_journal::{AcceptedMessage, Refusal, SyncOutcome, Verdict};
 use stairshed_memory::{Caps, Charge, ClientAccount};
 use std::cell::Cell;
@@ -36,6 +37,8 @@
     BackoffRequested {
         endpoint: EndpointId,
         until: Instant,
+        /// For whom the wait holds.
+        scope: WaitScope,
     },
     /// Discovery has sent a list of endpoints, or changes to one.
     EndpointsListed(EndpointList),
@@ -253,7 +256,6 @@
     /// nothing.
     FailWithoutRetry,
     /// A notice of its end, but no retry: the endpoint rejected it for good.
-    #[expect(dead_code, reason = "made once pools have profiles of answers")]
     Rejected,
 }
 
--- a/crates/courier/src/main.rs
+++ b/crates/courier/src/main.rs
@@ -57,6 +57,9 @@
         /// Shows how a request would be routed: "POST /notice Host: a.example, X-Tenant: 7". May be repeated.
         #[arg(long, value_name = "REQUEST")]
         explain: Vec<String>,
+        /// Shows what the statuses of responses mean for messages of a pool. May be repeated.
+        #[arg(long, value_name = "POOL")]
+        answers: Vec<String>,
     },
     /// Runs a sample installation on loopback with a stand-in endpoint, and prints an example request.
     Dev {
@@ -163,8 +166,8 @@
         None => stairshed_courier::run_platform(cli.settings.as_deref()).map_err(|e| to_text(&e)),
         Some(Command::Serve { config }) => stairshed_courier::serve(config).map_err(|e| to_text(&e)),
         Some(Command::Dev { listen }) => stairshed_courier::dev(listen).map_err(|e| to_text(&e)),
-        Some(Command::Check { file, explain }) => {
-            config_tool::check(&file, &explain, out).map_err(|e| to_text(&e))
+        Some(Command::Check { file, explain, answers }) => {
+            config_tool::check(&file, &explain, &answers, out).map_err(|e| to_text(&e))
         }
         Some(Command::Config(command)) => match command {
             Config::Show { admin, json } => config_tool::show(admin, json, out),
--- a/crates/courier/src/upstream.rs
+++ b/crates/courier/src/upstream.rs
@@ -1,6 +1,7 @@
 //! Traffic to upstreams: HTTP calls to endpoints and their connection pool, MQTT broker connections, and
 //! outcome notices.
 
+pub mod answer_profiles;
 pub mod attempt_outcome;
 pub mod broker_connection;
 mod connection_pool;
--- a/crates/courier/src/upstream/attempt_outcome.rs
+++ b/crates/courier/src/upstream/attempt_outcome.rs
@@ -6,17 +6,19 @@
 
 use crate::events::{AfterAttempt, CallResult};
 use crate::upstream::http_connection::{HttpResponse, RequestError, ResponseProgress};
+use hyper::HeaderMap;
 use hyper::header::CONNECTION;
-use hyper::{HeaderMap, StatusCode};
 use stairshed_decide::interface::{LimitReport, Outcome};
+use stairshed_health::answers::{Answer, AnswerProfile, ResponseFields};
 use stairshed_planted_faults::{PlantedFault, is_planted};
+use std::time::Duration;
 use tokio::time::Instant;
 
 /// Forbids another attempt after a status of 410, even if the response proves nothing: the endpoint has
 /// reported that the message is over.
-pub fn apply_gone(end: CallResult, progress: ResponseProgress) -> CallResult {
+pub fn apply_gone(end: CallResult, progress: ResponseProgress, profile: &AnswerProfile) -> CallResult {
     match end.after {
-        AfterAttempt::RetryAllowed if progress.is_gone() => {
+        AfterAttempt::RetryAllowed if progress.is_gone(profile) => {
             let proof = "an answer of 410 that could not be read to its end";
             CallResult { after: AfterAttempt::FailWithoutRetry, proof, ..end }
         }
@@ -37,14 +39,21 @@
     }
 }
 
-/// Classifies a response, or the lack of one, by the rules of the PROTOCOL document: what it proves and what
-/// it forbids.
-pub fn classify(response: Result<HttpResponse, RequestError>, progress: ResponseProgress) -> CallResult {
-    apply_gone(interpret(response, progress.blocked_until), progress)
+/// Classifies a response, or the lack of one, by the profile of its pool: what it proves and what it forbids.
+pub fn classify(
+    response: Result<HttpResponse, RequestError>,
+    progress: ResponseProgress,
+    profile: &AnswerProfile,
+) -> CallResult {
+    apply_gone(interpret(response, progress.blocked_until(profile), profile), progress, profile)
 }
 
-/// What a response proves. Only what the PROTOCOL document calls 'never' counts as not run.
-fn interpret(response: Result<HttpResponse, RequestError>, blocked_until: Option<Instant>) -> CallResult {
+/// What a response proves. Only what the profile calls a refusal counts as not run.
+fn interpret(
+    response: Result<HttpResponse, RequestError>,
+    blocked_until: Option<Instant>,
+    profile: &AnswerProfile,
+) -> CallResult {
     let response = match response {
         Ok(response) => response,
         Err(error) => {
@@ -61,44 +70,67 @@
             return without_response(outcome, proof);
         }
     };
-    // An incomplete response proves nothing, except that one with status 200 proves delivery: the request has
-    // run, or may have.
-    if !response.complete && response.status != StatusCode::OK {
+    // An incomplete response proves nothing, except that one with the status of a delivery proves it: the
+    // request has run, or may have.
+    if !response.complete && !profile.is_delivered(response.status.as_u16()) {
         return CallResult { at: response.received_at, ..without_response(Outcome::Reset, "spoilt answer") };
     }
     if response.is_repeat() {
         let proof = "the answer repeats an earlier one on its connection";
         return CallResult { at: response.received_at, ..without_response(Outcome::Reset, proof) };
     }
-    let header = |name| response.headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
-    let outcome = match response.status {
-        StatusCode::OK => Outcome::Delivered,
-        StatusCode::TOO_MANY_REQUESTS => {
-            let wait = blocked_until.map(|until| until.saturating_duration_since(response.received_at));
-            Outcome::Full { wait }
-        }
-        StatusCode::SERVICE_UNAVAILABLE if header("Slots-Taken") == Some("1") => Outcome::Moot,
+    let status = response.status.as_u16();
+    let wait = blocked_until.map(|until| until.saturating_duration_since(response.received_at));
+    let answer = profile.classify(status, response_fields(&response.headers, wait));
+    let proof = match answer {
+        Answer::ConnectionRefused => "503 and close",
+        _ => response.status.canonical_reason().unwrap_or("an answer"),
+    };
+    CallResult {
+        outcome: outcome_of(answer),
+        after: after_attempt(answer),
+        report: load_report(&response.headers),
+        at: response.received_at,
+        status: Some(status),
+        proof,
+        exchange: None,
+    }
+}
+
+/// What an answer means for the scheduler. A refusal by one endpoint counts as one by its destination, since
+/// the scheduler has no outcome of its own for it yet.
+pub fn outcome_of(answer: Answer) -> Outcome {
+    match answer {
+        Answer::Delivered => Outcome::Delivered,
+        Answer::NeverRanHere { wait } | Answer::NeverRanAnywhere { wait } => Outcome::Full { wait },
         // The endpoint refuses the connection, not the call: it holds as many connections as it accepts, and
         // the kept ones continue to serve. Treated as the destination's limit, the response would stop those
         // too. This also covers an endpoint that is shutting down. The drawback: if a destination at its
         // limit closes every connection that it refuses, only new connections are held back, and the limit is
         // found on kept ones.
-        StatusCode::SERVICE_UNAVAILABLE if closes_connection(&response.headers) => Outcome::Crowded,
-        StatusCode::SERVICE_UNAVAILABLE => Outcome::Full { wait: None },
-        StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::Moot,
-        _ => Outcome::Error,
-    };
-    let after = match response.status {
-        StatusCode::OK | StatusCode::GONE => AfterAttempt::Settled,
+        Answer::ConnectionRefused => Outcome::Crowded,
+        Answer::Unprocessed | Answer::Withdrawn => Outcome::Moot,
+        Answer::MayHaveRun | Answer::Rejected => Outcome::Error,
+    }
+}
+
+/// What remains to be done for a message after an answer.
+fn after_attempt(answer: Answer) -> AfterAttempt {
+    match answer {
+        Answer::Delivered | Answer::Withdrawn => AfterAttempt::Settled,
+        Answer::Rejected => AfterAttempt::Rejected,
         _ => AfterAttempt::RetryAllowed,
-    };
-    let proof = match outcome {
-        Outcome::Crowded => "503 and close",
-        _ => response.status.canonical_reason().unwrap_or("an answer"),
-    };
-    let report = load_report(&response.headers);
-    let status = Some(response.status.as_u16());
-    CallResult { outcome, after, report, at: response.received_at, status, proof, exchange: None }
+    }
+}
+
+/// The header fields that change what a status means.
+fn response_fields(headers: &HeaderMap, wait: Option<Duration>) -> ResponseFields {
+    let slots_taken = headers.get("Slots-Taken").and_then(|value| value.to_str().ok()).map(str::trim);
+    ResponseFields {
+        wait,
+        closes_connection: closes_connection(headers),
+        slots_taken: slots_taken == Some("1"),
+    }
 }
 
 /// Whether the response has `Connection: close`.
--- a/crates/courier/src/upstream/attempt_outcome_test.rs
+++ b/crates/courier/src/upstream/attempt_outcome_test.rs
@@ -1,4 +1,5 @@
 use super::*;
+use hyper::StatusCode;
 
 fn read(text: &str) -> Option<(f64, f64)> {
     let mut headers = HeaderMap::new();
@@ -23,6 +24,7 @@
                 identity: None,
             }),
             ResponseProgress::default(),
+            &AnswerProfile::platform(),
         )
         .outcome
     };
@@ -30,7 +32,7 @@
     assert_eq!(of(&[]), Outcome::Full { wait: None });
     assert_eq!(of(&[("slots-taken", "1"), ("connection", "close")]), Outcome::Moot);
     assert_eq!(
-        classify(Err(RequestError::NotSent), ResponseProgress::default()).outcome,
+        classify(Err(RequestError::NotSent), ResponseProgress::default(), &AnswerProfile::platform()).outcome,
         Outcome::ConnectFailed
     );
 }
@@ -49,15 +51,67 @@
 #[test]
 fn attempt_that_received_410_is_the_last_one_however_it_ends() {
     let gone = ResponseProgress { status: Some(410), ..ResponseProgress::default() };
+    let platform = AnswerProfile::platform();
     let called_off = without_response(Outcome::Cancelled, "called off");
     for end in [
-        interpret(Err(RequestError::ConnectionBroken), None),
-        interpret(Err(RequestError::TimedOut), None),
+        interpret(Err(RequestError::ConnectionBroken), None, &platform),
+        interpret(Err(RequestError::TimedOut), None, &platform),
         called_off,
     ] {
         assert_eq!(end.after, AfterAttempt::RetryAllowed);
-        assert_eq!(apply_gone(end, gone).after, AfterAttempt::FailWithoutRetry);
+        assert_eq!(apply_gone(end, gone, &platform).after, AfterAttempt::FailWithoutRetry);
     }
     let other = ResponseProgress { status: Some(503), ..ResponseProgress::default() };
-    assert_eq!(classify(Err(RequestError::ConnectionBroken), other).after, AfterAttempt::RetryAllowed);
+    assert_eq!(
+        classify(Err(RequestError::ConnectionBroken), other, &platform).after,
+        AfterAttempt::RetryAllowed
+    );
+}
+
+/// The end of a call by the default profile.
+fn by_default(status: u16, complete: bool, headers: &[(&'static str, &'static str)]) -> CallResult {
+    let headers =
+        headers.iter().map(|(name, value)| (name.parse().expect("a name"), value.parse().expect("a value")));
+    let response = HttpResponse {
+        status: StatusCode::from_u16(status).expect("a status"),
+        headers: headers.collect(),
+        received_at: Instant::now(),
+        complete,
+        reusable: Ok(()),
+        identity: None,
+    };
+    let progress = ResponseProgress { status: Some(status), ..ResponseProgress::default() };
+    classify(Ok(response), progress, &AnswerProfile::default())
+}
+
+#[test]
+fn outcome_and_further_handling_follow_the_profile() {
+    for (status, headers, outcome, after) in [
+        (201, &[][..], Outcome::Delivered, AfterAttempt::Settled),
+        (404, &[], Outcome::Error, AfterAttempt::Rejected),
+        (410, &[], Outcome::Error, AfterAttempt::Rejected),
+        (504, &[], Outcome::Error, AfterAttempt::RetryAllowed),
+        (503, &[("slots-taken", "1")], Outcome::Full { wait: None }, AfterAttempt::RetryAllowed),
+        (503, &[("connection", "close")], Outcome::Crowded, AfterAttempt::RetryAllowed),
+    ] {
+        let end = by_default(status, true, headers);
+        assert_eq!(
+            (end.outcome, end.after, end.status),
+            (outcome, after, Some(status)),
+            "{status} {headers:?}"
+        );
+    }
+}
+
+#[test]
+fn incomplete_response_proves_nothing_but_a_delivery_and_410_forbids_a_repeat_nevertheless() {
+    for (status, outcome, after) in [
+        (204, Outcome::Delivered, AfterAttempt::Settled),
+        (404, Outcome::Reset, AfterAttempt::RetryAllowed),
+        (503, Outcome::Reset, AfterAttempt::RetryAllowed),
+        (410, Outcome::Reset, AfterAttempt::FailWithoutRetry),
+    ] {
+        let end = by_default(status, false, &[]);
+        assert_eq!((end.outcome, end.after), (outcome, after), "{status}");
+    }
 }
--- a/crates/courier/src/upstream/endpoint_client.rs
+++ b/crates/courier/src/upstream/endpoint_client.rs
@@ -3,6 +3,7 @@
 
 use crate::events::{CallResult, DispatcherEvent};
 use crate::memory_budget::MemoryBudget;
+use crate::upstream::answer_profiles::AnswerProfiles;
 use crate::upstream::attempt_outcome::{apply_gone, classify, without_response};
 use crate::upstream::connection_pool::{ConnectionPool, PooledConnection};
 use crate::upstream::connection_status::ConnectionStatus;
@@ -15,9 +16,11 @@
 use hyper::Request;
 use hyper::header::HOST;
 use stairshed_decide::interface::{EndpointId, LimitGroupId, Outcome};
+use stairshed_health::answers::{AnswerProfile, WaitScope};
 use stairshed_journal::AcceptedMessage;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
+use std::hash::Hash;
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
 use std::rc::Rc;
@@ -68,6 +71,10 @@
     draining: Rc<RefCell<HashMap<EndpointId, Instant>>>,
     /// Pools that requested a wait, and until when nothing may be written to them.
     blocked_pools: Rc<RefCell<HashMap<LimitGroupId, Instant>>>,
+    /// Endpoints that requested a wait for themselves only, and until when nothing may be written to them.
+    blocked_endpoints: Rc<RefCell<HashMap<EndpointId, Instant>>>,
+    /// What responses mean, by destination.
+    answer_profiles: Rc<AnswerProfiles>,
     /// Until when the endpoint list is valid; None if it does not expire.
     list_valid_until: Rc<Cell<Option<Instant>>>,
     /// Endpoints that may be used even when the list has expired.
@@ -79,9 +86,31 @@
     /// time after which endpoints close an idle connection; connections are closed here before that.
     pub fn new(connect: Duration, keepalive: Duration, sockets: usize, memory_budget: MemoryBudget) -> Self {
         let pool = ConnectionPool::start(connect, keepalive, sockets, memory_budget);
-        let (draining, blocked_pools) = (Rc::default(), Rc::default());
-        let (list_valid_until, unleased) = (Rc::default(), Rc::default());
-        EndpointClient { pool, draining, blocked_pools, list_valid_until, unleased }
+        EndpointClient {
+            pool,
+            draining: Rc::default(),
+            blocked_pools: Rc::default(),
+            blocked_endpoints: Rc::default(),
+            answer_profiles: Rc::new(AnswerProfiles::platform()),
+            list_valid_until: Rc::default(),
+            unleased: Rc::default(),
+        }
+    }
+
+    /// What responses mean, by destination.
+    pub fn answer_profiles(&self) -> &AnswerProfiles {
+        &self.answer_profiles
+    }
+
+    /// A monitor of an exchange with an endpoint of this limit group; None for a probe.
+    fn monitor(
+        &self,
+        endpoint: EndpointId,
+        pool: Option<LimitGroupId>,
+        events: Sender<DispatcherEvent>,
+    ) -> ExchangeMonitor {
+        let destination = pool.map(|(destination, _)| destination);
+        ExchangeMonitor::new(endpoint, destination, self.answer_profiles.clone(), events)
     }
 
     /// How long idle connections are kept; the scheduler takes this into account.
@@ -173,17 +202,18 @@
         let (connection_number, sequence, started) =
             (connection.number(), connection.response_count() + 1, Instant::now());
         monitor.attach(connection.progress_handle());
-        let response = run_monitored(connection.send_request(request, until), || {
-            let progress = monitor.progress();
-            self.record_wait(pool, progress);
+        let proves_delivery = |status| monitor.profile().is_delivered(status);
+        let response = run_monitored(connection.send_request(request, until, proves_delivery), || {
+            let (progress, profile) = (monitor.progress(), monitor.profile());
+            self.record_wait(endpoint, pool, progress, &profile);
             monitor.try_report_wait();
             // A 410 ends the exchange at once, so that it is recorded before the process can be killed.
-            if progress.is_gone() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+            if progress.is_gone(&profile) { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
         })
         .await
         .unwrap_or(Err(RequestError::ConnectionBroken));
         let (duration, progress) = (started.elapsed(), monitor.progress());
-        self.record_wait(pool, progress);
+        self.record_wait(endpoint, pool, progress, &monitor.profile());
         let digest = response.as_ref().ok().and_then(|r| r.identity).map(ResponseIdentity::hash);
         let failed = response
             .as_ref()
@@ -232,22 +262,28 @@
         }
         // The pool may have asked another call to wait. The scheduler did not know that when it
         // released this call, and getting a connection may take a second.
-        if pool
-            .is_some_and(|p| self.blocked_pools.borrow().get(&p).is_some_and(|until| Instant::now() < *until))
-        {
+        let now = Instant::now();
+        let is_ahead = |until: &Instant| now < *until;
+        let pool_blocked =
+            pool.is_some_and(|pool| self.blocked_pools.borrow().get(&pool).is_some_and(is_ahead));
+        if pool_blocked || self.blocked_endpoints.borrow().get(&endpoint).is_some_and(is_ahead) {
             return Err(RequestError::Withheld("another call was told to wait"));
         }
         Ok(())
     }
 
     /// Records the wait that a response requests, for calls that still wait for a connection.
-    fn record_wait(&self, pool: Option<LimitGroupId>, progress: ResponseProgress) {
-        if let Some((pool, until)) = pool.zip(progress.blocked_until) {
-            let mut blocked_pools = self.blocked_pools.borrow_mut();
-            let now = Instant::now();
-            blocked_pools.retain(|_, until| *until > now);
-            let blocked_until = blocked_pools.entry(pool).or_insert(until);
-            *blocked_until = (*blocked_until).max(until);
+    fn record_wait(
+        &self,
+        endpoint: EndpointId,
+        pool: Option<LimitGroupId>,
+        progress: ResponseProgress,
+        profile: &AnswerProfile,
+    ) {
+        let Some((pool, until)) = pool.zip(progress.blocked_until(profile)) else { return };
+        match profile.wait_scope() {
+            WaitScope::Pool => block(&self.blocked_pools, pool, until),
+            WaitScope::Endpoint => block(&self.blocked_endpoints, endpoint, until),
         }
     }
 
@@ -276,17 +312,18 @@
                 request = request.header(name, value);
             }
         }
-        let monitor = ExchangeMonitor::new(endpoint, events);
+        let monitor = self.monitor(endpoint, Some(pool), events);
         let end = match request.body(Full::new(accepted.body.clone())) {
             Ok(request) => tokio::select! {
                 biased;
                 (response, exchange) =
                     self.run_exchange((endpoint, Some(pool)), (address, once), request, deadline, &monitor) =>
                 {
-                    CallResult { exchange, ..classify(response, monitor.progress()) }
+                    CallResult { exchange, ..classify(response, monitor.progress(), &monitor.profile()) }
                 }
                 _ = cancel => {
-                    apply_gone(without_response(Outcome::Cancelled, "called off"), monitor.progress())
+                    let end = without_response(Outcome::Cancelled, "called off");
+                    apply_gone(end, monitor.progress(), &monitor.profile())
                 }
             },
             Err(_) => without_response(Outcome::Moot, "no request can be made of it"),
@@ -305,19 +342,28 @@
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
-        let monitor = ExchangeMonitor::new(endpoint, events);
+        let monitor = self.monitor(endpoint, None, events);
         let (response, exchange) = match request {
             Ok(request) => {
                 self.run_exchange((endpoint, None), (address, false), request, sent + timeout, &monitor).await
             }
             Err(_) => (Err(RequestError::NotSent), None),
         };
-        let end = CallResult { exchange, ..classify(response, monitor.progress()) };
+        let end = CallResult { exchange, ..classify(response, monitor.progress(), &monitor.profile()) };
         let outcome = end.outcome;
         monitor.finish(DispatcherEvent::ProbeEnded { endpoint, sent, end }, outcome).await;
     }
 }
 
+/// Extends the time until which nothing may be written to a pool or an endpoint. Drops those that are over.
+fn block<Target: Eq + Hash>(blocked: &RefCell<HashMap<Target, Instant>>, target: Target, until: Instant) {
+    let now = Instant::now();
+    let mut blocked = blocked.borrow_mut();
+    blocked.retain(|_, until| *until > now);
+    let blocked_until = blocked.entry(target).or_insert(until);
+    *blocked_until = (*blocked_until).max(until);
+}
+
 #[cfg(test)]
 #[path = "endpoint_client_test.rs"]
 mod tests;
--- a/crates/courier/src/upstream/endpoint_client_test.rs
+++ b/crates/courier/src/upstream/endpoint_client_test.rs
@@ -12,7 +12,8 @@
 
 /// A monitor whose reports are dropped.
 fn unread_monitor() -> ExchangeMonitor {
-    ExchangeMonitor::new(EndpointId(1), tokio::sync::mpsc::channel(1).0)
+    let answer_profiles = Rc::new(AnswerProfiles::platform());
+    ExchangeMonitor::new(EndpointId(1), None, answer_profiles, tokio::sync::mpsc::channel(1).0)
 }
 
 #[tokio::test]
@@ -120,3 +121,31 @@
         })
         .await;
 }
+
+/// Whether a call may still be written to each of two endpoints of one pool after the first told a wait.
+fn writable_after_told_wait(answers: &str) -> [bool; 2] {
+    let file = format!("[pools.p]\ndestination = 7\n{answers}");
+    let installation = stairshed_config::load("file", &file).expect("valid");
+    let memory_budget = MemoryBudget::new(&stairshed_memory::Caps::none(), 1.0);
+    let calls = EndpointClient::new(Duration::from_secs(5), Duration::from_secs(10), 1, memory_budget);
+    calls.answer_profiles().set_pools(&installation.pools);
+    let pool = (DestinationId(7), None);
+    let now = Instant::now();
+    let until = now + Duration::from_secs(60);
+    let progress =
+        ResponseProgress { status: Some(503), retry_after: Some(until), ..ResponseProgress::default() };
+    let profile = calls.answer_profiles().current(Some(pool.0));
+    calls.record_wait(EndpointId(1), Some(pool), progress, &profile);
+    [1, 2].map(|endpoint| calls.check_writable(EndpointId(endpoint), Some(pool), until).is_ok())
+}
+
+#[tokio::test]
+async fn told_wait_binds_the_pool_or_the_endpoint_as_the_pool_says() {
+    tokio::task::LocalSet::new()
+        .run_until(async {
+            assert_eq!(writable_after_told_wait(""), [false, false]);
+            assert_eq!(writable_after_told_wait("answers.wait_scope = \"endpoint\"\n"), [false, true]);
+            assert_eq!(writable_after_told_wait("answers.delivered = [503]\n"), [false, false]);
+        })
+        .await;
+}
--- a/crates/courier/src/upstream/exchange_monitor.rs
+++ b/crates/courier/src/upstream/exchange_monitor.rs
@@ -2,12 +2,16 @@
 //! complete.
 
 use crate::events::DispatcherEvent;
+use crate::upstream::answer_profiles::AnswerProfiles;
 use crate::upstream::http_connection::{ProgressHandle, ResponseProgress};
-use stairshed_decide::interface::{EndpointId, Outcome};
+use stairshed_decide::interface::{DestinationId, EndpointId, Outcome};
+use stairshed_health::answers::AnswerProfile;
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::ops::ControlFlow;
 use std::pin::pin;
+use std::rc::Rc;
+use std::sync::Arc;
 use std::task::Poll;
 use tokio::sync::mpsc::Sender;
 
@@ -15,6 +19,9 @@
 /// rest of the response has arrived, which may take longer than the courier may ignore a wait.
 pub struct ExchangeMonitor {
     endpoint: EndpointId,
+    /// The destination of the message; None for a probe.
+    destination: Option<DestinationId>,
+    answer_profiles: Rc<AnswerProfiles>,
     events: Sender<DispatcherEvent>,
     handle: RefCell<Option<ProgressHandle>>,
     /// Whether the wait has been reported to the dispatcher.
@@ -22,9 +29,21 @@
 }
 
 impl ExchangeMonitor {
-    /// A monitor for an exchange with this endpoint. Reports go to the dispatcher through `events`.
-    pub fn new(endpoint: EndpointId, events: Sender<DispatcherEvent>) -> Self {
-        ExchangeMonitor { endpoint, events, handle: RefCell::default(), wait_reported: Cell::default() }
+    /// A monitor for an exchange with this endpoint of a destination; the destination is None for a probe.
+    /// Reports go to the dispatcher through `events`.
+    pub fn new(
+        endpoint: EndpointId,
+        destination: Option<DestinationId>,
+        answer_profiles: Rc<AnswerProfiles>,
+        events: Sender<DispatcherEvent>,
+    ) -> Self {
+        let (handle, wait_reported) = (RefCell::default(), Cell::default());
+        ExchangeMonitor { endpoint, destination, answer_profiles, events, handle, wait_reported }
+    }
+
+    /// The profile that holds now for the response.
+    pub fn profile(&self) -> Arc<AnswerProfile> {
+        self.answer_profiles.current(self.destination)
     }
 
     /// Starts monitoring the connection of the exchange.
@@ -39,8 +58,13 @@
 
     /// The requested wait, if it has not been reported yet.
     fn unreported_wait(&self) -> Option<DispatcherEvent> {
-        let until = self.progress().blocked_until.filter(|_| !self.wait_reported.get())?;
-        Some(DispatcherEvent::BackoffRequested { endpoint: self.endpoint, until })
+        if self.wait_reported.get() {
+            return None;
+        }
+        let profile = self.profile();
+        let until = self.progress().blocked_until(&profile)?;
+        let scope = profile.wait_scope();
+        Some(DispatcherEvent::BackoffRequested { endpoint: self.endpoint, until, scope })
     }
 
     /// Reports a requested wait if the channel has room.
--- a/crates/courier/src/upstream/http_connection.rs
+++ b/crates/courier/src/upstream/http_connection.rs
@@ -13,6 +13,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
+use stairshed_health::answers::AnswerProfile;
 use stairshed_memory::Charge;
 use stairshed_planted_faults::{PlantedFault, is_planted};
 use std::cell::{Cell, RefCell};
@@ -43,9 +44,15 @@
 const MAX_LATE_HEAD_BYTES: usize = 4096;
 
 impl ResponseProgress {
-    /// Whether the status is 410: the endpoint reports that the message is over and must not be sent again.
-    pub fn is_gone(self) -> bool {
-        self.status == Some(StatusCode::GONE.as_u16())
+    /// Whether the endpoint reports by its status that the message is over and must not be sent again.
+    pub fn is_gone(self, profile: &AnswerProfile) -> bool {
+        self.status.is_some_and(|status| profile.is_gone(status))
+    }
+
+    /// Until when the response forbids sending more.
+    pub fn blocked_until(self, profile: &AnswerProfile) -> Option<Instant> {
+        let heeded = self.status.is_some_and(|status| profile.heeds_retry_after(status));
+        self.wait_until.max(self.retry_after.filter(|_| heeded))
     }
 }
 
@@ -89,7 +96,8 @@
         let head = self.0.head.borrow();
         ResponseProgress {
             status: head.status().or_else(|| head.provisional_status()),
-            blocked_until: head.blocked_until().filter(|_| !is_planted(PlantedFault::ToldWaitIgnored)),
+            wait_until: head.blocked_until().filter(|_| !is_planted(PlantedFault::ToldWaitIgnored)),
+            retry_after: head.retry_after().filter(|_| !is_planted(PlantedFault::ToldWaitIgnored)),
             failure: self.0.failure.get(),
         }
     }
@@ -100,8 +108,10 @@
 pub struct ResponseProgress {
     /// The status code in the status line.
     pub status: Option<u16>,
-    /// Until when the response forbids sending more.
-    pub blocked_until: Option<Instant>,
+    /// Until when `Wait-Ms` forbids sending more.
+    pub wait_until: Option<Instant>,
+    /// Until when `Retry-After` forbids sending more, if the profile of the pool heeds it.
+    pub retry_after: Option<Instant>,
     /// The latest socket error.
     pub failure: Option<SocketFailure>,
 }
@@ -337,9 +347,9 @@
         self.reusable == Err(CloseReason::RepeatedResponse)
     }
 
-    /// A response whose status line has 200 and whose remainder cannot be read.
-    fn unreadable_ok(received_at: Instant) -> Self {
-        let (status, headers) = (StatusCode::OK, HeaderMap::new());
+    /// A response whose remainder after the status line cannot be read.
+    fn unreadable(status: StatusCode, received_at: Instant) -> Self {
+        let headers = HeaderMap::new();
         let reusable = Err(CloseReason::AttemptFailed);
         HttpResponse { status, headers, received_at, complete: false, reusable, identity: None }
     }
@@ -469,7 +479,8 @@
         })
     }
 
-    /// Sends a request and waits for the complete response until `until`.
+    /// Sends a request and waits for the complete response until `until`. `proves_delivery` is whether a
+    /// response with this status proves delivery even if the rest cannot be read.
     ///
     /// # Errors
     /// There is no response. The connection must not be used again after an error.
@@ -477,6 +488,7 @@
         &mut self,
         request: Request<Full<Bytes>>,
         until: Instant,
+        proves_delivery: impl Fn(u16) -> bool,
     ) -> Result<HttpResponse, RequestError> {
         let (before, transport) = (self.transport.written.get(), self.transport.clone());
         *transport.received.head.borrow_mut() = ResponseHead::default();
@@ -487,17 +499,19 @@
             Some(Ok(response)) if !response.status().is_informational() => response.into_parts(),
             failed => {
                 let head = transport.received.head.borrow();
-                // A response that begins with 200 proves delivery even if the rest cannot be read. Treated as
-                // a reset, it would get a message that must not run twice reported as dead.
-                return match failed {
-                    Some(Err(RequestError::NotSent)) => Err(RequestError::NotSent),
-                    // On a reused connection it may be the remainder of a second copy of an earlier response.
-                    _ if head.status() == Some(200) && self.responses.is_empty() => {
-                        Ok(HttpResponse::unreadable_ok(received_at))
-                    }
-                    Some(Err(error)) => Err(error),
-                    None if transport.written.get() == before => Err(RequestError::NotSent),
-                    None if head.started_at().is_none() => Err(RequestError::TimedOut),
+                // A response that begins with the status of a delivery proves it even if the rest cannot be
+                // read. Treated as a reset, it would get a message that must not run twice reported as dead.
+                // On a reused connection it may be the remainder of a second copy of an earlier response.
+                let delivered = head
+                    .status()
+                    .filter(|status| self.responses.is_empty() && proves_delivery(*status))
+                    .and_then(|status| StatusCode::from_u16(status).ok());
+                return match (failed, delivered) {
+                    (Some(Err(RequestError::NotSent)), _) => Err(RequestError::NotSent),
+                    (_, Some(status)) => Ok(HttpResponse::unreadable(status, received_at)),
+                    (Some(Err(error)), None) => Err(error),
+                    (None, None) if transport.written.get() == before => Err(RequestError::NotSent),
+                    (None, None) if head.started_at().is_none() => Err(RequestError::TimedOut),
                     _ => Err(RequestError::ConnectionBroken),
                 };
             }
--- a/crates/courier/src/upstream/outcomes.rs
+++ b/crates/courier/src/upstream/outcomes.rs
@@ -218,7 +218,10 @@
             .header(header::CONTENT_TYPE, "application/x-ndjson")
             .body(Full::new(Bytes::from(text)))
             .ok()?;
-        let response = connection.send_request(request, Instant::now() + RESPONSE_TIMEOUT).await.ok()?;
+        let response = connection
+            .send_request(request, Instant::now() + RESPONSE_TIMEOUT, |status| StatusCode::OK == status)
+            .await
+            .ok()?;
         Some(response.status)
     }
 }
--- a/crates/courier/src/upstream/response_head.rs
+++ b/crates/courier/src/upstream/response_head.rs
@@ -1,7 +1,8 @@
 //! Incremental parser of response heads that runs beside hyper. It makes the status code and a requested wait
 //! available even if the rest of the response cannot be read.
 
-use std::time::Duration;
+use stairshed_health::retry_after;
+use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
 /// Length of `HTTP/1.1 200` and the byte that ends the status code.
@@ -10,7 +11,9 @@
 const MAX_FIELD_BYTES: usize = 64;
 /// The header field with the number of milliseconds for which nothing more may be sent.
 const WAIT_FIELD: &str = "Wait-Ms";
-/// The status code of a response that may request a wait.
+/// The header field with the wait by RFC 9110, which counts where the profile of the pool heeds it.
+const RETRY_AFTER_FIELD: &str = "Retry-After";
+/// The status code of a response that may request a wait by [`WAIT_FIELD`].
 const TOO_MANY_REQUESTS: u16 = 429;
 /// A wait of this many milliseconds or more is ignored.
 const WAIT_LIMIT_MS: f64 = 1e9;
@@ -23,6 +26,7 @@
     started_at: Option<Instant>,
     status: Option<u16>,
     wait: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 /// The part of the head that the next byte belongs to.
@@ -62,6 +66,12 @@
         Some(self.started_at? + self.wait?)
     }
 
+    /// Until when `Retry-After` in the response received so far tells to wait. The wait counts from its first
+    /// byte.
+    pub fn retry_after(&self) -> Option<Instant> {
+        self.started_at?.checked_add(self.retry_after?)
+    }
+
     /// Parses the next bytes received on the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
@@ -111,9 +121,13 @@
 
     fn end_field(&mut self) {
         let line = std::mem::take(&mut self.line);
-        if self.part == HeadPart::Fields && self.status == Some(TOO_MANY_REQUESTS) {
+        if self.part != HeadPart::Fields {
+            return;
+        }
+        if self.status == Some(TOO_MANY_REQUESTS) {
             self.wait = self.wait.max(wait_of_field(&line));
         }
+        self.retry_after = self.retry_after.max(retry_after_of_field(&line));
     }
 }
 
@@ -126,11 +140,20 @@
     (ends && digits).then(|| number.iter().fold(0, |n, d| n * 10 + u16::from(d - b'0')))
 }
 
+/// The value of a complete header field with this name.
+fn value_of_field<'a>(field: &'a [u8], expected: &str) -> Option<&'a str> {
+    let (name, value) = std::str::from_utf8(field).ok()?.split_once(':')?;
+    (name.eq_ignore_ascii_case(expected) && field.len() < MAX_FIELD_BYTES).then_some(value.trim())
+}
+
+/// The wait told by a `Retry-After` field; None for another field or a value that tells none.
+fn retry_after_of_field(field: &[u8]) -> Option<Duration> {
+    retry_after::wait_of(value_of_field(field, RETRY_AFTER_FIELD)?, SystemTime::now())
+}
+
 /// The wait requested by a header field; None for another field or an invalid value.
 fn wait_of_field(field: &[u8]) -> Option<Duration> {
-    let (name, value) = std::str::from_utf8(field).ok()?.split_once(':')?;
-    let is_wait = name.eq_ignore_ascii_case(WAIT_FIELD) && field.len() < MAX_FIELD_BYTES;
-    let ms = value.trim().parse::<f64>().ok().filter(|_| is_wait)?;
+    let ms = value_of_field(field, WAIT_FIELD)?.parse::<f64>().ok()?;
     (ms > 0.0 && ms < WAIT_LIMIT_MS).then(|| Duration::from_secs_f64(ms / 1000.0))
 }
 
--- a/crates/courier/src/upstream/response_head_test.rs
+++ b/crates/courier/src/upstream/response_head_test.rs
@@ -65,3 +65,23 @@
         }
     }
 }
+
+#[test]
+fn retry_after_is_known_from_its_line_of_the_final_response_and_the_longest_counts() {
+    for (text, wait) in [
+        ("HTTP/1.1 503 No\r\nRetry-After: 3\r\n", Some(3)),
+        ("HTTP/1.1 503 No\r\nretry-after:3\r\nRetry-After: 20\r\nRetry-After: soon\r\n", Some(20)),
+        ("HTTP/1.1 503 No\r\nRetry-After: 3", None),
+        ("HTTP/1.1 103 Hints\r\nRetry-After: 3\r\n\r\nHTTP/1.1 503 No\r\n\r\n", None),
+        ("HTTP/1.1 503 No\r\n\r\nRetry-After: 3\r\n", None),
+        ("HTTP/1.1 503 No\r\nRetry-After: Sun, 06 Nov 1994 08:49:37 GMT\r\n", None),
+        ("HTTP/1.1 503 No\r\nRetry-After: Fri, 31 Dec 9999 23:59:59 GMT\r\n", Some(24 * 3600)),
+    ] {
+        for size in [1, 3, 1000] {
+            let mut head = ResponseHead::default();
+            text.as_bytes().chunks(size).for_each(|piece| head.feed(piece));
+            assert_eq!(head.retry_after, wait.map(Duration::from_secs), "{text:?} in pieces of {size}");
+            assert_eq!(head.retry_after().is_some(), wait.is_some());
+        }
+    }
+}
