--- a/crates/courier/src/bootstrap/settings_test.rs
+++ b/crates/courier/src/bootstrap/settings_test.rs
@@ -57,3 +57,13 @@
         assert!(keys.len() >= of, "{section} shows {keys:?}");
     }
 }
+
+#[test]
+fn the_example_shows_the_default_meaning_of_answers() {
+    let installation = stairshed_config::load("example", &example(false)).expect("sound");
+    let answers = &installation.file.pools["fuel"].answers;
+    let lists = [&answers.delivered, &answers.rejected, &answers.may_have_run, &answers.refused];
+    assert!(lists.iter().all(|list| list.is_some()), "{answers:?}");
+    let pool = installation.pools.iter().find(|pool| pool.name == "fuel").expect("the pool");
+    assert_eq!(*pool.answers, stairshed_health::answers::AnswerProfile::default());
+}
--- a/crates/courier/tests/answers.rs
+++ b/crates/courier/tests/answers.rs
@@ -1,6 +1,8 @@
 //! What the responses of an operator's endpoints mean for messages: deliveries, rejections, refusals and told
 //! waits, by the default profile and by configured ones.
 
+use serde_json::json;
+use stairshed_rig::control_service::ControlService;
 use stairshed_rig::*;
 use std::collections::BTreeSet;
 use std::fs;
@@ -184,14 +186,20 @@
     }
 }
 
-#[test]
-fn a_call_is_judged_by_the_profile_that_holds_when_its_response_is_classified() {
+/// An endpoint that answers 409 once it is released.
+fn held_conflict() -> (Endpoint, Arc<AtomicBool>) {
     let released = Arc::new(AtomicBool::new(false));
     let gate = released.clone();
     let endpoint = Endpoint::new(move |_| {
         wait_until("the new configuration", || gate.load(Ordering::SeqCst));
         EndpointAction::Respond("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n")
     });
+    (endpoint, released)
+}
+
+#[test]
+fn a_call_is_judged_by_the_profile_that_holds_when_its_response_is_classified() {
+    let (endpoint, released) = held_conflict();
     let folder = TestFolder::new();
     let courier = Courier::serve(&folder, &config(&endpoint, ""));
     submit(&courier, "payment", "p");
@@ -204,6 +212,24 @@
     assert_eq!(times_called(&endpoint, "p"), 1);
 }
 
+#[test]
+fn a_version_changes_what_the_answers_to_calls_in_flight_mean() {
+    let (endpoint, released) = held_conflict();
+    let (folder, control) = (TestFolder::new(), ControlService::new());
+    let file = config(&endpoint, "answers.delivered = [\"2xx\", 409]\n");
+    let courier = Courier::serve(&folder, &format!("{file}[control]\nurl = \"{}\"\n", control.url()));
+    wait_until("the stream", || control.is_open());
+    submit(&courier, "payment", "p");
+    wait_until("the call", || times_called(&endpoint, "p") == 1);
+    let pool =
+        json!({"endpoints": [{"address": endpoint.address.to_string()}], "answers": {"rejected": ["4xx"]}});
+    assert!(control.send_version(1, &json!({"pools": {"p": pool}})));
+    assert!(control.answer(1).accepted);
+    released.store(true, Ordering::SeqCst);
+    wait_until_dead(&folder, &["p"]);
+    assert_eq!(times_called(&endpoint, "p"), 1);
+}
+
 #[test]
 fn endless_informational_responses_do_not_extend_an_attempt() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
