--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -6,6 +6,7 @@
 use serde::Deserialize;
 use stairshed_config::Installation;
 use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
+use stairshed_health::answers::WaitScope;
 use stairshed_journal::{AcceptedMessage, Refusal, SyncOutcome, Verdict};
 use stairshed_memory::{Caps, Charge, ClientAccount};
 use std::cell::Cell;
@@ -36,6 +37,8 @@
     BackoffRequested {
         endpoint: EndpointId,
         until: Instant,
+        /// For whom the wait holds.
+        scope: WaitScope,
     },
     /// Discovery has sent a list of endpoints, or changes to one.
     EndpointsListed(EndpointList),
@@ -234,6 +237,8 @@
     pub after: AfterAttempt,
     pub report: Option<LimitReport>,
     pub at: Instant,
+    /// Status of the response, if one came.
+    pub status: Option<u16>,
     /// The evidence for the outcome, for the message trace (`--follow`).
     pub proof: &'static str,
     /// The exchange on a connection, if there was one.
@@ -250,6 +255,8 @@
     /// A notice of its end, but no retry: the endpoint said that it has ended, in a response that proves
     /// nothing.
     FailWithoutRetry,
+    /// A notice of its end, but no retry: the endpoint rejected it for good.
+    Rejected,
 }
 
 /// A list of endpoints, or changes to one, in discovery's format.
