--- a/crates/courier/src/upstream/http_connection.rs
+++ b/crates/courier/src/upstream/http_connection.rs
@@ -127,6 +127,11 @@
             Ok(()) => self.0.received.head.borrow_mut().feed(&buf.filled()[before..]),
             Err(e) => return self.0.failed(SocketFailure::Read(e.kind()), e),
         }
+        // hyper parses informational responses as long as they come, without yielding in between.
+        if self.0.received.head.borrow().is_endless() {
+            let error = io::Error::new(io::ErrorKind::InvalidData, "too many informational responses");
+            return self.0.failed(SocketFailure::Read(error.kind()), error);
+        }
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/courier/src/upstream/response_head.rs
+++ b/crates/courier/src/upstream/response_head.rs
@@ -9,6 +9,8 @@
 const STATUS_END: usize = 13;
 /// Maximum length of a header field that is parsed; the wait field is shorter.
 const MAX_FIELD_BYTES: usize = 64;
+/// Maximum size of the informational responses before the final one, in bytes.
+const MAX_INFORMATIONAL_BYTES: usize = 64 * 1024;
 /// The header field with the number of milliseconds for which nothing more may be sent.
 const WAIT_FIELD: &str = "Wait-Ms";
 /// The header field with the wait by RFC 9110, which counts where the profile of the pool heeds it.
@@ -24,6 +26,8 @@
     part: HeadPart,
     line: Vec<u8>,
     started_at: Option<Instant>,
+    /// What has been received before the status of the final response, in bytes.
+    informational_bytes: usize,
     status: Option<u16>,
     wait: Option<Duration>,
     retry_after: Option<Duration>,
@@ -72,6 +76,11 @@
         self.started_at?.checked_add(self.retry_after?)
     }
 
+    /// Whether more than [`MAX_INFORMATIONAL_BYTES`] precede the final response.
+    pub fn is_endless(&self) -> bool {
+        self.informational_bytes > MAX_INFORMATIONAL_BYTES
+    }
+
     /// Parses the next bytes received on the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
@@ -83,13 +92,16 @@
     }
 
     fn push_byte(&mut self, byte: u8) {
+        if matches!(self.part, HeadPart::FirstLine | HeadPart::Informational) {
+            self.informational_bytes += 1;
+        }
         if self.part == HeadPart::FirstLine && self.is_blank() && matches!(byte, b'\r' | b'\n') {
             return;
         }
         self.started_at.get_or_insert_with(Instant::now);
         match self.part {
             HeadPart::FirstLine => self.first_line(byte),
-            HeadPart::Informational if byte == b'\n' && self.is_blank() => *self = ResponseHead::default(),
+            HeadPart::Informational if byte == b'\n' && self.is_blank() => self.start_next(),
             HeadPart::Fields if byte == b'\n' && self.is_blank() => self.part = HeadPart::Rest,
             HeadPart::Informational | HeadPart::Fields if byte == b'\n' => self.end_field(),
             HeadPart::Informational | HeadPart::Fields => {
@@ -99,6 +111,12 @@
         }
     }
 
+    /// Starts on the response that follows an informational one.
+    fn start_next(&mut self) {
+        let informational_bytes = self.informational_bytes;
+        *self = ResponseHead { informational_bytes, ..ResponseHead::default() };
+    }
+
     fn is_blank(&self) -> bool {
         matches!(self.line.as_slice(), b"" | b"\r")
     }
--- a/crates/courier/src/upstream/response_head_test.rs
+++ b/crates/courier/src/upstream/response_head_test.rs
@@ -66,6 +66,20 @@
     }
 }
 
+#[test]
+fn informational_responses_are_counted_up_to_the_bound_and_the_final_response_is_not() {
+    let mut head = ResponseHead::default();
+    let hints = b"HTTP/1.1 103 Early Hints\r\n\r\n";
+    let number = MAX_INFORMATIONAL_BYTES / hints.len();
+    (0..number - 1).for_each(|_| head.feed(hints));
+    let mut endless = ResponseHead::default();
+    (0..=number).for_each(|_| endless.feed(hints));
+    assert!(endless.is_endless());
+    head.feed(b"HTTP/1.1 200 OK\r\n");
+    head.feed(&[b'x'; 2 * MAX_INFORMATIONAL_BYTES]);
+    assert_eq!((head.is_endless(), head.status()), (false, Some(200)));
+}
+
 #[test]
 fn retry_after_is_known_from_its_line_of_the_final_response_and_the_longest_counts() {
     for (text, wait) in [
--- a/crates/courier/tests/answers.rs
+++ b/crates/courier/tests/answers.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeSet;
 use std::fs;
 use std::io::{Read, Write};
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::process::Command;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
@@ -230,26 +230,38 @@
     assert_eq!(times_called(&endpoint, "p"), 1);
 }
 
-#[test]
-fn endless_informational_responses_do_not_extend_an_attempt() {
+/// An endpoint that sends these bytes on each connection with a request, with a pause between them, until the
+/// connection is closed; its address, and the number of closed connections.
+fn endless_endpoint(bytes: Vec<u8>, pause: Duration) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("its address");
+    let closed = Arc::new(AtomicUsize::new(0));
+    let closed_count = closed.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.expect("a connection");
-            thread::spawn(move || {
-                let requested = stream.read(&mut [0; 4096]).is_ok_and(|bytes| bytes > 0);
-                while requested && stream.write_all(b"HTTP/1.1 103 Early Hints\r\n\r\n").is_ok() {
-                    thread::sleep(10 * MS);
-                }
-            });
+            let requested = stream.read(&mut [0; 4096]).is_ok_and(|bytes| bytes > 0);
+            while requested && stream.write_all(&bytes).is_ok() {
+                thread::sleep(pause);
+            }
+            closed_count.fetch_add(usize::from(requested), Ordering::SeqCst);
         }
     });
-    let folder = TestFolder::new();
-    let file = format!("{BASE_CONFIG}[pools.p]\nendpoints = [{{ address = \"{address}\" }}]\n");
-    let courier = Courier::serve(&folder, &file.replace("20s", "2s"));
-    submit(&courier, "payment", "p");
-    wait_until("the outcome", || outcomes(&folder) == [("p".to_owned(), "dead".to_owned())]);
+    (address, closed)
+}
+
+#[test]
+fn endless_informational_responses_do_not_extend_an_attempt() {
+    const EARLY_HINTS: &[u8] = b"HTTP/1.1 103 Early Hints\r\n\r\n";
+    for (bytes, pause) in [(EARLY_HINTS.to_vec(), 10 * MS), (EARLY_HINTS.repeat(2000), Duration::ZERO)] {
+        let (address, closed) = endless_endpoint(bytes, pause);
+        let folder = TestFolder::new();
+        let file = format!("{BASE_CONFIG}[pools.p]\nendpoints = [{{ address = \"{address}\" }}]\n");
+        let courier = Courier::serve(&folder, &file.replace("20s", "2s"));
+        submit(&courier, "payment", "p");
+        wait_until("the outcome", || outcomes(&folder) == [("p".to_owned(), "dead".to_owned())]);
+        wait_until("the end of the connection", || closed.load(Ordering::SeqCst) == 1);
+    }
 }
 
 #[test]
