--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -43,7 +43,11 @@
         // These outcomes prove that the message never ran; after any other it may have run.
         let never = matches!(
             end.outcome,
-            Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Crowded | Outcome::Moot
+            Outcome::Full { .. }
+                | Outcome::Refused { .. }
+                | Outcome::ConnectFailed
+                | Outcome::Crowded
+                | Outcome::Moot
         );
         if never {
             self.journal.record_never_ran(message, attempt);
@@ -233,8 +237,10 @@
 /// Subtracts the time since `at` from a requested wait: a wait starts when its response arrives, not when the
 /// batch runs.
 pub(super) fn less_elapsed(outcome: Outcome, at: Instant) -> Outcome {
+    let less = |wait: Duration| Some(wait.saturating_sub(at.elapsed()));
     match outcome {
-        Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: Some(wait.saturating_sub(at.elapsed())) },
+        Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: less(wait) },
+        Outcome::Refused { wait: Some(wait) } => Outcome::Refused { wait: less(wait) },
         other => other,
     }
 }
--- a/crates/courier/src/upstream/exchange_monitor.rs
+++ b/crates/courier/src/upstream/exchange_monitor.rs
@@ -52,7 +52,8 @@
 
     /// Reports how the exchange ended, preceded by an unreported wait unless `outcome` includes it.
     pub async fn finish(self, event: DispatcherEvent, outcome: Outcome) {
-        let reports_wait = matches!(outcome, Outcome::Full { wait: Some(_) });
+        let reports_wait =
+            matches!(outcome, Outcome::Full { wait: Some(_) } | Outcome::Refused { wait: Some(_) });
         if let Some(wait) = self.unreported_wait().filter(|_| !reports_wait) {
             // The receiver is gone once the courier has stopped.
             let _ = self.events.send(wait).await;
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -108,7 +108,7 @@
     pub max_calls_in_flight: usize,
     /// Maximum number of messages without a final answer.
     pub max_messages: usize,
-    /// Maximum attempts for a message.
+    /// Maximum attempts for a message; refused ones don't count.
     pub max_attempts: u32,
     pub worth_decay: WorthDecay,
     /// Cost of one new connection per message, in points of the overall result.
@@ -173,6 +173,11 @@
     Full {
         wait: Option<Duration>,
     },
+    /// This endpoint refused the call without processing it, perhaps with a time to wait; the message never
+    /// ran. Unlike [`Outcome::Full`], it says nothing about the destination's other endpoints.
+    Refused {
+        wait: Option<Duration>,
+    },
     /// No answer in time; the message may have run or may still be running.
     TimedOut,
     /// No connection was established; the message never ran.
@@ -187,6 +192,13 @@
     Moot,
 }
 
+impl Outcome {
+    /// Whether the call was answered and not processed.
+    pub(crate) fn is_rejection(self) -> bool {
+        matches!(self, Outcome::Full { .. } | Outcome::Refused { .. })
+    }
+}
+
 /// An endpoint's report on its limit.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitReport {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod interface;
 mod membership_lease;
 pub mod memory_usage;
+mod refusal;
 pub mod scheduler;
 pub mod settings;
 mod state;
--- a/crates/decide/src/scheduler.rs
+++ b/crates/decide/src/scheduler.rs
@@ -23,7 +23,7 @@
 /// EWMA weight of a new latency sample.
 const LATENCY_EWMA_WEIGHT: f64 = 0.15;
 /// EWMA weight of a success or a failure.
-const FAILURE_EWMA_WEIGHT: f64 = 0.25;
+pub(crate) const FAILURE_EWMA_WEIGHT: f64 = 0.25;
 /// EWMA weight of a failure when there was no recent success.
 const STALE_FAILURE_EWMA_WEIGHT: f64 = 0.6;
 /// Decay time of the miss ratios: long compared with an outage, short compared with a day.
@@ -31,7 +31,7 @@
 /// A message gets its final answer this many ticks before its deadline.
 const ANSWER_MARGIN_TICKS: Ns = 5;
 /// Failure ratio, moved by each failure, above which a breaker opens.
-const BREAKER_TRIP_RATIO: f64 = 0.5;
+pub(crate) const BREAKER_TRIP_RATIO: f64 = 0.5;
 /// How long a breaker first stays open.
 const INITIAL_OPEN_SECONDS: f64 = 1.5;
 /// Lower bound on the time for which a breaker stays open.
@@ -43,7 +43,7 @@
 /// An outage longer than this is followed by slow start.
 const CONFIRMED_OUTAGE_SECONDS: f64 = 1.0;
 /// A wait longer than this, as stated by an endpoint, is followed by slow start.
-const COLD_WAIT_SECONDS: f64 = 2.5;
+pub(crate) const COLD_WAIT_SECONDS: f64 = 2.5;
 /// A call this many latencies old, with no answer on the endpoint since it was sent, counts as hung.
 const HANG_LATENCY_MULTIPLE: f64 = 6.0;
 /// Lower bound on the age at which a call counts as hung.
@@ -51,13 +51,13 @@
 /// The last attempts of a message, spread evenly over its remaining time.
 const SPREAD_ATTEMPTS: u32 = 2;
 /// Backoff after the second failure, before those attempts, as a share of the remaining time.
-const RETRY_BACKOFF_SHARE: f64 = 0.06;
+pub(crate) const RETRY_BACKOFF_SHARE: f64 = 0.06;
 /// First backoff after a rejection that states no wait.
-const INITIAL_REJECTION_BACKOFF_SECONDS: f64 = 0.1;
+pub(crate) const INITIAL_REJECTION_BACKOFF_SECONDS: f64 = 0.1;
 /// How often that backoff may double.
-const MAX_REJECTION_DOUBLINGS: u32 = 7;
+pub(crate) const MAX_REJECTION_DOUBLINGS: u32 = 7;
 /// Upper bound on that backoff, unless one call at the fair rate takes longer.
-const MAX_REJECTION_BACKOFF_SECONDS: f64 = 1.6;
+pub(crate) const MAX_REJECTION_BACKOFF_SECONDS: f64 = 1.6;
 /// Initial rate as a multiple of the fair share, if that is over one call per rate window.
 const INITIAL_RATE_SHARE: f64 = 1.2;
 /// AIMD: factor applied to the rate after a rejection.
@@ -393,11 +393,13 @@
         let late = self.now > m.aim_at;
         self.dirty.insert(m.destination);
         self.call_ended(in_flight, ended);
-        if outcome != Outcome::Moot {
-            self.schedule_retry(
+        match outcome {
+            Outcome::Moot => {}
+            Outcome::Refused { .. } => self.schedule_after_refusal(id),
+            _ => self.schedule_retry(
                 id,
                 matches!(outcome, Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Crowded),
-            );
+            ),
         }
         let m = &self.messages[&id];
         if outcome != Outcome::Delivered && !ended.is_final && !m.finished {
@@ -414,10 +416,11 @@
         let u = 0.5 + self.rng.random::<f64>();
         let m = self.messages.get_mut(&id).expect("known");
         let cap = self.settings.classes[m.class].max_attempts.unwrap_or(self.settings.max_attempts);
-        let left = cap.saturating_sub(m.attempts);
+        let attempts = m.counted_attempts();
+        let left = cap.saturating_sub(attempts);
         let share = match (left, full) {
             (left, _) if left <= SPREAD_ATTEMPTS => 1.0 / f64::from(left + 1),
-            (_, false) if m.attempts > 1 => RETRY_BACKOFF_SHARE * 3f64.powi(m.attempts as i32 - 2),
+            (_, false) if attempts > 1 => RETRY_BACKOFF_SHARE * 3f64.powi(attempts as i32 - 2),
             _ => return,
         };
         m.not_before = self.now + from_secs(to_secs(m.deadline - self.now) * u * share);
@@ -446,7 +449,7 @@
         }
         let Some(e) = self.endpoints.get_mut(&id).filter(|_| is_first_outcome) else { return };
         let d = self.destinations.get_mut(&e.destination).expect("known");
-        if !matches!(outcome, Outcome::Full { .. }) {
+        if !outcome.is_rejection() {
             let succeeded = matches!(outcome, Outcome::Delivered | Outcome::Cancelled);
             d.recent_failures.push_back(!succeeded || elapsed > 2.0 * d.latency);
             d.recent_failures.drain(..d.recent_failures.len().saturating_sub(RECENT_CALLS));
@@ -483,6 +486,7 @@
                 }
                 e.trial = None;
             }
+            Outcome::Refused { wait } => self.record_refusal(id, call, sent_at, wait),
             // A connection limit looks like a dead endpoint, except that other connections get answers.
             Outcome::ConnectFailed
                 if e.last_success > sent_at || (!e.calls.is_empty() && e.last_success > 0) => {}
@@ -500,7 +504,7 @@
     /// in use. Covers a connection limit of the endpoint, an intermediary or this machine. Drawback: after
     /// one random failure in a load peak, the other new connections wait 0.1 s.
     fn record_connect(&mut self, id: EndpointId, sent_at: Ns, opens_connection: bool, outcome: Outcome) {
-        let kept = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Full { .. });
+        let kept = matches!(outcome, Outcome::Delivered | Outcome::Error) || outcome.is_rejection();
         let (now, e) = (self.now, self.endpoints.get_mut(&id).expect("known"));
         e.idle_connections.extend(kept.then_some(now));
         if kept && opens_connection {
@@ -793,6 +797,7 @@
             } else {
                 group.wait_until.max(e.next_call_at)
             };
+            free_at = free_at.max(e.refused_until);
             if !joins_bundle && !room {
                 continue;
             }
@@ -856,7 +861,8 @@
             (Some(_), Effect::Keyed { .. }) => self.now < self.answer_deadline(m),
         };
         in_window
-            && m.attempts < self.settings.classes[m.class].max_attempts.unwrap_or(self.settings.max_attempts)
+            && m.counted_attempts()
+                < self.settings.classes[m.class].max_attempts.unwrap_or(self.settings.max_attempts)
     }
 
     /// None if the message may be sent there, else when to check again. A half-open breaker admits one trial.
@@ -894,7 +900,7 @@
     }
 
     /// Seconds between calls that keep this courier within its share of the slow-start budget.
-    fn call_gap(&self, id: EndpointId) -> f64 {
+    pub(crate) fn call_gap(&self, id: EndpointId) -> f64 {
         let from = self.endpoints[&id].slow_start_since.unwrap_or(self.now);
         let progress = to_secs(self.now - from) / self.settings.slow_start_duration.as_secs_f64().max(1e-3);
         let capacity_share = self.settings.slow_start_min_share
@@ -951,7 +957,7 @@
             e.failure_ratio.updated(now, FAILURE_EWMA_WEIGHT, 0.0),
             e.uncertain_failure_ratio.updated(now, FAILURE_EWMA_WEIGHT, 0.0),
         );
-        e.last_success = now;
+        (e.last_success, e.consecutive_refusals) = (now, 0);
         // Slow start follows failures, not silence: one lost reply must not throttle a healthy endpoint.
         if e.breaker != Breaker::Closed {
             e.breaker = Breaker::Closed;
@@ -984,18 +990,12 @@
         let jitter = 0.5 + self.rng.random::<f64>();
         let (now, rate) = (self.now, self.rate_share(id).max(1e-3));
         let e = self.endpoints.get_mut(&id).expect("known");
-        let closed = e.breaker == Breaker::Closed;
-        if closed && e.slow_start_since.is_none() {
-            e.unhealthy_since = now;
-        }
+        e.open_breaker(now, slow_start);
         let pause = (INITIAL_OPEN_SECONDS + OPEN_GROWTH_FACTOR * to_secs(now - e.unhealthy_since))
             .min(1.0 / rate)
             .max(MIN_OPEN_SECONDS);
-        e.slow_start_pending = slow_start || (e.slow_start_pending && !closed);
-        e.slow_start_since = e.slow_start_since.filter(|_| !e.slow_start_pending);
         let (next_trial_at, spacing) =
             (now + from_secs(pause * jitter), from_secs(TRIAL_SPACING_SHARE * pause));
-        e.breaker = Breaker::Open;
         // Most outages affect a whole destination, so one trial stands for all its open endpoints. They take
         // turns, the latest failure last; otherwise recovered endpoints would never be tried.
         let others = self.destinations[&e.destination].endpoints.iter().map(|o| (*o, &self.endpoints[o]));
@@ -1007,7 +1007,8 @@
         }
     }
 
-    /// Rule: a stated wait applies to the whole limit group; a shorter one never replaces it.
+    /// Rule: a stated wait applies to the whole limit group, or after a refusal to the endpoint alone; a
+    /// shorter one never replaces it.
     fn apply_feedback(&mut self, id: EndpointId, outcome: Outcome, report: &Option<LimitReport>) {
         let (Some(_), now) = (self.endpoints.get(&id), self.now) else { return };
         let group_id = self.limit_group_id(id);
@@ -1026,6 +1027,9 @@
         if let Outcome::Full { wait: Some(wait) } = outcome {
             group.wait_until = group.wait_until.max(now + ns(wait + self.settings.tick));
         }
+        if let Outcome::Refused { wait: Some(wait) } = outcome {
+            self.observe_endpoint_wait(id, wait);
+        }
     }
 
     /// Detects hung calls and advances the breakers of one destination's endpoints.
@@ -1034,7 +1038,7 @@
         let d = &self.destinations[&dest];
         let (held, usual) = (!d.chart.held.is_empty(), d.latency);
         for id in d.endpoints.iter().copied().collect::<Vec<_>>() {
-            let wait_until = self.limit_groups[&self.limit_group_id(id)].wait_until;
+            let wait_until = self.wait_until(id);
             let e = self.endpoints.get_mut(&id).expect("known");
             let hang = from_secs((HANG_LATENCY_MULTIPLE * e.latency.max(usual)).max(MIN_HANG_SECONDS));
             e.slow_start_since =
@@ -1076,8 +1080,9 @@
 
     /// How long a refused client should wait: until held messages can be sent and a stated wait is over.
     fn retry_hint(&self, dest: DestinationId) -> Duration {
-        let (held, groups) = (self.destinations[&dest].chart.held.len(), self.ready_limit_groups(dest));
-        let wait = groups.iter().map(|p| self.limit_groups[p].wait_until).min().unwrap_or(0) - self.now;
+        let d = &self.destinations[&dest];
+        let (held, ready) = (d.chart.held.len(), d.endpoints.iter().filter(|e| self.endpoints[e].ready));
+        let wait = ready.map(|e| self.wait_until(*e)).min().unwrap_or(0) - self.now;
         to_duration(
             wait.max(self.service_time(dest) * held as Ns).max(from_secs(INITIAL_REJECTION_BACKOFF_SECONDS)),
         )
@@ -1132,11 +1137,11 @@
 
 impl FailureRatio {
     /// The ratio after exponential decay until `now`.
-    fn decayed(self, now: Ns) -> f64 {
+    pub(crate) fn decayed(self, now: Ns) -> f64 {
         self.ratio * 0.5f64.powf(to_secs(now - self.updated_at) / FAILURE_RATIO_HALF_LIFE_SECONDS)
     }
 
-    fn updated(self, now: Ns, gain: f64, to: f64) -> Self {
+    pub(crate) fn updated(self, now: Ns, gain: f64, to: f64) -> Self {
         let share = self.decayed(now);
         FailureRatio { ratio: share + gain * (to - share), updated_at: now }
     }
@@ -1191,7 +1196,7 @@
         }
     }
 
-    fn decrease_rate(&mut self, now: Ns, settings: &Settings) {
+    pub(crate) fn decrease_rate(&mut self, now: Ns, settings: &Settings) {
         let (couriers, fleet_factor) = (settings.courier_count, settings.fleet_factor());
         if now - self.last_decrease < from_secs(RATE_BURST_SECONDS) && self.last_decrease > 0 {
             return;
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -33,6 +33,8 @@
     pub(crate) past_aim: bool,
     pub(crate) counted_as_missed: bool,
     pub(crate) attempts: u32,
+    /// Those of its attempts that an endpoint refused.
+    pub(crate) refusals: u32,
     pub(crate) in_flight: Option<InFlightAttempt>,
     /// First attempt that may have run: its endpoint, zone and send time.
     pub(crate) may_have_run: Option<(EndpointId, usize, Ns)>,
@@ -49,6 +51,11 @@
         let may_have_run = history.ran.map(|r| (r.endpoint, r.zone, now - ns(r.ago)));
         Message { attempts: history.attempts, may_have_run, ..Message::default() }
     }
+
+    /// The attempts that count against the limit.
+    pub(crate) fn counted_attempts(&self) -> u32 {
+        self.attempts - self.refusals
+    }
 }
 
 /// State of an endpoint's circuit breaker.
@@ -94,6 +101,11 @@
     /// Recent failures of calls that may have run.
     pub(crate) uncertain_failure_ratio: FailureRatio,
     pub(crate) last_success: Ns,
+    /// Refusals since the last success, without those of calls that were sent before the latest one.
+    pub(crate) consecutive_refusals: u32,
+    pub(crate) last_refusal: Ns,
+    /// End of the backoff after a refusal, or of the wait stated with one.
+    pub(crate) refused_until: Ns,
     pub(crate) breaker: Breaker,
     /// When an open breaker admits a trial, if a message is held.
     pub(crate) next_trial_at: Ns,
@@ -257,6 +269,17 @@
         self.gone_since.get_or_insert(now);
     }
 
+    /// Opens its breaker, and notes the start of the outage unless one is under way.
+    pub(crate) fn open_breaker(&mut self, now: Ns, slow_start: bool) {
+        let closed = self.breaker == Breaker::Closed;
+        if closed && self.slow_start_since.is_none() {
+            self.unhealthy_since = now;
+        }
+        self.slow_start_pending = slow_start || (self.slow_start_pending && !closed);
+        self.slow_start_since = self.slow_start_since.filter(|_| !self.slow_start_pending);
+        self.breaker = Breaker::Open;
+    }
+
     /// Applies its state in the list.
     pub(crate) fn set_state(&mut self, state: EndpointState, now: Ns) {
         match state {
@@ -304,7 +327,9 @@
     /// of them.
     pub(crate) fn forget_gone_endpoints(&mut self, out: &mut Vec<Action>) {
         let (now, span) = (self.now, ns(self.settings.slow_start_duration));
-        let is_old = |e: &Endpoint| e.gone_since.is_some_and(|t| now - t > span) && e.calls.is_empty();
+        let is_old = |e: &Endpoint| {
+            e.gone_since.is_some_and(|t| now - t > span) && e.calls.is_empty() && e.refused_until <= now
+        };
         let mut gone: BTreeSet<_> =
             self.endpoints.iter().filter(|(_, e)| is_old(e)).map(|(id, _)| *id).collect();
         if gone.is_empty() {
--- a/crates/decide/tests/common/simulation.rs
+++ b/crates/decide/tests/common/simulation.rs
@@ -25,6 +25,8 @@
     pub max_connections: usize,
     /// Connects fail.
     pub unreachable: bool,
+    /// Share of the calls that it refuses, drawn at random. They don't use up the limit.
+    pub refusal_share: f64,
 }
 
 /// Time, courier and event; for the end of a call also its endpoint and whether its connection is kept.
@@ -46,6 +48,10 @@
     pub failed: usize,
     pub calls: usize,
     pub rejected: usize,
+    /// Calls refused by one endpoint.
+    pub endpoint_refusals: usize,
+    /// Time from submission to delivery of each delivered message.
+    pub delivery_times: Vec<Duration>,
     pub connect_failures: usize,
     pub connections_opened: usize,
     /// Maximum number of connections open at one endpoint.
@@ -237,10 +243,12 @@
                     let Some((at, class)) = self.accepted_at[n].remove(&attempt_ended.message.0) else {
                         continue;
                     };
+                    self.counts.delivery_times.push(self.fleet[n].now - at);
                     let in_aim = self.fleet[n].now - at <= self.set.classes[class].aim;
                     *(if in_aim { &mut self.counts.in_aim } else { &mut self.counts.late }) += 1;
                 }
                 Outcome::Full { .. } => self.counts.rejected += 1,
+                Outcome::Refused { .. } => self.counts.endpoint_refusals += 1,
                 Outcome::ConnectFailed => self.counts.connect_failures += 1,
                 _ => {}
             }
@@ -270,6 +278,9 @@
     fn call(&mut self, n: usize, now: Duration, message: u64, server: usize) {
         self.counts.calls += 1;
         let opens_connection = self.idle_connections[n][server].pop().is_none();
+        // Nothing is drawn where nothing is refused.
+        let refusal_share = self.servers[server].refusal_share;
+        let refused = refusal_share > 0.0 && self.rng.random::<f64>() < refusal_share;
         let (open, limit_owner) = (self.open_connections(server), self.limit_owner(server));
         let mut end = |elapsed: Duration, outcome, report, kept| {
             let endpoint = EndpointId(server as u32);
@@ -286,6 +297,9 @@
         self.busy_connections[server] += 1;
         self.counts.connections_opened += usize::from(opens_connection);
         let opening = if opens_connection { ONE_WAY_LATENCY * 2 } else { Duration::ZERO };
+        if refused {
+            return end(opening + ONE_WAY_LATENCY * 2, Outcome::Refused { wait: None }, None, true);
+        }
         let bucket = &mut self.buckets[limit_owner];
         let report =
             Some(LimitReport { remaining_share: bucket.report, limit: self.servers[limit_owner].limit });
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -78,6 +78,7 @@
         burst_seconds: 0.6,
         max_connections: 12,
         unreachable: false,
+        refusal_share: 0.0,
     };
     vec![server(0), server(1)]
 }
@@ -153,6 +154,7 @@
         burst_seconds: 0.5,
         max_connections: 1000,
         unreachable: false,
+        refusal_share: 0.0,
     };
     vec![server(0, limits[0]), server(1, limits[1])]
 }
