--- a/crates/config/src/classes.rs
+++ b/crates/config/src/classes.rs
@@ -128,6 +128,7 @@
         ordered: false,
         aim_stretch: 0.0,
         max_attempts: None,
+        refuse_keyed_only_unrun: true,
     }
 }
 
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -915,6 +915,7 @@
         ordered: c.order_by.is_some(),
         aim_stretch: 0.0,
         max_attempts: c.attempts,
+        refuse_keyed_only_unrun: true,
     };
     decide::Settings {
         courier_count: l.couriers,
--- a/crates/courier/tests/operator.rs
+++ b/crates/courier/tests/operator.rs
@@ -667,3 +667,19 @@
     assert!(began.elapsed() < WAIT_TIMEOUT);
     thread::sleep(MS);
 }
+
+#[test]
+fn a_keyed_message_of_a_pool_that_may_have_run_ends_as_dead() {
+    let folder = TestFolder::new();
+    let endpoint = Endpoint::new(|_| EndpointAction::Hang);
+    let class = "[classes.short]\neffect = \"keyed\"\nkey_window = \"1s\"\nkey_scope = \"pool\"\n\
+        deadline = \"4s\"\naim = \"1s\"\n";
+    let file =
+        [BASE_CONFIG, class, &pool_section("p", &[&endpoint]), &route_section("r", "p", "short")].concat();
+    let courier = Courier::serve(&folder, &file);
+    assert_eq!(courier.post("/r", "m1", "Idempotency-Key: k\r\n", "x").status(), 202);
+    wait_until("its end", || !outcomes(&folder).is_empty());
+    // As bounced it could be submitted again after its key's window, and take effect twice.
+    assert_eq!(outcomes(&folder), [("m1".to_owned(), "dead".to_owned())]);
+    assert!(!endpoint.calls().is_empty());
+}
--- a/crates/decide/examples/embed.rs
+++ b/crates/decide/examples/embed.rs
@@ -16,6 +16,7 @@
             ordered: false,
             aim_stretch: 0.0,
             max_attempts: None,
+            refuse_keyed_only_unrun: true,
         }],
         kinds: vec![DestinationKind { separate_routes: false, max_bundle_size: 1 }],
         tenant_count: 0,
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -60,6 +60,9 @@
     pub aim_stretch: f64,
     /// Maximum attempts for a message; None for [`Settings::max_attempts`].
     pub max_attempts: Option<u32>,
+    /// Refuses a keyed message only if it never ran, in any scope of its key: a client may submit it again
+    /// after the window. If not set, one of scope [`KeyScope::All`] is refused even if it may have run.
+    pub refuse_keyed_only_unrun: bool,
 }
 
 /// How the worth of a delivery decreases between the aim and the deadline.
--- a/crates/decide/src/scheduler.rs
+++ b/crates/decide/src/scheduler.rs
@@ -1064,13 +1064,14 @@
         }
     }
 
-    /// Ends a message undelivered: refused if a repeat is known to be harmless, else failed.
+    /// Ends a message undelivered: refused if a repeat is known to be harmless at any time, else failed.
     fn end_undelivered(&mut self, id: MessageId, out: &mut Vec<Action>) {
         self.record_miss(id);
         let m = &self.messages[&id];
-        let harmless = match self.settings.classes[m.class].effect {
+        let c = &self.settings.classes[m.class];
+        let harmless = match c.effect {
             Effect::Repeatable => true,
-            Effect::Keyed { scope: KeyScope::All, .. } => m.in_flight.is_none(),
+            Effect::Keyed { scope: KeyScope::All, .. } if !c.refuse_keyed_only_unrun => m.in_flight.is_none(),
             _ => m.in_flight.is_none() && m.may_have_run.is_none(),
         };
         let refuse = Action::Refuse { message: id, wait: Some(self.retry_hint(m.destination)) };
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -147,6 +147,7 @@
                 ordered: lane.by_arrival,
                 aim_stretch: lane.aim_stretch,
                 max_attempts: None,
+                refuse_keyed_only_unrun: false,
             });
         }
         let (family, limits, rules) = (&conf.family_info, &conf.limits, &conf.rules);
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -21,6 +21,7 @@
         ordered: false,
         aim_stretch: 0.0,
         max_attempts: None,
+        refuse_keyed_only_unrun: false,
     }
 }
 
--- a/crates/decide/tests/scenarios.rs
+++ b/crates/decide/tests/scenarios.rs
@@ -395,3 +395,34 @@
     assert!(sends(&d.pass(MS * 240)).is_empty(), "an accepted connection attempt does not prove recovery");
     assert!(!sends(&d.pass(MS * 45_000)).is_empty(), "it is tried again");
 }
+
+#[test]
+fn a_keyed_message_that_may_have_run_is_refused_in_no_scope_where_a_refusal_proves_that_it_never_ran() {
+    // Told as refused, it could be submitted again after its key's window and take effect twice.
+    let refused = |scope, refuse_keyed_only_unrun, first: Outcome| {
+        let mut set = settings();
+        set.classes[1].effect = Effect::Keyed { scope, window: MS * 5000 };
+        set.classes[1].refuse_keyed_only_unrun = refuse_keyed_only_unrun;
+        let mut d = Driver::new(set, vec![entry(0, 1, 0, 0)]);
+        let (message, endpoint) = sends(&d.feed(&[accepted(1, 1, 1, MS * 20_000)]))[0];
+        let mut actions = d.feed(&[attempt_ended(message, endpoint, first, 5)]);
+        for _ in 0..4100 {
+            let ends: Vec<_> =
+                sends(&actions).iter().map(|s| attempt_ended(s.0, s.1, Outcome::ConnectFailed, 5)).collect();
+            actions = d.feed(&ends);
+            actions.extend(d.pass(MS * 5));
+        }
+        let log: Vec<_> = d.log.into_iter().map(|l| l.1).collect();
+        let (refused, failed) = (
+            has_action(&log, |a| matches!(a, Action::Refuse { .. })),
+            has_action(&log, |a| matches!(a, Action::Fail { .. })),
+        );
+        assert!(refused != failed, "one answer");
+        refused
+    };
+    for scope in [KeyScope::All, KeyScope::Zone, KeyScope::Endpoint] {
+        assert!(!refused(scope, true, Outcome::TimedOut), "{scope:?}");
+        assert!(refused(scope, true, Outcome::ConnectFailed), "{scope:?}: it never ran");
+    }
+    assert!(refused(KeyScope::All, false, Outcome::TimedOut), "as decided on the platform");
+}
