--- a/crates/courier/src/dispatcher/acceptance.rs
+++ b/crates/courier/src/dispatcher/acceptance.rs
@@ -147,7 +147,7 @@
                 );
                 let reply = match verdict {
                     Verdict::Bounced { wait } => Reply::Refused { wait },
-                    Verdict::Dead => Reply::Failed,
+                    Verdict::Dead | Verdict::Rejected { .. } => Reply::Failed,
                 };
                 self.reject(submission, reply);
                 continue;
--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -60,9 +60,8 @@
                 let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
                 self.finish_message(message, verdict);
             }
-            AfterAttempt::FailWithoutRetry | AfterAttempt::Rejected => {
-                self.record_verdict(message, Verdict::Dead);
-            }
+            AfterAttempt::FailWithoutRetry => self.record_verdict(message, Verdict::Dead),
+            AfterAttempt::Rejected => self.record_rejection(message, attempt, end.status),
         }
         if self.open_attempt_ended(message, &end) {
             return;
--- a/crates/courier/src/dispatcher/ended_messages.rs
+++ b/crates/courier/src/dispatcher/ended_messages.rs
@@ -4,8 +4,9 @@
 use super::Dispatcher;
 use super::held_message::DeferredAction;
 use super::memory::Shrink;
-use crate::events::{Reply, ReplyTo, Submission};
+use crate::events::{ClientOutcome, Reply, ReplyTo, Submission};
 use crate::message_trace;
+use crate::upstream::outcomes::AttemptSummary;
 use stairshed_clock::StableTime;
 use stairshed_journal::{AcceptedMessage, EndedMessage, Verdict};
 use stairshed_planted_faults::{PlantedFault, is_planted};
@@ -72,6 +73,13 @@
     recent_ids: RecentIds,
 }
 
+impl<'a> ClientOutcome<'a> {
+    /// The outcome of an ended message, of whose attempts nothing is kept.
+    fn of_kept(kept: &'a EndedMessage) -> Self {
+        ClientOutcome { id: &kept.id, verdict: kept.verdict, attempts: None }
+    }
+}
+
 impl EndedMessages {
     fn insert(&mut self, message: u64, kept: &EndedMessage) {
         self.remembered.insert(message);
@@ -123,7 +131,7 @@
             self.memory.remember(message, &kept);
             match &kept.owner {
                 Some(owner) if self.ingress.is_some() => {
-                    self.notify_owner(owner, message, &kept.id, kept.verdict)
+                    self.notify_owner(owner, message, ClientOutcome::of_kept(&kept))
                 }
                 // The ingress is not configured any more.
                 Some(_) => self.owner_notified(message),
@@ -156,7 +164,7 @@
         {
             self.journal
                 .replace_with_ended(message, EndedMessage { owner: Some(owner.clone()), ..kept.clone() });
-            self.notify_owner(&owner, message, &kept.id, kept.verdict);
+            self.notify_owner(&owner, message, ClientOutcome::of_kept(&kept));
         }
         Some(Reply::Accepted)
     }
@@ -166,21 +174,22 @@
         self.ingress.as_ref().is_some_and(|f| f.accepts_outcomes(owner))
     }
 
-    fn notify_owner(&mut self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
+    fn notify_owner(&mut self, owner: &str, message: u64, outcome: ClientOutcome) {
         if let Some(ingress) = &self.ingress
             && self.ended_messages.notifying.insert(message)
         {
-            ingress.send_outcome(owner, message, id, verdict);
+            ingress.send_outcome(owner, message, &outcome);
         }
     }
 
     /// Notifies the client at once that the scheduler has ended its message undelivered.
     pub(super) fn notify_owner_of_verdict(&mut self, message: u64, verdict: Verdict) {
         let Some(live) = self.journal.get(message) else { return };
-        let accepted = live.accepted.clone();
+        let (accepted, attempts) = (live.accepted.clone(), AttemptSummary::of(live, verdict));
         let owner = accepted.routed.as_ref().and_then(|r| r.owner.as_ref());
         if let Some(owner) = owner.filter(|o| self.accepts_outcomes(o)) {
-            self.notify_owner(owner, message, &accepted.id, Some(verdict));
+            let outcome = ClientOutcome { id: &accepted.id, verdict: Some(verdict), attempts };
+            self.notify_owner(owner, message, outcome);
         }
     }
 
@@ -189,6 +198,7 @@
     pub(super) fn finish_message(&mut self, message: u64, verdict: Option<Verdict>) {
         let Some(live) = self.journal.get(message) else { return };
         let accepted = live.accepted.clone();
+        let attempts = verdict.and_then(|verdict| AttemptSummary::of(live, verdict));
         self.acceptance.ids.remove(&accepted.id);
         let notified = self.ended_messages.notified.remove(&message);
         let Some(routed) = accepted.routed.as_ref().filter(|_| leaves_record(&accepted)) else {
@@ -220,7 +230,7 @@
         self.ended_messages.insert(message, &kept);
         self.journal.replace_with_ended(message, kept);
         if let Some(owner) = owner {
-            self.notify_owner(&owner, message, &accepted.id, verdict);
+            self.notify_owner(&owner, message, ClientOutcome { id: &accepted.id, verdict, attempts });
         }
     }
 
@@ -317,7 +327,7 @@
         if let Some(kept) = self.journal.ended_message(message).map(|k| EndedMessage::clone(k))
             && let Some(owner) = &kept.owner
         {
-            self.notify_owner(owner, message, &kept.id, kept.verdict);
+            self.notify_owner(owner, message, ClientOutcome::of_kept(&kept));
         }
     }
 }
--- a/crates/courier/src/dispatcher/notices.rs
+++ b/crates/courier/src/dispatcher/notices.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use crate::message_trace;
-use crate::upstream::outcomes::{Notice, OutcomeNotifier};
+use crate::upstream::outcomes::{AttemptSummary, Notice, OutcomeNotifier, rejection_verdict};
 use stairshed_journal::Verdict;
 use std::collections::VecDeque;
 
@@ -49,7 +49,16 @@
         self.journal.record_verdict(message, verdict);
         self.memory.add_notice(message);
         self.notify_owner_of_verdict(message, verdict);
-        self.notices.queue.push_back((self.journal.last_seq(), Notice { message, id, verdict }));
+        self.notices
+            .queue
+            .push_back((self.journal.last_seq(), Notice { message, id, verdict, attempts: None }));
+    }
+
+    /// Records the verdict on a message that an endpoint rejected for good in this attempt.
+    pub(super) fn record_rejection(&mut self, message: u64, attempt: u32, status: Option<u16>) {
+        let Some(live) = self.journal.get(message) else { return };
+        let verdict = rejection_verdict(live, attempt, status);
+        self.record_verdict(message, verdict);
     }
 
     /// Posts queued notices in batches, up to the limit on batches in flight.
@@ -67,7 +76,12 @@
             if kept == 0 {
                 return;
             }
-            let batch: Vec<_> = self.notices.queue.drain(..kept).map(|(_, notice)| notice).collect();
+            let mut batch: Vec<_> = self.notices.queue.drain(..kept).map(|(_, notice)| notice).collect();
+            for notice in &mut batch {
+                let live = self.journal.get(notice.message);
+                notice.attempts =
+                    live.and_then(|live| AttemptSummary::of(live, notice.verdict)).map(Box::new);
+            }
             self.notices.posts_in_flight += 1;
             tokio::task::spawn_local(self.notices.outcomes.clone().deliver(batch, self.event_tx.clone()));
         }
--- a/crates/courier/src/dispatcher/records.rs
+++ b/crates/courier/src/dispatcher/records.rs
@@ -70,7 +70,8 @@
                 }
                 let seq = self.journal.last_seq();
                 self.memory.add_notice(message);
-                self.notices.queue.push_back((seq, Notice { message, id: accepted.id.clone(), verdict }));
+                let notice = Notice { message, id: accepted.id.clone(), verdict, attempts: None };
+                self.notices.queue.push_back((seq, notice));
                 continue;
             }
             // A message whose pool the configuration no longer has is held as if the pool were removed now.
--- a/crates/courier/src/events.rs
+++ b/crates/courier/src/events.rs
@@ -3,6 +3,7 @@
 
 use crate::memory_budget::MemoryRefusal;
 use crate::upstream::exchange::Exchange;
+use crate::upstream::outcomes::AttemptSummary;
 use serde::Deserialize;
 use stairshed_config::Installation;
 use stairshed_decide::interface::{EndpointId, LimitReport, Outcome};
@@ -116,9 +117,17 @@
     fn accepts_outcomes(&self, owner: &str) -> bool;
     /// Measures the memory it uses and updates the ledger.
     fn measure_memory(&self);
-    /// Sends the outcome of a message to its client; a verdict of None means delivered.
-    /// [`DispatcherEvent::OutcomeNotified`] follows.
-    fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>);
+    /// Sends the outcome of a message to its client. [`DispatcherEvent::OutcomeNotified`] follows.
+    fn send_outcome(&self, owner: &str, message: u64, outcome: &ClientOutcome);
+}
+
+/// How a message ended, as its client is told.
+pub struct ClientOutcome<'a> {
+    pub id: &'a str,
+    /// None means delivered.
+    pub verdict: Option<Verdict>,
+    /// What its attempts were, if the verdict tells of them and they are still known.
+    pub attempts: Option<AttemptSummary>,
 }
 
 /// Where the reply to a submission goes.
--- a/crates/courier/src/ingress/mqtt.rs
+++ b/crates/courier/src/ingress/mqtt.rs
@@ -3,7 +3,8 @@
 //! message.
 
 use crate::events::{
-    DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission, refusal_reason,
+    ClientOutcome, DEFAULT_RETRY_AFTER, DispatcherEvent, Ingress, Reply, ReplyTo, StateUpdate, Submission,
+    refusal_reason,
 };
 use crate::ingress::active_config::ActiveConfig;
 use crate::ingress::listener::Acceptor;
@@ -16,7 +17,7 @@
 use crate::upstream::outcomes;
 use bytes::BytesMut;
 use stairshed_clock::{StableClock, StableTime};
-use stairshed_journal::{Refusal, Verdict};
+use stairshed_journal::Refusal;
 use stairshed_memory::{Charge, Purpose};
 use stairshed_mqtt::packet::code;
 use stairshed_mqtt::server::{self, Answer, Effect, Limits, Outcome, Server};
@@ -165,8 +166,8 @@
         self.input_memory.borrow_mut().resize(machine.estimated_input_bytes());
     }
 
-    fn send_outcome(&self, owner: &str, message: u64, id: &str, verdict: Option<Verdict>) {
-        let line = outcomes::outcome_line(id, verdict);
+    fn send_outcome(&self, owner: &str, message: u64, outcome: &ClientOutcome) {
+        let line = outcomes::outcome_line(outcome.id, outcome.verdict, outcome.attempts.as_ref());
         self.with_machine(|machine, _| machine.queue_outcome(owner, Outcome { message, line }));
     }
 }
--- a/crates/courier/src/journal_tool.rs
+++ b/crates/courier/src/journal_tool.rs
@@ -77,6 +77,7 @@
             None => "-",
             Some(Verdict::Dead) => "dead",
             Some(Verdict::Bounced { .. }) => "bounced",
+            Some(Verdict::Rejected { .. }) => "rejected",
         };
         let left = seconds_between(now, accepted.deadline);
         let age = match accepted.accepted_at.is_epoch() {
@@ -169,6 +170,7 @@
     let verdict = |v: &Verdict| match v {
         Verdict::Dead => json!({"result": "dead"}),
         Verdict::Bounced { wait } => json!({"result": "bounced", "wait_us": wait.map(micros)}),
+        Verdict::Rejected { status } => json!({"result": "rejected", "status": status}),
     };
     let remembered_json = |k: &EndedMessage| {
         json!({"id": k.id, "owner": k.owner, "until_us": k.until.as_micros(),
--- a/crates/courier/src/upstream/outcomes.rs
+++ b/crates/courier/src/upstream/outcomes.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, StatusCode, header};
 use serde::Serialize;
 use stairshed_config::installation::Url;
-use stairshed_journal::Verdict;
+use stairshed_journal::{LiveMessage, Verdict};
 use std::cell::Cell;
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -37,6 +37,33 @@
     pub message: u64,
     pub id: String,
     pub verdict: Verdict,
+    /// What its attempts were, if the verdict tells of them; set when it is posted.
+    pub attempts: Option<Box<AttemptSummary>>,
+}
+
+/// The attempts of a message that an endpoint rejected.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AttemptSummary {
+    /// The endpoint of the last one, which rejected it; None if its record was lost.
+    pub endpoint: Option<String>,
+    pub count: usize,
+}
+
+impl AttemptSummary {
+    /// The attempts of a message that ended with this verdict; None unless the verdict tells of them.
+    pub fn of(live: &LiveMessage, verdict: Verdict) -> Option<AttemptSummary> {
+        let Verdict::Rejected { .. } = verdict else { return None };
+        let last = live.attempts.last();
+        let endpoint = last.map(|a| a.host.clone()).filter(|host| !host.is_empty());
+        Some(AttemptSummary { endpoint, count: live.attempts.len() })
+    }
+}
+
+/// The verdict on a message that an endpoint rejected for good in its attempt number `attempt`. If an earlier
+/// attempt may have run, it is not known whether the message took effect, so it does not count as rejected.
+pub fn rejection_verdict(live: &LiveMessage, attempt: u32, status: Option<u16>) -> Verdict {
+    let mut earlier = live.attempts.iter().take(attempt as usize);
+    if earlier.any(|a| a.may_have_run) { Verdict::Dead } else { Verdict::Rejected { status } }
 }
 
 /// A notice as it is written out.
@@ -47,22 +74,52 @@
     result: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     wait_ms: Option<u64>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    status: Option<u16>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    endpoint: Option<&'a str>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    attempts: Option<usize>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    reason: Option<&'static str>,
+}
+
+/// The reason of a rejection without a status that has one.
+const REJECTED_REASON: &str = "rejected by the endpoint";
+
+/// The reason phrase of the status with which an endpoint rejected a message.
+fn rejection_reason(status: Option<u16>) -> &'static str {
+    let status = status.and_then(|status| StatusCode::from_u16(status).ok());
+    status.and_then(|status| status.canonical_reason()).unwrap_or(REJECTED_REASON)
 }
 
 /// The outcome of a message as JSON without a line feed. A `verdict` of None means delivered.
-pub fn outcome_line(id: &str, verdict: Option<Verdict>) -> String {
-    let (result, wait) = match verdict {
-        None => ("delivered", None),
-        Some(Verdict::Dead) => ("dead", None),
-        Some(Verdict::Bounced { wait }) => ("bounced", wait),
+pub fn outcome_line(id: &str, verdict: Option<Verdict>, attempts: Option<&AttemptSummary>) -> String {
+    let empty = Line {
+        id,
+        result: "delivered",
+        wait_ms: None,
+        status: None,
+        endpoint: attempts.and_then(|a| a.endpoint.as_deref()),
+        attempts: attempts.map(|a| a.count),
+        reason: None,
+    };
+    let line = match verdict {
+        None => empty,
+        Some(Verdict::Dead) => Line { result: "dead", ..empty },
+        Some(Verdict::Bounced { wait }) => {
+            Line { result: "bounced", wait_ms: wait.map(|w| w.as_millis() as u64), ..empty }
+        }
+        Some(Verdict::Rejected { status }) => {
+            Line { result: "rejected", status, reason: Some(rejection_reason(status)), ..empty }
+        }
     };
-    let line = Line { id, result, wait_ms: wait.map(|w| w.as_millis() as u64) };
     serde_json::to_string(&line).unwrap_or_default()
 }
 
 impl Notice {
     fn line(&self) -> String {
-        outcome_line(&self.id, Some(self.verdict)) + "\n"
+        outcome_line(&self.id, Some(self.verdict), self.attempts.as_deref()) + "\n"
     }
 }
 
@@ -222,3 +279,7 @@
         Some(response.status)
     }
 }
+
+#[cfg(test)]
+#[path = "outcomes_test.rs"]
+mod tests;
--- a/crates/courier/tests/journal.rs
+++ b/crates/courier/tests/journal.rs
@@ -1,11 +1,17 @@
 //! End-to-end tests of the courier's journal: a full disk, failing writes, damaged records, a folder in use by another
 //! process, and the format of an older version.
 
+use bytes::Bytes;
+use stairshed_clock::StableTime;
+use stairshed_decide::interface::Effect;
+use stairshed_journal::{AcceptedMessage, Attempt, FileStorage, Journal, Options, RoutedRequest, Verdict};
 use stairshed_rig::*;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
+use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 fn state(folder: &TestFolder) -> PathBuf {
     folder.0.join("state")
@@ -340,3 +346,67 @@
     let _courier = Courier::with(&folder, &discovery, &config);
     wait_until("its end", || !discovery.results("hour").is_empty());
 }
+
+/// Writes a journal with a message that an endpoint rejected, and whose outcome has not been told.
+fn write_rejected_message(folder: &Path) {
+    std::fs::create_dir_all(folder).expect("the folder");
+    let files = Arc::new(FileStorage::lock(folder).expect("locked"));
+    let (mut journal, _) = Journal::open(files, Options::new(3 << 20)).expect("opened");
+    let now = StableTime::from_epoch(SystemTime::now().duration_since(UNIX_EPOCH).expect("a time"));
+    let routed = RoutedRequest {
+        version: 0,
+        route: "r".to_owned(),
+        method: "POST".to_owned(),
+        path: "/pay".to_owned(),
+        headers: Vec::new(),
+        effect: Effect::Once,
+        order_key: None,
+        owner: None,
+        remember_for: Duration::ZERO,
+    };
+    let accepted = AcceptedMessage {
+        id: "m1".to_owned(),
+        class: "payment".to_owned(),
+        destination: 7,
+        key: None,
+        accepted_at: now,
+        deadline: now + Duration::from_secs(60),
+        body: Bytes::from_static(b"x"),
+        routed: Some(routed),
+    };
+    let attempt = Attempt { host: "p/a".to_owned(), zone: String::new(), sent_at: now, may_have_run: true };
+    journal.accept(1, Rc::new(accepted));
+    journal.record_attempt(1, attempt).expect("recorded");
+    journal.record_verdict(1, Verdict::Rejected { status: Some(422) });
+    journal.flush().expect("written");
+}
+
+#[test]
+fn a_rejected_message_whose_outcome_was_not_told_is_told_after_a_restart_and_not_sent() {
+    let endpoint = Endpoint::new(|_| EndpointAction::Respond(OK));
+    let folder = TestFolder::new();
+    let file = format!(
+        "[listen]\nhttp = \"127.0.0.1:0\"\n[classes.payment]\neffect = \"once\"\ndeadline = \"60s\"\n\
+         [pools.p]\nendpoints = [{{ address = \"{}\" }}]\n\
+         [routes.r]\npath = \"/pay\"\npool = \"p\"\nclass = \"payment\"\n",
+        endpoint.address
+    );
+    write_rejected_message(&state(&folder).join("journal"));
+    for subcommand in ["inspect", "dump"] {
+        let output = Command::new(program())
+            .args(["journal", subcommand])
+            .arg(state(&folder).join("journal"))
+            .output()
+            .expect("it runs");
+        assert!(text(&output.stdout).contains("rejected"), "{}", text(&output.stdout));
+    }
+    let courier = Courier::serve(&folder, &file);
+    let told = || std::fs::read_to_string(state(&folder).join("outcomes.ndjson")).unwrap_or_default();
+    wait_until("its outcome", || !told().is_empty());
+    let line = "{\"ref\":\"m1\",\"result\":\"rejected\",\"status\":422,\"endpoint\":\"p/a\",\"attempts\":1,\
+        \"reason\":\"Unprocessable Entity\"}\n";
+    assert_eq!(told(), line);
+    courier.kill();
+    let _courier = Courier::serve(&folder, &file);
+    assert!(endpoint.calls().is_empty(), "a rejected message was sent");
+}
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -5,8 +5,11 @@
 use bytes::BufMut;
 use stairshed_planted_faults::{PlantedFault, is_planted};
 
-/// The format version that is written. The journal does not open if a file has a higher one.
-pub const FORMAT_VERSION: u16 = 1;
+/// The newest format version. The journal does not open if a file has a higher one.
+pub const FORMAT_VERSION: u16 = 2;
+/// The format version that is written until a record needs a higher one, so that older programs can read the
+/// journal.
+pub(crate) const BASE_FORMAT_VERSION: u16 = 1;
 const MAGIC: &[u8; 8] = b"SHEDJRNL";
 pub(crate) const HEADER_BYTES: usize = 8 + 2 + 2 + 8 + 8 + 8 + 8 + 4;
 /// Length, checksum and sequence number.
@@ -23,6 +26,8 @@
 /// Header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Header {
+    /// The format version of its records.
+    pub version: u16,
     /// Written with syncs: after a power failure any part that was not synced may be missing.
     pub sync_writes: bool,
     /// Written during a migration from the old format.
@@ -40,7 +45,7 @@
     pub fn bytes(&self) -> Vec<u8> {
         let mut to = Vec::with_capacity(HEADER_BYTES);
         to.put_slice(MAGIC);
-        to.put_u16_le(FORMAT_VERSION);
+        to.put_u16_le(self.version);
         to.put_u16_le(u16::from(self.sync_writes) | u16::from(self.migration) << 1);
         to.put_u64_le(self.number);
         to.put_u64_le(self.first_seq);
@@ -71,6 +76,7 @@
         let u64_at = |at: usize| u64_le(&bytes[at..at + 8]);
         let flags = u16_at(10);
         Ok(Header {
+            version: u16_at(8),
             sync_writes: flags & 1 != 0,
             migration: flags & 2 != 0,
             number: u64_at(12),
--- a/crates/journal/src/frame_test.rs
+++ b/crates/journal/src/frame_test.rs
@@ -2,8 +2,15 @@
 
 #[test]
 fn a_header_round_trips_and_detects_every_flipped_bit() {
-    let header =
-        Header { sync_writes: true, migration: false, number: 3, first_seq: 9, oldest: 2, synced_seq: 8 };
+    let header = Header {
+        version: FORMAT_VERSION,
+        sync_writes: true,
+        migration: false,
+        number: 3,
+        first_seq: 9,
+        oldest: 2,
+        synced_seq: 8,
+    };
     let bytes = header.bytes();
     assert_eq!(bytes.len(), HEADER_BYTES);
     assert_eq!(Header::read(&bytes), Ok(header));
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -197,6 +197,7 @@
             segment_bytes: options.effective_segment_bytes(),
             sync_writes: options.durability == Durability::Machine,
             migration,
+            format_version: found.format_version.max(frame::BASE_FORMAT_VERSION),
         };
         let segments = std::mem::take(&mut found.segments);
         let dirty: BTreeSet<u64> = segments.keys().copied().collect();
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -37,13 +37,15 @@
     pub reserved_bytes: u64,
 }
 
-/// Settings that do not change while the log is open.
+/// Settings of the log.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LogConfig {
     /// Segment size in bytes, and upper limit for the space reserved for messages that begin in a segment.
     pub segment_bytes: u64,
     pub sync_writes: bool,
     pub migration: bool,
+    /// The format version of new segments. It rises with the first record that needs a higher one.
+    pub format_version: u16,
 }
 
 /// Larger write buffers are freed instead of being reused: a load peak would otherwise hold its memory
@@ -160,6 +162,7 @@
         let (number, oldest) = (self.next_number, self.oldest());
         self.next_number += 1;
         let header = Header {
+            version: self.config.format_version,
             sync_writes: self.config.sync_writes,
             migration: self.config.migration,
             number,
@@ -219,6 +222,11 @@
     /// Appends a record. `reserved_bytes` is the reservation of a message that begins with it, else 0.
     /// Returns the sequence number and the size in bytes.
     pub fn put(&mut self, reserved_bytes: u64, record: &Record) -> (u64, u64) {
+        if record.format_version() > self.config.format_version {
+            // An older program must refuse the segment, not take the record for damage.
+            self.config.format_version = record.format_version();
+            self.roll();
+        }
         let (size, active) = (FRAME_HEADER_BYTES as u64 + record.size(), self.newest());
         let s = self.segments.get(&active);
         let exceeds_reservation = s.is_some_and(|s| {
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,6 +1,7 @@
 //! The record types and their encoding, which `docs/journal-format.md` specifies byte by byte. Integers are
 //! little-endian.
 
+use crate::frame;
 use bytes::{BufMut, Bytes};
 use stairshed_clock::StableTime;
 use stairshed_decide::interface::{Effect, KeyScope};
@@ -89,7 +90,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Dead,
-    Bounced { wait: Option<Duration> },
+    Bounced {
+        wait: Option<Duration>,
+    },
+    /// An endpoint rejected it for good, with this status if it gave one. It did not take effect.
+    Rejected {
+        status: Option<u16>,
+    },
+}
+
+impl Verdict {
+    /// The first format version that has this verdict.
+    fn format_version(self) -> u16 {
+        match self {
+            Verdict::Dead | Verdict::Bounced { .. } => frame::BASE_FORMAT_VERSION,
+            Verdict::Rejected { .. } => REJECTED_FORMAT_VERSION,
+        }
+    }
 }
 
 /// A message that has not ended.
@@ -147,6 +164,9 @@
     },
 }
 
+/// The first format version with [`Verdict::Rejected`].
+const REJECTED_FORMAT_VERSION: u16 = 2;
+
 const SNAPSHOT: u8 = 1;
 const ATTEMPT: u8 = 2;
 const NEVER_RAN: u8 = 3;
@@ -271,13 +291,14 @@
 }
 
 fn put_verdict(to: &mut Vec<u8>, verdict: Verdict) {
-    let (kind, wait) = match verdict {
+    let (kind, detail) = match verdict {
         Verdict::Dead => (1, 0),
         Verdict::Bounced { wait: None } => (2, 0),
         Verdict::Bounced { wait: Some(wait) } => (3, micros(wait)),
+        Verdict::Rejected { status } => (4, status.map_or(0, u64::from)),
     };
     to.put_u8(kind);
-    to.put_u64_le(wait);
+    to.put_u64_le(detail);
 }
 
 /// Encodes the snapshot of a message.
@@ -336,6 +357,17 @@
         }
     }
 
+    /// The first format version that has this record.
+    pub(crate) fn format_version(&self) -> u16 {
+        let verdict = match self {
+            Record::Snapshot { live, .. } => live.verdict,
+            Record::Judged { verdict, .. } => Some(*verdict),
+            Record::Kept { kept, .. } => kept.verdict,
+            _ => None,
+        };
+        verdict.map_or(frame::BASE_FORMAT_VERSION, Verdict::format_version)
+    }
+
     /// Encodes the record without its frame.
     pub(crate) fn encode(&self, to: &mut Vec<u8>) {
         let mut head = |kind: u8, number: u64| {
@@ -463,11 +495,15 @@
 }
 
 fn verdict_of(kind: u8, f: &mut FieldReader) -> Option<Verdict> {
-    let wait = f.span()?;
+    let detail = f.u64()?;
     match kind {
         1 => Some(Verdict::Dead),
         2 => Some(Verdict::Bounced { wait: None }),
-        3 => Some(Verdict::Bounced { wait: Some(wait) }),
+        3 => Some(Verdict::Bounced { wait: Some(Duration::from_micros(detail)) }),
+        4 => {
+            let status = u16::try_from(detail).ok()?;
+            Some(Verdict::Rejected { status: (status > 0).then_some(status) })
+        }
         _ => None,
     }
 }
--- a/crates/journal/src/record_test.rs
+++ b/crates/journal/src/record_test.rs
@@ -44,10 +44,14 @@
     let fresh = live.clone();
     live.attempts = vec![attempt.clone(), Attempt { may_have_run: false, ..attempt.clone() }];
     live.verdict = Some(Verdict::Bounced { wait: Some(Duration::from_micros(5)) });
+    let rejected =
+        LiveMessage { verdict: Some(Verdict::Rejected { status: Some(u16::MAX) }), ..live.clone() };
     let bounced = Verdict::Bounced { wait: None };
     let [routed, once, owned, remembered] = routed;
     let kept = EndedMessage { id: "id".to_owned(), owner, verdict: None, until: sent_at };
     let notified = EndedMessage { owner: None, verdict: Some(bounced), ..kept.clone() };
+    let kept_rejected =
+        EndedMessage { verdict: Some(Verdict::Rejected { status: Some(400) }), ..kept.clone() };
     let note = Note { key: "session/7".to_owned(), value: Bytes::from_static(b"\0{}") };
     vec![
         Record::Snapshot { message: 1, live: fresh },
@@ -56,6 +60,9 @@
         Record::NeverRan { message: 3, index: 4 },
         Record::Judged { message: 5, verdict: Verdict::Dead },
         Record::Judged { message: 5, verdict: bounced },
+        Record::Judged { message: 5, verdict: Verdict::Rejected { status: Some(422) } },
+        Record::Judged { message: 5, verdict: Verdict::Rejected { status: None } },
+        Record::Snapshot { message: 6, live: rejected },
         Record::Ended { message: u64::MAX },
         Record::Trim { oldest: 6 },
         Record::Synced { upto: 7 },
@@ -65,6 +72,7 @@
         Record::Snapshot { message: 11, live: remembered },
         Record::Kept { message: 12, kept: Rc::new(kept) },
         Record::Kept { message: 13, kept: Rc::new(notified) },
+        Record::Kept { message: 15, kept: Rc::new(kept_rejected) },
         Record::Note { number: 14, note: Rc::new(note) },
     ]
 }
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -35,6 +35,8 @@
     pub lost_messages: Vec<u64>,
     /// The sequence number after the last lost record: messages that begin before it may have been sent.
     pub lost_before: u64,
+    /// The highest format version of the segments; 0 if there is none.
+    pub format_version: u16,
     /// Whether new records can be appended to the last segment.
     pub append_to_last: bool,
     /// Whether all segments were written during a migration from the old format.
@@ -92,6 +94,7 @@
         SegmentHeader::Valid(h) | SegmentHeader::Misplaced(h) => Some(h),
         SegmentHeader::Unreadable => None,
     });
+    let format_version = known.clone().map(|h| h.version).max().unwrap_or_default();
     // Starts at the first existing segment, even if it is not needed, so that the sequence numbers around a
     // gap are known.
     let from = numbers.first().copied().unwrap_or_default();
@@ -136,8 +139,10 @@
         append_to_last: damages.is_empty()
             && !first.sealed
             && last.and_then(|n| headers.get(&n)?.valid()).is_some_and(|h| {
-                !h.migration && h.sync_writes == (options.durability == Durability::Machine)
+                let same_sync = h.sync_writes == (options.durability == Durability::Machine);
+                !h.migration && same_sync && h.version == format_version
             }),
+        format_version,
         migration: known.all(|h| h.migration),
         damaged: first
             .gaps
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -153,7 +153,11 @@
                     && self.map[&number].verdict.is_none()
                 {
                     let wait = (*kind == 2).then(|| Duration::from_millis(250));
-                    let verdict = if *kind == 0 { Verdict::Dead } else { Verdict::Bounced { wait } };
+                    let verdict = match kind {
+                        0 => Verdict::Dead,
+                        3 => Verdict::Rejected { status: Some(422) },
+                        _ => Verdict::Bounced { wait },
+                    };
                     self.journal.record_verdict(number, verdict);
                     self.map.get_mut(&number).expect("the message is live").verdict = Some(verdict);
                 }
--- a/crates/journal/tests/faults.rs
+++ b/crates/journal/tests/faults.rs
@@ -730,14 +730,41 @@
     let mut image = folder.image();
     let name = segments(&image)[1].clone();
     let header = image.get_mut(&name).expect("a segment");
-    header[8] = 2;
+    header[8] = 3;
     let sum = crc32fast::hash(&header[..44]);
     header[44..48].copy_from_slice(&sum.to_le_bytes());
     let error = open_error(image, small_options(Durability::Process));
-    assert!(matches!(error, Error::NewerFormat { found: 2, known: 1, .. }), "{error}");
+    assert!(matches!(error, Error::NewerFormat { found: 3, known: 2, .. }), "{error}");
     assert!(error.to_string().contains(&name));
 }
 
+#[test]
+fn a_rejected_verdict_raises_the_format_version_so_that_an_older_program_refuses_the_folder() {
+    let (folder, _) = several_segments(Durability::Process);
+    let versions = |folder: &FaultyStorage| -> Vec<u8> {
+        let image = folder.image();
+        segments(&image).iter().map(|name| image[name][8]).collect()
+    };
+    assert!(versions(&folder).iter().all(|v| *v == 1), "an older program reads a folder without one");
+    let open = || Journal::open(Arc::new(folder.clone()), small_options(Durability::Process)).expect("opens");
+    let (mut journal, _) = open();
+    let message = journal.live().next().expect("a message").0;
+    let rejected = Verdict::Rejected { status: Some(422) };
+    journal.record_verdict(message, rejected);
+    journal.flush().expect("written");
+    assert_eq!(versions(&folder).last(), Some(&2));
+    drop(journal);
+    // After a restart and after compaction it still has its verdict, and no segment with it has version 1.
+    let (mut journal, report) = open();
+    assert!(report.damages.is_empty());
+    assert_eq!(journal.get(message).and_then(|live| live.verdict), Some(rejected));
+    journal.compact_all().expect("copied");
+    assert!(versions(&folder).iter().all(|v| *v == 2), "{:?}", versions(&folder));
+    drop(journal);
+    let (journal, _) = open();
+    assert_eq!(journal.get(message).and_then(|live| live.verdict), Some(rejected));
+}
+
 #[test]
 fn a_file_of_the_old_format_beside_segments_is_rejected() {
     let (folder, _) = several_segments(Durability::Process);
--- a/crates/testkit/src/verdict/delivery.rs
+++ b/crates/testkit/src/verdict/delivery.rs
@@ -12,6 +12,8 @@
 const DELIVERED: u16 = 200;
 /// Result of a message that did not take effect.
 const BOUNCED: &str = "bounced";
+/// Result of a message that an endpoint rejected for good, and that did not take effect in any attempt.
+const REJECTED: &str = "rejected";
 /// Class whose messages may take effect again: couriers tell `bounced` for those that may have run, too.
 const REPEATABLE_CLASS: &str = "status";
 
@@ -63,8 +65,13 @@
         let confirms = |status: Option<u16>| status == Some(DELIVERED);
         let confirmed = record.calls.iter().any(|call| call.id == notice.id && confirms(call.status));
         let is_repeatable = notice.id.starts_with(REPEATABLE_CLASS);
-        if notice.result == BOUNCED && confirmed && !is_repeatable {
-            let what = format!("{} was told as {BOUNCED} and has taken effect", notice.id);
+        let is_untrue = match notice.result.as_str() {
+            BOUNCED => confirmed && !is_repeatable,
+            REJECTED => confirmed,
+            _ => false,
+        };
+        if is_untrue {
+            let what = format!("{} was told as {} and has taken effect", notice.id, notice.result);
             return Judgement::broken(&notice.id, what);
         }
         let same_message = |other: &&crate::record::Notice| other.id == notice.id;
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -129,6 +129,13 @@
         record.notice(id, 60, "bounced");
         assert_eq!(offender(&record, Rule::TrueAnswers).is_some(), is_broken, "{id}");
     }
+    // `rejected` says so of every message.
+    for (status, is_broken) in [(Some(200), true), (Some(422), false)] {
+        let mut record = record("");
+        record.call("status-1", "p0-a", 0, status);
+        record.notice("status-1", 60, "rejected");
+        assert_eq!(offender(&record, Rule::TrueAnswers).is_some(), is_broken, "{status:?}");
+    }
     for (second, is_broken) in [("dead", false), ("bounced", true)] {
         let mut record = record("");
         record.notice("status-1", 50, "dead");
