--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -45,7 +45,11 @@
         // These outcomes prove that the message never ran; after any other it may have run.
         let never = matches!(
             end.outcome,
-            Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Crowded | Outcome::Moot
+            Outcome::Full { .. }
+                | Outcome::Refused { .. }
+                | Outcome::ConnectFailed
+                | Outcome::Crowded
+                | Outcome::Moot
         );
         if never {
             self.journal.record_never_ran(message, attempt);
@@ -58,9 +62,8 @@
                 let verdict = (end.outcome != Outcome::Delivered).then_some(Verdict::Bounced { wait: None });
                 self.finish_message(message, verdict);
             }
-            AfterAttempt::FailWithoutRetry | AfterAttempt::Rejected => {
-                self.record_verdict(message, Verdict::Dead);
-            }
+            AfterAttempt::FailWithoutRetry => self.record_verdict(message, Verdict::Dead),
+            AfterAttempt::Rejected => self.record_rejection(message, attempt, end.status),
         }
         if self.open_attempt_ended(message, &end) {
             return;
@@ -235,8 +238,10 @@
 /// Subtracts the time since `at` from a requested wait: a wait starts when its response arrives, not when the
 /// batch runs.
 pub(super) fn less_elapsed(outcome: Outcome, at: Instant) -> Outcome {
+    let less = |wait: Duration| Some(wait.saturating_sub(at.elapsed()));
     match outcome {
-        Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: Some(wait.saturating_sub(at.elapsed())) },
+        Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: less(wait) },
+        Outcome::Refused { wait: Some(wait) } => Outcome::Refused { wait: less(wait) },
         other => other,
     }
 }
