--- a/crates/courier/src/dispatcher/attempts.rs
+++ b/crates/courier/src/dispatcher/attempts.rs
@@ -73,6 +73,8 @@
                 "never"
             } else if end.outcome == Outcome::Delivered {
                 "yes"
+            } else if end.outcome == Outcome::Rejected {
+                "rejected"
             } else {
                 "maybe"
             };
--- a/crates/courier/src/upstream/attempt_outcome.rs
+++ b/crates/courier/src/upstream/attempt_outcome.rs
@@ -97,12 +97,12 @@
     }
 }
 
-/// What an answer means for the scheduler. A refusal by one endpoint counts as one by its destination, since
-/// the scheduler has no outcome of its own for it yet.
+/// What an answer means for the scheduler.
 pub fn outcome_of(answer: Answer) -> Outcome {
     match answer {
         Answer::Delivered => Outcome::Delivered,
-        Answer::NeverRanHere { wait } | Answer::NeverRanAnywhere { wait } => Outcome::Full { wait },
+        Answer::NeverRanHere { wait } => Outcome::Refused { wait },
+        Answer::NeverRanAnywhere { wait } => Outcome::Full { wait },
         // The endpoint refuses the connection, not the call: it holds as many connections as it accepts, and
         // the kept ones continue to serve. Treated as the destination's limit, the response would stop those
         // too. This also covers an endpoint that is shutting down. The drawback: if a destination at its
@@ -110,7 +110,8 @@
         // found on kept ones.
         Answer::ConnectionRefused => Outcome::Crowded,
         Answer::Unprocessed | Answer::Withdrawn => Outcome::Moot,
-        Answer::MayHaveRun | Answer::Rejected => Outcome::Error,
+        Answer::MayHaveRun => Outcome::Error,
+        Answer::Rejected => Outcome::Rejected,
     }
 }
 
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -181,6 +181,8 @@
     Refused {
         wait: Option<Duration>,
     },
+    /// The endpoint rejected the message for good; it is not sent again. The endpoint itself works.
+    Rejected,
     /// No answer in time; the message may have run or may still be running.
     TimedOut,
     /// No connection was established; the message never ran.
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -6,6 +6,7 @@
 //! no I/O and no clock in here: the courier and the simulator's adapter drive it the same way, and
 //! `examples/embed.rs` shows how.
 
+mod accepted_call;
 pub mod interface;
 mod membership_lease;
 pub mod memory_usage;
--- a/crates/decide/src/scheduler.rs
+++ b/crates/decide/src/scheduler.rs
@@ -74,7 +74,7 @@
 /// Lower bound on a large fleet's rates, as a multiple of the fair share: rejected calls use up the limit.
 const MIN_FLEET_RATE_SHARE: f64 = 0.85;
 /// Remaining share of the reported allowance above which a fleet's rates grow.
-const ALLOWANCE_GROW_ABOVE: f64 = 0.5;
+pub(crate) const ALLOWANCE_GROW_ABOVE: f64 = 0.5;
 /// Remaining share of the reported allowance below which a fleet's rates shrink.
 const ALLOWANCE_SHRINK_BELOW: f64 = 0.25;
 /// Increase of a fleet's rate per accepted call, as a share of the spare allowance. All couriers increase
@@ -402,7 +402,8 @@
             ),
         }
         let m = &self.messages[&id];
-        if outcome != Outcome::Delivered && !ended.is_final && !m.finished {
+        let ends = matches!(outcome, Outcome::Delivered | Outcome::Rejected) || ended.is_final;
+        if !ends && !m.finished {
             return if self.may_attempt(m) { self.enqueue(id, out) } else { self.end_undelivered(id, out) };
         }
         if late && !m.finished {
@@ -450,7 +451,7 @@
         let Some(e) = self.endpoints.get_mut(&id).filter(|_| is_first_outcome) else { return };
         let d = self.destinations.get_mut(&e.destination).expect("known");
         if !outcome.is_rejection() {
-            let succeeded = matches!(outcome, Outcome::Delivered | Outcome::Cancelled);
+            let succeeded = matches!(outcome, Outcome::Delivered | Outcome::Rejected | Outcome::Cancelled);
             d.recent_failures.push_back(!succeeded || elapsed > 2.0 * d.latency);
             d.recent_failures.drain(..d.recent_failures.len().saturating_sub(RECENT_CALLS));
         }
@@ -461,10 +462,7 @@
                     *latency +=
                         if *latency == first { 1.0 } else { LATENCY_EWMA_WEIGHT } * (elapsed - *latency);
                 }
-                let left = ended.report.map_or(ALLOWANCE_GROW_ABOVE, |r| r.remaining_share);
-                group.record_accepted(now, &self.settings, left);
-                self.record_success(id);
-                self.space_next_call(id);
+                self.record_accepted_call(id, ended.report);
             }
             Outcome::Full { wait } => {
                 group.consecutive_rejections += 1;
@@ -486,6 +484,8 @@
                 }
                 e.trial = None;
             }
+            // The latency of an endpoint is that of the messages that it runs.
+            Outcome::Rejected => self.record_accepted_call(id, ended.report),
             Outcome::Refused { wait } => self.record_refusal(id, call, sent_at, wait),
             // A connection limit looks like a dead endpoint, except that other connections get answers.
             Outcome::ConnectFailed
@@ -504,7 +504,8 @@
     /// in use. Covers a connection limit of the endpoint, an intermediary or this machine. Drawback: after
     /// one random failure in a load peak, the other new connections wait 0.1 s.
     fn record_connect(&mut self, id: EndpointId, sent_at: Ns, opens_connection: bool, outcome: Outcome) {
-        let kept = matches!(outcome, Outcome::Delivered | Outcome::Error) || outcome.is_rejection();
+        let kept = matches!(outcome, Outcome::Delivered | Outcome::Rejected | Outcome::Error)
+            || outcome.is_rejection();
         let (now, e) = (self.now, self.endpoints.get_mut(&id).expect("known"));
         e.idle_connections.extend(kept.then_some(now));
         if kept && opens_connection {
@@ -911,7 +912,7 @@
     /// Rule: an endpoint back from an outage is not overloaded. Each courier keeps to its share of the
     /// budget; if that is less than a call, it calls once at random in the slow start, more likely late than
     /// early.
-    fn space_next_call(&mut self, id: EndpointId) {
+    pub(crate) fn space_next_call(&mut self, id: EndpointId) {
         let (gap, u) = (self.call_gap(id), self.rng.random::<f64>());
         let (now, duration) = (self.now, ns(self.settings.slow_start_duration));
         let e = self.endpoints.get_mut(&id).expect("known");
@@ -951,7 +952,7 @@
         }
     }
 
-    fn record_success(&mut self, id: EndpointId) {
+    pub(crate) fn record_success(&mut self, id: EndpointId) {
         let (now, e) = (self.now, self.endpoints.get_mut(&id).expect("known"));
         (e.failure_ratio, e.uncertain_failure_ratio) = (
             e.failure_ratio.updated(now, FAILURE_EWMA_WEIGHT, 0.0),
@@ -1164,7 +1165,7 @@
         self.refilled_at = now;
     }
 
-    fn record_accepted(&mut self, now: Ns, settings: &Settings, remaining_share: f64) {
+    pub(crate) fn record_accepted(&mut self, now: Ns, settings: &Settings, remaining_share: f64) {
         let (couriers, fleet_factor) = (settings.courier_count, settings.fleet_factor());
         self.consecutive_rejections = 0;
         self.accepted_rate = self.accepted_rate
--- a/crates/decide/tests/refusals.rs
+++ b/crates/decide/tests/refusals.rs
@@ -210,3 +210,16 @@
         assert!(refused[0].0 > start + MS * 59_000, "ended {:?} after its start", refused[0].0 - start);
     }
 }
+
+#[test]
+fn rejected_messages_do_not_count_against_their_endpoint() {
+    const COUNT: u64 = 50;
+    let mut d = Driver::new(settings(), vec![entry(0, 1, 0, 0)]);
+    for message in 0..COUNT {
+        let sent = sends(&d.feed(&[accepted(message, 0, 1, MS * 8000)]));
+        assert_eq!(sent, [(message, 0)], "sent at once");
+        d.pass(MS * 20);
+        let actions = d.feed(&[attempt_ended(message, 0, Outcome::Rejected, 20)]);
+        assert!(!has_action(&actions, |a| !matches!(a, Action::SetTimer { .. })), "{actions:?}");
+    }
+}
