--- a/crates/testkit/src/courier_file.rs
+++ b/crates/testkit/src/courier_file.rs
@@ -136,8 +136,10 @@
     let deadline = scenario.clients.deadline.0.as_millis();
     let is_ordered = scenario.clients.ordered.iter().any(|ordered| ordered == class);
     let order = if is_ordered { format!("order_by = \"{ORDER_HEADER}\"\n") } else { String::new() };
+    let attempts =
+        scenario.clients.attempts.map(|number| format!("attempts = {number}\n")).unwrap_or_default();
     format!(
-        "[classes.{class}]\n{effect}deadline = \"{deadline}ms\"\naim = \"{}ms\"\n{order}",
+        "[classes.{class}]\n{effect}deadline = \"{deadline}ms\"\naim = \"{}ms\"\n{order}{attempts}",
         deadline.min(2000)
     )
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -2,6 +2,7 @@
 //! rules from the records of the run alone. `docs/fault-scenarios.md` tells the file's keys and how to read a verdict.
 
 pub mod clients;
+pub mod clock_effect;
 pub mod courier_file;
 pub mod courier_process;
 pub mod endpoints;
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -7,8 +7,9 @@
 use stairshed_testkit::runner::{RunError, run};
 use stairshed_testkit::scenario::Scenario;
 use stairshed_testkit::verdict::Verdict;
-use stairshed_testkit::{fault_cost, folder_cost};
+use stairshed_testkit::{clock_effect, fault_cost, folder_cost};
 use std::io::{self, Stdout};
+use std::ops::Range;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -67,6 +68,19 @@
     /// Measures what clients see while calls on the state folder fail and prints a table. Ends with 1 if a target is
     /// missed.
     Folder(Measurement),
+    /// Plays scenarios with and without their steps of the wall clock and prints a table of what the steps changed.
+    /// Ends with 1 if a message ended at another time, or a keyed one was repeated after its window.
+    Clock {
+        /// Scenario files.
+        #[arg(required = true)]
+        files: Vec<PathBuf>,
+        /// The first seed.
+        #[arg(long, default_value_t = 1)]
+        seed: u64,
+        /// Number of seeds, from the first one on.
+        #[arg(long, default_value_t = 1)]
+        seeds: u64,
+    },
 }
 
 #[derive(Args)]
@@ -92,6 +106,7 @@
         Command::Plant { program, seeds, scenarios, faults } => plant(&program, seeds, &scenarios, &faults),
         Command::Cost(measurement) => measurement.run(fault_cost::measure),
         Command::Folder(measurement) => measurement.run(folder_cost::measure),
+        Command::Clock { files, seed, seeds } => clock(&files, seed..seed + seeds),
     }
 }
 
@@ -109,17 +124,47 @@
     }
 }
 
-fn run_files(files: &[PathBuf], seed: u64, seeds: u64, parallel: usize, json: bool) -> ExitCode {
-    let mut scenarios = Vec::new();
-    for path in files {
-        match Scenario::read(path) {
-            Ok(scenario) => scenarios.push((name(path), scenario)),
-            Err(error) => {
-                eprintln!("{}: {error}", path.display());
-                return ExitCode::from(BAD_SCENARIO);
-            }
+/// Reads scenarios, with their names. On an error it says which file is bad.
+fn read_all(files: &[PathBuf]) -> Result<Vec<(String, Scenario)>, ExitCode> {
+    let read = |path: &PathBuf| match Scenario::read(path) {
+        Ok(scenario) => Ok((name(path), scenario)),
+        Err(error) => {
+            eprintln!("{}: {error}", path.display());
+            Err(ExitCode::from(BAD_SCENARIO))
+        }
+    };
+    files.iter().map(read).collect()
+}
+
+/// Prints what the clock steps of scenarios change.
+fn clock(files: &[PathBuf], seeds: Range<u64>) -> ExitCode {
+    let scenarios = match read_all(files) {
+        Ok(scenarios) => scenarios,
+        Err(code) => return code,
+    };
+    if let Some((name, _)) = scenarios.iter().find(|(_, scenario)| !has_clock_steps(scenario)) {
+        eprintln!("{name}: no fault steps the clock");
+        return ExitCode::from(BAD_SCENARIO);
+    }
+    match clock_effect::measure(&scenarios, seeds, &mut io::stdout()) {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::from(NOT_PASSED),
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::from(NOT_PASSED)
         }
     }
+}
+
+fn has_clock_steps(scenario: &Scenario) -> bool {
+    scenario.faults.iter().any(|fault| fault.clock.is_some())
+}
+
+fn run_files(files: &[PathBuf], seed: u64, seeds: u64, parallel: usize, json: bool) -> ExitCode {
+    let scenarios = match read_all(files) {
+        Ok(scenarios) => scenarios,
+        Err(code) => return code,
+    };
     let tasks: Vec<_> = scenarios
         .iter()
         .flat_map(|(name, scenario)| (seed..seed + seeds).map(move |seed| Task { name, scenario, seed }))
--- a/crates/testkit/src/plan.rs
+++ b/crates/testkit/src/plan.rs
@@ -61,6 +61,12 @@
         }
         Plan { seed, faults }
     }
+
+    /// The same plan without its steps of the wall clock; all other times stay.
+    pub fn without_clock_steps(mut self) -> Self {
+        self.faults.retain(|fault| !matches!(fault.kind, FaultKind::Clock(_)));
+        self
+    }
 }
 
 fn draw_strokes(kind: &FaultKind, begins: Duration, rng: &mut SmallRng) -> Vec<Stroke> {
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -75,7 +75,15 @@
 /// # Errors
 /// The parts cannot be set up. What happens to couriers after the start is part of the record.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Record, RunError> {
-    let mut run = Run::set_up(scenario, seed)?;
+    run_plan(scenario, Plan::draw(scenario, seed))
+}
+
+/// Runs a scenario with a plan that was drawn from it.
+///
+/// # Errors
+/// As [`run`].
+pub fn run_plan(scenario: &Scenario, plan: Plan) -> Result<Record, RunError> {
+    let mut run = Run::set_up(scenario, plan)?;
     run.wait_until_serving()?;
     run.record.begun = Instant::now();
     let addresses: Vec<_> = run.client_proxies.iter().map(|proxy| proxy.address).collect();
@@ -85,8 +93,8 @@
 }
 
 impl Run {
-    fn set_up(scenario: &Scenario, seed: u64) -> Result<Self, RunError> {
-        let plan = Plan::draw(scenario, seed);
+    fn set_up(scenario: &Scenario, plan: Plan) -> Result<Self, RunError> {
+        let seed = plan.seed;
         let calls = CallLog::default();
         let endpoints = PlacedEndpoint::start_all(scenario, seed, &calls)?;
         let listing = ListingService::start(&endpoints);
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -155,6 +155,8 @@
     pub patience: Span,
     /// How long after its deadline a message may end: what restarts and notices take.
     pub lateness: Span,
+    /// Delivery attempts that a message may have; without it the courier's default. For an operator's file.
+    pub attempts: Option<u32>,
 }
 
 impl Default for Clients {
@@ -168,6 +170,7 @@
             deadline: Span(Duration::from_secs(4)),
             patience: Span(Duration::from_millis(400)),
             lateness: Span(Duration::from_millis(1850)),
+            attempts: None,
         }
     }
 }
--- a/crates/testkit/src/verdict.rs
+++ b/crates/testkit/src/verdict.rs
@@ -153,6 +153,13 @@
         self.rules.iter().any(|(_, judgement)| matches!(judgement, Judgement::Broken(_)))
     }
 
+    /// The rules that were broken, by name, and the faults that never happened.
+    pub fn failures(&self) -> Vec<String> {
+        let broken = self.rules.iter().filter(|(_, judgement)| matches!(judgement, Judgement::Broken(_)));
+        let broken = broken.map(|(rule, _)| format!("{} is broken", rule.name()));
+        broken.chain(self.unreached.iter().map(|fault| format!("not reached: {fault}"))).collect()
+    }
+
     /// The verdict as JSON.
     pub fn to_json(&self) -> Value {
         let rules: Vec<_> = self.rules.iter().map(|(rule, judgement)| rule_json(*rule, judgement)).collect();
--- a/crates/testkit/tests/scenarios.rs
+++ b/crates/testkit/tests/scenarios.rs
@@ -28,6 +28,18 @@
     assert_eq!(output.status.code(), Some(0), "the verdicts are above");
 }
 
+// Guards against a deadline or a key window that follows the wall clock, over a step while the process runs and
+// between two lives.
+#[test]
+fn clock_steps_change_no_end() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
+    let files = ["clock-steps-lives.toml", "clock-steps-window.toml"].map(|name| folder.join(name));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_stairshed-faults"));
+    let output = command.args(["clock", "--seed", SEED]).args(files).output().expect("the command runs");
+    println!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+    assert_eq!(output.status.code(), Some(0), "the table is above");
+}
+
 // Guards against a bad file or usage that counts as a broken rule, or as none.
 #[test]
 fn bad_usage_and_bad_scenarios_end_with_status_two() {
