--- a/crates/testkit/src/clock_effect_test.rs
+++ b/crates/testkit/src/clock_effect_test.rs
@@ -25,6 +25,7 @@
         class: "status".to_owned(),
         courier: 0,
         order_key: KEY.to_owned(),
+        is_repeat: false,
         sent,
         answer: Some((sent + ms(1), 202)),
         closed_after: None,
@@ -88,6 +89,20 @@
     assert_eq!(only_end(&record), Some(EndOffset::WHEN_DUE));
 }
 
+#[test]
+fn a_window_begins_between_the_attempt_and_its_call() {
+    let mut record = record();
+    accept(&mut record, "notice-1", ms(0));
+    for (at, attempt) in [(100, 0), (280, 1)] {
+        let text = format!("follow 1.0 notice-1 attempt={attempt} decided endpoint=0");
+        record.log.push(LogLine { at: record.begun + ms(at), courier: 0, text });
+    }
+    call(&mut record, "notice-1", ms(300), None);
+    notice(&mut record, "notice-1", ms(1200));
+    let end = only_end(&record).expect("an end");
+    assert!((end.least + 0.1).abs() < 1e-6 && (end.most + 0.08).abs() < 1e-6, "{end:?}");
+}
+
 #[test]
 fn calls_after_the_window_of_a_keyed_message_are_counted() {
     let mut record = record();
--- a/crates/testkit/src/courier_file.rs
+++ b/crates/testkit/src/courier_file.rs
@@ -138,8 +138,10 @@
     let order = if is_ordered { format!("order_by = \"{ORDER_HEADER}\"\n") } else { String::new() };
     let attempts =
         scenario.clients.attempts.map(|number| format!("attempts = {number}\n")).unwrap_or_default();
+    let remember = scenario.clients.remember.map(|span| span.0.as_millis());
+    let remember = remember.map(|span| format!("remember = \"{span}ms\"\n")).unwrap_or_default();
     format!(
-        "[classes.{class}]\n{effect}deadline = \"{deadline}ms\"\naim = \"{}ms\"\n{order}{attempts}",
+        "[classes.{class}]\n{effect}deadline = \"{deadline}ms\"\naim = \"{}ms\"\n{order}{attempts}{remember}",
         deadline.min(2000)
     )
 }
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -83,11 +83,12 @@
 /// # Errors
 /// As [`run`].
 pub fn run_plan(scenario: &Scenario, plan: Plan) -> Result<Record, RunError> {
+    let seed = plan.seed;
     let mut run = Run::set_up(scenario, plan)?;
     run.wait_until_serving()?;
     run.record.begun = Instant::now();
     let addresses: Vec<_> = run.client_proxies.iter().map(|proxy| proxy.address).collect();
-    let clients = ClientGroup::start(scenario, &addresses);
+    let clients = ClientGroup::start(scenario, seed, &addresses);
     run.play(&clients);
     Ok(run.finish(clients))
 }
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -157,6 +157,10 @@
     pub lateness: Span,
     /// Delivery attempts that a message may have; without it the courier's default. For an operator's file.
     pub attempts: Option<u32>,
+    /// How long the classes remember an id; without it the courier's default. For an operator's file.
+    pub remember: Option<Span>,
+    /// Probability that a client submits one of its earlier messages again, in place of a new one, within `remember`.
+    pub resubmit: f64,
 }
 
 impl Default for Clients {
@@ -171,6 +175,8 @@
             patience: Span(Duration::from_millis(400)),
             lateness: Span(Duration::from_millis(1850)),
             attempts: None,
+            remember: None,
+            resubmit: 0.0,
         }
     }
 }
@@ -404,6 +410,11 @@
             (shares.iter().sum::<f64>() <= 1.0, "endpoints.answers: the probabilities are more than 1"),
             ((0.0..=1.0).contains(&endpoints.closing), "endpoints.closing: from 0 to 1"),
             (clients.rate > 0.0, "clients.rate: more than 0"),
+            ((0.0..=1.0).contains(&clients.resubmit), "clients.resubmit: from 0 to 1"),
+            (
+                clients.resubmit == 0.0 || clients.remember.is_some(),
+                "clients.resubmit: needs clients.remember",
+            ),
             (clients.classes.iter().chain(&clients.ordered).all(known), "clients: no such class"),
         ];
         let broken = requirements.iter().find(|(holds, _)| !holds);
--- a/crates/testkit/src/verdict.rs
+++ b/crates/testkit/src/verdict.rs
@@ -9,6 +9,7 @@
 mod endings;
 mod order;
 mod overload;
+mod repeats;
 mod waits;
 
 use crate::record::Record;
@@ -36,6 +37,7 @@
     EndsOnce,
     RequestsAnswered,
     AcceptsSpaced,
+    RepeatsRecognised,
     CouriersStayUp,
 }
 
@@ -56,6 +58,7 @@
             Rule::EndsOnce => "each message ends once",
             Rule::RequestsAnswered => "requests are answered",
             Rule::AcceptsSpaced => "failed accepts are spaced",
+            Rule::RepeatsRecognised => "repeats are recognised",
             Rule::CouriersStayUp => "couriers stay up",
         }
     }
@@ -124,6 +127,7 @@
             (Rule::EndsOnce, endings::ends_once(record)),
             (Rule::RequestsAnswered, answers::requests_answered(record)),
             (Rule::AcceptsSpaced, accepts::accepts_spaced(record)),
+            (Rule::RepeatsRecognised, repeats::repeats_recognised(record)),
             (Rule::CouriersStayUp, couriers_stay_up(record)),
         ];
         let mut offences = rules.iter().filter_map(|(_, judgement)| match judgement {
--- a/crates/testkit/src/verdict/endings.rs
+++ b/crates/testkit/src/verdict/endings.rs
@@ -21,6 +21,7 @@
             ends.entry(&notice.id).or_insert((notice.at, ACKNOWLEDGEMENT));
         }
     }
+    ends.retain(|id, _| !record.has_several_lives(id));
     if ends.is_empty() {
         return Judgement::not_judged("no message ended");
     }
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -33,6 +33,7 @@
             class: id.split('-').next().unwrap_or_default().to_owned(),
             courier: 0,
             order_key: "client".to_owned(),
+            is_repeat: false,
             sent: at,
             answer: Some((at, 202)),
             closed_after: None,
@@ -336,3 +337,58 @@
         assert_eq!(offender(&record, Rule::SentAsSubmitted).is_some(), is_broken, "{body}");
     }
 }
+
+/// A record with a payment that is submitted twice and that a courier takes on at these times.
+fn resubmitted(taken_ms: &[u64]) -> Record {
+    let mut record = record("[clients]\nresubmit = 0.5\nremember = \"9s\"\n");
+    record.accept("payment-1", 0);
+    record.accept("payment-1", 500);
+    record.submissions[1].is_repeat = true;
+    for at in taken_ms {
+        record.step("payment-1", *at, "taken number=1 class=payment");
+    }
+    record
+}
+
+impl Record {
+    /// Adds a log line of courier 0 on a message.
+    fn step(&mut self, id: &str, at_ms: u64, words: &str) {
+        let text = format!("follow 1.0 {id} {words}");
+        self.log.push(LogLine { at: self.begun + ms(at_ms), courier: 0, text });
+    }
+}
+
+#[test]
+fn a_repeat_that_is_taken_on_again_is_found_unless_the_message_bounced() {
+    let rule = Rule::RepeatsRecognised;
+    assert_eq!(judgement(&resubmitted(&[0]), rule), Judgement::Held);
+    assert_eq!(offender(&resubmitted(&[0, 500]), rule).as_deref(), Some("payment-1"));
+    let mut bounced = resubmitted(&[0, 500]);
+    bounced.step("payment-1", 300, "ends verdict=Bounced { wait: None } attempts=1");
+    assert_eq!(judgement(&bounced, rule), Judgement::Held);
+    let mut dead = resubmitted(&[0, 500]);
+    dead.step("payment-1", 300, "ends verdict=Dead attempts=1");
+    assert_eq!(offender(&dead, rule).as_deref(), Some("payment-1"));
+    let mut unheard = resubmitted(&[0, 499]);
+    unheard.submissions[0].answer = None;
+    assert_eq!(judgement(&unheard, rule), Judgement::Held);
+}
+
+#[test]
+fn a_repeat_of_a_message_that_is_taken_on_is_not_refused() {
+    let mut record = resubmitted(&[0]);
+    record.submissions[1].answer = Some((record.begun + ms(500), 503));
+    assert_eq!(offender(&record, Rule::RepeatsRecognised).as_deref(), Some("payment-1"));
+    record.step("payment-1", 300, "ends verdict=Bounced { wait: None } attempts=1");
+    assert_eq!(judgement(&record, Rule::RepeatsRecognised), Judgement::Held);
+}
+
+#[test]
+fn the_second_life_of_a_message_that_bounced_may_be_lost() {
+    let mut record = resubmitted(&[0, 500]);
+    record.notice("payment-1", 300, "bounced");
+    assert_eq!(offender(&record, Rule::NothingLost).as_deref(), Some("payment-1"));
+    record.call("payment-1", "p0-a", 600, Some(200));
+    assert_eq!(judgement(&record, Rule::NothingLost), Judgement::Held);
+    assert_eq!(judgement(&record, Rule::TrueAnswers), Judgement::Held);
+}
