--- a/crates/testkit/src/clients.rs
+++ b/crates/testkit/src/clients.rs
@@ -197,6 +197,7 @@
             courier: client.courier,
             order_key: client.order_key.clone(),
             is_repeat,
+            is_mqtt: false,
             sent,
             answer: answer.as_ref().map(|answer| (Instant::now(), answer.status())),
             closed_after: is_closed.then_some(waited),
--- a/crates/testkit/src/clock_effect_test.rs
+++ b/crates/testkit/src/clock_effect_test.rs
@@ -26,6 +26,7 @@
         courier: 0,
         order_key: KEY.to_owned(),
         is_repeat: false,
+        is_mqtt: false,
         sent,
         answer: Some((sent + ms(1), 202)),
         closed_after: None,
--- a/crates/testkit/src/courier_file.rs
+++ b/crates/testkit/src/courier_file.rs
@@ -1,6 +1,7 @@
 //! The configuration of the couriers of a run, as an operator or the platform gives it.
 
 use crate::endpoints::SHARED_LIMIT;
+use crate::mqtt_clients::ID_PROPERTY;
 use crate::scenario::{CLASSES, Scenario, StartMode};
 use serde_json::{Value, json};
 use stairshed_rig::{TestFolder, serve_command_of, settings};
@@ -29,11 +30,14 @@
         scenario: &Scenario,
         courier: usize,
         listen: SocketAddr,
+        mqtt: Option<SocketAddr>,
         discovery: SocketAddr,
         known: Value,
     ) -> Self {
         match scenario.start {
-            StartMode::File => CourierFile::Operator(operator_file(scenario, courier, listen, discovery)),
+            StartMode::File => {
+                CourierFile::Operator(operator_file(scenario, courier, listen, mqtt, discovery))
+            }
             StartMode::Platform => {
                 let config = platform_config(scenario, courier, listen, discovery, known);
                 CourierFile::Platform { listen, discovery, config }
@@ -95,10 +99,17 @@
 }
 
 /// Returns the operator's file of one courier.
-fn operator_file(scenario: &Scenario, courier: usize, listen: SocketAddr, discovery: SocketAddr) -> String {
+fn operator_file(
+    scenario: &Scenario,
+    courier: usize,
+    listen: SocketAddr,
+    mqtt: Option<SocketAddr>,
+    discovery: SocketAddr,
+) -> String {
+    let mqtt_listen = mqtt.map(|address| format!("mqtt = \"{address}\"\n")).unwrap_or_default();
     let endpoints = &scenario.endpoints;
     let mut text = format!(
-        "name = \"n{courier}\"\nstate = \"state\"\n[listen]\nhttp = \"{listen}\"\n\
+        "name = \"n{courier}\"\nstate = \"state\"\n[listen]\nhttp = \"{listen}\"\n{mqtt_listen}\
          [discovery]\naddress = \"{discovery}\"\n[outcomes]\nurl = \"http://{discovery}/outcomes\"\n\
          [limits]\ncouriers = {}\ncalls = {}\n[journal]\nroom = \"{JOURNAL_ROOM}\"\ndurability = \"{}\"\n",
         scenario.couriers,
@@ -119,6 +130,14 @@
                 "[routes.{class}-{pool}]\npath = \"/{class}/{pool}\"\npool = \"p{pool}\"\nclass = \"{class}\"\n\
                  rewrite.set = {{ X-Courier = \"{courier}\" }}\n"
             );
+            if mqtt.is_some() {
+                let _ = write!(
+                    text,
+                    "[topics.{class}-{pool}]\nfilter = \"{class}/{pool}\"\npool = \"p{pool}\"\nclass = \"{class}\"\n\
+                     identity = {{ property = \"{ID_PROPERTY}\" }}\nidentity_scope = \"all\"\n\
+                     rewrite.set = {{ X-Courier = \"{courier}\" }}\n"
+                );
+            }
         }
     }
     text
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod endpoints;
 pub mod fault_cost;
 pub mod folder_cost;
+pub mod mqtt_clients;
 pub mod plan;
 pub mod planted;
 pub mod proxy;
--- a/crates/testkit/src/record.rs
+++ b/crates/testkit/src/record.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Status with which a courier accepts a message.
-const ACCEPTED: u16 = 202;
+pub const ACCEPTED: u16 = 202;
 /// Begins the line with which the library `stairshed-preload` refuses a rule.
 const REFUSED_RULE: &str = "stairshed-preload: ";
 
@@ -26,6 +26,10 @@
     /// Calls at all endpoints, in order of arrival.
     pub calls: Vec<ServedCall>,
     pub notices: Vec<Notice>,
+    /// What MQTT clients heard of the ends of their messages.
+    pub outcomes: Vec<Outcome>,
+    /// How often MQTT clients found their session present.
+    pub sessions_resumed: usize,
     pub log: Vec<LogLine>,
     /// What was done to the couriers and links.
     pub steps: Vec<StepRecord>,
@@ -48,6 +52,8 @@
     pub order_key: String,
     /// Whether its client had submitted the same message before.
     pub is_repeat: bool,
+    /// Whether its client speaks MQTT.
+    pub is_mqtt: bool,
     pub sent: Instant,
     /// When the answer came, and its status.
     pub answer: Option<(Instant, u16)>,
@@ -70,6 +76,14 @@
     pub result: String,
 }
 
+/// What an MQTT client heard of the end of a message.
+#[derive(Clone, Debug)]
+pub struct Outcome {
+    pub at: Instant,
+    pub id: String,
+    pub result: String,
+}
+
 /// A line of a courier's log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
@@ -126,6 +140,8 @@
             submissions: Vec::new(),
             calls: Vec::new(),
             notices: Vec::new(),
+            outcomes: Vec::new(),
+            sessions_resumed: 0,
             log: Vec::new(),
             steps: Vec::new(),
             kills: Vec::new(),
@@ -192,6 +208,8 @@
         }
         let notices = self.notices.iter().filter(|notice| notice.id == id);
         lines.extend(notices.map(|notice| (notice.at, format!("notice: {}", notice.result))));
+        let outcomes = self.outcomes.iter().filter(|outcome| outcome.id == id);
+        lines.extend(outcomes.map(|outcome| (outcome.at, format!("client: hears {}", outcome.result))));
         let word = format!(" {id} ");
         let log = self.log.iter().filter(|line| line.text.contains(&word));
         lines.extend(log.map(|line| (line.at, format!("courier {}: {}", line.courier, line.text))));
--- a/crates/testkit/src/runner.rs
+++ b/crates/testkit/src/runner.rs
@@ -4,6 +4,7 @@
 use crate::courier_file::CourierFile;
 use crate::courier_process::{CourierLog, CourierProcess, reserved_address, was_killed};
 use crate::endpoints::{ListingService, PlacedEndpoint};
+use crate::mqtt_clients::{MqttClients, MqttRecord};
 use crate::plan::{Plan, PlannedFault};
 use crate::proxy::{Proxy, ProxyFault};
 use crate::reach::{FaultCounts, difference, injected_names, own_name};
@@ -51,6 +52,8 @@
     discovery_proxy: Proxy,
     couriers: Vec<CourierProcess>,
     client_proxies: Vec<Proxy>,
+    /// Of MQTT clients, if the scenario has any.
+    mqtt_proxies: Vec<Proxy>,
     courier_log: CourierLog,
     calls: CallLog,
     /// Faults that last and have begun, by index, with the counts before them.
@@ -89,8 +92,10 @@
     run.record.begun = Instant::now();
     let addresses: Vec<_> = run.client_proxies.iter().map(|proxy| proxy.address).collect();
     let clients = ClientGroup::start(scenario, seed, &addresses);
-    run.play(&clients);
-    Ok(run.finish(clients))
+    let mqtt_addresses: Vec<_> = run.mqtt_proxies.iter().map(|proxy| proxy.address).collect();
+    let mqtt_clients = MqttClients::start(scenario, seed, &mqtt_addresses);
+    run.play(&clients, &mqtt_clients);
+    Ok(run.finish(clients, mqtt_clients))
 }
 
 impl Run {
@@ -101,15 +106,19 @@
         let listing = ListingService::start(&endpoints);
         let discovery_proxy = Proxy::start(listing.discovery.address, seed)?;
         let courier_log = CourierLog::default();
-        let (mut couriers, mut client_proxies) = (Vec::new(), Vec::new());
+        let (mut couriers, mut client_proxies, mut mqtt_proxies) = (Vec::new(), Vec::new(), Vec::new());
         for index in 0..scenario.couriers {
             let address = reserved_address();
+            let mqtt = (scenario.clients.mqtt > 0).then(reserved_address);
             let known = listing.first_list();
-            let file = CourierFile::new(scenario, index, address, discovery_proxy.address, known);
+            let file = CourierFile::new(scenario, index, address, mqtt, discovery_proxy.address, known);
             let mut courier = CourierProcess::new(index, address, file, courier_log.clone());
             courier.start()?;
             couriers.push(courier);
             client_proxies.push(Proxy::start(address, seed)?);
+            if let Some(mqtt) = mqtt {
+                mqtt_proxies.push(Proxy::start(mqtt, seed)?);
+            }
         }
         let mut record = Record::new(scenario.clone(), plan, Instant::now());
         record.reached = vec![FaultCounts::new(); record.plan.faults.len()];
@@ -122,6 +131,7 @@
             frozen_since: vec![None; couriers.len()],
             couriers,
             client_proxies,
+            mqtt_proxies,
             courier_log,
             calls,
             active: Vec::new(),
@@ -139,7 +149,7 @@
     }
 
     /// Does the steps of the plan, and waits until all messages have ended or should have.
-    fn play(&mut self, clients: &ClientGroup) {
+    fn play(&mut self, clients: &ClientGroup, mqtt_clients: &MqttClients) {
         let run_end = self.record.scenario.duration.0;
         let mut steps = steps(&self.record.plan).into_iter().peekable();
         let mut next_end_check = Instant::now();
@@ -152,7 +162,9 @@
             self.collect_notices();
             if elapsed >= run_end {
                 clients.stop();
-                if steps.peek().is_none() && clients.have_ended() && Instant::now() >= next_end_check {
+                mqtt_clients.stop();
+                let have_ended = clients.have_ended() && mqtt_clients.have_ended();
+                if steps.peek().is_none() && have_ended && Instant::now() >= next_end_check {
                     if self.is_over(&clients.submissions()) {
                         return;
                     }
@@ -264,7 +276,11 @@
     fn proxies(&self, fault: &PlannedFault, link: &LinkFault) -> Vec<&Proxy> {
         match link.between {
             Link::ClientCourier => {
-                fault.couriers.iter().map(|courier| &self.client_proxies[*courier]).collect()
+                let of_courier = |courier: &usize| {
+                    let http = self.client_proxies.get(*courier);
+                    http.into_iter().chain(self.mqtt_proxies.get(*courier))
+                };
+                fault.couriers.iter().flat_map(of_courier).collect()
             }
             Link::CourierDiscovery => vec![&self.discovery_proxy],
             Link::CourierEndpoint => {
@@ -426,8 +442,12 @@
         self.notices_seen = notices.len();
     }
 
-    fn finish(mut self, clients: ClientGroup) -> Record {
+    fn finish(mut self, clients: ClientGroup, mqtt_clients: MqttClients) -> Record {
         self.record.submissions = clients.join();
+        let MqttRecord { submissions, outcomes, sessions_resumed } = mqtt_clients.join();
+        self.record.submissions.extend(submissions);
+        self.record.outcomes = outcomes;
+        self.record.sessions_resumed = sessions_resumed;
         for index in 0..self.record.plan.faults.len() {
             self.end(index);
         }
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -161,6 +161,10 @@
     pub remember: Option<Span>,
     /// Probability that a client submits one of its earlier messages again, in place of a new one, within `remember`.
     pub resubmit: f64,
+    /// MQTT clients of each class at each courier. For an operator's file.
+    pub mqtt: usize,
+    /// Probability that an MQTT client leaves its connection after a message, without a DISCONNECT.
+    pub reconnect: f64,
 }
 
 impl Default for Clients {
@@ -177,6 +181,8 @@
             attempts: None,
             remember: None,
             resubmit: 0.0,
+            mqtt: 0,
+            reconnect: 0.0,
         }
     }
 }
@@ -410,6 +416,9 @@
             (shares.iter().sum::<f64>() <= 1.0, "endpoints.answers: the probabilities are more than 1"),
             ((0.0..=1.0).contains(&endpoints.closing), "endpoints.closing: from 0 to 1"),
             (clients.rate > 0.0, "clients.rate: more than 0"),
+            ((0.0..=1.0).contains(&clients.reconnect), "clients.reconnect: from 0 to 1"),
+            (clients.mqtt == 0 || self.start == StartMode::File, "clients.mqtt: needs an operator's file"),
+            (clients.mqtt == 0 || clients.remember.is_some(), "clients.mqtt: needs clients.remember"),
             ((0.0..=1.0).contains(&clients.resubmit), "clients.resubmit: from 0 to 1"),
             (
                 clients.resubmit == 0.0 || clients.remember.is_some(),
--- a/crates/testkit/src/scenario_test.rs
+++ b/crates/testkit/src/scenario_test.rs
@@ -13,6 +13,9 @@
     assert!(error("[clients]\ndeadline = \"soon\"").contains("is not a time"));
     assert!(error("[endpoints.answers]\nrefused = 0.6\nbusy = 0.6").contains("more than 1"));
     assert!(error("[endpoints]\nclosing = 1.5").contains("from 0 to 1"));
+    assert!(
+        error("start = \"platform\"\n[clients]\nmqtt = 1\nremember = \"9s\"").contains("operator's file")
+    );
     assert!(error("[clients]\nresubmit = 0.5").contains("needs clients.remember"));
     assert!(error("[clients]\nclasses = [\"parcel\"]").contains("no such class"));
     assert!(error("[[faults]]\nat = [\"2s\", \"1s\"]\nclock = \"1h\"").contains("the longer one"));
--- a/crates/testkit/src/trial.rs
+++ b/crates/testkit/src/trial.rs
@@ -124,7 +124,8 @@
 ) -> Result<CourierProcess, RunError> {
     let (index, address) = (0, reserved_address());
     let log = CourierLog::default();
-    let file = CourierFile::new(scenario, index, address, listing.discovery.address, listing.first_list());
+    let file =
+        CourierFile::new(scenario, index, address, None, listing.discovery.address, listing.first_list());
     let mut courier = CourierProcess::new(index, address, file, log.clone());
     program.clone_into(&mut courier.program);
     courier.start()?;
--- a/crates/testkit/src/verdict.rs
+++ b/crates/testkit/src/verdict.rs
@@ -8,6 +8,7 @@
 mod durable;
 mod endings;
 mod order;
+mod outcomes;
 mod overload;
 mod repeats;
 mod waits;
@@ -38,6 +39,7 @@
     RequestsAnswered,
     AcceptsSpaced,
     RepeatsRecognised,
+    OutcomesTrue,
     CouriersStayUp,
 }
 
@@ -59,6 +61,7 @@
             Rule::RequestsAnswered => "requests are answered",
             Rule::AcceptsSpaced => "failed accepts are spaced",
             Rule::RepeatsRecognised => "repeats are recognised",
+            Rule::OutcomesTrue => "outcomes are heard and true",
             Rule::CouriersStayUp => "couriers stay up",
         }
     }
@@ -128,6 +131,7 @@
             (Rule::RequestsAnswered, answers::requests_answered(record)),
             (Rule::AcceptsSpaced, accepts::accepts_spaced(record)),
             (Rule::RepeatsRecognised, repeats::repeats_recognised(record)),
+            (Rule::OutcomesTrue, outcomes::outcomes_true(record)),
             (Rule::CouriersStayUp, couriers_stay_up(record)),
         ];
         let mut offences = rules.iter().filter_map(|(_, judgement)| match judgement {
@@ -211,8 +215,13 @@
     let refused = record.submissions.iter().filter(|s| s.answer.is_some()).count() - accepted;
     let silent = record.submissions.len() - accepted - refused;
     let lives = record.kills.len() + record.scenario.couriers;
+    let resumed = record.sessions_resumed;
+    let outcomes = match record.scenario.clients.mqtt {
+        0 => String::new(),
+        _ => format!(", {} outcomes, {resumed} sessions resumed", record.outcomes.len()),
+    };
     format!(
-        "{accepted} accepted, {refused} refused, {silent} without an answer, {calls} calls, {notices} notices, {lives} lives"
+        "{accepted} accepted, {refused} refused, {silent} without an answer, {calls} calls, {notices} notices, {lives} lives{outcomes}"
     )
 }
 
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::plan::Plan;
-use crate::record::{Crash, DrainRecord, FreezeRecord, LifeEnd, LogLine, Notice, Submission};
+use crate::record::{Crash, DrainRecord, FreezeRecord, LifeEnd, LogLine, Notice, Outcome, Submission};
 use crate::scenario::Scenario;
 use stairshed_rig::delivery_rules::CourierKill;
 use stairshed_rig::duplicating_endpoint::ServedCall;
@@ -34,6 +34,7 @@
             courier: 0,
             order_key: "client".to_owned(),
             is_repeat: false,
+            is_mqtt: false,
             sent: at,
             answer: Some((at, 202)),
             closed_after: None,
@@ -392,3 +393,39 @@
     assert_eq!(judgement(&record, Rule::NothingLost), Judgement::Held);
     assert_eq!(judgement(&record, Rule::TrueAnswers), Judgement::Held);
 }
+
+/// A record with a payment that an MQTT client published, that an endpoint answered so, and whose outcomes are these.
+fn published(status: Option<u16>, outcomes: &[&str]) -> Record {
+    let mut record = record("[clients]\nmqtt = 1\nremember = \"9s\"\n");
+    record.accept("payment-1", 0);
+    record.submissions[0].is_mqtt = true;
+    record.call("payment-1", "p0-a", 10, status);
+    let at = record.begun + ms(50);
+    let outcome = |result: &&str| Outcome { at, id: "payment-1".to_owned(), result: (*result).to_owned() };
+    record.outcomes = outcomes.iter().map(outcome).collect();
+    record
+}
+
+#[test]
+fn an_outcome_that_is_missing_or_contradicts_the_calls_or_another_is_found() {
+    let cases = [
+        (Some(200), &["delivered", "delivered"][..], true),
+        (Some(200), &[], false),
+        (Some(200), &["bounced"], false),
+        (Some(200), &["delivered", "dead"], false),
+        (Some(503), &["bounced"], true),
+        (Some(503), &["delivered"], false),
+        (None, &["dead"], true),
+    ];
+    for (status, outcomes, holds) in cases {
+        let offender = offender(&published(status, outcomes), Rule::OutcomesTrue);
+        assert_eq!(offender.is_none(), holds, "{status:?}, {outcomes:?}");
+    }
+}
+
+#[test]
+fn outcomes_are_judged_where_mqtt_clients_had_messages_accepted() {
+    let mut record = published(Some(200), &[]);
+    record.submissions[0].is_mqtt = false;
+    assert!(matches!(judgement(&record, Rule::OutcomesTrue), Judgement::NotJudged(_)));
+}
