--- a/crates/testkit/src/verdict.rs
+++ b/crates/testkit/src/verdict.rs
@@ -220,8 +220,10 @@
         0 => String::new(),
         _ => format!(", {} outcomes, {resumed} sessions resumed", record.outcomes.len()),
     };
+    let percent = |share: f64| format!(", returning pools were sent {:.0} % of their bound", share * 100.0);
+    let slow_start = overload::fullest_slow_start(record).map(percent).unwrap_or_default();
     format!(
-        "{accepted} accepted, {refused} refused, {silent} without an answer, {calls} calls, {notices} notices, {lives} lives{outcomes}"
+        "{accepted} accepted, {refused} refused, {silent} without an answer, {calls} calls, {notices} notices, {lives} lives{outcomes}{slow_start}"
     )
 }
 
--- a/crates/testkit/src/verdict/overload.rs
+++ b/crates/testkit/src/verdict/overload.rs
@@ -5,6 +5,7 @@
 use crate::endpoints::pool_of;
 use crate::record::Record;
 use crate::scenario::{FaultKind, Link, LinkAction};
+use stairshed_rig::duplicating_endpoint::ServedCall;
 use std::time::{Duration, Instant};
 
 /// Share of its limit that a pool can take right after an outage.
@@ -50,21 +51,58 @@
 
 /// Calls to pools that have come back.
 fn slow_start(record: &Record) -> Judgement {
-    let Some(limit) = record.scenario.endpoints.limit else {
+    if record.scenario.endpoints.limit.is_none() {
         return Judgement::not_judged("no limit is stated, so slow starts are not known");
-    };
-    let returns = returns(record);
-    if returns.is_empty() {
+    }
+    if returns(record).is_empty() {
         return Judgement::not_judged("no pool came back from an outage");
     }
-    for back in returns {
+    slow_spans(record).into_iter().find(SlowSpan::is_overload).map_or(Judgement::Held, |span| {
+        let SlowSpan { pool, first, since, calls, bound } = span;
+        let what = format!(
+            "{pool} was sent {calls} calls within {FALL_SPAN:?} from {}, {since:.3?} after an outage; {bound:.0} are allowed",
+            first.id,
+        );
+        Judgement::broken(&first.id, what)
+    })
+}
+
+/// The largest share of the bound on calls to pools that have come back; None if there is no such bound.
+pub fn fullest_slow_start(record: &Record) -> Option<f64> {
+    slow_spans(record).iter().map(SlowSpan::share).max_by(f64::total_cmp)
+}
+
+/// A span after an outage, and what a pool was sent in it.
+struct SlowSpan<'a> {
+    pool: String,
+    /// The call with which it begins.
+    first: &'a ServedCall,
+    /// From the end of the outage.
+    since: Duration,
+    calls: usize,
+    bound: f64,
+}
+
+impl SlowSpan<'_> {
+    fn share(&self) -> f64 {
+        self.calls as f64 / self.bound
+    }
+
+    fn is_overload(&self) -> bool {
+        self.calls as f64 > self.bound
+    }
+}
+
+/// The spans after all outages, by outage and pool in the order of time.
+fn slow_spans(record: &Record) -> Vec<SlowSpan<'_>> {
+    let Some(limit) = record.scenario.endpoints.limit else { return Vec::new() };
+    let mut spans = Vec::new();
+    for back in returns(record) {
         for pool in 0..record.scenario.endpoints.pools {
-            if let Some(broken) = overloaded(record, &format!("p{pool}"), back, f64::from(limit)) {
-                return broken;
-            }
+            spans.extend(spans_of_pool(record, &format!("p{pool}"), back, f64::from(limit)));
         }
     }
-    Judgement::Held
+    spans
 }
 
 /// When all endpoints came back from an outage that the plan has put on them.
@@ -79,28 +117,23 @@
     outages.filter_map(|fault| fault.ends).map(|end| record.instant(end)).collect()
 }
 
-/// Looks for a span in which a pool was sent more than it falls over at.
-fn overloaded(record: &Record, pool: &str, back: Instant, limit: f64) -> Option<Judgement> {
+/// The spans in which a pool may fall over, one from each call on.
+fn spans_of_pool<'a>(record: &'a Record, pool: &str, back: Instant, limit: f64) -> Vec<SlowSpan<'a>> {
     let slow = back..back + COLD_SPAN;
-    let calls: Vec<_> = record
-        .calls
-        .iter()
-        .filter(|call| pool_of(&call.endpoint) == pool && slow.contains(&call.arrived))
-        .collect();
-    for (index, first) in calls.iter().enumerate() {
+    let of_pool = |call: &&ServedCall| pool_of(&call.endpoint) == pool && slow.contains(&call.arrived);
+    let calls: Vec<_> = record.calls.iter().filter(of_pool).collect();
+    let spans = calls.iter().enumerate().map(|(index, first)| {
         let end = first.arrived + FALL_SPAN;
-        let within = calls[index..].iter().take_while(|call| call.arrived < end).count();
-        let bound = FALL_MULTIPLE * limit * capacity(first.arrived - back, FALL_SPAN);
-        if within as f64 > bound {
-            let what = format!(
-                "{pool} was sent {within} calls within {FALL_SPAN:?} from {}, {:.3?} after an outage; {bound:.0} are allowed",
-                first.id,
-                first.arrived - back
-            );
-            return Some(Judgement::broken(&first.id, what));
+        let since = first.arrived - back;
+        SlowSpan {
+            pool: pool.to_owned(),
+            first,
+            since,
+            calls: calls[index..].iter().take_while(|call| call.arrived < end).count(),
+            bound: FALL_MULTIPLE * limit * capacity(since, FALL_SPAN),
         }
-    }
-    None
+    });
+    spans.collect()
 }
 
 /// What a pool of limit 1 per second can take in a span that begins this long after its outage.
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -429,3 +429,15 @@
     record.submissions[0].is_mqtt = false;
     assert!(matches!(judgement(&record, Rule::OutcomesTrue), Judgement::NotJudged(_)));
 }
+
+#[test]
+fn the_summary_tells_how_near_the_calls_came_to_the_bound_of_a_slow_start() {
+    let mut record = record(&format!("[endpoints]\nlimit = 10\n{OUTAGE}"));
+    for number in 0..6 {
+        record.call(&format!("status-{number}"), "p0-a", 1000 + number, Some(200));
+    }
+    // 10 calls per second, a fifth of them at first and 44 % after 3 s, and twice that is the bound: 19.2.
+    let share = overload::fullest_slow_start(&record).expect("a bound");
+    assert!((share - 6.0 / 19.2).abs() < 1e-3, "{share}");
+    assert!(Verdict::new(&record).to_string().contains("returning pools were sent 31 % of their bound"));
+}
