--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -2,11 +2,13 @@
 //! rules from the records of the run alone. `docs/fault-scenarios.md` tells the file's keys and how to read a verdict.
 
 pub mod clients;
+pub mod clock_effect;
 pub mod courier_file;
 pub mod courier_process;
 pub mod endpoints;
 pub mod fault_cost;
 pub mod folder_cost;
+pub mod mqtt_clients;
 pub mod plan;
 pub mod planted;
 pub mod proxy;
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -155,6 +155,16 @@
     pub patience: Span,
     /// How long after its deadline a message may end: what restarts and notices take.
     pub lateness: Span,
+    /// Delivery attempts that a message may have; without it the courier's default. For an operator's file.
+    pub attempts: Option<u32>,
+    /// How long the classes remember an id; without it the courier's default. For an operator's file.
+    pub remember: Option<Span>,
+    /// Probability that a client submits one of its earlier messages again, in place of a new one, within `remember`.
+    pub resubmit: f64,
+    /// MQTT clients of each class at each courier. For an operator's file.
+    pub mqtt: usize,
+    /// Probability that an MQTT client leaves its connection after a message, without a DISCONNECT.
+    pub reconnect: f64,
 }
 
 impl Default for Clients {
@@ -168,6 +178,11 @@
             deadline: Span(Duration::from_secs(4)),
             patience: Span(Duration::from_millis(400)),
             lateness: Span(Duration::from_millis(1850)),
+            attempts: None,
+            remember: None,
+            resubmit: 0.0,
+            mqtt: 0,
+            reconnect: 0.0,
         }
     }
 }
@@ -401,6 +416,14 @@
             (shares.iter().sum::<f64>() <= 1.0, "endpoints.answers: the probabilities are more than 1"),
             ((0.0..=1.0).contains(&endpoints.closing), "endpoints.closing: from 0 to 1"),
             (clients.rate > 0.0, "clients.rate: more than 0"),
+            ((0.0..=1.0).contains(&clients.reconnect), "clients.reconnect: from 0 to 1"),
+            (clients.mqtt == 0 || self.start == StartMode::File, "clients.mqtt: needs an operator's file"),
+            (clients.mqtt == 0 || clients.remember.is_some(), "clients.mqtt: needs clients.remember"),
+            ((0.0..=1.0).contains(&clients.resubmit), "clients.resubmit: from 0 to 1"),
+            (
+                clients.resubmit == 0.0 || clients.remember.is_some(),
+                "clients.resubmit: needs clients.remember",
+            ),
             (clients.classes.iter().chain(&clients.ordered).all(known), "clients: no such class"),
         ];
         let broken = requirements.iter().find(|(holds, _)| !holds);
--- a/crates/testkit/src/verdict.rs
+++ b/crates/testkit/src/verdict.rs
@@ -8,7 +8,9 @@
 mod durable;
 mod endings;
 mod order;
+mod outcomes;
 mod overload;
+mod repeats;
 mod waits;
 
 use crate::record::Record;
@@ -36,6 +38,8 @@
     EndsOnce,
     RequestsAnswered,
     AcceptsSpaced,
+    RepeatsRecognised,
+    OutcomesTrue,
     CouriersStayUp,
 }
 
@@ -56,6 +60,8 @@
             Rule::EndsOnce => "each message ends once",
             Rule::RequestsAnswered => "requests are answered",
             Rule::AcceptsSpaced => "failed accepts are spaced",
+            Rule::RepeatsRecognised => "repeats are recognised",
+            Rule::OutcomesTrue => "outcomes are heard and true",
             Rule::CouriersStayUp => "couriers stay up",
         }
     }
@@ -124,6 +130,8 @@
             (Rule::EndsOnce, endings::ends_once(record)),
             (Rule::RequestsAnswered, answers::requests_answered(record)),
             (Rule::AcceptsSpaced, accepts::accepts_spaced(record)),
+            (Rule::RepeatsRecognised, repeats::repeats_recognised(record)),
+            (Rule::OutcomesTrue, outcomes::outcomes_true(record)),
             (Rule::CouriersStayUp, couriers_stay_up(record)),
         ];
         let mut offences = rules.iter().filter_map(|(_, judgement)| match judgement {
@@ -153,6 +161,13 @@
         self.rules.iter().any(|(_, judgement)| matches!(judgement, Judgement::Broken(_)))
     }
 
+    /// The rules that were broken, by name, and the faults that never happened.
+    pub fn failures(&self) -> Vec<String> {
+        let broken = self.rules.iter().filter(|(_, judgement)| matches!(judgement, Judgement::Broken(_)));
+        let broken = broken.map(|(rule, _)| format!("{} is broken", rule.name()));
+        broken.chain(self.unreached.iter().map(|fault| format!("not reached: {fault}"))).collect()
+    }
+
     /// The verdict as JSON.
     pub fn to_json(&self) -> Value {
         let rules: Vec<_> = self.rules.iter().map(|(rule, judgement)| rule_json(*rule, judgement)).collect();
@@ -200,8 +215,15 @@
     let refused = record.submissions.iter().filter(|s| s.answer.is_some()).count() - accepted;
     let silent = record.submissions.len() - accepted - refused;
     let lives = record.kills.len() + record.scenario.couriers;
+    let resumed = record.sessions_resumed;
+    let outcomes = match record.scenario.clients.mqtt {
+        0 => String::new(),
+        _ => format!(", {} outcomes, {resumed} sessions resumed", record.outcomes.len()),
+    };
+    let percent = |share: f64| format!(", returning pools were sent {:.0} % of their bound", share * 100.0);
+    let slow_start = overload::fullest_slow_start(record).map(percent).unwrap_or_default();
     format!(
-        "{accepted} accepted, {refused} refused, {silent} without an answer, {calls} calls, {notices} notices, {lives} lives"
+        "{accepted} accepted, {refused} refused, {silent} without an answer, {calls} calls, {notices} notices, {lives} lives{outcomes}{slow_start}"
     )
 }
 
--- a/crates/testkit/src/verdict_test.rs
+++ b/crates/testkit/src/verdict_test.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::plan::Plan;
-use crate::record::{Crash, DrainRecord, FreezeRecord, LifeEnd, LogLine, Notice, Submission};
+use crate::record::{Crash, DrainRecord, FreezeRecord, LifeEnd, LogLine, Notice, Outcome, Submission};
 use crate::scenario::Scenario;
 use stairshed_rig::delivery_rules::CourierKill;
 use stairshed_rig::duplicating_endpoint::ServedCall;
@@ -33,6 +33,8 @@
             class: id.split('-').next().unwrap_or_default().to_owned(),
             courier: 0,
             order_key: "client".to_owned(),
+            is_repeat: false,
+            is_mqtt: false,
             sent: at,
             answer: Some((at, 202)),
             closed_after: None,
@@ -343,3 +345,106 @@
         assert_eq!(offender(&record, Rule::SentAsSubmitted).is_some(), is_broken, "{body}");
     }
 }
+
+/// A record with a payment that is submitted twice and that a courier takes on at these times.
+fn resubmitted(taken_ms: &[u64]) -> Record {
+    let mut record = record("[clients]\nresubmit = 0.5\nremember = \"9s\"\n");
+    record.accept("payment-1", 0);
+    record.accept("payment-1", 500);
+    record.submissions[1].is_repeat = true;
+    for at in taken_ms {
+        record.step("payment-1", *at, "taken number=1 class=payment");
+    }
+    record
+}
+
+impl Record {
+    /// Adds a log line of courier 0 on a message.
+    fn step(&mut self, id: &str, at_ms: u64, words: &str) {
+        let text = format!("follow 1.0 {id} {words}");
+        self.log.push(LogLine { at: self.begun + ms(at_ms), courier: 0, text });
+    }
+}
+
+#[test]
+fn a_repeat_that_is_taken_on_again_is_found_unless_the_message_bounced() {
+    let rule = Rule::RepeatsRecognised;
+    assert_eq!(judgement(&resubmitted(&[0]), rule), Judgement::Held);
+    assert_eq!(offender(&resubmitted(&[0, 500]), rule).as_deref(), Some("payment-1"));
+    let mut bounced = resubmitted(&[0, 500]);
+    bounced.step("payment-1", 300, "ends verdict=Bounced { wait: None } attempts=1");
+    assert_eq!(judgement(&bounced, rule), Judgement::Held);
+    let mut dead = resubmitted(&[0, 500]);
+    dead.step("payment-1", 300, "ends verdict=Dead attempts=1");
+    assert_eq!(offender(&dead, rule).as_deref(), Some("payment-1"));
+    let mut unheard = resubmitted(&[0, 499]);
+    unheard.submissions[0].answer = None;
+    assert_eq!(judgement(&unheard, rule), Judgement::Held);
+}
+
+#[test]
+fn a_repeat_of_a_message_that_is_taken_on_is_not_refused() {
+    let mut record = resubmitted(&[0]);
+    record.submissions[1].answer = Some((record.begun + ms(500), 503));
+    assert_eq!(offender(&record, Rule::RepeatsRecognised).as_deref(), Some("payment-1"));
+    record.step("payment-1", 300, "ends verdict=Bounced { wait: None } attempts=1");
+    assert_eq!(judgement(&record, Rule::RepeatsRecognised), Judgement::Held);
+}
+
+#[test]
+fn the_second_life_of_a_message_that_bounced_may_be_lost() {
+    let mut record = resubmitted(&[0, 500]);
+    record.notice("payment-1", 300, "bounced");
+    assert_eq!(offender(&record, Rule::NothingLost).as_deref(), Some("payment-1"));
+    record.call("payment-1", "p0-a", 600, Some(200));
+    assert_eq!(judgement(&record, Rule::NothingLost), Judgement::Held);
+    assert_eq!(judgement(&record, Rule::TrueAnswers), Judgement::Held);
+}
+
+/// A record with a payment that an MQTT client published, that an endpoint answered so, and whose outcomes are these.
+fn published(status: Option<u16>, outcomes: &[&str]) -> Record {
+    let mut record = record("[clients]\nmqtt = 1\nremember = \"9s\"\n");
+    record.accept("payment-1", 0);
+    record.submissions[0].is_mqtt = true;
+    record.call("payment-1", "p0-a", 10, status);
+    let at = record.begun + ms(50);
+    let outcome = |result: &&str| Outcome { at, id: "payment-1".to_owned(), result: (*result).to_owned() };
+    record.outcomes = outcomes.iter().map(outcome).collect();
+    record
+}
+
+#[test]
+fn an_outcome_that_is_missing_or_contradicts_the_calls_or_another_is_found() {
+    let cases = [
+        (Some(200), &["delivered", "delivered"][..], true),
+        (Some(200), &[], false),
+        (Some(200), &["bounced"], false),
+        (Some(200), &["delivered", "dead"], false),
+        (Some(503), &["bounced"], true),
+        (Some(503), &["delivered"], false),
+        (None, &["dead"], true),
+    ];
+    for (status, outcomes, holds) in cases {
+        let offender = offender(&published(status, outcomes), Rule::OutcomesTrue);
+        assert_eq!(offender.is_none(), holds, "{status:?}, {outcomes:?}");
+    }
+}
+
+#[test]
+fn outcomes_are_judged_where_mqtt_clients_had_messages_accepted() {
+    let mut record = published(Some(200), &[]);
+    record.submissions[0].is_mqtt = false;
+    assert!(matches!(judgement(&record, Rule::OutcomesTrue), Judgement::NotJudged(_)));
+}
+
+#[test]
+fn the_summary_tells_how_near_the_calls_came_to_the_bound_of_a_slow_start() {
+    let mut record = record(&format!("[endpoints]\nlimit = 10\n{OUTAGE}"));
+    for number in 0..6 {
+        record.call(&format!("status-{number}"), "p0-a", 1000 + number, Some(200));
+    }
+    // 10 calls per second, a fifth of them at first and 44 % after 3 s, and twice that is the bound: 19.2.
+    let share = overload::fullest_slow_start(&record).expect("a bound");
+    assert!((share - 6.0 / 19.2).abs() < 1e-3, "{share}");
+    assert!(Verdict::new(&record).to_string().contains("returning pools were sent 31 % of their bound"));
+}
