--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -32,15 +32,8 @@
 enum Command {
     /// Runs scenarios. Ends with 0 if all rules held in all runs, 1 if not, 2 if a scenario is bad.
     Run {
-        /// Scenario files.
-        #[arg(required = true)]
-        files: Vec<PathBuf>,
-        /// The first seed.
-        #[arg(long, default_value_t = 1)]
-        seed: u64,
-        /// Number of seeds, from the first one on.
-        #[arg(long, default_value_t = 1)]
-        seeds: u64,
+        #[command(flatten)]
+        plays: Plays,
         /// Runs at the same time.
         #[arg(long, default_value_t = 1)]
         parallel: usize,
@@ -70,17 +63,21 @@
     Folder(Measurement),
     /// Plays scenarios with and without their steps of the wall clock and prints a table of what the steps changed.
     /// Ends with 1 if a message ended at another time, or a keyed one was repeated after its window.
-    Clock {
-        /// Scenario files.
-        #[arg(required = true)]
-        files: Vec<PathBuf>,
-        /// The first seed.
-        #[arg(long, default_value_t = 1)]
-        seed: u64,
-        /// Number of seeds, from the first one on.
-        #[arg(long, default_value_t = 1)]
-        seeds: u64,
-    },
+    Clock(Plays),
+}
+
+/// Which scenarios are played, with which seeds.
+#[derive(Args)]
+struct Plays {
+    /// Scenario files.
+    #[arg(required = true)]
+    files: Vec<PathBuf>,
+    /// The first seed.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Number of seeds, from the first one on.
+    #[arg(long, default_value_t = 1)]
+    seeds: u64,
 }
 
 #[derive(Args)]
@@ -102,28 +99,39 @@
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        Command::Run { files, seed, seeds, parallel, json } => run_files(&files, seed, seeds, parallel, json),
+        Command::Run { plays, parallel, json } => run_files(&plays, parallel, json),
         Command::Plant { program, seeds, scenarios, faults } => plant(&program, seeds, &scenarios, &faults),
         Command::Cost(measurement) => measurement.run(fault_cost::measure),
         Command::Folder(measurement) => measurement.run(folder_cost::measure),
-        Command::Clock { files, seed, seeds } => clock(&files, seed..seed + seeds),
+        Command::Clock(plays) => clock(&plays),
     }
 }
 
 impl Measurement {
     fn run(self, measure: fn(&Path, u64, &mut Stdout) -> Result<bool, RunError>) -> ExitCode {
         let program = self.program.unwrap_or_else(stairshed_rig::program);
-        match measure(&program, self.seed, &mut io::stdout()) {
-            Ok(true) => ExitCode::SUCCESS,
-            Ok(false) => ExitCode::from(NOT_PASSED),
-            Err(error) => {
-                eprintln!("{error}");
-                ExitCode::from(NOT_PASSED)
-            }
+        exit_code(measure(&program, self.seed, &mut io::stdout()))
+    }
+}
+
+/// The exit code of a measurement that has met its targets, has missed one, or could not be done.
+fn exit_code(measured: Result<bool, RunError>) -> ExitCode {
+    match measured {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::from(NOT_PASSED),
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::from(NOT_PASSED)
         }
     }
 }
 
+impl Plays {
+    fn seeds(&self) -> Range<u64> {
+        self.seed..self.seed + self.seeds
+    }
+}
+
 /// Reads scenarios, with their names. On an error it says which file is bad.
 fn read_all(files: &[PathBuf]) -> Result<Vec<(String, Scenario)>, ExitCode> {
     let read = |path: &PathBuf| match Scenario::read(path) {
@@ -137,8 +145,8 @@
 }
 
 /// Prints what the clock steps of scenarios change.
-fn clock(files: &[PathBuf], seeds: Range<u64>) -> ExitCode {
-    let scenarios = match read_all(files) {
+fn clock(plays: &Plays) -> ExitCode {
+    let scenarios = match read_all(&plays.files) {
         Ok(scenarios) => scenarios,
         Err(code) => return code,
     };
@@ -146,28 +154,21 @@
         eprintln!("{name}: no fault steps the clock");
         return ExitCode::from(BAD_SCENARIO);
     }
-    match clock_effect::measure(&scenarios, seeds, &mut io::stdout()) {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(NOT_PASSED),
-        Err(error) => {
-            eprintln!("{error}");
-            ExitCode::from(NOT_PASSED)
-        }
-    }
+    exit_code(clock_effect::measure(&scenarios, plays.seeds(), &mut io::stdout()))
 }
 
 fn has_clock_steps(scenario: &Scenario) -> bool {
     scenario.faults.iter().any(|fault| fault.clock.is_some())
 }
 
-fn run_files(files: &[PathBuf], seed: u64, seeds: u64, parallel: usize, json: bool) -> ExitCode {
-    let scenarios = match read_all(files) {
+fn run_files(plays: &Plays, parallel: usize, json: bool) -> ExitCode {
+    let scenarios = match read_all(&plays.files) {
         Ok(scenarios) => scenarios,
         Err(code) => return code,
     };
     let tasks: Vec<_> = scenarios
         .iter()
-        .flat_map(|(name, scenario)| (seed..seed + seeds).map(move |seed| Task { name, scenario, seed }))
+        .flat_map(|(name, scenario)| plays.seeds().map(move |seed| Task { name, scenario, seed }))
         .collect();
     let failed = run_all(&tasks, parallel.max(1), json);
     eprintln!("{} runs, {failed} not passed", tasks.len());
--- a/crates/testkit/src/steady_load.rs
+++ b/crates/testkit/src/steady_load.rs
@@ -1,6 +1,7 @@
 //! A load of the same rate whatever the courier answers: each client submits at fixed times and gives up on an answer
 //! before the next one. Half of the clients keep their connection, the others connect for each message.
 
+use crate::record::ACCEPTED;
 use crate::scenario::{CLASSES, Scenario, StartMode};
 use stairshed_rig::{HttpMessage, request};
 use std::io::{BufReader, Write};
@@ -8,8 +9,6 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Status with which a courier accepts a message.
-pub const ACCEPTED: u16 = 202;
 /// Number of clients; with [`PERIOD`] it makes 200 messages per second.
 const CLIENTS: u32 = 100;
 /// Time between two messages of a client.
--- a/crates/testkit/src/verdict/delivery.rs
+++ b/crates/testkit/src/verdict/delivery.rs
@@ -70,15 +70,7 @@
 /// different results.
 pub fn true_answers(record: &Record) -> Judgement {
     for notice in record.notices.iter().filter(|notice| !record.has_several_lives(&notice.id)) {
-        let confirms = |status: Option<u16>| status == Some(DELIVERED);
-        let confirmed = record.calls.iter().any(|call| call.id == notice.id && confirms(call.status));
-        let is_repeatable = notice.id.starts_with(REPEATABLE_CLASS);
-        let is_untrue = match notice.result.as_str() {
-            BOUNCED => confirmed && !is_repeatable,
-            REJECTED => confirmed,
-            _ => false,
-        };
-        if is_untrue {
+        if denies_confirmed_delivery(record, &notice.id, &notice.result) {
             let what = format!("{} was told as {} and has taken effect", notice.id, notice.result);
             return Judgement::broken(&notice.id, what);
         }
@@ -91,6 +83,20 @@
     Judgement::Held
 }
 
+/// Whether an endpoint has confirmed that a message took effect.
+pub(super) fn is_confirmed(record: &Record, id: &str) -> bool {
+    record.calls.iter().any(|call| call.id == id && call.status == Some(DELIVERED))
+}
+
+/// Whether this result of a message says that it did not take effect, though an endpoint has confirmed that it did.
+pub(super) fn denies_confirmed_delivery(record: &Record, id: &str, result: &str) -> bool {
+    match result {
+        BOUNCED => is_confirmed(record, id) && !id.starts_with(REPEATABLE_CLASS),
+        REJECTED => is_confirmed(record, id),
+        _ => false,
+    }
+}
+
 /// Payments are called at most once unless it is proved that the call never ran; keyed messages stay within their zone
 /// and window; nothing is sent after 410.
 pub fn no_effect_twice(record: &Record) -> Judgement {
--- a/crates/testkit/src/verdict/outcomes.rs
+++ b/crates/testkit/src/verdict/outcomes.rs
@@ -1,12 +1,11 @@
 //! MQTT clients hear how their messages end, and what they hear is true.
 
 use super::Judgement;
+use super::delivery::{denies_confirmed_delivery, is_confirmed};
 use crate::record::{Outcome, Record};
 
-const DELIVERED: (&str, u16) = ("delivered", 200);
-const BOUNCED: &str = "bounced";
-/// Class whose messages may take effect again: couriers tell `bounced` for those that may have run, too.
-const REPEATABLE_CLASS: &str = "status";
+/// Result of a message that took effect.
+const DELIVERED: &str = "delivered";
 
 /// Each message that an MQTT client had accepted has an outcome, which agrees with the calls and with the others.
 pub fn outcomes_true(record: &Record) -> Judgement {
@@ -36,11 +35,6 @@
 
 /// Whether a delivery was told that no endpoint confirmed, or denied that one did.
 fn contradicts_calls(record: &Record, outcome: &Outcome) -> bool {
-    let (delivered, status) = DELIVERED;
-    let confirmed = record.calls.iter().any(|call| call.id == outcome.id && call.status == Some(status));
-    match outcome.result.as_str() {
-        result if result == delivered => !confirmed,
-        BOUNCED => confirmed && !outcome.id.starts_with(REPEATABLE_CLASS),
-        _ => false,
-    }
+    let is_unconfirmed = outcome.result == DELIVERED && !is_confirmed(record, &outcome.id);
+    is_unconfirmed || denies_confirmed_delivery(record, &outcome.id, &outcome.result)
 }
--- a/crates/testkit/src/verdict/repeats.rs
+++ b/crates/testkit/src/verdict/repeats.rs
@@ -2,12 +2,11 @@
 //! has bounced. Clients repeat within that time only.
 
 use super::Judgement;
-use crate::record::{LogLine, Record, Submission, is_step};
+use crate::record::{ACCEPTED, LogLine, Record, Submission, is_step};
 use std::time::Instant;
 
 /// Words in the log line on a message that never ran, whose id is free from then on.
 const BOUNCED: &str = "verdict=Bounced";
-const ACCEPTED: u16 = 202;
 
 /// No repeat is taken for a new message, and none of a message that is taken on is refused.
 pub fn repeats_recognised(record: &Record) -> Judgement {
